--- a/crates/bench/benches/ledger/sim.rs
+++ b/crates/bench/benches/ledger/sim.rs
@@ -9,9 +9,9 @@
 
 use base::{JobId, Millis, UnixMillis, VmId};
 use ledger::{
-    Action, Chunk, Event, Granted, ItemEnd, JobRecord, Ledger, MarkSeen,
-    Moment, Options, OwnerSeen, Part, PullRequest, RecordSeen, WriteAction,
-    WriteOutcome, partition_of,
+    Action, Chunk, Event, Granted, JobRecord, Ledger, Moment, OpenJobMarker,
+    Options, Part, PartitionOwner, PullRequest, RunOutcome, VersionedRecord,
+    WriteAction, WriteOutcome, partition_of,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::json;
@@ -53,7 +53,7 @@
     pub(crate) items: u64,
     /// Transactions of commits.
     pub(crate) commits: u64,
-    /// All other calls: marks, records, lease, owners.
+    /// All other calls: markers, records, lease, owners.
     pub(crate) other_calls: u64,
     /// Bytes of records and pages written.
     pub(crate) written_bytes: u64,
@@ -75,7 +75,7 @@
     ledger: Ledger,
     now: u64,
     revision: u64,
-    records: HashMap<JobId, RecordSeen>,
+    records: HashMap<JobId, VersionedRecord>,
     open: Vec<Vec<JobId>>,
     fences: Vec<u64>,
     joined: bool,
@@ -127,7 +127,7 @@
                 let record = self.load.record(&id, customer);
                 jobs.push(id.clone());
                 let revision = 1;
-                let seen = RecordSeen { record, revision };
+                let seen = VersionedRecord { record, revision };
                 self.records.insert(id, seen);
             }
         }
@@ -155,12 +155,12 @@
                 room = f64::min(room + per_step, per_step * 20.0);
             }
             room -= f64::from(self.pull(room as u32));
-            let waiting = self.ledger.status().results_waiting;
+            let waiting = self.ledger.status().pending_results;
             self.seen.waiting_max = self.seen.waiting_max.max(waiting);
         }
         self.seen.virtual_ms = self.now;
-        let is_whole = |seen: &RecordSeen| {
-            seen.record.left() == 0
+        let is_whole = |seen: &VersionedRecord| {
+            seen.record.remaining_items() == 0
                 && seen.record.done.len() == self.load.items
         };
         self.seen.whole =
@@ -205,7 +205,7 @@
                 lease,
                 alive: Some(true),
             },
-            Action::Look => self.look(),
+            Action::ReadMembership => self.look(),
             Action::Claim { partition, lease } => {
                 self.revision += 1;
                 self.fences[partition as usize] = self.revision;
@@ -219,7 +219,7 @@
                 Event::Released { partition, fence }
             }
             Action::List { partition, fence } => {
-                let mark = |job: &JobId| MarkSeen {
+                let marker = |job: &JobId| OpenJobMarker {
                     job: job.clone(),
                     revision: 1,
                 };
@@ -227,20 +227,20 @@
                 Event::Listed {
                     partition,
                     fence,
-                    marks: Some(open.iter().map(mark).collect()),
+                    markers: Some(open.iter().map(marker).collect()),
                 }
             }
             Action::Load {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             } => Event::Loaded {
                 found: Ok(self.records.get(&job).cloned().map(Box::new)),
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             },
             Action::Store { commit, parts } => Event::Stored {
                 commit,
@@ -257,14 +257,14 @@
 
     fn look(&mut self) -> Event {
         let owned = (0..).zip(&self.fences).filter(|(_, f)| **f > 0);
-        let owner = |(partition, fence): (u32, &u64)| OwnerSeen {
+        let owner = |(partition, fence): (u32, &u64)| PartitionOwner {
             partition,
             member: MEMBER.to_owned(),
             lease: LEASE,
             fence: *fence,
         };
         let members = self.joined.then(|| MEMBER.to_owned());
-        Event::Looked {
+        Event::MembershipRead {
             revision: Some(self.revision),
             members: members.into_iter().collect(),
             owners: owned.map(owner).collect(),
@@ -294,7 +294,8 @@
                 .get(&id)
                 .map_or(0, |seen| u64::from(seen.record.done.len()));
             self.seen.items += u64::from(record.done.len()) - before;
-            self.records.insert(id, RecordSeen { record, revision });
+            self.records
+                .insert(id, VersionedRecord { record, revision });
         }
         Event::Written {
             commit: write.commit,
@@ -314,7 +315,7 @@
                 vm: &vm,
                 incarnation: 1,
                 models: &[],
-                room: ROOM.min(room - granted),
+                capacity: ROOM.min(room - granted),
                 running: &[],
             };
             let moment = self.moment();
@@ -342,7 +343,7 @@
             let Some(item) = self.granted.remove(&grant) else {
                 continue;
             };
-            let end = ItemEnd::Completed(LINE.into());
+            let end = RunOutcome::Completed(LINE.into());
             let moment = self.moment();
             let began = Instant::now();
             self.ledger
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -7,7 +7,8 @@
     Compare, KeyValue, Kv, KvError, LeaseId, Op, OpReply, Txn, TxnReply,
 };
 use ledger::{
-    Event, MarkSeen, OwnerSeen, Page, RecordSeen, WriteAction, WriteOutcome,
+    Event, OpenJobMarker, Page, PartitionOwner, VersionedRecord, WriteAction,
+    WriteOutcome,
 };
 
 use crate::batch::{
@@ -97,7 +98,7 @@
             Ok(reply) => reply,
             Err(report) => {
                 log::debug!(error:? = report; "cannot look for owners");
-                return Event::Looked {
+                return Event::MembershipRead {
                     revision: None,
                     members: vec![],
                     owners: vec![],
@@ -108,7 +109,7 @@
         let mut got = got(reply).into_iter();
         let members = got.next().unwrap_or_default();
         let owners = got.next().unwrap_or_default();
-        Event::Looked {
+        Event::MembershipRead {
             revision,
             members: members.iter().map(|kv| last(&kv.key).into()).collect(),
             owners: owners.iter().filter_map(owner_seen).collect(),
@@ -158,17 +159,17 @@
     pub(super) async fn list(&self, partition: u32, fence: u64) -> Event {
         let prefix = self.keys.marks(partition);
         let found = self.kv.get_prefix(&prefix, 0).await.ok();
-        let mark = |kv: &KeyValue| {
-            Some(MarkSeen {
+        let marker = |kv: &KeyValue| {
+            Some(OpenJobMarker {
                 job: last(&kv.key).parse().ok()?,
                 revision: kv.mod_revision,
             })
         };
-        let marks = found.map(|f| f.kvs.iter().filter_map(mark).collect());
+        let markers = found.map(|f| f.kvs.iter().filter_map(marker).collect());
         Event::Listed {
             partition,
             fence,
-            marks,
+            markers,
         }
     }
 
@@ -177,7 +178,7 @@
         partition: u32,
         fence: u64,
         job: JobId,
-        mark: u64,
+        marker: u64,
     ) -> Event {
         let read = self.kv.get(&self.keys.job(&job)).await;
         let found = match read {
@@ -192,7 +193,7 @@
             partition,
             fence,
             job,
-            mark,
+            marker,
             found,
         }
     }
@@ -288,8 +289,8 @@
     got.collect()
 }
 
-fn owner_seen(kv: &KeyValue) -> Option<OwnerSeen> {
-    Some(OwnerSeen {
+fn owner_seen(kv: &KeyValue) -> Option<PartitionOwner> {
+    Some(PartitionOwner {
         partition: last(&kv.key).parse().ok()?,
         member: String::from_utf8_lossy(&kv.value).into_owned(),
         lease: kv.lease.map_or(0, |lease| lease.0),
@@ -297,9 +298,9 @@
     })
 }
 
-fn seen(kv: &KeyValue) -> Option<RecordSeen> {
+fn seen(kv: &KeyValue) -> Option<VersionedRecord> {
     match parse(kv) {
-        Ok(record) => Some(RecordSeen {
+        Ok(record) => Some(VersionedRecord {
             record,
             revision: kv.mod_revision,
         }),
--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -1,7 +1,7 @@
 //! Items that crash the endpoints that run them.
 
 use base::{Customer, RequestContent, RequestDigest};
-use ledger::{Granted, ItemEnd};
+use ledger::{Granted, RunOutcome};
 use quarantine::{Cleared, Crash, CrashedEndpoint};
 use wire::message::{Item, ItemOutcome, ItemResult};
 
@@ -46,7 +46,7 @@
             for_ms = held.for_ms;
             "an item is held"
         );
-        let end = ItemEnd::Held {
+        let end = RunOutcome::Quarantined {
             for_ms: held.for_ms,
         };
         let Granted { grant, index, .. } = *granted;
@@ -66,7 +66,7 @@
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
                 let ledger = self.ledger();
-                let vm = ledger.loaned_to(job, index, result.grant);
+                let vm = ledger.granted_to(job, index, result.grant);
                 let Some(vm) = vm.cloned() else {
                     return;
                 };
--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use error_stack::{Report, ResultExt};
 use futures::future::join_all;
-use ledger::{Granted, ItemEnd, PullRequest, Taken};
+use ledger::{Granted, PullRequest, ResultOutcome, RunOutcome};
 use serde::Deserialize;
 use wire::message::{Item, ItemOutcome, ItemResult, Pull, PullReply};
 
@@ -54,7 +54,7 @@
             vm: &pull.vm,
             incarnation: pull.incarnation.get(),
             models: &pull.models,
-            room: pull.room,
+            capacity: pull.room,
             running: &pull.running,
         };
         let (answer, owns) = {
@@ -89,7 +89,7 @@
                     job, index, grant, ..
                 } = granted;
                 let moment = self.moment();
-                let end = ItemEnd::Returned;
+                let end = RunOutcome::Returned;
                 self.ledger().result(moment, &job, index, grant, end);
                 None
             }
@@ -141,7 +141,7 @@
             return false;
         };
         let end = match result.outcome {
-            ItemOutcome::Returned => ItemEnd::Returned,
+            ItemOutcome::Returned => RunOutcome::Returned,
             ItemOutcome::Answered
             | ItemOutcome::Lost
             | ItemOutcome::Crashed => {
@@ -161,24 +161,24 @@
         let (job, index) = (&result.job, result.index);
         let mut ledger = self.ledger();
         let taken = ledger.result(moment, job, index, result.grant, end);
-        taken != Taken::Ignored
+        taken != ResultOutcome::Ignored
     }
 
-    fn end(&self, result: &ItemResult, custom_id: &str) -> ItemEnd {
+    fn end(&self, result: &ItemResult, custom_id: &str) -> RunOutcome {
         let is_answer = result.outcome == ItemOutcome::Answered;
         if is_answer && result.status < CLIENT_ERRORS.start {
-            return ItemEnd::Completed(lines::output(result, custom_id));
+            return RunOutcome::Completed(lines::output(result, custom_id));
         }
         let is_wrong = is_answer
             && CLIENT_ERRORS.contains(&result.status)
             && !WORTH_ANOTHER.contains(&result.status);
         if is_wrong {
             let line = lines::error(result, custom_id, Reason::Rejected);
-            return ItemEnd::Rejected(line);
+            return RunOutcome::Rejected(line);
         }
         let attempts = self.ledger().attempts(&result.job, result.index) + 1;
         let reason = Reason::Attempts(attempts);
-        ItemEnd::Failed(lines::error(result, custom_id, reason))
+        RunOutcome::Failed(lines::error(result, custom_id, reason))
     }
 
     /// Makes the error line of an item that never came back. The item waits
--- a/crates/entry/src/batch/owner/mod.rs
+++ b/crates/entry/src/batch/owner/mod.rs
@@ -92,7 +92,7 @@
 
     /// Makes the owner look for a new or changed job now.
     pub(crate) fn poke(&self, job: &JobId) {
-        self.ledger().poke(job);
+        self.ledger().request_listing(job);
         self.poked.notify_one();
     }
 
@@ -135,7 +135,7 @@
         let event = match action {
             Action::Join { ttl_s } => self.calls.join(ttl_s).await,
             Action::Renew { lease } => self.calls.renew(lease).await,
-            Action::Look => self.calls.look().await,
+            Action::ReadMembership => self.calls.look().await,
             Action::Claim { partition, lease } => {
                 self.calls.claim(partition, lease).await
             }
@@ -149,8 +149,8 @@
                 partition,
                 fence,
                 job,
-                mark,
-            } => self.calls.load(partition, fence, job, mark).await,
+                marker,
+            } => self.calls.load(partition, fence, job, marker).await,
             Action::Store { commit, parts } => self.store(commit, parts).await,
             Action::Write(write) => self.calls.write(write).await,
             Action::ReadBack { commit, jobs, .. } => {
--- a/crates/ledger/examples/embed_ledger.rs
+++ b/crates/ledger/examples/embed_ledger.rs
@@ -13,9 +13,9 @@
 use base::{JobId, Millis, UnixMillis, VmId};
 use bytes::Bytes;
 use pomeloslip_ledger::{
-    Action, Chunk, Event, ItemEnd, JobRecord, JobState, Ledger, MarkSeen,
-    Moment, Options, OwnerSeen, Part, PullRequest, RecordSeen, WriteAction,
-    WriteOutcome,
+    Action, Chunk, Event, JobRecord, JobState, Ledger, Moment, OpenJobMarker,
+    Options, Part, PartitionOwner, PullRequest, RunOutcome, VersionedRecord,
+    WriteAction, WriteOutcome,
 };
 use serde_json::json;
 
@@ -32,7 +32,7 @@
 struct Platform {
     revision: u64,
     fence: Option<u64>,
-    records: BTreeMap<JobId, RecordSeen>,
+    records: BTreeMap<JobId, VersionedRecord>,
     blobs: BTreeMap<String, Bytes>,
 }
 
@@ -41,7 +41,8 @@
         self.revision += 1;
         let revision = self.revision;
         let id = record.id.clone();
-        self.records.insert(id, RecordSeen { record, revision });
+        self.records
+            .insert(id, VersionedRecord { record, revision });
     }
 
     /// Does what the ledger asks for and answers it. A program with I/O
@@ -58,7 +59,7 @@
                 lease,
                 alive: Some(true),
             },
-            Action::Look => self.look(),
+            Action::ReadMembership => self.look(),
             Action::Claim { partition, lease } => {
                 self.revision += 1;
                 self.fence = Some(self.revision);
@@ -75,20 +76,20 @@
             Action::List { partition, fence } => Event::Listed {
                 partition,
                 fence,
-                marks: Some(self.marks()),
+                markers: Some(self.markers()),
             },
             Action::Load {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             } => {
                 let found = self.records.get(&job).cloned().map(Box::new);
                 Event::Loaded {
                     partition,
                     fence,
                     job,
-                    mark,
+                    marker,
                     found: Ok(found),
                 }
             }
@@ -117,26 +118,26 @@
     }
 
     fn look(&self) -> Event {
-        let owner = self.fence.map(|fence| OwnerSeen {
+        let owner = self.fence.map(|fence| PartitionOwner {
             partition: 0,
             member: MEMBER.to_owned(),
             lease: LEASE,
             fence,
         });
-        Event::Looked {
+        Event::MembershipRead {
             revision: Some(self.revision),
             members: vec![MEMBER.to_owned()],
             owners: owner.into_iter().collect(),
         }
     }
 
-    fn marks(&self) -> Vec<MarkSeen> {
+    fn markers(&self) -> Vec<OpenJobMarker> {
         let open = self.records.values().filter(|one| one.record.is_open());
-        let mark = |one: &RecordSeen| MarkSeen {
+        let marker = |one: &VersionedRecord| OpenJobMarker {
             job: one.record.id.clone(),
             revision: 1,
         };
-        open.map(mark).collect()
+        open.map(marker).collect()
     }
 
     fn store(&mut self, part: Part) -> Chunk {
@@ -167,7 +168,8 @@
         for next in write.records {
             let record = next.record;
             let id = record.id.clone();
-            self.records.insert(id, RecordSeen { record, revision });
+            self.records
+                .insert(id, VersionedRecord { record, revision });
         }
         WriteOutcome::Done(revision)
     }
@@ -215,7 +217,7 @@
         vm: &vm,
         incarnation: 1,
         models: &[],
-        room: 4,
+        capacity: 4,
         running: &[],
     };
     for item in ledger.pull(moment(ms), &request).items {
@@ -225,7 +227,7 @@
             continue;
         }
         let line = Bytes::from(format!("{} {}\n", item.job, item.index));
-        let end = ItemEnd::Completed(line);
+        let end = RunOutcome::Completed(line);
         let grant = item.grant;
         ledger.result(moment(ms), &item.job, item.index, grant, end);
     }
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -6,8 +6,8 @@
 use bytes::BytesMut;
 
 use crate::{
-    Action, Chunk, CommitId, JobState, Ledger, Moment, NextRecord, Part,
-    PlantedFault, RecordSeen, Sink, WriteAction, WriteOutcome,
+    Action, Chunk, CommitId, InjectedFault, JobState, Ledger, Moment, Part,
+    RecordUpdate, Sink, VersionedRecord, WriteAction, WriteOutcome,
     job::{Job, JobKey},
 };
 
@@ -48,7 +48,7 @@
     parts: Vec<Part>,
     chunks: Vec<Chunk>,
     /// The transaction as it was sent.
-    records: Vec<NextRecord>,
+    records: Vec<RecordUpdate>,
     stage: Stage,
     failures: u32,
     /// A copy of the transaction may have taken effect.
@@ -95,11 +95,11 @@
         self.partition(number).commit_at =
             self.around(moment.now, interval_ms);
         let operation = self.draw();
-        let mut room = self.options.commit_items_max;
+        let mut capacity = self.options.commit_items_max;
         let mut shares = Vec::new();
         let mut parts = Vec::new();
         for (_, key) in &self.by_due {
-            if shares.len() >= self.options.commit_jobs_max || room == 0 {
+            if shares.len() >= self.options.commit_jobs_max || capacity == 0 {
                 break;
             }
             let Some(job) = self.jobs.get(*key) else {
@@ -107,7 +107,7 @@
             };
             let is_ready = job.partition == number && job.fence == fence;
             if is_ready && job.needs_commit() {
-                let share = share_of(*key, job, &mut room);
+                let share = share_of(*key, job, &mut capacity);
                 parts.extend(parts_of(job, &share, operation));
                 shares.push(share);
             }
@@ -183,7 +183,8 @@
             }
         }
         commit.stage = Stage::Writing;
-        let no_fence = self.options.planted == Some(PlantedFault::NoFence);
+        let no_fence =
+            self.options.injected_fault == Some(InjectedFault::NoFence);
         self.actions.push(Action::Write(WriteAction {
             commit: commit.id,
             partition: number,
@@ -197,7 +198,7 @@
         &self,
         moment: Moment,
         commit: &Commit,
-    ) -> Option<Vec<NextRecord>> {
+    ) -> Option<Vec<RecordUpdate>> {
         let next = |share: &JobShare| {
             let job = self.jobs.get(share.key)?;
             let parts = commit.parts.iter().zip(&commit.chunks);
@@ -255,7 +256,7 @@
         &mut self,
         moment: Moment,
         id: CommitId,
-        found: Option<Vec<RecordSeen>>,
+        found: Option<Vec<VersionedRecord>>,
     ) {
         let Some((number, commit)) = self.commit_of(id) else {
             return;
@@ -278,7 +279,7 @@
             .iter()
             .find(|seen| seen.record.operation == operation)
             .map(|seen| seen.revision);
-        if self.options.planted == Some(PlantedFault::NoReadBack) {
+        if self.options.injected_fault == Some(InjectedFault::NoReadBack) {
             return self.take_as_failed(number, &found);
         }
         match done {
@@ -294,8 +295,8 @@
         }
     }
 
-    /// The planted fault: goes on as if the write had failed.
-    fn take_as_failed(&mut self, number: u32, found: &[RecordSeen]) {
+    /// The injected_fault fault: goes on as if the write had failed.
+    fn take_as_failed(&mut self, number: u32, found: &[VersionedRecord]) {
         self.partition(number).commit = None;
         for seen in found {
             let key = self.by_id.get(&seen.record.id);
@@ -306,8 +307,8 @@
         }
     }
 
-    fn adopt_found(&mut self, found: Vec<RecordSeen>) {
-        for RecordSeen { record, revision } in found {
+    fn adopt_found(&mut self, found: Vec<VersionedRecord>) {
+        for VersionedRecord { record, revision } in found {
             let Some(key) = self.by_id.get(&record.id).copied() else {
                 continue;
             };
@@ -356,8 +357,8 @@
                 continue;
             };
             job.fence = 0;
-            let mark = job.mark;
-            self.load(number, fence, share.id, mark);
+            let marker = job.marker;
+            self.load(number, fence, share.id, marker);
         }
         self.look_at = moment.now;
     }
@@ -389,15 +390,15 @@
     }
 }
 
-fn share_of(key: JobKey, job: &Job, room: &mut usize) -> JobShare {
-    let taken = job.pending.iter().take(*room);
+fn share_of(key: JobKey, job: &Job, capacity: &mut usize) -> JobShare {
+    let taken = job.pending.iter().take(*capacity);
     let of = |sink: Sink| {
         let items = taken.clone().filter(move |(_, s)| s.sink == sink);
         items.map(|(index, _)| *index).collect::<BTreeSet<u32>>()
     };
     let (completed, failed) = (of(Sink::Output), of(Sink::Errors));
     let count = completed.len() + failed.len();
-    *room -= count;
+    *capacity -= count;
     JobShare {
         key,
         id: job.record.id.clone(),
@@ -435,7 +436,7 @@
     share: &JobShare,
     own: impl Iterator<Item = (&'a Part, &'a Chunk)>,
     operation: u64,
-) -> NextRecord {
+) -> RecordUpdate {
     let mut record = job.record.clone();
     let mut pages = Vec::new();
     for index in &share.completed {
@@ -447,7 +448,7 @@
     for (part, chunk) in own {
         pages.extend(record.push(part.sink, chunk.clone()));
     }
-    if record.left() == 0 {
+    if record.remaining_items() == 0 {
         record.state = JobState::Completed;
     } else if record.state == JobState::Cancelling && share.is_all {
         record.state = JobState::Cancelled;
@@ -457,7 +458,7 @@
         record.ended = Some(moment.unix);
     }
     record.operation = operation;
-    NextRecord {
+    RecordUpdate {
         record,
         revision: job.revision,
         pages,
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -4,8 +4,8 @@
 use slotmap::{Key, KeyData};
 
 use crate::{
-    Action, Granted, ItemEnd, Ledger, Moment, PullAnswer, PullRequest, Sink,
-    Taken,
+    Action, Granted, Ledger, Moment, PullRequest, PullResponse, ResultOutcome,
+    RunOutcome, Sink,
     job::{Grant, GrantKey, Job, JobKey, Settled, VmKey},
 };
 
@@ -25,20 +25,21 @@
         &mut self,
         moment: Moment,
         request: &PullRequest<'_>,
-    ) -> PullAnswer {
+    ) -> PullResponse {
         let vm = self.meet(moment.now, request);
         let revoked = self.renew(moment.now, vm, request.running);
-        let mut answer = PullAnswer {
+        let mut answer = PullResponse {
             revoked,
-            ..PullAnswer::default()
+            ..PullResponse::default()
         };
         let full = self.waiting_bytes >= WAITING_MAX_BYTES;
         if full || !self.is_safe(moment.now) {
             return answer;
         }
-        let room = request.room.min(self.options.grant_items_max) as usize;
+        let capacity =
+            request.capacity.min(self.options.grant_items_max) as usize;
         let mut band = self.band(moment.now, request.models);
-        while answer.items.len() < room {
+        while answer.items.len() < capacity {
             let Some(at) = self.next_in_turn(&band) else {
                 break;
             };
@@ -64,45 +65,45 @@
         job: &JobId,
         index: u32,
         grant: u64,
-        end: ItemEnd,
-    ) -> Taken {
+        end: RunOutcome,
+    ) -> ResultOutcome {
         let Some(key) = self.by_id.get(job).copied() else {
-            return Taken::Ignored;
+            return ResultOutcome::Ignored;
         };
         let named = self.grant_key(grant);
         let Some(job) = self.jobs.get_mut(key) else {
-            return Taken::Ignored;
+            return ResultOutcome::Ignored;
         };
         let is_current = job.held().get(&index) == Some(&named);
         if job.is_settled(index) {
             if is_current {
                 self.end_grant(key, index);
             }
-            return Taken::Ignored;
+            return ResultOutcome::Ignored;
         }
         match end {
-            ItemEnd::Completed(line) => {
+            RunOutcome::Completed(line) => {
                 let sink = Sink::Output;
                 self.settle(key, index, Settled { line, sink })
             }
-            ItemEnd::Rejected(line) => {
+            RunOutcome::Rejected(line) => {
                 let sink = Sink::Errors;
                 self.settle(key, index, Settled { line, sink })
             }
             // The end of the loan was counted when it expired.
-            _ if !is_current => Taken::Ignored,
-            ItemEnd::Returned => self.open_again(key, index, moment.now, 0),
-            ItemEnd::Held { for_ms } => {
+            _ if !is_current => ResultOutcome::Ignored,
+            RunOutcome::Returned => self.open_again(key, index, moment.now, 0),
+            RunOutcome::Quarantined { for_ms } => {
                 self.open_again(key, index, moment.now, for_ms)
             }
-            ItemEnd::Failed(line) => {
+            RunOutcome::Failed(line) => {
                 self.end_grant(key, index);
                 match self.fail(moment.now, key, index) {
                     Some(_) => {
                         let sink = Sink::Errors;
                         self.settle(key, index, Settled { line, sink })
                     }
-                    None => Taken::OpenAgain,
+                    None => ResultOutcome::Reopened,
                 }
             }
         }
@@ -115,16 +116,16 @@
         index: u32,
         now: Millis,
         pause_ms: u64,
-    ) -> Taken {
+    ) -> ResultOutcome {
         self.end_grant(key, index);
         if let Some(job) = self.jobs.get_mut(key) {
             job.reopen(index, now, pause_ms);
         }
-        Taken::OpenAgain
+        ResultOutcome::Reopened
     }
 
     /// Returns the machine that has an item on this loan.
-    pub fn loaned_to(
+    pub fn granted_to(
         &self,
         job: &JobId,
         index: u32,
@@ -144,13 +145,13 @@
         job: &JobId,
         index: u32,
         line: bytes::Bytes,
-    ) -> Taken {
+    ) -> ResultOutcome {
         match self.by_id.get(job).copied() {
             Some(key) => {
                 let sink = Sink::Errors;
                 self.settle(key, index, Settled { line, sink })
             }
-            None => Taken::Ignored,
+            None => ResultOutcome::Ignored,
         }
     }
 
@@ -277,7 +278,7 @@
     ) -> Option<Granted> {
         let share = self.share(self.jobs.get(key)?);
         let job = self.jobs.get_mut(key)?;
-        let same_after_ms = self.options.same_endpoint_after_ms;
+        let same_after_ms = self.options.same_endpoint_delay_ms;
         let index = job.next_open(vm, now, same_after_ms)?;
         let ends = now.saturating_add_ms(self.options.grant_ttl_ms);
         let grant = self.grants.insert(Grant {
@@ -331,15 +332,20 @@
         None
     }
 
-    fn settle(&mut self, key: JobKey, index: u32, settled: Settled) -> Taken {
+    fn settle(
+        &mut self,
+        key: JobKey,
+        index: u32,
+        settled: Settled,
+    ) -> ResultOutcome {
         self.end_grant(key, index);
         let bytes = settled.line.len();
         let job = self.jobs.get_mut(key);
         if !job.is_some_and(|job| job.settle(index, settled)) {
-            return Taken::Ignored;
+            return ResultOutcome::Ignored;
         }
         self.waiting_bytes += bytes;
         self.pace.count();
-        Taken::Settled
+        ResultOutcome::Settled
     }
 }
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -55,8 +55,8 @@
     pub(crate) record: JobRecord,
     /// Revision of the record.
     pub(crate) revision: u64,
-    /// Newest revision of its mark that was acted on.
-    pub(crate) mark: u64,
+    /// Newest revision of its marker that was acted on.
+    pub(crate) marker: u64,
     /// Fencing number that the record was last read under.
     pub(crate) fence: u64,
     pub(crate) pending: BTreeMap<u32, Settled>,
@@ -75,7 +75,7 @@
             wants_risk: record.at_risk,
             record,
             revision: 0,
-            mark: 0,
+            marker: 0,
             fence: 0,
             pending: BTreeMap::new(),
             next: 0,
@@ -114,7 +114,7 @@
     pub(crate) fn needs_commit(&self) -> bool {
         !self.pending.is_empty()
             || self.record.state == JobState::Cancelling
-            || self.record.left() == 0
+            || self.record.remaining_items() == 0
             || self.wants_risk != self.record.at_risk
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -24,8 +24,8 @@
 //!     random: 1,
 //! };
 //! let actions = ledger.handle(at(0), Event::Tick);
-//! assert!(matches!(actions[..], [Action::Look]));
-//! let nobody = Event::Looked {
+//! assert!(matches!(actions[..], [Action::ReadMembership]));
+//! let nobody = Event::MembershipRead {
 //!     revision: Some(1),
 //!     members: vec![],
 //!     owners: vec![],
@@ -39,8 +39,8 @@
 //! ```
 //! use base::{Millis, UnixMillis};
 //! use pomeloslip_ledger::{
-//!     Action, Event, ItemEnd, JobRecord, Ledger, MarkSeen, Moment, Options,
-//!     OwnerSeen, PullRequest, RecordSeen, Taken,
+//!     Action, Event, RunOutcome, JobRecord, Ledger, OpenJobMarker, Moment, Options,
+//!     PartitionOwner, PullRequest, VersionedRecord, ResultOutcome,
 //! };
 //! # use serde_json::json;
 //! # let at = |ms| Moment {
@@ -61,29 +61,29 @@
 //!     sent_at: Millis::new(0),
 //!     lease: Some(9),
 //! });
-//! let own = OwnerSeen {
+//! let own = PartitionOwner {
 //!     partition: 0,
 //!     member: "entry-1".to_owned(),
 //!     lease: 9,
 //!     fence: 4,
 //! };
-//! ledger.handle(at(0), Event::Looked {
+//! ledger.handle(at(0), Event::MembershipRead {
 //!     revision: Some(5),
 //!     members: vec!["entry-1".to_owned()],
 //!     owners: vec![own],
 //! });
 //! let job = record.id.clone();
-//! let mark = MarkSeen {
+//! let marker = OpenJobMarker {
 //!     job: job.clone(),
 //!     revision: 1,
 //! };
 //! let actions = ledger.handle(at(1), Event::Listed {
 //!     partition: 0,
 //!     fence: 4,
-//!     marks: Some(vec![mark]),
+//!     markers: Some(vec![marker]),
 //! });
 //! assert!(matches!(actions[..], [Action::Load { .. }]));
-//! let found = RecordSeen {
+//! let found = VersionedRecord {
 //!     record,
 //!     revision: 1,
 //! };
@@ -91,7 +91,7 @@
 //!     partition: 0,
 //!     fence: 4,
 //!     job: job.clone(),
-//!     mark: 1,
+//!     marker: 1,
 //!     found: Ok(Some(Box::new(found))),
 //! });
 //!
@@ -100,13 +100,13 @@
 //!     vm: &vm,
 //!     incarnation: 1,
 //!     models: &[],
-//!     room: 1,
+//!     capacity: 1,
 //!     running: &[],
 //! };
 //! let item = ledger.pull(at(3), &request).items.remove(0);
-//! let line = ItemEnd::Completed("the answer\n".into());
+//! let line = RunOutcome::Completed("the answer\n".into());
 //! let taken = ledger.result(at(4), &job, item.index, item.grant, line);
-//! assert_eq!(taken, Taken::Settled);
+//! assert_eq!(taken, ResultOutcome::Settled);
 //! // The results are stored first, then their transaction is written.
 //! let actions = ledger.handle(at(1_000), Event::Tick);
 //! let stores = |action: &Action| matches!(action, Action::Store { .. });
@@ -130,14 +130,15 @@
 pub use crate::{
     machine::Ledger,
     message::{
-        Action, CommitId, Event, Granted, ItemEnd, LedgerStatus, MarkSeen,
-        Moment, NextRecord, OwnerSeen, Part, PullAnswer, PullRequest,
-        RecordSeen, Taken, WriteAction, WriteOutcome,
+        Action, CommitId, Event, Granted, LedgerStatus, Moment, OpenJobMarker,
+        Part, PartitionOwner, PullRequest, PullResponse, RecordUpdate,
+        ResultOutcome, RunOutcome, VersionedRecord, WriteAction, WriteOutcome,
     },
-    options::{Options, PlantedFault},
+    options::{InjectedFault, Options},
     ranges::RangeSet,
     record::{
-        CHUNKS_KEPT_MAX, Chunk, JobRecord, JobState, Page, Sink, partition_of,
+        Chunk, JobRecord, JobState, MAX_INLINE_CHUNKS, Page, Sink,
+        partition_of,
     },
     spread::assign,
 };
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -19,7 +19,7 @@
     pub(crate) tenure: Tenure,
     pub(crate) list_at: Millis,
     pub(crate) listing: bool,
-    /// The marks were read once in this tenure.
+    /// The markers were read once in this tenure.
     pub(crate) listed: bool,
     /// Jobs whose record is being read.
     pub(crate) loading: BTreeSet<JobId>,
@@ -118,7 +118,7 @@
                 lease,
                 alive,
             } => self.on_renewed(moment, sent_at, lease, alive),
-            Event::Looked {
+            Event::MembershipRead {
                 revision,
                 members,
                 owners,
@@ -134,15 +134,15 @@
             Event::Listed {
                 partition,
                 fence,
-                marks,
-            } => self.on_listed(moment, partition, fence, marks),
+                markers,
+            } => self.on_listed(moment, partition, fence, markers),
             Event::Loaded {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
                 found,
-            } => self.on_loaded(partition, fence, &job, mark, found),
+            } => self.on_loaded(partition, fence, &job, marker, found),
             Event::Stored { commit, chunks } => {
                 self.on_stored(moment, commit, chunks);
             }
@@ -172,7 +172,7 @@
             open_jobs: jobs().count(),
             jobs_at_risk: jobs().filter(|job| job.wants_risk).count(),
             grants: self.grants.len(),
-            results_waiting: jobs().map(|job| job.pending.len()).sum(),
+            pending_results: jobs().map(|job| job.pending.len()).sum(),
         }
     }
 
@@ -190,7 +190,7 @@
 
     /// Makes the ledger look for a job at the next tick, if it owns its
     /// partition.
-    pub fn poke(&mut self, job: &JobId) {
+    pub fn request_listing(&mut self, job: &JobId) {
         let number = partition_of(job, self.options.partitions);
         if let Some(partition) = self.partitions.get_mut(number as usize) {
             partition.list_at = Millis::new(0);
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -22,7 +22,7 @@
 
 /// An entry that shares the partitions, as seen in the service.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OwnerSeen {
+pub struct PartitionOwner {
     /// Partition.
     pub partition: u32,
     /// Its owner.
@@ -33,18 +33,18 @@
     pub fence: u64,
 }
 
-/// The mark of an open job.
+/// The marker of an open job.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct MarkSeen {
+pub struct OpenJobMarker {
     /// The job.
     pub job: JobId,
-    /// Revision of the mark; a cancel raises it.
+    /// Revision of the marker; a cancel raises it.
     pub revision: u64,
 }
 
 /// A job's record with its revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RecordSeen {
+pub struct VersionedRecord {
     /// The record.
     pub record: JobRecord,
     /// Revision of its last write.
@@ -87,14 +87,14 @@
         /// `None` if the call failed.
         alive: Option<bool>,
     },
-    /// Answers [`Action::Look`].
-    Looked {
+    /// Answers [`Action::ReadMembership`].
+    MembershipRead {
         /// Revision of the read; `None` if it failed.
         revision: Option<u64>,
         /// Members that live.
         members: Vec<String>,
         /// Owners of partitions.
-        owners: Vec<OwnerSeen>,
+        owners: Vec<PartitionOwner>,
     },
     /// Answers [`Action::Claim`].
     Claimed {
@@ -119,7 +119,7 @@
         /// Fencing number of the list's action.
         fence: u64,
         /// Marks of open jobs; `None` if the read failed.
-        marks: Option<Vec<MarkSeen>>,
+        markers: Option<Vec<OpenJobMarker>>,
     },
     /// Answers [`Action::Load`].
     Loaded {
@@ -129,10 +129,10 @@
         fence: u64,
         /// The job.
         job: JobId,
-        /// Revision of the mark that asked for it.
-        mark: u64,
+        /// Revision of the marker that asked for it.
+        marker: u64,
         /// Its record; `Ok(None)` if there is none.
-        found: Result<Option<Box<RecordSeen>>, ()>,
+        found: Result<Option<Box<VersionedRecord>>, ()>,
     },
     /// Answers [`Action::Store`].
     Stored {
@@ -153,7 +153,7 @@
         /// The commit.
         commit: CommitId,
         /// The records that are there now; `None` if the read failed.
-        found: Option<Vec<RecordSeen>>,
+        found: Option<Vec<VersionedRecord>>,
     },
 }
 
@@ -174,7 +174,7 @@
 
 /// The next record of one job within a commit.
 #[derive(Clone, Debug)]
-pub struct NextRecord {
+pub struct RecordUpdate {
     /// The record.
     pub record: JobRecord,
     /// Revision that the record must still have.
@@ -191,10 +191,10 @@
     /// The partition.
     pub partition: u32,
     /// Create revision that the owner's key must have; `None` only with a
-    /// planted fault.
+    /// injected_fault fault.
     pub fence: Option<u64>,
-    /// The records. The mark of one that is no longer open is deleted.
-    pub records: Vec<NextRecord>,
+    /// The records. The marker of one that is no longer open is deleted.
+    pub records: Vec<RecordUpdate>,
 }
 
 /// What the ledger wants done.
@@ -211,7 +211,7 @@
         lease: i64,
     },
     /// Read members and owners at one revision.
-    Look,
+    ReadMembership,
     /// Create the owner's key, if it does not exist.
     Claim {
         /// The partition.
@@ -226,7 +226,7 @@
         /// Its create revision.
         fence: u64,
     },
-    /// Read the marks of a partition's open jobs.
+    /// Read the markers of a partition's open jobs.
     List {
         /// The partition.
         partition: u32,
@@ -241,8 +241,8 @@
         fence: u64,
         /// The job.
         job: JobId,
-        /// Revision of its mark, returned in the answer.
-        mark: u64,
+        /// Revision of its marker, returned in the answer.
+        marker: u64,
     },
     /// Store parts on two data VMs.
     Store {
@@ -284,7 +284,7 @@
     /// Models of its endpoint; empty if not known.
     pub models: &'a [String],
     /// Most items that it takes.
-    pub room: u32,
+    pub capacity: u32,
     /// Grants that it still runs.
     pub running: &'a [u64],
 }
@@ -312,7 +312,7 @@
 
 /// The answer to a pull.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct PullAnswer {
+pub struct PullResponse {
     /// New loans.
     pub items: Vec<Granted>,
     /// Loans to stop at once.
@@ -323,7 +323,7 @@
 
 /// How an item ended at an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ItemEnd {
+pub enum RunOutcome {
     /// A whole answer; its output line.
     Completed(Bytes),
     /// A refusal that every endpoint would repeat; its error line.
@@ -333,7 +333,7 @@
     /// Given back before it was tried.
     Returned,
     /// It may not be tried for now.
-    Held {
+    Quarantined {
         /// When it may, in milliseconds from now.
         for_ms: u64,
     },
@@ -341,11 +341,11 @@
 
 /// What the ledger did with a result.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum ResultOutcome {
     /// The item is settled by it and waits for its commit.
     Settled,
     /// The item is open again.
-    OpenAgain,
+    Reopened,
     /// The item is settled already or its job is not here.
     Ignored,
 }
@@ -362,5 +362,5 @@
     /// Items on loan.
     pub grants: usize,
     /// Results that wait for their commit.
-    pub results_waiting: usize,
+    pub pending_results: usize,
 }
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -13,12 +13,12 @@
         #[derive(Clone, Debug)]
         pub struct Options {
             $(pub(crate) $name: $type,)*
-            pub(crate) planted: Option<PlantedFault>,
+            pub(crate) injected_fault: Option<InjectedFault>,
         }
 
         impl Default for Options {
             fn default() -> Self {
-                Self { $($name: $default,)* planted: None }
+                Self { $($name: $default,)* injected_fault: None }
             }
         }
 
@@ -40,11 +40,11 @@
     /// Sets how long before its end the lease is no longer relied on.
     lease_margin_ms: u64 = 500;
     /// Sets the time between two looks at members and owners.
-    look_interval_ms: u64 = 500;
-    /// Sets the time between two looks at the marks of open jobs.
+    membership_interval_ms: u64 = 500;
+    /// Sets the time between two looks at the markers of open jobs.
     list_interval_ms: u64 = 1_000;
     /// Sets that time for an entry that owns nothing and may not join.
-    idle_look_interval_ms: u64 = 10_000;
+    idle_membership_interval_ms: u64 = 10_000;
     /// Sets how many entries share the partitions; others stand by.
     members_max: usize = 32;
     /// Sets the shortest time between two commits of a partition.
@@ -62,14 +62,14 @@
     /// Sets the shortest pause before another attempt; it doubles.
     retry_base_ms: u64 = 100;
     /// Sets when an endpoint may have an item again that it had before.
-    same_endpoint_after_ms: u64 = 5_000;
+    same_endpoint_delay_ms: u64 = 5_000;
     /// Sets within which span of the earliest due time customers share.
     due_band_ms: u64 = 15 * 60 * 1_000;
 }
 
 /// A fault that a test plants to see that it is found.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     /// Transactions do not compare the fencing number.
     NoFence,
     /// A write of unknown outcome is taken as not done.
@@ -85,8 +85,8 @@
 
     /// Plants a fault, for tests only.
     #[doc(hidden)]
-    pub fn plant(mut self, fault: PlantedFault) -> Self {
-        self.planted = Some(fault);
+    pub fn inject_fault(mut self, fault: InjectedFault) -> Self {
+        self.injected_fault = Some(fault);
         self
     }
 }
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -3,7 +3,8 @@
 use base::{JobId, Millis};
 
 use crate::{
-    Action, Ledger, MarkSeen, Moment, OwnerSeen, RecordSeen, assign,
+    Action, Ledger, Moment, OpenJobMarker, PartitionOwner, VersionedRecord,
+    assign,
     job::{Job, JobKey},
     machine::Partition,
     tenure::{Lease, Tenure},
@@ -41,11 +42,11 @@
         }
         self.looking = true;
         let interval_ms = match self.lease.is_some() || self.joining {
-            true => self.options.look_interval_ms,
-            false => self.options.idle_look_interval_ms,
+            true => self.options.membership_interval_ms,
+            false => self.options.idle_membership_interval_ms,
         };
         self.look_at = self.around(now, interval_ms);
-        self.actions.push(Action::Look);
+        self.actions.push(Action::ReadMembership);
     }
 
     pub(crate) fn on_joined(
@@ -64,7 +65,7 @@
                 self.look(now);
             }
             None => {
-                let pause_ms = self.options.look_interval_ms;
+                let pause_ms = self.options.membership_interval_ms;
                 self.join_at = self.around(now, pause_ms);
             }
         }
@@ -93,7 +94,8 @@
 
     fn lose_lease(&mut self, now: Millis) {
         self.lease = None;
-        self.join_at = self.around(now, self.options.look_interval_ms / 4);
+        self.join_at =
+            self.around(now, self.options.membership_interval_ms / 4);
         self.look_at = now;
         for number in 0..self.options.partitions {
             if self.partition(number).tenure != Tenure::Unowned {
@@ -131,7 +133,7 @@
         moment: Moment,
         revision: Option<u64>,
         mut members: Vec<String>,
-        owners: &[OwnerSeen],
+        owners: &[PartitionOwner],
     ) {
         self.looking = false;
         // A view that was delayed says nothing of what is now.
@@ -160,10 +162,10 @@
         now: Millis,
         number: u32,
         revision: u64,
-        owner: Option<&OwnerSeen>,
+        owner: Option<&PartitionOwner>,
     ) {
         let lease = self.lease.map(|lease| lease.id);
-        let is_mine = |owner: &&OwnerSeen| {
+        let is_mine = |owner: &&PartitionOwner| {
             owner.member == self.member && Some(owner.lease) == lease
         };
         let mine = owner.filter(is_mine).map(|owner| owner.fence);
@@ -192,7 +194,7 @@
         &mut self,
         now: Millis,
         number: u32,
-        owner: Option<&OwnerSeen>,
+        owner: Option<&PartitionOwner>,
     ) {
         let assigned = self.assigned.get(number as usize);
         let Some(member) = assigned.and_then(|at| self.members.get(*at))
@@ -259,7 +261,7 @@
         self.keep_partition(now, number);
     }
 
-    /// Lists the marks when it is time, and hands a partition over.
+    /// Lists the markers when it is time, and hands a partition over.
     pub(crate) fn keep_partition(&mut self, now: Millis, number: u32) {
         let tenure = self.partition(number).tenure;
         if let Tenure::Releasing { fence, until } = tenure
@@ -300,7 +302,7 @@
         moment: Moment,
         number: u32,
         fence: u64,
-        marks: Option<Vec<MarkSeen>>,
+        markers: Option<Vec<OpenJobMarker>>,
     ) {
         let interval_ms = self.options.list_interval_ms;
         let list_at = self.around(moment.now, interval_ms);
@@ -310,19 +312,21 @@
         }
         partition.listing = false;
         partition.list_at = list_at;
-        let Some(marks) = marks else {
+        let Some(markers) = markers else {
             return;
         };
         partition.listed = true;
-        self.drop_unmarked(number, &marks);
-        for mark in marks {
+        self.drop_unmarked(number, &markers);
+        for marker in markers {
             let known = self
                 .by_id
-                .get(&mark.job)
+                .get(&marker.job)
                 .and_then(|key| self.jobs.get(*key))
-                .is_some_and(|j| j.fence == fence && j.mark >= mark.revision);
+                .is_some_and(|j| {
+                    j.fence == fence && j.marker >= marker.revision
+                });
             if !known {
-                self.load(number, fence, mark.job, mark.revision);
+                self.load(number, fence, marker.job, marker.revision);
             }
         }
         self.settle_in(number);
@@ -330,9 +334,9 @@
 
     /// Forgets jobs that ended without this process knowing: by a commit of
     /// unknown outcome, or by another owner.
-    fn drop_unmarked(&mut self, number: u32, marks: &[MarkSeen]) {
+    fn drop_unmarked(&mut self, number: u32, markers: &[OpenJobMarker]) {
         let marked: std::collections::HashSet<&JobId> =
-            marks.iter().map(|mark| &mark.job).collect();
+            markers.iter().map(|marker| &marker.job).collect();
         for key in self.jobs_of(number) {
             let is_marked = marked.contains(&self.jobs[key].record.id);
             let commit = &self.partitions[number as usize].commit;
@@ -348,14 +352,14 @@
         number: u32,
         fence: u64,
         job: JobId,
-        mark: u64,
+        marker: u64,
     ) {
         if self.partition(number).loading.insert(job.clone()) {
             self.actions.push(Action::Load {
                 partition: number,
                 fence,
                 job,
-                mark,
+                marker,
             });
         }
     }
@@ -365,8 +369,8 @@
         number: u32,
         fence: u64,
         id: &JobId,
-        mark: u64,
-        found: Result<Option<Box<RecordSeen>>, ()>,
+        marker: u64,
+        found: Result<Option<Box<VersionedRecord>>, ()>,
     ) {
         if self.partition(number).tenure.commits() != Some(fence) {
             return;
@@ -376,7 +380,7 @@
             // The next list asks for it again.
             Err(()) => {}
             Ok(Some(seen)) if seen.record.is_open() => {
-                self.take_record(number, fence, mark, *seen);
+                self.take_record(number, fence, marker, *seen);
             }
             Ok(_) => {
                 if let Some(key) = self.by_id.get(id).copied() {
@@ -391,10 +395,10 @@
         &mut self,
         number: u32,
         fence: u64,
-        mark: u64,
-        seen: RecordSeen,
+        marker: u64,
+        seen: VersionedRecord,
     ) {
-        let RecordSeen { record, revision } = seen;
+        let VersionedRecord { record, revision } = seen;
         let key = match self.by_id.get(&record.id) {
             Some(key) => *key,
             None => {
@@ -409,7 +413,7 @@
         if let Some(job) = self.jobs.get_mut(key) {
             job.adopt(record, revision);
             job.fence = fence;
-            job.mark = job.mark.max(mark);
+            job.marker = job.marker.max(marker);
         }
     }
 
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -6,7 +6,7 @@
 use crate::RangeSet;
 
 /// References to pieces that a record holds before they move to a page.
-pub const CHUNKS_KEPT_MAX: usize = 64;
+pub const MAX_INLINE_CHUNKS: usize = 64;
 
 /// One stored piece of a file: whole lines.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -130,7 +130,7 @@
     }
 
     /// Returns how many items are in no committed result.
-    pub fn left(&self) -> u32 {
+    pub fn remaining_items(&self) -> u32 {
         self.items - self.done.len() - self.failed.len()
     }
 
@@ -140,7 +140,7 @@
             Sink::Output => (&mut self.output, &mut self.output_pages),
             Sink::Errors => (&mut self.errors, &mut self.error_pages),
         };
-        let page = (chunks.len() >= CHUNKS_KEPT_MAX).then(|| {
+        let page = (chunks.len() >= MAX_INLINE_CHUNKS).then(|| {
             *pages += 1;
             Page {
                 sink,
--- a/crates/ledger/src/risk.rs
+++ b/crates/ledger/src/risk.rs
@@ -57,7 +57,10 @@
         if moment.now.saturating_ms_since(self.pace.since) < SAMPLE_MS {
             return;
         }
-        let has_work = self.jobs.values().any(|job| job.record.left() > 0);
+        let has_work = self
+            .jobs
+            .values()
+            .any(|job| job.record.remaining_items() > 0);
         self.pace.sample(moment.now, has_work);
         let mut before: u64 = 0;
         let due: Vec<_> = self.by_due.iter().map(|(_, key)| *key).collect();
@@ -67,7 +70,7 @@
             };
             let record = &job.record;
             let waiting = job.pending.len() as u32;
-            let left = record.left().saturating_sub(waiting);
+            let left = record.remaining_items().saturating_sub(waiting);
             before += u64::from(left);
             if !job.is_running() {
                 continue;
--- a/crates/ledger/src/spread.rs
+++ b/crates/ledger/src/spread.rs
@@ -4,7 +4,7 @@
 /// `members`.
 ///
 /// Rendezvous hashing with caps: each partition goes to the member with the
-/// highest weight that has room, and the loads of two members differ by one
+/// highest weight that has capacity, and the loads of two members differ by one
 /// at most. All entries that know the same members agree without asking
 /// anybody. Plain rendezvous hashing moves a little less but leaves some
 /// members with twice the load of others; a ring needs many points per member
--- a/crates/ledger/tests/grants.rs
+++ b/crates/ledger/tests/grants.rs
@@ -2,8 +2,9 @@
 
 use base::{Millis, UnixMillis, VmId};
 use pomeloslip_ledger::{
-    Action, Event, Granted, ItemEnd, JobRecord, Ledger, MarkSeen, Moment,
-    Options, OwnerSeen, PullAnswer, PullRequest, RecordSeen, Taken,
+    Action, Event, Granted, JobRecord, Ledger, Moment, OpenJobMarker, Options,
+    PartitionOwner, PullRequest, PullResponse, ResultOutcome, RunOutcome,
+    VersionedRecord,
 };
 use yare::parameterized;
 
@@ -43,15 +44,15 @@
     let lease = Some(LEASE);
     ledger.handle(at(0), Event::Joined { sent_at, lease });
     ledger.handle(at(0), looked(5));
-    let marks = jobs.iter().map(|job| MarkSeen {
+    let markers = jobs.iter().map(|job| OpenJobMarker {
         job: job.id.clone(),
         revision: 1,
     });
-    let marks = Some(marks.collect());
+    let markers = Some(markers.collect());
     let listed = Event::Listed {
         partition: 0,
         fence: FENCE,
-        marks,
+        markers,
     };
     ledger.handle(at(0), listed);
     for record in jobs {
@@ -61,10 +62,10 @@
 }
 
 fn looked(revision: u64) -> Event {
-    Event::Looked {
+    Event::MembershipRead {
         revision: Some(revision),
         members: vec![MEMBER.to_owned()],
-        owners: vec![OwnerSeen {
+        owners: vec![PartitionOwner {
             partition: 0,
             member: MEMBER.to_owned(),
             lease: LEASE,
@@ -75,12 +76,12 @@
 
 fn load(ledger: &mut Ledger, record: JobRecord, revision: u64) {
     let job = record.id.clone();
-    let found = Ok(Some(Box::new(RecordSeen { record, revision })));
+    let found = Ok(Some(Box::new(VersionedRecord { record, revision })));
     let loaded = Event::Loaded {
         partition: 0,
         fence: FENCE,
         job,
-        mark: revision,
+        marker: revision,
         found,
     };
     ledger.handle(at(0), loaded);
@@ -90,41 +91,54 @@
     ledger: &mut Ledger,
     ms: u64,
     vm: &str,
-    room: u32,
+    capacity: u32,
     running: &[u64],
-) -> PullAnswer {
+) -> PullResponse {
     let vm: VmId = vm.parse().expect("a vm");
     let request = PullRequest {
         vm: &vm,
         incarnation: 1,
         models: &[],
-        room,
+        capacity,
         running,
     };
     ledger.pull(at(ms), &request)
 }
 
-fn pull(ledger: &mut Ledger, ms: u64, vm: &str, room: u32) -> Vec<Granted> {
-    pull_as(ledger, ms, vm, room, &[]).items
+fn pull(
+    ledger: &mut Ledger,
+    ms: u64,
+    vm: &str,
+    capacity: u32,
+) -> Vec<Granted> {
+    pull_as(ledger, ms, vm, capacity, &[]).items
 }
 
-fn end(ledger: &mut Ledger, ms: u64, item: &Granted, end: ItemEnd) -> Taken {
+fn end(
+    ledger: &mut Ledger,
+    ms: u64,
+    item: &Granted,
+    end: RunOutcome,
+) -> ResultOutcome {
     ledger.result(at(ms), &item.job, item.index, item.grant, end)
 }
 
-fn completed() -> ItemEnd {
-    ItemEnd::Completed("line\n".into())
+fn completed() -> RunOutcome {
+    RunOutcome::Completed("line\n".into())
 }
 
-fn failed() -> ItemEnd {
-    ItemEnd::Failed("error\n".into())
+fn failed() -> RunOutcome {
+    RunOutcome::Failed("error\n".into())
 }
 
 #[test]
 fn a_failed_item_goes_to_an_endpoint_that_has_not_had_it() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
-    assert_eq!(end(&mut ledger, 1, &item, failed()), Taken::OpenAgain);
+    assert_eq!(
+        end(&mut ledger, 1, &item, failed()),
+        ResultOutcome::Reopened
+    );
     assert_eq!(pull(&mut ledger, 500, "vm-1", 1), []);
     let again = pull(&mut ledger, 500, "vm-2", 1).remove(0);
     assert_eq!((again.index, again.attempt), (0, 1));
@@ -133,7 +147,10 @@
     // there may be no third.
     assert_eq!(pull(&mut ledger, 1_500, "vm-1", 1), []);
     let last = pull(&mut ledger, 6_000, "vm-1", 1).remove(0);
-    assert_eq!(end(&mut ledger, 6_001, &last, failed()), Taken::Settled);
+    assert_eq!(
+        end(&mut ledger, 6_001, &last, failed()),
+        ResultOutcome::Settled
+    );
 }
 
 /// Symptom: a run costs an endpoint's time twice. Events: a loan expires, the
@@ -156,14 +173,14 @@
     let second = pull(&mut ledger, 10_800, "vm-2", 1).remove(0);
     assert_eq!(
         end(&mut ledger, 10_801, &first, completed()),
-        Taken::Settled
+        ResultOutcome::Settled
     );
     let running = [second.grant];
     let answer = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
     assert_eq!(answer.revoked, running);
     assert_eq!(
         end(&mut ledger, 10_803, &second, completed()),
-        Taken::Ignored
+        ResultOutcome::Ignored
     );
 }
 
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/model.rs
@@ -10,7 +10,7 @@
 
 use std::{ops::Range, thread};
 
-use pomeloslip_ledger::PlantedFault;
+use pomeloslip_ledger::InjectedFault;
 
 use self::world::{Seen, World};
 
@@ -52,9 +52,9 @@
 }
 
 /// Returns the first seed whose run breaks a promise.
-fn first_broken(planted: PlantedFault) -> Option<(u64, String)> {
+fn first_broken(injected_fault: InjectedFault) -> Option<(u64, String)> {
     (0..SEEDS).find_map(|seed| {
-        let why = World::new(seed, Some(planted)).run().err()?;
+        let why = World::new(seed, Some(injected_fault)).run().err()?;
         Some((seed, why))
     })
 }
@@ -83,7 +83,7 @@
 /// the partition. Cause: the transaction does not compare the fencing number.
 #[test]
 fn a_missing_fence_is_found() {
-    let (seed, why) = first_broken(PlantedFault::NoFence).expect("a finding");
+    let (seed, why) = first_broken(InjectedFault::NoFence).expect("a finding");
     println!("seed {seed}: {why}");
     assert!(why.contains("committed to partition"), "{why}");
 }
@@ -93,7 +93,7 @@
 /// commits the items anew. Cause: the operation id is not read back.
 #[test]
 fn a_missing_read_back_is_found() {
-    let found = first_broken(PlantedFault::NoReadBack);
+    let found = first_broken(InjectedFault::NoReadBack);
     let (seed, why) = found.expect("a finding");
     println!("seed {seed}: {why}");
     assert!(why.contains("item "), "{why}");
--- a/crates/ledger/tests/world/companions.rs
+++ b/crates/ledger/tests/world/companions.rs
@@ -1,7 +1,7 @@
 //! The companions of the model: they pull, run and report.
 
 use base::VmId;
-use pomeloslip_ledger::{Granted, ItemEnd, PullRequest};
+use pomeloslip_ledger::{Granted, PullRequest, RunOutcome};
 use rand::Rng;
 
 use super::{Message, OWNERS, PULL_MS, World, line};
@@ -42,7 +42,7 @@
             vm: &vm,
             incarnation: life,
             models: &[],
-            room: 3,
+            capacity: 3,
             running,
         };
         let answer = self.owners[owner].ledger.pull(moment, &request);
@@ -110,10 +110,10 @@
         };
         let line = line(&item.job, item.index);
         let end = match self.rng.random_range(0..20) {
-            0 if !self.is_calm() => ItemEnd::Failed(line),
-            1 if !self.is_calm() => ItemEnd::Returned,
-            _ if item.index % 17 == 3 => ItemEnd::Rejected(line),
-            _ => ItemEnd::Completed(line),
+            0 if !self.is_calm() => RunOutcome::Failed(line),
+            1 if !self.is_calm() => RunOutcome::Returned,
+            _ if item.index % 17 == 3 => RunOutcome::Rejected(line),
+            _ => RunOutcome::Completed(line),
         };
         for _ in 0..self.copies() {
             let delay = self.delay();
--- a/crates/ledger/tests/world/mod.rs
+++ b/crates/ledger/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use base::{JobId, Millis, UnixMillis};
 use bytes::Bytes;
 use pomeloslip_ledger::{
-    Action, Event, Granted, ItemEnd, Ledger, Moment, Options, PlantedFault,
+    Action, Event, Granted, InjectedFault, Ledger, Moment, Options, RunOutcome,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -82,7 +82,7 @@
     Result {
         owner: usize,
         item: Granted,
-        end: ItemEnd,
+        end: RunOutcome,
     },
     Create {
         number: u64,
@@ -145,12 +145,15 @@
 }
 
 impl World {
-    pub(crate) fn new(seed: u64, planted: Option<PlantedFault>) -> Self {
+    pub(crate) fn new(
+        seed: u64,
+        injected_fault: Option<InjectedFault>,
+    ) -> Self {
         let mut options = Options::default()
             .partitions(4)
             .lease_ttl_s(2)
             .lease_margin_ms(100)
-            .look_interval_ms(200)
+            .membership_interval_ms(200)
             .list_interval_ms(200)
             .commit_interval_ms(100)
             .commit_items_max(8)
@@ -158,9 +161,9 @@
             .grant_items_max(4)
             .grant_ttl_ms(800)
             .retry_base_ms(20)
-            .same_endpoint_after_ms(300);
-        if let Some(fault) = planted {
-            options = options.plant(fault);
+            .same_endpoint_delay_ms(300);
+        if let Some(fault) = injected_fault {
+            options = options.inject_fault(fault);
         }
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
--- a/crates/ledger/tests/world/service.rs
+++ b/crates/ledger/tests/world/service.rs
@@ -8,8 +8,8 @@
     mvcc::{Store, Transaction},
 };
 use pomeloslip_ledger::{
-    Action, Chunk, CommitId, Event, JobRecord, JobState, MarkSeen, OwnerSeen,
-    Part, RecordSeen, WriteAction, WriteOutcome, partition_of,
+    Action, Chunk, CommitId, Event, JobRecord, JobState, OpenJobMarker, Part,
+    PartitionOwner, VersionedRecord, WriteAction, WriteOutcome, partition_of,
 };
 
 use super::{Seen, job_id};
@@ -50,7 +50,7 @@
             lease,
             alive: None,
         },
-        Action::Look => Event::Looked {
+        Action::ReadMembership => Event::MembershipRead {
             revision: None,
             members: vec![],
             owners: vec![],
@@ -66,18 +66,18 @@
         Action::List { partition, fence } => Event::Listed {
             partition,
             fence,
-            marks: None,
+            markers: None,
         },
         Action::Load {
             partition,
             fence,
             job,
-            mark,
+            marker,
         } => Event::Loaded {
             partition,
             fence,
             job,
-            mark,
+            marker,
             found: Err(()),
         },
         Action::Store { commit, .. } => Event::Stored {
@@ -178,12 +178,12 @@
         self.txn(txn).expect("a read")
     }
 
-    fn record(&mut self, job: &JobId) -> Option<RecordSeen> {
+    fn record(&mut self, job: &JobId) -> Option<VersionedRecord> {
         let key = job_key(job);
         let reply = self.read(vec![Op::Get { key }]);
         let kv = found(reply).pop()?;
         let record = serde_json::from_slice(&kv.value).expect("a record");
-        Some(RecordSeen {
+        Some(VersionedRecord {
             record,
             revision: kv.mod_revision,
         })
@@ -207,7 +207,7 @@
                     alive: Some(kept.is_ok()),
                 }
             }
-            Action::Look => self.look(),
+            Action::ReadMembership => self.look(),
             Action::Claim { partition, lease } => {
                 self.claim(member, partition, lease)
             }
@@ -226,27 +226,29 @@
             Action::List { partition, fence } => {
                 let reply =
                     self.read(vec![get(&format!("open/{partition:05}/"))]);
-                let mark = |kv: KeyValue| MarkSeen {
+                let marker = |kv: KeyValue| OpenJobMarker {
                     job: last(&kv.key).parse().expect("a job id"),
                     revision: kv.mod_revision,
                 };
                 Event::Listed {
                     partition,
                     fence,
-                    marks: Some(found(reply).into_iter().map(mark).collect()),
+                    markers: Some(
+                        found(reply).into_iter().map(marker).collect(),
+                    ),
                 }
             }
             Action::Load {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             } => Event::Loaded {
                 found: Ok(self.record(&job).map(Box::new)),
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             },
             Action::Write(write) => return self.write(member, write),
             Action::ReadBack { commit, jobs, .. } => Event::ReadBack {
@@ -277,13 +279,13 @@
         let (members, owners): (Vec<_>, Vec<_>) = found(reply)
             .into_iter()
             .partition(|kv| kv.key.starts_with("entries/"));
-        let owner = |kv: KeyValue| OwnerSeen {
+        let owner = |kv: KeyValue| PartitionOwner {
             partition: last(&kv.key).parse().expect("a number"),
             member: text(&kv),
             lease: kv.lease.map_or(0, |lease| lease.0),
             fence: kv.create_revision,
         };
-        Event::Looked {
+        Event::MembershipRead {
             revision,
             members: members.iter().map(|kv| last(&kv.key)).collect(),
             owners: owners.into_iter().map(owner).collect(),
@@ -434,7 +436,7 @@
     /// Cancels a job as another entry does: by a compare of its revision.
     pub(crate) fn cancel(&mut self, number: u64) {
         let id = job_id(number);
-        let Some(RecordSeen { mut record, .. }) = self.record(&id) else {
+        let Some(VersionedRecord { mut record, .. }) = self.record(&id) else {
             return;
         };
         if record.state == JobState::InProgress {
@@ -464,7 +466,7 @@
                 serde_json::from_slice(&kv.value).expect("a record");
             self.check(&record)?;
             match record.state {
-                JobState::Completed if record.left() == 0 => {
+                JobState::Completed if record.remaining_items() == 0 => {
                     self.seen.completed_jobs += 1;
                 }
                 JobState::Cancelled => self.seen.cancelled_jobs += 1,
