--- a/crates/cli/src/bin/pomeloslip/rules/explain.rs
+++ b/crates/cli/src/bin/pomeloslip/rules/explain.rs
@@ -6,7 +6,7 @@
 use error_stack::Report;
 use jiff::Timestamp;
 use pomeloslip::args::{Args, ArgsError};
-use rules::{Compiled, Config, Explanation, SampleBuf};
+use rules::{CompiledConfig, Config, Explanation, SampleBuf};
 
 use super::{check, source};
 use crate::{
@@ -77,14 +77,14 @@
 fn read(
     context: &Context,
     path: &std::path::Path,
-) -> Result<Compiled, Report<CommandError>> {
+) -> Result<CompiledConfig, Report<CommandError>> {
     let text = source::read(path)?;
     let file = path.display().to_string();
     let config = check::parse(context, &file, &text)?;
     Ok(config.compile(Revision::default()))
 }
 
-fn fetch(context: &Context) -> Result<Compiled, Report<CommandError>> {
+fn fetch(context: &Context) -> Result<CompiledConfig, Report<CommandError>> {
     let live = source::fetch(context, None)?;
     let config: Config = check::parse(context, LIVE, &live.text)?;
     Ok(config.compile(Revision::new(live.revision)))
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -22,7 +22,7 @@
     Compare, KeyValue, Kv, Op, Txn,
     ops::{Outcome, Verdict, Writer},
 };
-use rules::{Compiled, Config};
+use rules::{CompiledConfig, Config};
 use serde::{Deserialize, Serialize};
 use spread::{Action, Document, Event, Message, Spread, Stamp};
 use tokio::sync::{Notify, mpsc, watch};
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) accepted: Accepted,
-    pub(crate) compiled: Compiled,
+    pub(crate) compiled: CompiledConfig,
     pub(crate) since: Millis,
 }
 
--- a/crates/entry/src/filter/limit.rs
+++ b/crates/entry/src/filter/limit.rs
@@ -17,7 +17,7 @@
     Admission, ConcurrencyLimit, EntryCount, FleetLimits, LimitShare,
     LimitTable, OverLimit, Permit, TokenBucket,
 };
-use rules::{Compiled, CustomerEntry};
+use rules::{CompiledConfig, CustomerEntry};
 use web::{Problem, ProblemKind, Ran};
 
 /// Time for which fewer entries must be seen before the others take over
@@ -87,7 +87,7 @@
     /// A refusal that says which limit is reached and when to come back.
     pub(crate) fn admit(
         &self,
-        compiled: &Compiled,
+        compiled: &CompiledConfig,
         customer: &Customer,
         rule: &RuleLimits,
         now: Millis,
@@ -136,7 +136,7 @@
     /// Takes a new configuration with the first request that it decides on.
     /// A request that was decided on just before by an older one changes
     /// nothing.
-    fn configure(&mut self, compiled: &Compiled, now: Millis) {
+    fn configure(&mut self, compiled: &CompiledConfig, now: Millis) {
         if self.revision >= Some(compiled.revision()) {
             return;
         }
--- a/crates/entry/src/filter/route.rs
+++ b/crates/entry/src/filter/route.rs
@@ -4,7 +4,7 @@
     Class, Millis, RequestContent, RequestDigest, RequestId, UnixMillis,
 };
 use bytes::Bytes;
-use rules::{Action, Compiled, Decision, Facts, Route, Sample};
+use rules::{Action, CompiledConfig, Decision, Facts, Route, Sample};
 use serde::Deserialize;
 use web::{Problem, ProblemKind, Ran};
 use wire::message::Header;
@@ -159,7 +159,7 @@
     }
 }
 
-fn plan(compiled: &Compiled, route: &Route, repeatable: bool) -> Plan {
+fn plan(compiled: &CompiledConfig, route: &Route, repeatable: bool) -> Plan {
     let pools = route.pools().filter_map(|key| compiled.pool(key));
     Plan {
         pools: pools.map(|pool| pool.name().to_owned()).collect(),
--- a/crates/rules/src/calendar.rs
+++ b/crates/rules/src/calendar.rs
@@ -72,26 +72,26 @@
     Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(try_from = "String", into = "String")]
-pub struct Clock(Time);
+pub struct ClockTime(Time);
 
-impl TryFrom<String> for Clock {
+impl TryFrom<String> for ClockTime {
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, String> {
         let parsed = Time::strptime("%H:%M", &text);
-        parsed.map(Clock).map_err(|_| {
+        parsed.map(ClockTime).map_err(|_| {
             format!("{text:?} is no time of the day from 00:00 to 23:59")
         })
     }
 }
 
-impl From<Clock> for String {
-    fn from(clock: Clock) -> String {
+impl From<ClockTime> for String {
+    fn from(clock: ClockTime) -> String {
         clock.to_string()
     }
 }
 
-impl fmt::Display for Clock {
+impl fmt::Display for ClockTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:02}:{:02}", self.0.hour(), self.0.minute())
     }
@@ -132,9 +132,9 @@
 #[serde(deny_unknown_fields)]
 pub struct TimeOfDay {
     /// First minute that is in it.
-    pub from: Clock,
+    pub from: ClockTime,
     /// First minute that is no longer in it.
-    pub to: Clock,
+    pub to: ClockTime,
     /// Time zone; UTC if left out.
     #[serde(default)]
     pub zone: Zone,
@@ -142,7 +142,7 @@
 
 impl TimeOfDay {
     pub(crate) fn contains(&self, moment: &Moment) -> bool {
-        let time = Clock(self.zone.civil(moment.at()).time());
+        let time = ClockTime(self.zone.civil(moment.at()).time());
         if self.from <= self.to {
             return self.from <= time && time < self.to;
         }
--- a/crates/rules/src/compiled.rs
+++ b/crates/rules/src/compiled.rs
@@ -141,7 +141,7 @@
 /// # Ok::<(), error_stack::Report<pomeloslip_rules::RulesError>>(())
 /// ```
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct CompiledConfig {
     revision: Revision,
     customers: SlotMap<CustomerKey, CustomerEntry>,
     customer_keys: HashMap<Customer, CustomerKey>,
@@ -154,7 +154,7 @@
     index: RuleIndex,
 }
 
-impl Compiled {
+impl CompiledConfig {
     pub(crate) fn new(config: Config, revision: Revision) -> Self {
         let mut customers = SlotMap::with_key();
         let mut customer_keys = HashMap::new();
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Compiled, RulesError,
+    CompiledConfig, RulesError,
     when::{Method, When},
 };
 
@@ -58,8 +58,8 @@
     }
 
     /// Indexes a configuration for decisions.
-    pub fn compile(self, revision: Revision) -> Compiled {
-        Compiled::new(self, revision)
+    pub fn compile(self, revision: Revision) -> CompiledConfig {
+        CompiledConfig::new(self, revision)
     }
 }
 
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -5,7 +5,7 @@
 //! decides; a request that no rule covers is refused as such.
 //!
 //! A process parses a document once for each revision, compiles it
-//! ([`Compiled`]) and then decides each request ([`Compiled::decide`])
+//! ([`CompiledConfig`]) and then decides each request ([`CompiledConfig::decide`])
 //! without a lock or an allocation. The time is an argument.
 
 mod calendar;
@@ -22,8 +22,10 @@
 mod when;
 
 pub use crate::{
-    calendar::{Clock, DateRange, Day, TimeOfDay, Zone},
-    compiled::{Compiled, CustomerEntry, CustomerKey, PoolEntry, PoolKey},
+    calendar::{ClockTime, DateRange, Day, TimeOfDay, Zone},
+    compiled::{
+        CompiledConfig, CustomerEntry, CustomerKey, PoolEntry, PoolKey,
+    },
     config::{
         Config, CustomerConfig, CustomerLimits, OrderFencing, PoolConfig,
         Refuse, Rule, Then,
--- a/crates/rules/tests/decide.rs
+++ b/crates/rules/tests/decide.rs
@@ -2,7 +2,7 @@
 
 use base::{Class, Revision, UnixMillis};
 use pomeloslip_rules::{
-    Action, Compiled, Config, SampleBuf, Verdict, error_list,
+    Action, CompiledConfig, Config, SampleBuf, Verdict, error_list,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use yare::parameterized;
@@ -17,7 +17,7 @@
 /// 2026-12-27 02:00 there, still the 26th in UTC.
 const AFTER_THE_SEASON: u64 = NOON + 14 * 3_600_000;
 
-fn compile(text: &str) -> Compiled {
+fn compile(text: &str) -> CompiledConfig {
     let config = Config::parse("f", text)
         .unwrap_or_else(|report| panic!("{:?}", error_list(&report)));
     config.compile(Revision::new(1))
@@ -32,7 +32,7 @@
     sample
 }
 
-fn decided(rules: &Compiled, words: &str, at: u64) -> Option<usize> {
+fn decided(rules: &CompiledConfig, words: &str, at: u64) -> Option<usize> {
     let sample = sample(words);
     let now = UnixMillis::new(at);
     rules.decide(&sample.as_sample(), now).rule()
--- a/crates/rules/tests/examples.rs
+++ b/crates/rules/tests/examples.rs
@@ -7,7 +7,7 @@
 
 use base::{Revision, UnixMillis};
 use jiff::Timestamp;
-use pomeloslip_rules::{Action, Compiled, Config, SampleBuf};
+use pomeloslip_rules::{Action, CompiledConfig, Config, SampleBuf};
 use yare::parameterized;
 
 fn text(path: &str) -> String {
@@ -15,7 +15,7 @@
     fs::read_to_string(root.join("../..").join(path)).expect("a file")
 }
 
-fn compile(name: &str, text: &str) -> Compiled {
+fn compile(name: &str, text: &str) -> CompiledConfig {
     let config = Config::parse(name, text);
     let config = config.unwrap_or_else(|error| panic!("{error}\n{text}"));
     config.compile(Revision::new(1))
@@ -23,7 +23,7 @@
 
 /// Decides on `WORDS`, of which `at=TIME` is the time, and tells the rule
 /// and what becomes of the request.
-fn decided(rules: &Compiled, words: &str) -> (String, &'static str) {
+fn decided(rules: &CompiledConfig, words: &str) -> (String, &'static str) {
     let mut sample = SampleBuf::default();
     let mut now = UnixMillis::new(0);
     for word in words.split_whitespace() {
