--- a/crates/ledger/src/spread.rs
+++ b/crates/ledger/src/assignment.rs
@@ -30,7 +30,7 @@
     let mut load = vec![0; members.len()];
     (0..partitions)
         .map(|partition| {
-            let chosen = by_weight(partition, members)
+            let chosen = members_by_weight(partition, members)
                 .into_iter()
                 .find(|m| load[*m] < floor || (load[*m] == floor && extra > 0))
                 .unwrap_or(0);
@@ -43,7 +43,7 @@
         .collect()
 }
 
-fn by_weight(partition: u32, members: &[&str]) -> Vec<usize> {
+fn members_by_weight(partition: u32, members: &[&str]) -> Vec<usize> {
     let number = partition.to_string();
     let mut order: Vec<(u64, usize)> = members
         .iter()
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -16,11 +16,11 @@
 enum Stage {
     /// Its parts are being stored.
     Storing,
-    /// They are to be stored again.
+    /// They are to be stored retry_stage.
     StoreAt(Millis),
     /// Its transaction is on its way.
     Writing,
-    /// The transaction is to be sent, or sent again.
+    /// The transaction is to be sent, or sent retry_stage.
     WriteAt(Millis),
     /// The records are being read back.
     Reading,
@@ -36,7 +36,7 @@
     completed: BTreeSet<u32>,
     failed: BTreeSet<u32>,
     /// Nothing else waited when the commit began.
-    is_all: bool,
+    covers_all_pending: bool,
 }
 
 /// A commit under way.
@@ -52,25 +52,26 @@
     stage: Stage,
     failures: u32,
     /// A copy of the transaction may have taken effect.
-    may_be_done: bool,
+    may_have_applied: bool,
 }
 
 impl Commit {
-    pub(crate) fn has(&self, key: JobKey) -> bool {
+    pub(crate) fn includes(&self, key: JobKey) -> bool {
         self.shares.iter().any(|share| share.key == key)
     }
 }
 
 impl Ledger {
     /// Begins a commit when it is time, or takes one further.
-    pub(crate) fn step_commit(&mut self, moment: Moment, number: u32) {
+    pub(crate) fn advance_commit(&mut self, moment: Moment, number: u32) {
         let now = moment.now;
-        let Some(fence) = self.partition(number).tenure.commits() else {
+        let Some(fence) = self.partition(number).ownership.fence_for_commits()
+        else {
             return;
         };
         // Sending is fenced anyway; not to send spares the service useless
         // calls of an owner whose lease has ended.
-        if !self.is_safe(now) {
+        if !self.is_valid(now) {
             return;
         }
         let partition = self.partition(number);
@@ -93,8 +94,8 @@
     fn begin_commit(&mut self, moment: Moment, number: u32, fence: u64) {
         let interval_ms = self.options.commit_interval_ms;
         self.partition(number).commit_at =
-            self.around(moment.now, interval_ms);
-        let operation = self.draw();
+            self.jittered(moment.now, interval_ms);
+        let operation = self.next_random();
         let mut capacity = self.options.commit_items_max;
         let mut shares = Vec::new();
         let mut parts = Vec::new();
@@ -126,7 +127,7 @@
             records: Vec::new(),
             stage: Stage::Storing,
             failures: 0,
-            may_be_done: false,
+            may_have_applied: false,
         });
         match has_parts {
             true => self.store(number),
@@ -162,20 +163,20 @@
                 commit.chunks = chunks;
                 commit.failures = 0;
                 commit.stage = Stage::WriteAt(moment.now);
-                self.step_commit(moment, number);
+                self.advance_commit(moment, number);
             }
-            None => self.again(moment, number, Stage::StoreAt),
+            None => self.retry_stage(moment, number, Stage::StoreAt),
         }
     }
 
-    /// Sends the transaction. A copy that may be on its way is sent again
+    /// Sends the transaction. A copy that may be on its way is sent retry_stage
     /// unchanged; only one of them can take effect, since each changes what
     /// it compares.
     fn write(&mut self, moment: Moment, number: u32, fence: u64) {
         let Some(mut commit) = self.partition(number).commit.take() else {
             return;
         };
-        if !commit.may_be_done {
+        if !commit.may_have_applied {
             match self.next_records(moment, &commit) {
                 Some(records) => commit.records = records,
                 // A job is gone; the others' results wait for another commit.
@@ -225,16 +226,16 @@
                 self.finish(moment, number, revision);
             }
             // An earlier copy may be what changed the records.
-            WriteOutcome::Refused if commit.may_be_done => {
-                self.again(moment, number, Stage::ReadAt);
+            WriteOutcome::Refused if commit.may_have_applied => {
+                self.retry_stage(moment, number, Stage::ReadAt);
             }
-            WriteOutcome::Refused => self.supersede(moment, number),
+            WriteOutcome::Refused => self.abandon_commit(moment, number),
             WriteOutcome::NotDone => {
-                self.again(moment, number, Stage::WriteAt);
+                self.retry_stage(moment, number, Stage::WriteAt);
             }
             WriteOutcome::Unknown => {
-                commit.may_be_done = true;
-                self.again(moment, number, Stage::ReadAt);
+                commit.may_have_applied = true;
+                self.retry_stage(moment, number, Stage::ReadAt);
             }
         }
     }
@@ -265,7 +266,7 @@
             return;
         }
         let Some(found) = found else {
-            return self.again(moment, number, Stage::ReadAt);
+            return self.retry_stage(moment, number, Stage::ReadAt);
         };
         let operation = commit.operation;
         let is_open = found.len() == commit.records.len()
@@ -280,23 +281,25 @@
             .find(|seen| seen.record.operation == operation)
             .map(|seen| seen.revision);
         if self.options.injected_fault == Some(InjectedFault::NoReadBack) {
-            return self.take_as_failed(number, &found);
+            return self.assume_failed(number, &found);
         }
         match done {
             Some(revision) => {
                 self.finish(moment, number, revision);
-                self.adopt_found(found);
+                self.adopt_records(found);
+            }
+            None if is_open => {
+                self.retry_stage(moment, number, Stage::WriteAt)
             }
-            None if is_open => self.again(moment, number, Stage::WriteAt),
             None => {
-                self.supersede(moment, number);
-                self.adopt_found(found);
+                self.abandon_commit(moment, number);
+                self.adopt_records(found);
             }
         }
     }
 
     /// The injected_fault fault: goes on as if the write had failed.
-    fn take_as_failed(&mut self, number: u32, found: &[VersionedRecord]) {
+    fn assume_failed(&mut self, number: u32, found: &[VersionedRecord]) {
         self.partition(number).commit = None;
         for seen in found {
             let key = self.by_id.get(&seen.record.id);
@@ -307,7 +310,7 @@
         }
     }
 
-    fn adopt_found(&mut self, found: Vec<VersionedRecord>) {
+    fn adopt_records(&mut self, found: Vec<VersionedRecord>) {
         for VersionedRecord { record, revision } in found {
             let Some(key) = self.by_id.get(&record.id).copied() else {
                 continue;
@@ -327,13 +330,13 @@
         };
         let interval_ms = self.options.commit_interval_ms;
         self.partition(number).commit_at =
-            self.around(moment.now, interval_ms);
+            self.jittered(moment.now, interval_ms);
         for (share, next) in commit.shares.iter().zip(commit.records) {
             let Some(job) = self.jobs.get_mut(share.key) else {
                 continue;
             };
-            job.committed(&share.completed);
-            job.committed(&share.failed);
+            job.remove_committed(&share.completed);
+            job.remove_committed(&share.failed);
             let is_open = next.record.is_open();
             job.adopt(next.record, revision);
             if !is_open {
@@ -342,14 +345,15 @@
         }
     }
 
-    /// Gives a commit up whose compares do not hold: a job was cancelled,
+    /// Gives a commit up whose compares do not add_grant: a job was cancelled,
     /// or the partition has another owner. Its jobs are read anew; what is
-    /// still open then is committed again.
-    fn supersede(&mut self, moment: Moment, number: u32) {
+    /// still open then is committed retry_stage.
+    fn abandon_commit(&mut self, moment: Moment, number: u32) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
         };
-        let Some(fence) = self.partition(number).tenure.commits() else {
+        let Some(fence) = self.partition(number).ownership.fence_for_commits()
+        else {
             return;
         };
         for share in commit.shares {
@@ -360,10 +364,10 @@
             let marker = job.marker;
             self.load(number, fence, share.id, marker);
         }
-        self.look_at = moment.now;
+        self.read_membership_at = moment.now;
     }
 
-    fn again(
+    fn retry_stage(
         &mut self,
         moment: Moment,
         number: u32,
@@ -404,7 +408,7 @@
         id: job.record.id.clone(),
         completed,
         failed,
-        is_all: count == job.pending.len(),
+        covers_all_pending: count == job.pending.len(),
     }
 }
 
@@ -450,10 +454,11 @@
     }
     if record.remaining_items() == 0 {
         record.state = JobState::Completed;
-    } else if record.state == JobState::Cancelling && share.is_all {
+    } else if record.state == JobState::Cancelling && share.covers_all_pending
+    {
         record.state = JobState::Cancelled;
     }
-    record.at_risk = job.wants_risk && record.is_open();
+    record.at_risk = job.is_at_risk && record.is_open();
     if !record.is_open() {
         record.ended = Some(moment.unix);
     }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -6,18 +6,18 @@
 use crate::{
     Action, Granted, Ledger, Moment, PullRequest, PullResponse, ResultOutcome,
     RunOutcome, Sink,
-    job::{Grant, GrantKey, Job, JobKey, Settled, VmKey},
+    job::{Grant, GrantKey, Job, JobKey, PendingResult, VmKey},
 };
 
 /// Results that may wait for their commit, in bytes. Beyond this nothing is
 /// granted: during a long outage a thin machine would run out of memory.
-const WAITING_MAX_BYTES: usize = 64 << 20;
+const MAX_PENDING_RESULT_BYTES: usize = 64 << 20;
 
 /// Jobs that are looked at for one pull.
-const BAND_JOBS_MAX: usize = 256;
+const MAX_CANDIDATE_JOBS: usize = 256;
 
 /// Service that a customer may catch up after it had nothing to run, in items.
-const CATCH_UP_MAX: u64 = 64;
+const MAX_CATCH_UP_ITEMS: u64 = 64;
 
 impl Ledger {
     /// Renews what a companion runs and grants it more.
@@ -26,31 +26,31 @@
         moment: Moment,
         request: &PullRequest<'_>,
     ) -> PullResponse {
-        let vm = self.meet(moment.now, request);
+        let vm = self.register_companion(moment.now, request);
         let revoked = self.renew(moment.now, vm, request.running);
         let mut answer = PullResponse {
             revoked,
             ..PullResponse::default()
         };
-        let full = self.waiting_bytes >= WAITING_MAX_BYTES;
-        if full || !self.is_safe(moment.now) {
+        let is_full = self.pending_result_bytes >= MAX_PENDING_RESULT_BYTES;
+        if is_full || !self.is_valid(moment.now) {
             return answer;
         }
         let capacity =
             request.capacity.min(self.options.grant_items_max) as usize;
-        let mut band = self.band(moment.now, request.models);
+        let mut candidates = self.candidates(moment.now, request.models);
         while answer.items.len() < capacity {
-            let Some(at) = self.next_in_turn(&band) else {
+            let Some(at) = self.next_by_fair_share(&candidates) else {
                 break;
             };
-            match self.grant(moment.now, band[at], vm) {
+            match self.grant(moment.now, candidates[at], vm) {
                 Some(granted) => answer.items.push(granted),
                 None => {
-                    band.swap_remove(at);
+                    candidates.swap_remove(at);
                 }
             }
         }
-        answer.more = !band.is_empty();
+        answer.more = !candidates.is_empty();
         answer
     }
 
@@ -74,7 +74,7 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return ResultOutcome::Ignored;
         };
-        let is_current = job.held().get(&index) == Some(&named);
+        let is_current = job.granted().get(&index) == Some(&named);
         if job.is_settled(index) {
             if is_current {
                 self.end_grant(key, index);
@@ -84,24 +84,26 @@
         match end {
             RunOutcome::Completed(line) => {
                 let sink = Sink::Output;
-                self.settle(key, index, Settled { line, sink })
+                self.settle(key, index, PendingResult { line, sink })
             }
             RunOutcome::Rejected(line) => {
                 let sink = Sink::Errors;
-                self.settle(key, index, Settled { line, sink })
+                self.settle(key, index, PendingResult { line, sink })
             }
             // The end of the loan was counted when it expired.
             _ if !is_current => ResultOutcome::Ignored,
-            RunOutcome::Returned => self.open_again(key, index, moment.now, 0),
+            RunOutcome::Returned => {
+                self.reopen_item(key, index, moment.now, 0)
+            }
             RunOutcome::Quarantined { for_ms } => {
-                self.open_again(key, index, moment.now, for_ms)
+                self.reopen_item(key, index, moment.now, for_ms)
             }
             RunOutcome::Failed(line) => {
                 self.end_grant(key, index);
-                match self.fail(moment.now, key, index) {
+                match self.record_failure(moment.now, key, index) {
                     Some(_) => {
                         let sink = Sink::Errors;
-                        self.settle(key, index, Settled { line, sink })
+                        self.settle(key, index, PendingResult { line, sink })
                     }
                     None => ResultOutcome::Reopened,
                 }
@@ -110,7 +112,7 @@
     }
 
     /// Opens an item again that was not tried, after a pause.
-    fn open_again(
+    fn reopen_item(
         &mut self,
         key: JobKey,
         index: u32,
@@ -149,7 +151,7 @@
         match self.by_id.get(job).copied() {
             Some(key) => {
                 let sink = Sink::Errors;
-                self.settle(key, index, Settled { line, sink })
+                self.settle(key, index, PendingResult { line, sink })
             }
             None => ResultOutcome::Ignored,
         }
@@ -164,36 +166,51 @@
 
     /// Ends the loans whose time is over.
     pub(crate) fn expire_grants(&mut self, now: Millis) {
-        let is_over = |grant: &Grant| grant.ends <= now;
-        self.end_grants(now, is_over);
+        let is_expired = |grant: &Grant| grant.expires_at <= now;
+        self.end_grants(now, is_expired);
     }
 
-    /// Notes a companion; the loans of its earlier life ended with that.
-    fn meet(&mut self, now: Millis, request: &PullRequest<'_>) -> VmKey {
-        let life = request.incarnation;
+    /// Notes a companion; the loans of its earlier incarnation ended with that.
+    fn register_companion(
+        &mut self,
+        now: Millis,
+        request: &PullRequest<'_>,
+    ) -> VmKey {
+        let incarnation = request.incarnation;
         let (at, before) = match self.vms.get_full_mut(request.vm) {
-            Some((at, _, known)) => (at, std::mem::replace(known, life)),
+            Some((at, _, known)) => {
+                (at, std::mem::replace(known, incarnation))
+            }
             None => {
-                let added = self.vms.insert_full(request.vm.clone(), life);
-                (added.0, life)
+                let added =
+                    self.vms.insert_full(request.vm.clone(), incarnation);
+                (added.0, incarnation)
             }
         };
         let vm = VmKey(at as u32);
-        if before != life {
+        if before != incarnation {
             self.end_grants(now, |grant| grant.vm == vm);
         }
         vm
     }
 
-    fn end_grants(&mut self, now: Millis, ends: impl Fn(&Grant) -> bool) {
-        let ended: Vec<Grant> =
-            self.grants.values().filter(|g| ends(g)).copied().collect();
+    fn end_grants(
+        &mut self,
+        now: Millis,
+        should_end: impl Fn(&Grant) -> bool,
+    ) {
+        let ended: Vec<Grant> = self
+            .grants
+            .values()
+            .filter(|g| should_end(g))
+            .copied()
+            .collect();
         for grant in ended {
             let Grant {
                 job: key, index, ..
             } = grant;
             self.end_grant(key, index);
-            let Some(attempts) = self.fail(now, key, index) else {
+            let Some(attempts) = self.record_failure(now, key, index) else {
                 continue;
             };
             let Some(job) = self.jobs.get_mut(key) else {
@@ -213,7 +230,7 @@
     /// Extends the loans that a companion still runs and returns those that
     /// it must stop.
     fn renew(&mut self, now: Millis, vm: VmKey, running: &[u64]) -> Vec<u64> {
-        let ends = now.saturating_add_ms(self.options.grant_ttl_ms);
+        let expires_at = now.saturating_add_ms(self.options.grant_ttl_ms);
         let mut revoked = Vec::new();
         for number in running {
             let key = self.grant_key(*number);
@@ -223,51 +240,51 @@
                 grant.vm == vm && job.is_some_and(Job::is_running)
             };
             match self.grants.get_mut(key).filter(runs) {
-                Some(grant) => grant.ends = ends,
+                Some(grant) => grant.expires_at = expires_at,
                 None => revoked.push(*number),
             }
         }
         revoked
     }
 
-    /// Returns the jobs that share the next grants: those with work whose
+    /// Returns the jobs that start_tag the next grants: those with work whose
     /// due time is near the earliest.
-    fn band(&self, now: Millis, models: &[String]) -> Vec<JobKey> {
-        let mut band = Vec::new();
+    fn candidates(&self, now: Millis, models: &[String]) -> Vec<JobKey> {
+        let mut candidates = Vec::new();
         let mut last = UnixMillis::new(u64::MAX);
         for (due, key) in &self.by_due {
-            if *due > last || band.len() >= BAND_JOBS_MAX {
+            if *due > last || candidates.len() >= MAX_CANDIDATE_JOBS {
                 break;
             }
             let Some(job) = self.jobs.get(*key) else {
                 continue;
             };
-            let tenure = self.partitions[job.partition as usize].tenure;
-            let is_owned = tenure.grants() == Some(job.fence);
+            let ownership = self.partitions[job.partition as usize].ownership;
+            let is_owned = ownership.fence_for_grants() == Some(job.fence);
             if is_owned && job.has_work(now) && job.serves(models) {
-                if band.is_empty() {
+                if candidates.is_empty() {
                     last = due.saturating_add_ms(self.options.due_band_ms);
                 }
-                band.push(*key);
+                candidates.push(*key);
             }
         }
-        band
+        candidates
     }
 
     /// Chooses the job whose customer got least; of one customer's jobs the one
     /// that is due first (start-time fair queueing over items).
-    fn next_in_turn(&self, band: &[JobKey]) -> Option<usize> {
+    fn next_by_fair_share(&self, candidates: &[JobKey]) -> Option<usize> {
         let order = |at: &usize| {
-            let job = self.jobs.get(band[*at]);
-            job.map(|job| (self.share(job), job.record.due, *at))
+            let job = self.jobs.get(candidates[*at]);
+            job.map(|job| (self.start_tag(job), job.record.due, *at))
         };
-        (0..band.len()).min_by_key(order)
+        (0..candidates.len()).min_by_key(order)
     }
 
-    fn share(&self, job: &Job) -> u64 {
-        let floor = self.virtual_time.saturating_sub(CATCH_UP_MAX);
-        let share = self.shares.get(&job.record.customer);
-        share.copied().unwrap_or(self.virtual_time).max(floor)
+    fn start_tag(&self, job: &Job) -> u64 {
+        let floor = self.virtual_time.saturating_sub(MAX_CATCH_UP_ITEMS);
+        let start_tag = self.next_start_tags.get(&job.record.customer);
+        start_tag.copied().unwrap_or(self.virtual_time).max(floor)
     }
 
     fn grant(
@@ -276,18 +293,18 @@
         key: JobKey,
         vm: VmKey,
     ) -> Option<Granted> {
-        let share = self.share(self.jobs.get(key)?);
+        let start_tag = self.start_tag(self.jobs.get(key)?);
         let job = self.jobs.get_mut(key)?;
-        let same_after_ms = self.options.same_endpoint_delay_ms;
-        let index = job.next_open(vm, now, same_after_ms)?;
-        let ends = now.saturating_add_ms(self.options.grant_ttl_ms);
+        let same_vm_delay_ms = self.options.same_endpoint_delay_ms;
+        let index = job.next_open(vm, now, same_vm_delay_ms)?;
+        let expires_at = now.saturating_add_ms(self.options.grant_ttl_ms);
         let grant = self.grants.insert(Grant {
             job: key,
             index,
             vm,
-            ends,
+            expires_at,
         });
-        job.hold(index, vm, grant);
+        job.add_grant(index, vm, grant);
         let granted = Granted {
             grant: grant.data().as_ffi() ^ self.salt,
             partition: job.partition,
@@ -298,8 +315,9 @@
             customer: job.record.customer.clone(),
             due: job.record.due,
         };
-        self.virtual_time = share;
-        self.shares.insert(granted.customer.clone(), share + 1);
+        self.virtual_time = start_tag;
+        self.next_start_tags
+            .insert(granted.customer.clone(), start_tag + 1);
         Some(granted)
     }
 
@@ -309,15 +327,20 @@
 
     fn end_grant(&mut self, key: JobKey, index: u32) {
         let job = self.jobs.get_mut(key);
-        if let Some(grant) = job.and_then(|job| job.unhold(index)) {
+        if let Some(grant) = job.and_then(|job| job.remove_grant(index)) {
             self.grants.remove(grant);
         }
     }
 
     /// Counts a failed attempt and opens the item again; returns the
     /// attempts if there were too many.
-    fn fail(&mut self, now: Millis, key: JobKey, index: u32) -> Option<u32> {
-        let random = self.draw();
+    fn record_failure(
+        &mut self,
+        now: Millis,
+        key: JobKey,
+        index: u32,
+    ) -> Option<u32> {
+        let random = self.next_random();
         let base_ms = self.options.retry_base_ms;
         let job = self.jobs.get_mut(key)?;
         if job.is_settled(index) {
@@ -336,7 +359,7 @@
         &mut self,
         key: JobKey,
         index: u32,
-        settled: Settled,
+        settled: PendingResult,
     ) -> ResultOutcome {
         self.end_grant(key, index);
         let bytes = settled.line.len();
@@ -344,8 +367,8 @@
         if !job.is_some_and(|job| job.settle(index, settled)) {
             return ResultOutcome::Ignored;
         }
-        self.waiting_bytes += bytes;
-        self.pace.count();
+        self.pending_result_bytes += bytes;
+        self.throughput.count();
         ResultOutcome::Settled
     }
 }
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -23,26 +23,26 @@
     pub(crate) job: JobKey,
     pub(crate) index: u32,
     pub(crate) vm: VmKey,
-    pub(crate) ends: Millis,
+    pub(crate) expires_at: Millis,
 }
 
 /// A result that waits for its commit.
 #[derive(Clone, Debug)]
-pub(crate) struct Settled {
+pub(crate) struct PendingResult {
     pub(crate) line: Bytes,
     pub(crate) sink: Sink,
 }
 
 /// The attempts at an item that is not settled.
 #[derive(Clone, Debug, Default)]
-struct Tries {
+struct AttemptHistory {
     failures: u32,
     vms: Vec<VmKey>,
 }
 
-/// An item that is open again after an attempt.
+/// An item that is open reopened after an attempt.
 #[derive(Clone, Copy, Debug)]
-struct Again {
+struct ReopenedItem {
     index: u32,
     since: Millis,
     not_before: Millis,
@@ -59,12 +59,12 @@
     pub(crate) marker: u64,
     /// Fencing number that the record was last read under.
     pub(crate) fence: u64,
-    pub(crate) pending: BTreeMap<u32, Settled>,
-    pub(crate) wants_risk: bool,
+    pub(crate) pending: BTreeMap<u32, PendingResult>,
+    pub(crate) is_at_risk: bool,
     next: u32,
-    again: Vec<Again>,
-    held: BTreeMap<u32, GrantKey>,
-    tries: BTreeMap<u32, Tries>,
+    reopened: Vec<ReopenedItem>,
+    granted: BTreeMap<u32, GrantKey>,
+    history: BTreeMap<u32, AttemptHistory>,
     giving_up: BTreeSet<u32>,
 }
 
@@ -72,24 +72,24 @@
     pub(crate) fn new(partition: u32, record: JobRecord) -> Self {
         Self {
             partition,
-            wants_risk: record.at_risk,
+            is_at_risk: record.at_risk,
             record,
             revision: 0,
             marker: 0,
             fence: 0,
             pending: BTreeMap::new(),
             next: 0,
-            again: Vec::new(),
-            held: BTreeMap::new(),
-            tries: BTreeMap::new(),
+            reopened: Vec::new(),
+            granted: BTreeMap::new(),
+            history: BTreeMap::new(),
             giving_up: BTreeSet::new(),
         }
     }
 
     /// Takes a record that was read; what it settles no longer waits here.
     ///
-    /// A result that was committed by a write of unknown outcome, or by
-    /// another owner, would otherwise be committed a second time.
+    /// A result that was remove_committed by a write of unknown outcome, or by
+    /// another owner, would otherwise be remove_committed a second time.
     pub(crate) fn adopt(&mut self, record: JobRecord, revision: u64) {
         if revision < self.revision {
             return;
@@ -98,9 +98,10 @@
         self.revision = revision;
         let record = &self.record;
         self.pending.retain(|index, _| !record.is_settled(*index));
-        self.again.retain(|again| !record.is_settled(again.index));
+        self.reopened
+            .retain(|reopened| !record.is_settled(reopened.index));
         self.giving_up.retain(|index| !record.is_settled(*index));
-        self.tries.retain(|index, _| !record.is_settled(*index));
+        self.history.retain(|index, _| !record.is_settled(*index));
     }
 
     pub(crate) fn is_settled(&self, index: u32) -> bool {
@@ -115,13 +116,16 @@
         !self.pending.is_empty()
             || self.record.state == JobState::Cancelling
             || self.record.remaining_items() == 0
-            || self.wants_risk != self.record.at_risk
+            || self.is_at_risk != self.record.at_risk
     }
 
     pub(crate) fn has_work(&self, now: Millis) -> bool {
         self.is_running()
             && (self.next < self.record.items
-                || self.again.iter().any(|again| again.not_before <= now))
+                || self
+                    .reopened
+                    .iter()
+                    .any(|reopened| reopened.not_before <= now))
     }
 
     pub(crate) fn serves(&self, models: &[String]) -> bool {
@@ -131,61 +135,70 @@
     }
 
     pub(crate) fn attempts(&self, index: u32) -> u32 {
-        self.tries.get(&index).map_or(0, |tries| tries.failures)
+        self.history
+            .get(&index)
+            .map_or(0, |history| history.failures)
     }
 
-    pub(crate) fn held(&self) -> &BTreeMap<u32, GrantKey> {
-        &self.held
+    pub(crate) fn granted(&self) -> &BTreeMap<u32, GrantKey> {
+        &self.granted
     }
 
-    pub(crate) fn hold(&mut self, index: u32, vm: VmKey, grant: GrantKey) {
-        self.held.insert(index, grant);
-        let tries = self.tries.entry(index).or_default();
-        if !tries.vms.contains(&vm) {
-            tries.vms.push(vm);
+    pub(crate) fn add_grant(
+        &mut self,
+        index: u32,
+        vm: VmKey,
+        grant: GrantKey,
+    ) {
+        self.granted.insert(index, grant);
+        let history = self.history.entry(index).or_default();
+        if !history.vms.contains(&vm) {
+            history.vms.push(vm);
         }
     }
 
-    pub(crate) fn unhold(&mut self, index: u32) -> Option<GrantKey> {
-        self.held.remove(&index)
+    pub(crate) fn remove_grant(&mut self, index: u32) -> Option<GrantKey> {
+        self.granted.remove(&index)
     }
 
-    /// Chooses an item for an endpoint: first one that is open again and
+    /// Chooses an item for an endpoint: first one that is open reopened and
     /// that this endpoint has not had, else the next in order.
     pub(crate) fn next_open(
         &mut self,
         vm: VmKey,
         now: Millis,
-        same_after_ms: u64,
+        same_vm_delay_ms: u64,
     ) -> Option<u32> {
-        let tries = &self.tries;
-        let may_run = |again: &Again| {
-            let had = tries.get(&again.index).is_some_and(|tries| {
-                tries.vms.contains(&vm)
-                    && again.since.saturating_add_ms(same_after_ms) > now
+        let history = &self.history;
+        let may_run = |reopened: &ReopenedItem| {
+            let had = history.get(&reopened.index).is_some_and(|history| {
+                history.vms.contains(&vm)
+                    && reopened.since.saturating_add_ms(same_vm_delay_ms) > now
             });
-            again.not_before <= now && !had
+            reopened.not_before <= now && !had
         };
-        if let Some(at) = self.again.iter().position(may_run) {
-            return Some(self.again.swap_remove(at).index);
+        if let Some(at) = self.reopened.iter().position(may_run) {
+            return Some(self.reopened.swap_remove(at).index);
         }
         while self.next < self.record.items {
             let index = self.next;
             self.next += 1;
-            if !self.is_settled(index) && !self.held.contains_key(&index) {
+            if !self.is_settled(index) && !self.granted.contains_key(&index) {
                 return Some(index);
             }
         }
         None
     }
 
-    /// Opens an item again.
+    /// Opens an item reopened.
     pub(crate) fn reopen(&mut self, index: u32, now: Millis, pause_ms: u64) {
-        let known = self.again.iter().any(|again| again.index == index);
-        if known || self.is_settled(index) || self.held.contains_key(&index) {
+        let known =
+            self.reopened.iter().any(|reopened| reopened.index == index);
+        if known || self.is_settled(index) || self.granted.contains_key(&index)
+        {
             return;
         }
-        self.again.push(Again {
+        self.reopened.push(ReopenedItem {
             index,
             since: now,
             not_before: now.saturating_add_ms(pause_ms),
@@ -194,9 +207,9 @@
 
     /// Counts a failed attempt and returns how many there were.
     pub(crate) fn count_failure(&mut self, index: u32) -> u32 {
-        let tries = self.tries.entry(index).or_default();
-        tries.failures += 1;
-        tries.failures
+        let history = self.history.entry(index).or_default();
+        history.failures += 1;
+        history.failures
     }
 
     /// Notes that an error line is being made; false if it was before.
@@ -205,19 +218,23 @@
     }
 
     /// Settles an item; false if it is settled already.
-    pub(crate) fn settle(&mut self, index: u32, settled: Settled) -> bool {
+    pub(crate) fn settle(
+        &mut self,
+        index: u32,
+        settled: PendingResult,
+    ) -> bool {
         if index >= self.record.items || self.is_settled(index) {
             return false;
         }
         self.pending.insert(index, settled);
-        self.again.retain(|again| again.index != index);
-        self.tries.remove(&index);
+        self.reopened.retain(|reopened| reopened.index != index);
+        self.history.remove(&index);
         self.giving_up.remove(&index);
         true
     }
 
     /// Forgets what a commit has settled.
-    pub(crate) fn committed(&mut self, items: &BTreeSet<u32>) {
+    pub(crate) fn remove_committed(&mut self, items: &BTreeSet<u32>) {
         self.pending.retain(|index, _| !items.contains(index));
     }
 }
--- a/crates/ledger/src/tenure.rs
+++ b/crates/ledger/src/lease.rs
@@ -4,18 +4,18 @@
 
 /// Share of its life after which a lease is renewed: a third leaves two more
 /// attempts.
-const RENEW_DIVISOR: u64 = 3;
+const RENEWAL_DIVISOR: u64 = 3;
 
 /// The holder's view of its lease.
 ///
 /// It counts from before the send, so that its end is never later than the
-/// service's. A paused holder finds the lease unsafe at its next look.
+/// service's. A paused holder finds the lease unsafe at its next read_membership.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
     pub(crate) id: i64,
     pub(crate) sent_at: Millis,
     pub(crate) ttl_ms: u64,
-    pub(crate) renewing: bool,
+    pub(crate) is_renewing: bool,
 }
 
 impl Lease {
@@ -24,24 +24,26 @@
             id,
             sent_at,
             ttl_ms: u64::from(ttl_s) * MS_PER_S,
-            renewing: false,
+            is_renewing: false,
         }
     }
 
-    pub(crate) fn is_safe(&self, now: Millis, margin_ms: u64) -> bool {
-        let ends = self.sent_at.saturating_add_ms(self.ttl_ms);
-        now.saturating_add_ms(margin_ms) < ends
+    pub(crate) fn is_valid(&self, now: Millis, margin_ms: u64) -> bool {
+        let expires_at = self.sent_at.saturating_add_ms(self.ttl_ms);
+        now.saturating_add_ms(margin_ms) < expires_at
     }
 
     pub(crate) fn wants_renewal(&self, now: Millis) -> bool {
-        let due = self.sent_at.saturating_add_ms(self.ttl_ms / RENEW_DIVISOR);
-        !self.renewing && now >= due
+        let due = self
+            .sent_at
+            .saturating_add_ms(self.ttl_ms / RENEWAL_DIVISOR);
+        !self.is_renewing && now >= due
     }
 }
 
 /// The life of an owner, seen from one partition.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum Tenure {
+pub(crate) enum OwnershipState {
     /// Not owned here.
     #[default]
     Unowned,
@@ -53,38 +55,41 @@
     Owned { fence: u64 },
     /// Owned; nothing more is granted, and after the last commit the
     /// partition goes to another member.
-    Releasing { fence: u64, until: Millis },
+    Draining { fence: u64, until: Millis },
     /// The key is being deleted.
-    Leaving { fence: u64 },
+    DeletingKey { fence: u64 },
     /// The lease ended. Results are kept, for the case that no other entry
     /// takes the partition.
     Lost,
 }
 
-impl Tenure {
+impl OwnershipState {
     /// Returns the fencing number while the partition is owned.
     pub(crate) fn fence(self) -> Option<u64> {
         match self {
-            Tenure::Loading { fence }
-            | Tenure::Owned { fence }
-            | Tenure::Releasing { fence, .. }
-            | Tenure::Leaving { fence } => Some(fence),
-            Tenure::Unowned | Tenure::Acquiring | Tenure::Lost => None,
+            OwnershipState::Loading { fence }
+            | OwnershipState::Owned { fence }
+            | OwnershipState::Draining { fence, .. }
+            | OwnershipState::DeletingKey { fence } => Some(fence),
+            OwnershipState::Unowned
+            | OwnershipState::Acquiring
+            | OwnershipState::Lost => None,
         }
     }
 
     /// Returns the fencing number while items may be granted.
-    pub(crate) fn grants(self) -> Option<u64> {
+    pub(crate) fn fence_for_grants(self) -> Option<u64> {
         match self {
-            Tenure::Loading { fence } | Tenure::Owned { fence } => Some(fence),
+            OwnershipState::Loading { fence }
+            | OwnershipState::Owned { fence } => Some(fence),
             _ => None,
         }
     }
 
     /// Returns the fencing number while commits may be made.
-    pub(crate) fn commits(self) -> Option<u64> {
+    pub(crate) fn fence_for_commits(self) -> Option<u64> {
         match self {
-            Tenure::Leaving { .. } => None,
+            OwnershipState::DeletingKey { .. } => None,
             other => other.fence(),
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! What it relies on: each [`WriteAction`] is one transaction that compares
 //! the owner's key and the revision of each record. A record holds the
-//! whole completion state of its job, so whoever reads it knows which items
+//! whole completion state of its job, so whoever reads it has_seen_members which items
 //! are settled, whatever became of the answers before.
 //!
 //! # Example
@@ -114,9 +114,11 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
+mod assignment;
 mod commit;
 mod grants;
 mod job;
+mod lease;
 mod machine;
 mod message;
 mod options;
@@ -124,10 +126,9 @@
 mod ranges;
 mod record;
 mod risk;
-mod spread;
-mod tenure;
 
 pub use crate::{
+    assignment::assign,
     machine::Ledger,
     message::{
         Action, CommitId, Event, Granted, LedgerStatus, Moment, OpenJobMarker,
@@ -140,5 +141,4 @@
         Chunk, JobRecord, JobState, MAX_INLINE_CHUNKS, Page, Sink,
         partition_of,
     },
-    spread::assign,
 };
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -8,19 +8,19 @@
     Action, Event, LedgerStatus, Moment, Options,
     commit::Commit,
     job::{Grant, GrantKey, Job, JobKey},
+    lease::{Lease, OwnershipState},
     record::partition_of,
-    risk::Pace,
-    tenure::{Lease, Tenure},
+    risk::Throughput,
 };
 
 /// One partition of the jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Partition {
-    pub(crate) tenure: Tenure,
+    pub(crate) ownership: OwnershipState,
     pub(crate) list_at: Millis,
-    pub(crate) listing: bool,
-    /// The markers were read once in this tenure.
-    pub(crate) listed: bool,
+    pub(crate) is_listing: bool,
+    /// The markers were read once in this ownership.
+    pub(crate) was_listed: bool,
     /// Jobs whose record is being read.
     pub(crate) loading: BTreeSet<JobId>,
     pub(crate) commit: Option<Commit>,
@@ -35,11 +35,11 @@
     pub(crate) member: String,
     pub(crate) options: Options,
     pub(crate) lease: Option<Lease>,
-    pub(crate) joining: bool,
+    pub(crate) is_joining: bool,
     pub(crate) join_at: Millis,
     pub(crate) renew_at: Millis,
-    pub(crate) looking: bool,
-    pub(crate) look_at: Millis,
+    pub(crate) is_reading_membership: bool,
+    pub(crate) read_membership_at: Millis,
     pub(crate) seen_revision: u64,
     pub(crate) members: Vec<String>,
     /// Place in `members` of the one that each partition belongs to.
@@ -54,10 +54,10 @@
     /// Lives of the companions, by machine.
     pub(crate) vms: IndexMap<VmId, u64>,
     /// Service that each customer got, in items.
-    pub(crate) shares: HashMap<Customer, u64>,
+    pub(crate) next_start_tags: HashMap<Customer, u64>,
     pub(crate) virtual_time: u64,
-    pub(crate) waiting_bytes: usize,
-    pub(crate) pace: Pace,
+    pub(crate) pending_result_bytes: usize,
+    pub(crate) throughput: Throughput,
     pub(crate) commits: u64,
     pub(crate) actions: Vec<Action>,
     last_tick: Millis,
@@ -79,11 +79,11 @@
             member: member.into(),
             options,
             lease: None,
-            joining: false,
+            is_joining: false,
             join_at: Millis::new(0),
             renew_at: Millis::new(0),
-            looking: false,
-            look_at: Millis::new(0),
+            is_reading_membership: false,
+            read_membership_at: Millis::new(0),
             seen_revision: 0,
             members: Vec::new(),
             assigned: Vec::new(),
@@ -94,10 +94,10 @@
             grants: SlotMap::with_key(),
             salt,
             vms: IndexMap::new(),
-            shares: HashMap::new(),
+            next_start_tags: HashMap::new(),
             virtual_time: 0,
-            waiting_bytes: 0,
-            pace: Pace::default(),
+            pending_result_bytes: 0,
+            throughput: Throughput::default(),
             commits: 0,
             actions: Vec::new(),
             last_tick: Millis::new(0),
@@ -122,7 +122,7 @@
                 revision,
                 members,
                 owners,
-            } => self.on_looked(moment, revision, members, &owners),
+            } => self.on_membership_read(moment, revision, members, &owners),
             Event::Claimed {
                 partition,
                 lease,
@@ -158,7 +158,8 @@
 
     /// Returns the partitions that are owned.
     pub fn partitions(&self) -> Vec<u32> {
-        let owned = |partition: &Partition| partition.tenure.fence().is_some();
+        let owned =
+            |partition: &Partition| partition.ownership.fence().is_some();
         (0..self.options.partitions)
             .filter(|number| owned(&self.partitions[*number as usize]))
             .collect()
@@ -170,7 +171,7 @@
         LedgerStatus {
             partitions: self.partitions().len(),
             open_jobs: jobs().count(),
-            jobs_at_risk: jobs().filter(|job| job.wants_risk).count(),
+            jobs_at_risk: jobs().filter(|job| job.is_at_risk).count(),
             grants: self.grants.len(),
             pending_results: jobs().map(|job| job.pending.len()).sum(),
         }
@@ -188,7 +189,7 @@
         self.lease.map(|lease| lease.id)
     }
 
-    /// Makes the ledger look for a job at the next tick, if it owns its
+    /// Makes the ledger read_membership for a job at the next tick, if it owns its
     /// partition.
     pub fn request_listing(&mut self, job: &JobId) {
         let number = partition_of(job, self.options.partitions);
@@ -199,44 +200,45 @@
 
     fn tick(&mut self, moment: Moment) {
         let now = moment.now;
-        self.forgive_pause(now);
-        self.keep_lease(now);
-        self.look(now);
+        self.extend_grants_after_pause(now);
+        self.maintain_lease(now);
+        self.read_membership(now);
         self.expire_grants(now);
-        self.assess(moment);
+        self.assess_risk(moment);
         for number in 0..self.options.partitions {
-            self.keep_partition(now, number);
-            self.step_commit(moment, number);
+            self.maintain_partition(now, number);
+            self.advance_commit(moment, number);
         }
         let lines = self.jobs.values().flat_map(|job| job.pending.values());
-        self.waiting_bytes = lines.map(|settled| settled.line.len()).sum();
+        self.pending_result_bytes =
+            lines.map(|settled| settled.line.len()).sum();
     }
 
     /// Puts off the end of all grants after a pause of this process: it was
     /// the owner that did not listen, not the companions that were silent.
-    fn forgive_pause(&mut self, now: Millis) {
+    fn extend_grants_after_pause(&mut self, now: Millis) {
         let gap_ms = now.saturating_ms_since(self.last_tick);
         self.last_tick = now;
         if gap_ms <= self.options.grant_ttl_ms / 4 {
             return;
         }
         for grant in self.grants.values_mut() {
-            grant.ends = grant.ends.saturating_add_ms(gap_ms);
+            grant.expires_at = grant.expires_at.saturating_add_ms(gap_ms);
         }
     }
 
     /// Tells whether the lease surely holds. What is sent meanwhile is
     /// fenced all the same.
-    pub(crate) fn is_safe(&self, now: Millis) -> bool {
+    pub(crate) fn is_valid(&self, now: Millis) -> bool {
         let margin_ms = self.options.lease_margin_ms;
         self.lease
-            .is_some_and(|lease| lease.is_safe(now, margin_ms))
+            .is_some_and(|lease| lease.is_valid(now, margin_ms))
     }
 
-    /// Tells whether a job was read under the present tenure.
+    /// Tells whether a job was read under the present ownership.
     pub(crate) fn is_owned(&self, job: &Job) -> bool {
-        let tenure = self.partitions[job.partition as usize].tenure;
-        tenure.fence() == Some(job.fence)
+        let ownership = self.partitions[job.partition as usize].ownership;
+        ownership.fence() == Some(job.fence)
     }
 
     pub(crate) fn partition(&mut self, number: u32) -> &mut Partition {
@@ -250,13 +252,13 @@
         };
         self.by_id.remove(&job.record.id);
         self.by_due.remove(&(job.record.due, key));
-        for grant in job.held().values() {
+        for grant in job.granted().values() {
             self.grants.remove(*grant);
         }
     }
 
     /// Draws a random number (SplitMix64 over the callers' numbers).
-    pub(crate) fn draw(&mut self) -> u64 {
+    pub(crate) fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.random;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -265,8 +267,8 @@
     }
 
     /// Returns a moment between three and five quarters of a span from now.
-    pub(crate) fn around(&mut self, now: Millis, span_ms: u64) -> Millis {
-        let spread = self.draw() % (span_ms / 2).max(1);
+    pub(crate) fn jittered(&mut self, now: Millis, span_ms: u64) -> Millis {
+        let spread = self.next_random() % (span_ms / 2).max(1);
         now.saturating_add_ms(span_ms - span_ms / 4 + spread)
     }
 
@@ -274,8 +276,8 @@
     /// ceiling that doubles, so that owners do not come back together.
     pub(crate) fn backoff(&mut self, now: Millis, failures: u32) -> Millis {
         const BASE_MS: u64 = 20;
-        const CAP_MS: u64 = 2_000;
-        let ceiling_ms = (BASE_MS << failures.min(10)).min(CAP_MS);
-        now.saturating_add_ms(1 + self.draw() % ceiling_ms)
+        const MAX_MS: u64 = 2_000;
+        let ceiling_ms = (BASE_MS << failures.min(10)).min(MAX_MS);
+        now.saturating_add_ms(1 + self.next_random() % ceiling_ms)
     }
 }
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -56,7 +56,7 @@
 pub enum WriteOutcome {
     /// It took effect at this revision.
     Done(u64),
-    /// A compare did not hold.
+    /// A compare did not add_grant.
     Refused,
     /// It certainly had no effect.
     NotDone,
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -6,16 +6,16 @@
     Action, Ledger, Moment, OpenJobMarker, PartitionOwner, VersionedRecord,
     assign,
     job::{Job, JobKey},
+    lease::{Lease, OwnershipState},
     machine::Partition,
-    tenure::{Lease, Tenure},
 };
 
 impl Ledger {
-    pub(crate) fn keep_lease(&mut self, now: Millis) {
+    pub(crate) fn maintain_lease(&mut self, now: Millis) {
         match &mut self.lease {
             Some(lease) if lease.wants_renewal(now) => {
                 if now >= self.renew_at {
-                    lease.renewing = true;
+                    lease.is_renewing = true;
                     let lease = lease.id;
                     self.actions.push(Action::Renew { lease });
                 }
@@ -27,25 +27,29 @@
 
     fn join(&mut self, now: Millis) {
         let others = self.members.iter().filter(|m| **m != self.member);
-        let has_place = others.count() < self.options.members_max;
-        let knows = self.seen_revision > 0;
-        if knows && has_place && !self.joining && now >= self.join_at {
-            self.joining = true;
+        let has_capacity = others.count() < self.options.members_max;
+        let has_seen_members = self.seen_revision > 0;
+        if has_seen_members
+            && has_capacity
+            && !self.is_joining
+            && now >= self.join_at
+        {
+            self.is_joining = true;
             let ttl_s = self.options.lease_ttl_s;
             self.actions.push(Action::Join { ttl_s });
         }
     }
 
-    pub(crate) fn look(&mut self, now: Millis) {
-        if self.looking || now < self.look_at {
+    pub(crate) fn read_membership(&mut self, now: Millis) {
+        if self.is_reading_membership || now < self.read_membership_at {
             return;
         }
-        self.looking = true;
-        let interval_ms = match self.lease.is_some() || self.joining {
+        self.is_reading_membership = true;
+        let interval_ms = match self.lease.is_some() || self.is_joining {
             true => self.options.membership_interval_ms,
             false => self.options.idle_membership_interval_ms,
         };
-        self.look_at = self.around(now, interval_ms);
+        self.read_membership_at = self.jittered(now, interval_ms);
         self.actions.push(Action::ReadMembership);
     }
 
@@ -56,17 +60,17 @@
         lease: Option<i64>,
     ) {
         let now = moment.now;
-        self.joining = false;
+        self.is_joining = false;
         match lease {
             Some(id) => {
                 let ttl_s = self.options.lease_ttl_s;
                 self.lease = Some(Lease::new(id, ttl_s, sent_at));
-                self.look_at = now;
-                self.look(now);
+                self.read_membership_at = now;
+                self.read_membership(now);
             }
             None => {
                 let pause_ms = self.options.membership_interval_ms;
-                self.join_at = self.around(now, pause_ms);
+                self.join_at = self.jittered(now, pause_ms);
             }
         }
     }
@@ -81,13 +85,13 @@
         let Some(lease) = self.lease.as_mut().filter(|l| l.id == id) else {
             return;
         };
-        lease.renewing = false;
+        lease.is_renewing = false;
         match alive {
             Some(true) => lease.sent_at = lease.sent_at.max(sent_at),
             Some(false) => self.lose_lease(moment.now),
             None => {
                 let pause_ms = lease.ttl_ms / 12;
-                self.renew_at = self.around(moment.now, pause_ms);
+                self.renew_at = self.jittered(moment.now, pause_ms);
             }
         }
     }
@@ -95,26 +99,26 @@
     fn lose_lease(&mut self, now: Millis) {
         self.lease = None;
         self.join_at =
-            self.around(now, self.options.membership_interval_ms / 4);
-        self.look_at = now;
+            self.jittered(now, self.options.membership_interval_ms / 4);
+        self.read_membership_at = now;
         for number in 0..self.options.partitions {
-            if self.partition(number).tenure != Tenure::Unowned {
-                self.lose(number);
+            if self.partition(number).ownership != OwnershipState::Unowned {
+                self.lose_partition(number);
             }
         }
     }
 
-    /// Ends a tenure. Results stay, for the case that the partition comes
+    /// Ends a ownership. Results stay, for the case that the partition comes
     /// back before anybody else has it; their jobs are read anew then.
-    fn lose(&mut self, number: u32) {
+    fn lose_partition(&mut self, number: u32) {
         *self.partition(number) = Partition {
-            tenure: Tenure::Lost,
+            ownership: OwnershipState::Lost,
             ..Partition::default()
         };
     }
 
-    /// Ends a tenure and forgets its jobs.
-    fn leave(&mut self, number: u32) {
+    /// Ends a ownership and forgets its jobs.
+    fn leave_partition(&mut self, number: u32) {
         *self.partition(number) = Partition::default();
         for key in self.jobs_of(number) {
             self.drop_job(key);
@@ -128,14 +132,14 @@
         self.jobs.iter().filter_map(of).collect()
     }
 
-    pub(crate) fn on_looked(
+    pub(crate) fn on_membership_read(
         &mut self,
         moment: Moment,
         revision: Option<u64>,
         mut members: Vec<String>,
         owners: &[PartitionOwner],
     ) {
-        self.looking = false;
+        self.is_reading_membership = false;
         // A view that was delayed says nothing of what is now.
         let Some(revision) = revision.filter(|r| *r >= self.seen_revision)
         else {
@@ -151,13 +155,13 @@
         }
         for number in 0..self.options.partitions {
             let owner = owners.iter().find(|o| o.partition == number);
-            self.see_owner(moment.now, number, revision, owner);
+            self.apply_owner(moment.now, number, revision, owner);
             self.claim_or_release(moment.now, number, owner);
         }
-        self.keep_lease(moment.now);
+        self.maintain_lease(moment.now);
     }
 
-    fn see_owner(
+    fn apply_owner(
         &mut self,
         now: Millis,
         number: u32,
@@ -169,22 +173,25 @@
             owner.member == self.member && Some(owner.lease) == lease
         };
         let mine = owner.filter(is_mine).map(|owner| owner.fence);
-        let tenure = self.partition(number).tenure;
-        match (tenure.fence(), mine) {
+        let ownership = self.partition(number).ownership;
+        match (ownership.fence(), mine) {
             // The answer to a claim was lost, or an old copy of a claim
             // made the key once more.
-            (None, Some(fence)) => self.begin(now, number, fence),
+            (None, Some(fence)) => self.begin_tenure(now, number, fence),
             (Some(known), Some(fence)) if fence > known => {
-                self.begin(now, number, fence);
+                self.begin_tenure(now, number, fence);
             }
             (Some(_), Some(_)) => {}
             (Some(known), None) if revision < known => {}
-            (Some(_), None) if owner.is_some() => self.leave(number),
-            (Some(_), None) => self.lose(number),
+            (Some(_), None) if owner.is_some() => self.leave_partition(number),
+            (Some(_), None) => self.lose_partition(number),
             (None, None) => {
-                let waits = tenure == Tenure::Acquiring;
-                if owner.is_some() && !waits && tenure != Tenure::Unowned {
-                    self.leave(number);
+                let is_acquiring = ownership == OwnershipState::Acquiring;
+                if owner.is_some()
+                    && !is_acquiring
+                    && ownership != OwnershipState::Unowned
+                {
+                    self.leave_partition(number);
                 }
             }
         }
@@ -203,27 +210,29 @@
         };
         let is_mine = *member == self.member;
         let is_member = self.members.contains(&self.member);
-        let tenure = self.partition(number).tenure;
-        match tenure {
-            Tenure::Unowned | Tenure::Lost
-                if is_mine && owner.is_none() && self.is_safe(now) =>
+        let ownership = self.partition(number).ownership;
+        match ownership {
+            OwnershipState::Unowned | OwnershipState::Lost
+                if is_mine && owner.is_none() && self.is_valid(now) =>
             {
                 let Some(lease) = self.lease.map(|lease| lease.id) else {
                     return;
                 };
-                self.partition(number).tenure = Tenure::Acquiring;
+                self.partition(number).ownership = OwnershipState::Acquiring;
                 let partition = number;
                 self.actions.push(Action::Claim { partition, lease });
             }
-            Tenure::Loading { fence } | Tenure::Owned { fence }
+            OwnershipState::Loading { fence }
+            | OwnershipState::Owned { fence }
                 if is_member && !is_mine =>
             {
                 let until = now.saturating_add_ms(self.options.grant_ttl_ms);
-                self.partition(number).tenure =
-                    Tenure::Releasing { fence, until };
+                self.partition(number).ownership =
+                    OwnershipState::Draining { fence, until };
             }
-            Tenure::Releasing { fence, .. } if is_mine => {
-                self.partition(number).tenure = Tenure::Owned { fence };
+            OwnershipState::Draining { fence, .. } if is_mine => {
+                self.partition(number).ownership =
+                    OwnershipState::Owned { fence };
             }
             _ => {}
         }
@@ -236,64 +245,70 @@
         lease: i64,
         fence: Option<u64>,
     ) {
-        let is_current = self.lease.is_some_and(|held| held.id == lease);
-        let waits = self.partition(number).tenure == Tenure::Acquiring;
-        if !is_current || !waits {
+        let is_current =
+            self.lease.is_some_and(|lease_held| lease_held.id == lease);
+        let is_acquiring =
+            self.partition(number).ownership == OwnershipState::Acquiring;
+        if !is_current || !is_acquiring {
             return;
         }
         match fence {
-            Some(fence) => self.begin(moment.now, number, fence),
+            Some(fence) => self.begin_tenure(moment.now, number, fence),
             None => {
-                self.partition(number).tenure = Tenure::Lost;
-                self.look_at = moment.now;
+                self.partition(number).ownership = OwnershipState::Lost;
+                self.read_membership_at = moment.now;
             }
         }
     }
 
-    fn begin(&mut self, now: Millis, number: u32, fence: u64) {
+    fn begin_tenure(&mut self, now: Millis, number: u32, fence: u64) {
         let interval_ms = self.options.commit_interval_ms;
-        let commit_at = self.around(now, interval_ms);
+        let commit_at = self.jittered(now, interval_ms);
         *self.partition(number) = Partition {
-            tenure: Tenure::Loading { fence },
+            ownership: OwnershipState::Loading { fence },
             commit_at,
             ..Partition::default()
         };
-        self.keep_partition(now, number);
+        self.maintain_partition(now, number);
     }
 
     /// Lists the markers when it is time, and hands a partition over.
-    pub(crate) fn keep_partition(&mut self, now: Millis, number: u32) {
-        let tenure = self.partition(number).tenure;
-        if let Tenure::Releasing { fence, until } = tenure
-            && (now >= until || self.is_quiet(number))
+    pub(crate) fn maintain_partition(&mut self, now: Millis, number: u32) {
+        let ownership = self.partition(number).ownership;
+        if let OwnershipState::Draining { fence, until } = ownership
+            && (now >= until || self.is_idle(number))
         {
-            self.partition(number).tenure = Tenure::Leaving { fence };
+            self.partition(number).ownership =
+                OwnershipState::DeletingKey { fence };
             let partition = number;
             self.actions.push(Action::Release { partition, fence });
             return;
         }
-        let Some(fence) = tenure.commits() else {
+        let Some(fence) = ownership.fence_for_commits() else {
             return;
         };
         let partition = self.partition(number);
-        if !partition.listing && now >= partition.list_at {
-            partition.listing = true;
+        if !partition.is_listing && now >= partition.list_at {
+            partition.is_listing = true;
             let partition = number;
             self.actions.push(Action::List { partition, fence });
         }
     }
 
-    /// Tells whether nothing of a partition runs or waits.
-    fn is_quiet(&self, number: u32) -> bool {
+    /// Tells whether nothing of a partition runs or is_acquiring.
+    fn is_idle(&self, number: u32) -> bool {
         let partition = &self.partitions[number as usize];
         let mut jobs = self.jobs.values().filter(|j| j.partition == number);
         partition.commit.is_none()
-            && jobs.all(|job| job.pending.is_empty() && job.held().is_empty())
+            && jobs
+                .all(|job| job.pending.is_empty() && job.granted().is_empty())
     }
 
     pub(crate) fn on_released(&mut self, number: u32, fence: u64) {
-        if self.partition(number).tenure == (Tenure::Leaving { fence }) {
-            self.leave(number);
+        if self.partition(number).ownership
+            == (OwnershipState::DeletingKey { fence })
+        {
+            self.leave_partition(number);
         }
     }
 
@@ -305,18 +320,18 @@
         markers: Option<Vec<OpenJobMarker>>,
     ) {
         let interval_ms = self.options.list_interval_ms;
-        let list_at = self.around(moment.now, interval_ms);
+        let list_at = self.jittered(moment.now, interval_ms);
         let partition = self.partition(number);
-        if partition.tenure.commits() != Some(fence) {
+        if partition.ownership.fence_for_commits() != Some(fence) {
             return;
         }
-        partition.listing = false;
+        partition.is_listing = false;
         partition.list_at = list_at;
         let Some(markers) = markers else {
             return;
         };
-        partition.listed = true;
-        self.drop_unmarked(number, &markers);
+        partition.was_listed = true;
+        self.drop_jobs_without_marker(number, &markers);
         for marker in markers {
             let known = self
                 .by_id
@@ -329,18 +344,22 @@
                 self.load(number, fence, marker.job, marker.revision);
             }
         }
-        self.settle_in(number);
+        self.finish_loading(number);
     }
 
     /// Forgets jobs that ended without this process knowing: by a commit of
     /// unknown outcome, or by another owner.
-    fn drop_unmarked(&mut self, number: u32, markers: &[OpenJobMarker]) {
+    fn drop_jobs_without_marker(
+        &mut self,
+        number: u32,
+        markers: &[OpenJobMarker],
+    ) {
         let marked: std::collections::HashSet<&JobId> =
             markers.iter().map(|marker| &marker.job).collect();
         for key in self.jobs_of(number) {
             let is_marked = marked.contains(&self.jobs[key].record.id);
             let commit = &self.partitions[number as usize].commit;
-            let commits = commit.as_ref().is_some_and(|c| c.has(key));
+            let commits = commit.as_ref().is_some_and(|c| c.includes(key));
             if !is_marked && !commits {
                 self.drop_job(key);
             }
@@ -372,7 +391,8 @@
         marker: u64,
         found: Result<Option<Box<VersionedRecord>>, ()>,
     ) {
-        if self.partition(number).tenure.commits() != Some(fence) {
+        if self.partition(number).ownership.fence_for_commits() != Some(fence)
+        {
             return;
         }
         self.partition(number).loading.remove(id);
@@ -380,7 +400,7 @@
             // The next list asks for it again.
             Err(()) => {}
             Ok(Some(seen)) if seen.record.is_open() => {
-                self.take_record(number, fence, marker, *seen);
+                self.adopt_record(number, fence, marker, *seen);
             }
             Ok(_) => {
                 if let Some(key) = self.by_id.get(id).copied() {
@@ -388,10 +408,10 @@
                 }
             }
         }
-        self.settle_in(number);
+        self.finish_loading(number);
     }
 
-    fn take_record(
+    fn adopt_record(
         &mut self,
         number: u32,
         fence: u64,
@@ -418,13 +438,13 @@
     }
 
     /// Ends the loading once every open job has been read.
-    fn settle_in(&mut self, number: u32) {
+    fn finish_loading(&mut self, number: u32) {
         let partition = self.partition(number);
-        if let Tenure::Loading { fence } = partition.tenure
-            && partition.listed
+        if let OwnershipState::Loading { fence } = partition.ownership
+            && partition.was_listed
             && partition.loading.is_empty()
         {
-            partition.tenure = Tenure::Owned { fence };
+            partition.ownership = OwnershipState::Owned { fence };
         }
     }
 }
--- a/crates/rules/src/calendar.rs
+++ b/crates/rules/src/calendar.rs
@@ -141,8 +141,8 @@
 }
 
 impl TimeOfDay {
-    pub(crate) fn contains(&self, moment: &Moment) -> bool {
-        let time = ClockTime(self.zone.civil(moment.at()).time());
+    pub(crate) fn contains(&self, decision_time: &DecisionTime) -> bool {
+        let time = ClockTime(self.zone.civil(decision_time.at()).time());
         if self.from <= self.to {
             return self.from <= time && time < self.to;
         }
@@ -170,8 +170,8 @@
 }
 
 impl DateRange {
-    pub(crate) fn contains(&self, moment: &Moment) -> bool {
-        let day = Day(self.zone.civil(moment.at()).date());
+    pub(crate) fn contains(&self, decision_time: &DecisionTime) -> bool {
+        let day = Day(self.zone.civil(decision_time.at()).date());
         self.from <= day && day <= self.to
     }
 }
@@ -184,12 +184,12 @@
 
 /// The time of a decision.
 #[derive(Debug)]
-pub(crate) struct Moment {
+pub(crate) struct DecisionTime {
     at: UnixMillis,
     text: OnceCell<String>,
 }
 
-impl Moment {
+impl DecisionTime {
     pub(crate) fn new(at: UnixMillis) -> Self {
         let text = OnceCell::new();
         Self { at, text }
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -7,10 +7,10 @@
     When,
 };
 
-const DAY_MS: u64 = 86_400_000;
-const RATE_MAX: f64 = 1e9;
-const WEIGHT_MAX: u32 = 1_000;
-const RETRIES_MAX: u32 = 10;
+const MAX_DURATION_MS: u64 = 86_400_000;
+const MAX_RATE_PER_S: f64 = 1e9;
+const MAX_WEIGHT: u32 = 1_000;
+const MAX_RETRIES: u32 = 10;
 
 impl Check for Config {
     fn check(&self, findings: &mut Findings<'_>) {
@@ -49,7 +49,7 @@
 
     fn customer(&mut self, path: &str, customer: &CustomerConfig) {
         let weight = format!("{path}.weight");
-        self.findings.range(&weight, customer.weight, 1, WEIGHT_MAX);
+        self.findings.range(&weight, customer.weight, 1, MAX_WEIGHT);
         let CustomerLimits {
             requests_per_s,
             burst,
@@ -57,7 +57,7 @@
             batch_items_open: _,
         } = customer.limits;
         let key = |key: &str| format!("{path}.limits.{key}");
-        self.rate(&key("requests_per_s"), requests_per_s);
+        self.check_rate(&key("requests_per_s"), requests_per_s);
         self.at_least_one(&key("burst"), burst);
         self.at_least_one(&key("concurrent"), concurrent);
         if burst.is_some() && requests_per_s.is_none() {
@@ -81,7 +81,7 @@
         let models = format!("{path}.models");
         let service = format!("{path}.service");
         let repeatable = format!("{path}.repeatable");
-        let misplaced = "is only for kind";
+        let only_for_kind = "is only for kind";
         match pool.kind {
             EndpointKind::Engine => {
                 let none = pool.models.as_ref().is_none_or(|m| m.is_empty());
@@ -90,11 +90,11 @@
                     self.findings.report(&models, message);
                 }
                 if pool.service.is_some() {
-                    let message = format!("{misplaced} service");
+                    let message = format!("{only_for_kind} service");
                     self.findings.report(&service, message);
                 }
                 if pool.repeatable.is_some() {
-                    let message = format!("{misplaced} service");
+                    let message = format!("{only_for_kind} service");
                     self.findings.report(&repeatable, message);
                 }
             }
@@ -104,7 +104,7 @@
                     self.findings.report(&service, message);
                 }
                 if pool.models.is_some() {
-                    let message = format!("{misplaced} engine");
+                    let message = format!("{only_for_kind} engine");
                     self.findings.report(&models, message);
                 }
             }
@@ -121,7 +121,7 @@
             }
             self.when(&format!("{path}.when"), &rule.when);
             self.then(&format!("{path}.then"), &rule.then);
-            self.served(&path, rule);
+            self.check_served(&path, rule);
         }
     }
 
@@ -139,15 +139,15 @@
             config.customers.iter().map(|one| one.customer.as_str());
         let customers: Vec<&str> = customers.collect();
         let wanted = when.customer.as_ref();
-        self.defined(&key("tenant"), "tenant", wanted, &customers);
+        self.check_defined(&key("tenant"), "tenant", wanted, &customers);
         let models = config.pools.iter().flat_map(models);
         let models: Vec<&str> = models.collect();
         let wanted = when.model.as_ref();
-        self.defined(&key("model"), "model", wanted, &models);
+        self.check_defined(&key("model"), "model", wanted, &models);
         let services = config.pools.iter().flat_map(|one| &one.service);
         let services: Vec<&str> = services.map(|one| one.as_str()).collect();
         let wanted = when.service.as_ref();
-        self.defined(&key("service"), "service", wanted, &services);
+        self.check_defined(&key("service"), "service", wanted, &services);
         if when.model.is_some() && when.service.is_some() {
             let message = "no request asks for a model and a service";
             self.findings.report(&key("service"), message);
@@ -169,23 +169,30 @@
                 _ => {}
             }
         }
-        for (path, part) in self.each(path, "time_of_day", &when.time_of_day) {
+        for (path, part) in
+            self.items_with_paths(path, "time_of_day", &when.time_of_day)
+        {
             if part.from == part.to {
                 let message = "`from` and `to` are the same";
                 self.findings.report(&path, message);
             }
         }
-        for (path, dates) in self.each(path, "dates", &when.dates) {
+        for (path, dates) in self.items_with_paths(path, "dates", &when.dates)
+        {
             if dates.from > dates.to {
                 self.findings.report(&path, "`from` is after `to`");
             }
         }
-        for (path, load) in self.each(path, "pool_load", &when.pool_load) {
-            self.pool_name(&format!("{path}.pool"), &load.pool);
+        for (path, load) in
+            self.items_with_paths(path, "pool_load", &when.pool_load)
+        {
+            self.check_pool_name(&format!("{path}.pool"), &load.pool);
             let above = format!("{path}.above");
             self.findings.range(&above, load.above, 0.0, 1_000.0);
         }
-        for (path, header) in self.each(path, "header", &when.header) {
+        for (path, header) in
+            self.items_with_paths(path, "header", &when.header)
+        {
             if header.name.is_empty() {
                 self.findings.report(&format!("{path}.name"), "is empty");
             }
@@ -198,24 +205,28 @@
 
     fn then(&mut self, path: &str, then: &Then) {
         let key = |key: &str| format!("{path}.{key}");
-        let ways = [then.pool.is_some(), then.refuse.is_some(), then.shed];
-        if ways.into_iter().filter(|way| *way).count() != 1 {
+        let actions = [then.pool.is_some(), then.refuse.is_some(), then.shed];
+        if actions.into_iter().filter(|action| *action).count() != 1 {
             let message = "takes exactly one of `pool`, `refuse`, `shed`";
             self.findings.report(path, message);
         }
         if let Some(pool) = &then.pool {
-            self.pool_name(&key("pool"), pool);
+            self.check_pool_name(&key("pool"), pool);
         }
-        let each = self.each(path, "fallback_pools", &then.fallback_pools);
-        for (path, pool) in each {
-            self.pool_name(&path, pool);
+        let fallbacks = self.items_with_paths(
+            path,
+            "fallback_pools",
+            &then.fallback_pools,
+        );
+        for (path, pool) in fallbacks {
+            self.check_pool_name(&path, pool);
         }
         if then.pool.is_none() {
-            self.no_route(path, then);
+            self.reject_routing_keys(path, then);
         }
-        self.milliseconds(&key("deadline_ms"), then.deadline_ms);
-        self.milliseconds(&key("first_token_ms"), then.first_token_ms);
-        self.milliseconds(&key("hedge_ms"), then.hedge_ms);
+        self.check_duration_ms(&key("deadline_ms"), then.deadline_ms);
+        self.check_duration_ms(&key("first_token_ms"), then.first_token_ms);
+        self.check_duration_ms(&key("hedge_ms"), then.hedge_ms);
         if let (Some(first), Some(all)) =
             (then.first_token_ms, then.deadline_ms)
             && first > all
@@ -225,13 +236,13 @@
         }
         if let Some(retries) = then.retries {
             self.findings
-                .range(&key("retries"), retries, 0, RETRIES_MAX);
+                .range(&key("retries"), retries, 0, MAX_RETRIES);
         }
         if then.hedge_ms.is_some() && then.repeatable == Some(false) {
             let message = "runs a request twice, which `repeatable` forbids";
             self.findings.report(&key("hedge_ms"), message);
         }
-        self.rate(&key("rate_per_s"), then.rate_per_s);
+        self.check_rate(&key("rate_per_s"), then.rate_per_s);
         self.at_least_one(&key("concurrent"), then.concurrent);
         self.shares(path, then);
         if let Some(refuse) = &then.refuse {
@@ -240,7 +251,7 @@
     }
 
     /// Refuses keys that say how to send a request that is not sent.
-    fn no_route(&mut self, path: &str, then: &Then) {
+    fn reject_routing_keys(&mut self, path: &str, then: &Then) {
         let given = [
             ("fallback_pools", then.fallback_pools.is_some()),
             ("deadline_ms", then.deadline_ms.is_some()),
@@ -286,7 +297,7 @@
 
     /// Refuses a rule that sends requests for a model or a service to a pool
     /// that does not serve it; each such request would fail.
-    fn served(&mut self, path: &str, rule: &Rule) {
+    fn check_served(&mut self, path: &str, rule: &Rule) {
         let Some(name) = &rule.then.pool else { return };
         let mut pools = self.config.pools.iter();
         let Some(pool) = pools.find(|pool| pool.pool == *name) else {
@@ -308,13 +319,13 @@
         }
     }
 
-    fn pool_name(&mut self, path: &str, name: &str) {
+    fn check_pool_name(&mut self, path: &str, name: &str) {
         let pools = self.config.pools.iter().map(|pool| pool.pool.as_str());
         let names: Vec<&str> = pools.collect();
-        self.known(path, "pool", name, &names);
+        self.check_known(path, "pool", name, &names);
     }
 
-    fn defined<T: AsRef<str>>(
+    fn check_defined<T: AsRef<str>>(
         &mut self,
         path: &str,
         kind: &str,
@@ -325,12 +336,18 @@
         let Some(wanted) = wanted else { return };
         for (index, one) in wanted.iter().enumerate() {
             let item = self.findings.item(path, index);
-            self.known(&item, kind, one.as_ref(), names);
+            self.check_known(&item, kind, one.as_ref(), names);
         }
     }
 
     /// A name may lack its definition only because that could not be read.
-    fn known(&mut self, path: &str, kind: &str, name: &str, names: &[&str]) {
+    fn check_known(
+        &mut self,
+        path: &str,
+        kind: &str,
+        name: &str,
+        names: &[&str],
+    ) {
         let section = if kind == "tenant" { "tenants" } else { "pools" };
         if names.contains(&name) || self.findings.is_partial(section) {
             return;
@@ -340,7 +357,7 @@
     }
 
     /// Returns the items of a list in a mapping with their paths.
-    fn each<'v, T>(
+    fn items_with_paths<'v, T>(
         &self,
         path: &str,
         key: &str,
@@ -366,15 +383,15 @@
         }
     }
 
-    fn milliseconds(&mut self, path: &str, ms: Option<u64>) {
+    fn check_duration_ms(&mut self, path: &str, ms: Option<u64>) {
         if let Some(ms) = ms {
-            self.findings.range(path, ms, 1, DAY_MS);
+            self.findings.range(path, ms, 1, MAX_DURATION_MS);
         }
     }
 
-    fn rate(&mut self, path: &str, rate: Option<f64>) {
+    fn check_rate(&mut self, path: &str, rate: Option<f64>) {
         if let Some(rate) = rate
-            && !(rate > 0.0 && rate <= RATE_MAX)
+            && !(rate > 0.0 && rate <= MAX_RATE_PER_S)
         {
             let message = format!("{rate} is not over 0 and up to 1e9");
             self.findings.report(path, message);
--- a/crates/rules/src/compiled.rs
+++ b/crates/rules/src/compiled.rs
@@ -7,7 +7,7 @@
 use crate::{
     Action, Config, CustomerConfig, CustomerLimits, Decision, Explanation,
     OrderFencing, PoolConfig, Route, RuleExplanation, Sample,
-    calendar::Moment, condition::Condition, decision::Outcome,
+    calendar::DecisionTime, condition::Condition, decision::Outcome,
     index::RuleIndex, when::Method,
 };
 
@@ -266,10 +266,10 @@
         sample: &Sample<'_>,
         now: UnixMillis,
     ) -> Decision<'_> {
-        let moment = Moment::new(now);
+        let decision_time = DecisionTime::new(now);
         let holds = |rule: &usize| {
             let tests = &self.rules[*rule].tests;
-            tests.iter().all(|test| test.holds(sample, &moment))
+            tests.iter().all(|test| test.holds(sample, &decision_time))
         };
         match self.index.candidates(sample).find(holds) {
             Some(rule) => self.decision(rule, sample.method),
@@ -307,22 +307,22 @@
         sample: &Sample<'_>,
         now: UnixMillis,
     ) -> Explanation {
-        let moment = Moment::new(now);
-        let decider = self.decide(sample, now).rule();
+        let decision_time = DecisionTime::new(now);
+        let deciding_rule = self.decide(sample, now).rule();
         let rules = self.conditions.iter().enumerate().map(|(at, all)| {
             let name = self.rules[at].name.clone();
             let failures = all
                 .iter()
-                .filter(|one| !one.holds(sample, &moment))
-                .map(|one| one.failure(sample, &moment))
+                .filter(|one| !one.holds(sample, &decision_time))
+                .map(|one| one.failure(sample, &decision_time))
                 .collect();
-            RuleExplanation::new(at, name, failures, decider)
+            RuleExplanation::new(at, name, failures, deciding_rule)
         });
         let rules = rules.collect();
-        let action = match decider {
+        let action = match deciding_rule {
             Some(rule) => self.rules[rule].outcome.describe(&self.pools),
             None => "refused: no rule holds".to_owned(),
         };
-        Explanation::new(self.revision, decider, action, rules)
+        Explanation::new(self.revision, deciding_rule, action, rules)
     }
 }
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Sample,
-    calendar::{DateRange, Moment, TimeOfDay},
+    calendar::{DateRange, DecisionTime, TimeOfDay},
     when::{
         ByteRange, DueIn, HeaderMatch, Method, PathPattern, PoolLoad, When,
     },
@@ -79,31 +79,43 @@
         )
     }
 
-    pub(crate) fn holds(&self, of: &Sample<'_>, now: &Moment) -> bool {
+    pub(crate) fn holds(
+        &self,
+        sample: &Sample<'_>,
+        now: &DecisionTime,
+    ) -> bool {
         match self {
-            Condition::Class(any) => any.contains(&of.class),
-            Condition::Customer(any) => has(any, Some(of.customer)),
-            Condition::Model(any) => has(any, of.model),
-            Condition::Service(any) => has(any, of.service),
-            Condition::Method(any) => {
-                any.iter().any(|method| method.as_str() == of.method)
+            Condition::Class(values) => values.contains(&sample.class),
+            Condition::Customer(values) => {
+                matches_any(values, Some(sample.customer))
             }
-            Condition::Path(any) => any.iter().any(|one| one.matches(of.path)),
-            Condition::Header(any) => any.iter().any(|one| {
-                let value = of.facts.header(&one.name);
+            Condition::Model(values) => matches_any(values, sample.model),
+            Condition::Service(values) => matches_any(values, sample.service),
+            Condition::Method(values) => {
+                values.iter().any(|method| method.as_str() == sample.method)
+            }
+            Condition::Path(values) => {
+                values.iter().any(|one| one.matches(sample.path))
+            }
+            Condition::Header(values) => values.iter().any(|one| {
+                let value = sample.facts.header(&one.name);
                 value.is_some_and(|value| one.matches(value))
             }),
-            Condition::PromptBytes(range) => range.contains(of.prompt_bytes),
+            Condition::PromptBytes(range) => {
+                range.contains(sample.prompt_bytes)
+            }
             Condition::DueInMs(due) => {
-                of.due_in_ms.is_some_and(|ms| ms < due.below)
+                sample.due_in_ms.is_some_and(|ms| ms < due.below)
             }
-            Condition::PoolLoad(any) => any.iter().any(|one| {
-                let load = of.facts.pool_load(&one.pool);
+            Condition::PoolLoad(values) => values.iter().any(|one| {
+                let load = sample.facts.pool_load(&one.pool);
                 load.is_some_and(|load| load > one.above)
             }),
-            Condition::Dates(any) => any.iter().any(|one| one.contains(now)),
-            Condition::TimeOfDay(any) => {
-                any.iter().any(|one| one.contains(now))
+            Condition::Dates(values) => {
+                values.iter().any(|one| one.contains(now))
+            }
+            Condition::TimeOfDay(values) => {
+                values.iter().any(|one| one.contains(now))
             }
         }
     }
@@ -129,39 +141,43 @@
     /// Returns what the condition asks for, for people.
     pub(crate) fn wanted(&self) -> String {
         match self {
-            Condition::Class(any) => one_of(any),
-            Condition::Customer(any) => one_of(any),
-            Condition::Model(any) => one_of(any),
-            Condition::Service(any) => one_of(any),
-            Condition::Method(any) => one_of(any),
-            Condition::Path(any) => one_of(any),
-            Condition::Header(any) => one_of(any),
+            Condition::Class(values) => one_of(values),
+            Condition::Customer(values) => one_of(values),
+            Condition::Model(values) => one_of(values),
+            Condition::Service(values) => one_of(values),
+            Condition::Method(values) => one_of(values),
+            Condition::Path(values) => one_of(values),
+            Condition::Header(values) => one_of(values),
             Condition::PromptBytes(range) => range.to_string(),
             Condition::DueInMs(due) => due.to_string(),
-            Condition::PoolLoad(any) => one_of(any),
-            Condition::Dates(any) => one_of(any),
-            Condition::TimeOfDay(any) => one_of(any),
+            Condition::PoolLoad(values) => one_of(values),
+            Condition::Dates(values) => one_of(values),
+            Condition::TimeOfDay(values) => one_of(values),
         }
     }
 
     /// Returns what the sample has instead, for people.
-    pub(crate) fn found(&self, of: &Sample<'_>, now: &Moment) -> String {
+    pub(crate) fn found(
+        &self,
+        sample: &Sample<'_>,
+        now: &DecisionTime,
+    ) -> String {
         match self {
-            Condition::Class(_) => of.class.to_string(),
-            Condition::Customer(_) => of.customer.to_owned(),
-            Condition::Model(_) => or_none(of.model),
-            Condition::Service(_) => or_none(of.service),
-            Condition::Method(_) => of.method.to_owned(),
-            Condition::Path(_) => of.path.to_owned(),
-            Condition::Header(any) => list(any, |one| {
-                let value = of.facts.header(&one.name);
+            Condition::Class(_) => sample.class.to_string(),
+            Condition::Customer(_) => sample.customer.to_owned(),
+            Condition::Model(_) => or_none(sample.model),
+            Condition::Service(_) => or_none(sample.service),
+            Condition::Method(_) => sample.method.to_owned(),
+            Condition::Path(_) => sample.path.to_owned(),
+            Condition::Header(values) => join_values(values, |one| {
+                let value = sample.facts.header(&one.name);
                 let value = value.map(|value| format!("{value:?}"));
                 format!("{}: {}", one.name, or_none(value))
             }),
-            Condition::PromptBytes(_) => of.prompt_bytes.to_string(),
-            Condition::DueInMs(_) => or_none(of.due_in_ms),
-            Condition::PoolLoad(any) => list(any, |one| {
-                let load = of.facts.pool_load(&one.pool);
+            Condition::PromptBytes(_) => sample.prompt_bytes.to_string(),
+            Condition::DueInMs(_) => or_none(sample.due_in_ms),
+            Condition::PoolLoad(values) => join_values(values, |one| {
+                let load = sample.facts.pool_load(&one.pool);
                 let load = load.map_or("unknown".into(), |l| l.to_string());
                 format!("{} {load}", one.pool)
             }),
@@ -172,25 +188,25 @@
     }
 }
 
-fn lower_names(any: OneOrMany<HeaderMatch>) -> OneOrMany<HeaderMatch> {
+fn lower_names(values: OneOrMany<HeaderMatch>) -> OneOrMany<HeaderMatch> {
     let lower = |one: &HeaderMatch| HeaderMatch {
         name: one.name.to_lowercase(),
         ..one.clone()
     };
-    OneOrMany::new(any.iter().map(lower).collect())
+    OneOrMany::new(values.iter().map(lower).collect())
 }
 
-fn has<T: AsRef<str>>(any: &[T], found: Option<&str>) -> bool {
-    found.is_some_and(|found| any.iter().any(|one| one.as_ref() == found))
+fn matches_any<T: AsRef<str>>(values: &[T], found: Option<&str>) -> bool {
+    found.is_some_and(|found| values.iter().any(|one| one.as_ref() == found))
 }
 
-fn list<T>(any: &[T], text: impl Fn(&T) -> String) -> String {
-    any.iter().map(text).collect::<Vec<_>>().join(", ")
+fn join_values<T>(values: &[T], text: impl Fn(&T) -> String) -> String {
+    values.iter().map(text).collect::<Vec<_>>().join(", ")
 }
 
-fn one_of<T: Display>(any: &[T]) -> String {
-    let text = list(any, T::to_string);
-    if any.len() == 1 {
+fn one_of<T: Display>(values: &[T]) -> String {
+    let text = join_values(values, T::to_string);
+    if values.len() == 1 {
         text
     } else {
         format!("one of {text}")
--- a/crates/rules/src/decision.rs
+++ b/crates/rules/src/decision.rs
@@ -12,7 +12,7 @@
 const DEFAULT_RETRY_AFTER_S: u32 = 5;
 
 /// Statuses by which a caller is asked to come back.
-const COME_BACK: [u16; 2] = [429, 503];
+const RETRYABLE_STATUSES: [u16; 2] = [429, 503];
 
 /// What the rules say of a request.
 #[derive(Clone, Copy, Debug)]
@@ -181,8 +181,8 @@
     /// Returns the seconds after which to come back. A status that asks the
     /// caller to come back always has them.
     pub fn retry_after_s(&self) -> Option<u32> {
-        let comes_back = COME_BACK.contains(&self.0.status);
-        let default = comes_back.then_some(DEFAULT_RETRY_AFTER_S);
+        let is_retryable = RETRYABLE_STATUSES.contains(&self.0.status);
+        let default = is_retryable.then_some(DEFAULT_RETRY_AFTER_S);
         self.0.retry_after_s.or(default)
     }
 }
--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -113,42 +113,50 @@
     }
     let kept: Vec<usize> =
         old.iter().filter_map(|item| find(new, item)).collect();
-    let unmoved = longest_increasing(&kept);
-    for (at, item) in new.iter().enumerate() {
-        let Some(was) = find(old, item) else {
-            let place = format!(" at {}", at + 1);
+    let unmoved = longest_increasing_subsequence(&kept);
+    for (new_index, item) in new.iter().enumerate() {
+        let Some(old_index) = find(old, item) else {
+            let place = format!(" at {}", new_index + 1);
             let place = if ordered { place.as_str() } else { "" };
             let title = &item.title;
             lines.push(format!("+ {title}{place}: {}", item.value));
             continue;
         };
-        changes(&item.title, "", &old[was].value, &item.value, lines);
-        if ordered && !unmoved.contains(&at) {
+        append_changes(
+            &item.title,
+            "",
+            &old[old_index].value,
+            &item.value,
+            lines,
+        );
+        if ordered && !unmoved.contains(&new_index) {
             let title = &item.title;
-            let (from, to) = (was + 1, at + 1);
+            let (from, to) = (old_index + 1, new_index + 1);
             lines.push(format!("> {title}: from {from} to {to}"));
         }
     }
 }
 
-/// Returns a longest run of numbers that keep their order.
-fn longest_increasing(numbers: &[usize]) -> Vec<usize> {
+/// Returns a longest subsequence of numbers that keep their order.
+fn longest_increasing_subsequence(numbers: &[usize]) -> Vec<usize> {
     let mut best: Vec<Vec<usize>> = Vec::new();
     for (end, &number) in numbers.iter().enumerate() {
-        let fits = |run: &&Vec<usize>| run.last().is_some_and(|&l| l < number);
+        let fits = |subsequence: &&Vec<usize>| {
+            subsequence.last().is_some_and(|&l| l < number)
+        };
         let before = best[..end].iter().filter(fits);
-        let mut run = before
-            .max_by_key(|run| run.len())
+        let mut subsequence = before
+            .max_by_key(|subsequence| subsequence.len())
             .cloned()
             .unwrap_or_default();
-        run.push(number);
-        best.push(run);
+        subsequence.push(number);
+        best.push(subsequence);
     }
     best.into_iter().max_by_key(Vec::len).unwrap_or_default()
 }
 
-/// Adds a line for each key that differs, at any depth.
-fn changes(
+/// Adds a line for each key that differs, new_index any depth.
+fn append_changes(
     title: &str,
     path: &str,
     old: &Value,
@@ -172,7 +180,7 @@
         };
         let old = olds.get(key).unwrap_or(&Value::Null);
         let new = news.get(key).unwrap_or(&Value::Null);
-        changes(title, &inner, old, new, lines);
+        append_changes(title, &inner, old, new, lines);
     }
 }
 
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -3,7 +3,7 @@
 use base::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::{Sample, calendar::Moment, condition::Condition};
+use crate::{Sample, calendar::DecisionTime, condition::Condition};
 
 /// Tells why a request is decided as it is.
 ///
@@ -46,11 +46,11 @@
 impl Explanation {
     pub(crate) fn new(
         revision: Revision,
-        decider: Option<usize>,
+        deciding_rule: Option<usize>,
         action: String,
         rules: Vec<RuleExplanation>,
     ) -> Self {
-        let rule = decider.map(|rule| rule + 1);
+        let rule = deciding_rule.map(|rule| rule + 1);
         Self {
             revision,
             rule,
@@ -117,9 +117,9 @@
         index: usize,
         name: Option<String>,
         failures: Vec<Failure>,
-        decider: Option<usize>,
+        deciding_rule: Option<usize>,
     ) -> Self {
-        let verdict = if decider == Some(index) {
+        let verdict = if deciding_rule == Some(index) {
             Verdict::Decides
         } else if failures.is_empty() {
             Verdict::ComesLater
@@ -222,12 +222,12 @@
     pub(crate) fn failure(
         &self,
         sample: &Sample<'_>,
-        moment: &Moment,
+        decision_time: &DecisionTime,
     ) -> Failure {
         Failure {
             condition: self.key().to_owned(),
             wanted: self.wanted(),
-            found: self.found(sample, moment),
+            found: self.found(sample, decision_time),
         }
     }
 }
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,7 +1,7 @@
 //! Finds the rules that may hold for a request without testing each.
 //!
-//! For every word that rules ask for, a set of rules is kept that it leaves
-//! open: those that name it and those that do not ask. The sets of a
+//! For every value that rules ask for, a set of rules is kept that it leaves
+//! unconstrained: those that name it and those that do not ask. The sets of a
 //! request's class, customer, model, service and method are intersected, a few
 //! machine words for 200 rules. A tree over the conditions was rejected: its
 //! size can grow with the product of the conditions.
@@ -28,57 +28,65 @@
 
 /// Rules by the value of one condition.
 #[derive(Clone, Debug)]
-struct WordIndex {
-    by_word: HashMap<String, RuleSet>,
+struct ValueIndex {
+    by_value: HashMap<String, RuleSet>,
     /// Rules that do not ask.
-    open: RuleSet,
+    unconstrained: RuleSet,
 }
 
-impl WordIndex {
+impl ValueIndex {
     fn new(
         rules: &[Vec<Condition>],
-        words: impl Fn(&Condition) -> Option<Vec<String>>,
+        indexed_values: impl Fn(&Condition) -> Option<Vec<String>>,
     ) -> Self {
-        let mut open = RuleSet::empty(rules.len());
-        let mut asking = Vec::new();
+        let mut unconstrained = RuleSet::empty(rules.len());
+        let mut constrained = Vec::new();
         for (rule, conditions) in rules.iter().enumerate() {
-            match conditions.iter().find_map(&words) {
-                None => open.insert(rule),
-                Some(words) => asking.push((rule, words)),
+            match conditions.iter().find_map(&indexed_values) {
+                None => unconstrained.insert(rule),
+                Some(indexed_values) => {
+                    constrained.push((rule, indexed_values))
+                }
             }
         }
-        let mut by_word = HashMap::<_, RuleSet>::new();
-        for (rule, words) in asking {
-            for word in words {
-                let set = by_word.entry(word).or_insert_with(|| open.clone());
+        let mut by_value = HashMap::<_, RuleSet>::new();
+        for (rule, indexed_values) in constrained {
+            for value in indexed_values {
+                let set = by_value
+                    .entry(value)
+                    .or_insert_with(|| unconstrained.clone());
                 set.insert(rule);
             }
         }
-        Self { by_word, open }
+        Self {
+            by_value,
+            unconstrained,
+        }
     }
 
-    fn find(&self, word: Option<&str>) -> &RuleSet {
-        word.and_then(|word| self.by_word.get(word))
-            .unwrap_or(&self.open)
+    fn find(&self, value: Option<&str>) -> &RuleSet {
+        value
+            .and_then(|value| self.by_value.get(value))
+            .unwrap_or(&self.unconstrained)
     }
 }
 
 /// Index over all rules.
 #[derive(Clone, Debug)]
 pub(crate) struct RuleIndex {
-    class: WordIndex,
-    customer: WordIndex,
-    model: WordIndex,
-    service: WordIndex,
-    method: WordIndex,
+    class: ValueIndex,
+    customer: ValueIndex,
+    model: ValueIndex,
+    service: ValueIndex,
+    method: ValueIndex,
 }
 
 impl RuleIndex {
     pub(crate) fn new(rules: &[Vec<Condition>]) -> Self {
         let index = |key| {
-            WordIndex::new(rules, move |condition: &Condition| {
-                let words = words(condition);
-                words.filter(|_| condition.key() == key)
+            ValueIndex::new(rules, move |condition: &Condition| {
+                let indexed_values = indexed_values(condition);
+                indexed_values.filter(|_| condition.key() == key)
             })
         };
         Self {
@@ -121,18 +129,18 @@
     })
 }
 
-fn words(condition: &Condition) -> Option<Vec<String>> {
+fn indexed_values(condition: &Condition) -> Option<Vec<String>> {
     let list = match condition {
-        Condition::Class(any) => texts(any, |one| one.as_str()),
-        Condition::Customer(any) => texts(any, |one| one.as_str()),
-        Condition::Model(any) => texts(any, |one| one.as_str()),
-        Condition::Service(any) => texts(any, |one| one.as_str()),
-        Condition::Method(any) => texts(any, |one| one.as_str()),
+        Condition::Class(values) => to_strings(values, |one| one.as_str()),
+        Condition::Customer(values) => to_strings(values, |one| one.as_str()),
+        Condition::Model(values) => to_strings(values, |one| one.as_str()),
+        Condition::Service(values) => to_strings(values, |one| one.as_str()),
+        Condition::Method(values) => to_strings(values, |one| one.as_str()),
         _ => return None,
     };
     Some(list)
 }
 
-fn texts<T>(any: &[T], text: impl Fn(&T) -> &str) -> Vec<String> {
-    any.iter().map(|one| text(one).to_owned()).collect()
+fn to_strings<T>(values: &[T], text: impl Fn(&T) -> &str) -> Vec<String> {
+    values.iter().map(|one| text(one).to_owned()).collect()
 }
