--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use error_stack::{Report, ResultExt};
 use futures::future::join_all;
-use ledger::{Granted, PullRequest, ResultOutcome, RunOutcome};
+use ledger::{Ack, Granted, PullRequest, RunOutcome};
 use serde::Deserialize;
 use wire::message::{Item, ItemOutcome, ItemResult, Pull, PullReply};
 
@@ -161,7 +161,7 @@
         let (job, index) = (&result.job, result.index);
         let mut ledger = self.ledger();
         let taken = ledger.result(moment, job, index, result.grant, end);
-        taken != ResultOutcome::Ignored
+        taken != Ack::Ignored
     }
 
     fn end(&self, result: &ItemResult, custom_id: &str) -> RunOutcome {
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -345,7 +345,7 @@
         }
     }
 
-    /// Gives a commit up whose compares do not add_grant: a job was cancelled,
+    /// Gives a commit up whose compares do not grant: a job was cancelled,
     /// or the partition has another owner. Its jobs are read anew; what is
     /// still open then is committed retry_stage.
     fn abandon_commit(&mut self, moment: Moment, number: u32) {
@@ -420,7 +420,7 @@
     let part = |(sink, items): (Sink, &BTreeSet<u32>)| {
         let mut bytes = BytesMut::new();
         for index in items {
-            bytes.extend_from_slice(&job.pending[index].line);
+            bytes.extend_from_slice(&job.pending[index].bytes);
         }
         let name = sink.as_str();
         (!items.is_empty()).then(|| Part {
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -4,9 +4,9 @@
 use slotmap::{Key, KeyData};
 
 use crate::{
-    Action, Granted, Ledger, Moment, PullRequest, PullResponse, ResultOutcome,
+    Ack, Action, Granted, Ledger, Moment, PullRequest, PullResponse,
     RunOutcome, Sink,
-    job::{Grant, GrantKey, Job, JobKey, PendingResult, VmKey},
+    job::{Grant, GrantKey, Job, JobKey, PendingLine, VmKey},
 };
 
 /// Results that may wait for their commit, in bytes. Beyond this nothing is
@@ -66,32 +66,32 @@
         index: u32,
         grant: u64,
         end: RunOutcome,
-    ) -> ResultOutcome {
+    ) -> Ack {
         let Some(key) = self.by_id.get(job).copied() else {
-            return ResultOutcome::Ignored;
+            return Ack::Ignored;
         };
         let named = self.grant_key(grant);
         let Some(job) = self.jobs.get_mut(key) else {
-            return ResultOutcome::Ignored;
+            return Ack::Ignored;
         };
         let is_current = job.granted().get(&index) == Some(&named);
         if job.is_settled(index) {
             if is_current {
                 self.end_grant(key, index);
             }
-            return ResultOutcome::Ignored;
+            return Ack::Ignored;
         }
         match end {
             RunOutcome::Completed(line) => {
                 let sink = Sink::Output;
-                self.settle(key, index, PendingResult { line, sink })
+                self.settle(key, index, PendingLine { bytes: line, sink })
             }
             RunOutcome::Rejected(line) => {
                 let sink = Sink::Errors;
-                self.settle(key, index, PendingResult { line, sink })
+                self.settle(key, index, PendingLine { bytes: line, sink })
             }
             // The end of the loan was counted when it expired.
-            _ if !is_current => ResultOutcome::Ignored,
+            _ if !is_current => Ack::Ignored,
             RunOutcome::Returned => {
                 self.reopen_item(key, index, moment.now, 0)
             }
@@ -103,9 +103,13 @@
                 match self.record_failure(moment.now, key, index) {
                     Some(_) => {
                         let sink = Sink::Errors;
-                        self.settle(key, index, PendingResult { line, sink })
+                        self.settle(
+                            key,
+                            index,
+                            PendingLine { bytes: line, sink },
+                        )
                     }
-                    None => ResultOutcome::Reopened,
+                    None => Ack::Reopened,
                 }
             }
         }
@@ -118,12 +122,12 @@
         index: u32,
         now: Millis,
         pause_ms: u64,
-    ) -> ResultOutcome {
+    ) -> Ack {
         self.end_grant(key, index);
         if let Some(job) = self.jobs.get_mut(key) {
             job.reopen(index, now, pause_ms);
         }
-        ResultOutcome::Reopened
+        Ack::Reopened
     }
 
     /// Returns the machine that has an item on this loan.
@@ -147,13 +151,13 @@
         job: &JobId,
         index: u32,
         line: bytes::Bytes,
-    ) -> ResultOutcome {
+    ) -> Ack {
         match self.by_id.get(job).copied() {
             Some(key) => {
                 let sink = Sink::Errors;
-                self.settle(key, index, PendingResult { line, sink })
+                self.settle(key, index, PendingLine { bytes: line, sink })
             }
-            None => ResultOutcome::Ignored,
+            None => Ack::Ignored,
         }
     }
 
@@ -304,7 +308,7 @@
             vm,
             expires_at,
         });
-        job.add_grant(index, vm, grant);
+        job.grant(index, vm, grant);
         let granted = Granted {
             grant: grant.data().as_ffi() ^ self.salt,
             partition: job.partition,
@@ -355,20 +359,15 @@
         None
     }
 
-    fn settle(
-        &mut self,
-        key: JobKey,
-        index: u32,
-        settled: PendingResult,
-    ) -> ResultOutcome {
+    fn settle(&mut self, key: JobKey, index: u32, line: PendingLine) -> Ack {
         self.end_grant(key, index);
-        let bytes = settled.line.len();
+        let bytes = line.bytes.len();
         let job = self.jobs.get_mut(key);
-        if !job.is_some_and(|job| job.settle(index, settled)) {
-            return ResultOutcome::Ignored;
+        if !job.is_some_and(|job| job.settle(index, line)) {
+            return Ack::Ignored;
         }
         self.pending_result_bytes += bytes;
         self.throughput.count();
-        ResultOutcome::Settled
+        Ack::Settled
     }
 }
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -28,8 +28,8 @@
 
 /// A result that waits for its commit.
 #[derive(Clone, Debug)]
-pub(crate) struct PendingResult {
-    pub(crate) line: Bytes,
+pub(crate) struct PendingLine {
+    pub(crate) bytes: Bytes,
     pub(crate) sink: Sink,
 }
 
@@ -59,7 +59,7 @@
     pub(crate) marker: u64,
     /// Fencing number that the record was last read under.
     pub(crate) fence: u64,
-    pub(crate) pending: BTreeMap<u32, PendingResult>,
+    pub(crate) pending: BTreeMap<u32, PendingLine>,
     pub(crate) is_at_risk: bool,
     next: u32,
     reopened: Vec<ReopenedItem>,
@@ -144,12 +144,7 @@
         &self.granted
     }
 
-    pub(crate) fn add_grant(
-        &mut self,
-        index: u32,
-        vm: VmKey,
-        grant: GrantKey,
-    ) {
+    pub(crate) fn grant(&mut self, index: u32, vm: VmKey, grant: GrantKey) {
         self.granted.insert(index, grant);
         let history = self.history.entry(index).or_default();
         if !history.vms.contains(&vm) {
@@ -218,15 +213,11 @@
     }
 
     /// Settles an item; false if it is settled already.
-    pub(crate) fn settle(
-        &mut self,
-        index: u32,
-        settled: PendingResult,
-    ) -> bool {
+    pub(crate) fn settle(&mut self, index: u32, pending: PendingLine) -> bool {
         if index >= self.record.items || self.is_settled(index) {
             return false;
         }
-        self.pending.insert(index, settled);
+        self.pending.insert(index, pending);
         self.reopened.retain(|reopened| reopened.index != index);
         self.history.remove(&index);
         self.giving_up.remove(&index);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -40,7 +40,7 @@
 //! use base::{Millis, UnixMillis};
 //! use pomeloslip_ledger::{
 //!     Action, Event, RunOutcome, JobRecord, Ledger, OpenJobMarker, Moment, Options,
-//!     PartitionOwner, PullRequest, VersionedRecord, ResultOutcome,
+//!     PartitionOwner, PullRequest, VersionedRecord, Ack,
 //! };
 //! # use serde_json::json;
 //! # let at = |ms| Moment {
@@ -106,7 +106,7 @@
 //! let item = ledger.pull(at(3), &request).items.remove(0);
 //! let line = RunOutcome::Completed("the answer\n".into());
 //! let taken = ledger.result(at(4), &job, item.index, item.grant, line);
-//! assert_eq!(taken, ResultOutcome::Settled);
+//! assert_eq!(taken, Ack::Settled);
 //! // The results are stored first, then their transaction is written.
 //! let actions = ledger.handle(at(1_000), Event::Tick);
 //! let stores = |action: &Action| matches!(action, Action::Store { .. });
@@ -131,9 +131,9 @@
     assignment::assign,
     machine::Ledger,
     message::{
-        Action, CommitId, Event, Granted, LedgerStatus, Moment, OpenJobMarker,
-        Part, PartitionOwner, PullRequest, PullResponse, RecordUpdate,
-        ResultOutcome, RunOutcome, VersionedRecord, WriteAction, WriteOutcome,
+        Ack, Action, CommitId, Event, Granted, LedgerStatus, Moment,
+        OpenJobMarker, Part, PartitionOwner, PullRequest, PullResponse,
+        RecordUpdate, RunOutcome, VersionedRecord, WriteAction, WriteOutcome,
     },
     options::{InjectedFault, Options},
     ranges::RangeSet,
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -210,8 +210,7 @@
             self.advance_commit(moment, number);
         }
         let lines = self.jobs.values().flat_map(|job| job.pending.values());
-        self.pending_result_bytes =
-            lines.map(|settled| settled.line.len()).sum();
+        self.pending_result_bytes = lines.map(|line| line.bytes.len()).sum();
     }
 
     /// Puts off the end of all grants after a pause of this process: it was
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -56,7 +56,7 @@
 pub enum WriteOutcome {
     /// It took effect at this revision.
     Done(u64),
-    /// A compare did not add_grant.
+    /// A compare did not grant.
     Refused,
     /// It certainly had no effect.
     NotDone,
@@ -341,7 +341,7 @@
 
 /// What the ledger did with a result.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ResultOutcome {
+pub enum Ack {
     /// The item is settled by it and waits for its commit.
     Settled,
     /// The item is open again.
--- a/crates/ledger/tests/grants.rs
+++ b/crates/ledger/tests/grants.rs
@@ -2,8 +2,8 @@
 
 use base::{Millis, UnixMillis, VmId};
 use pomeloslip_ledger::{
-    Action, Event, Granted, JobRecord, Ledger, Moment, OpenJobMarker, Options,
-    PartitionOwner, PullRequest, PullResponse, ResultOutcome, RunOutcome,
+    Ack, Action, Event, Granted, JobRecord, Ledger, Moment, OpenJobMarker,
+    Options, PartitionOwner, PullRequest, PullResponse, RunOutcome,
     VersionedRecord,
 };
 use yare::parameterized;
@@ -114,12 +114,7 @@
     pull_as(ledger, ms, vm, capacity, &[]).items
 }
 
-fn end(
-    ledger: &mut Ledger,
-    ms: u64,
-    item: &Granted,
-    end: RunOutcome,
-) -> ResultOutcome {
+fn end(ledger: &mut Ledger, ms: u64, item: &Granted, end: RunOutcome) -> Ack {
     ledger.result(at(ms), &item.job, item.index, item.grant, end)
 }
 
@@ -135,10 +130,7 @@
 fn a_failed_item_goes_to_an_endpoint_that_has_not_had_it() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
-    assert_eq!(
-        end(&mut ledger, 1, &item, failed()),
-        ResultOutcome::Reopened
-    );
+    assert_eq!(end(&mut ledger, 1, &item, failed()), Ack::Reopened);
     assert_eq!(pull(&mut ledger, 500, "vm-1", 1), []);
     let again = pull(&mut ledger, 500, "vm-2", 1).remove(0);
     assert_eq!((again.index, again.attempt), (0, 1));
@@ -147,10 +139,7 @@
     // there may be no third.
     assert_eq!(pull(&mut ledger, 1_500, "vm-1", 1), []);
     let last = pull(&mut ledger, 6_000, "vm-1", 1).remove(0);
-    assert_eq!(
-        end(&mut ledger, 6_001, &last, failed()),
-        ResultOutcome::Settled
-    );
+    assert_eq!(end(&mut ledger, 6_001, &last, failed()), Ack::Settled);
 }
 
 /// Symptom: a run costs an endpoint's time twice. Events: a loan expires, the
@@ -171,17 +160,11 @@
         ledger.handle(at(ms), renewed);
     }
     let second = pull(&mut ledger, 10_800, "vm-2", 1).remove(0);
-    assert_eq!(
-        end(&mut ledger, 10_801, &first, completed()),
-        ResultOutcome::Settled
-    );
+    assert_eq!(end(&mut ledger, 10_801, &first, completed()), Ack::Settled);
     let running = [second.grant];
     let answer = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
     assert_eq!(answer.revoked, running);
-    assert_eq!(
-        end(&mut ledger, 10_803, &second, completed()),
-        ResultOutcome::Ignored
-    );
+    assert_eq!(end(&mut ledger, 10_803, &second, completed()), Ack::Ignored);
 }
 
 /// Symptom: an item runs while another owner grants it too. Events: the owner
