--- a/crates/ledger/examples/embed_ledger.rs
+++ b/crates/ledger/examples/embed_ledger.rs
@@ -1,10 +1,11 @@
-//! A program that runs a batch job by the ledger, without the daemons.
+//! Runs a batch job with the ledger embedded in a program, without the
+//! daemons.
 //!
-//! The program keeps the records in a map, which stands for a key-value
-//! service with compare-and-swap, and the results in another, which stands
-//! for its blobs. Workers take items and sometimes die with them; each item
-//! is in the output once all the same. Time and random numbers are made up,
-//! so that every run prints the same.
+//! Records are kept in a map that stands in for a key-value service with
+//! compare-and-swap, and results in another that stands in for a blob store.
+//! Workers pull items and sometimes die while running them; each item still
+//! appears in the output exactly once. Time and random numbers are simulated,
+//! so every run prints the same.
 //!
 //! Run it with `cargo run -p pomeloslip-ledger --example embed_ledger`.
 
@@ -27,7 +28,7 @@
 const STEP_MS: u64 = 50;
 const STEPS_MAX: u64 = 10_000;
 
-/// What a key-value service and a blob store would keep.
+/// In-memory stand-in for a key-value service and a blob store.
 #[derive(Default)]
 struct Platform {
     revision: u64,
@@ -45,8 +46,9 @@
             .insert(id, VersionedRecord { record, revision });
     }
 
-    /// Does what the ledger asks for and answers it. A program with I/O
-    /// does this in the background and hands the events in as they come.
+    /// Carries out an action and returns the resulting event. A program with
+    /// I/O runs actions in the background and passes in the events as they
+    /// occur.
     fn carry_out(&mut self, action: Action, now: Millis) -> Option<Event> {
         let sent_at = now;
         Some(match action {
@@ -59,7 +61,7 @@
                 lease,
                 alive: Some(true),
             },
-            Action::ReadMembership => self.look(),
+            Action::ReadMembership => self.read_membership(),
             Action::Claim { partition, lease } => {
                 self.revision += 1;
                 self.fence = Some(self.revision);
@@ -111,13 +113,13 @@
                     found: Some(found.cloned().collect()),
                 }
             }
-            // Only after attempts that all ended without a word; the
-            // workers here die less often.
+            // Occurs only after several grants of an item expired; the workers
+            // here die less often.
             Action::GiveUp { .. } => return None,
         })
     }
 
-    fn look(&self) -> Event {
+    fn read_membership(&self) -> Event {
         let owner = self.fence.map(|fence| PartitionOwner {
             partition: 0,
             member: MEMBER.to_owned(),
@@ -151,9 +153,9 @@
         chunk
     }
 
-    /// Runs a transaction: all of its compares, then all of its writes.
-    /// Without the compare of the fence, a former owner that was paused
-    /// could commit items which another has committed already.
+    /// Runs a transaction: checks all compares, then applies all writes.
+    /// Without the compare of the fencing token, a former owner that was
+    /// paused could commit items that another owner has already committed.
     fn write(&mut self, write: WriteAction) -> WriteOutcome {
         let holds = write.fence == self.fence
             && write.records.iter().all(|next| {
@@ -194,7 +196,7 @@
     }
 }
 
-/// Gives the ledger an event and carries out what follows from it.
+/// Passes an event to the ledger and carries out the resulting actions.
 fn drive(ledger: &mut Ledger, platform: &mut Platform, ms: u64, event: Event) {
     let at = moment(ms);
     let mut actions = VecDeque::from(ledger.handle(at, event));
@@ -205,11 +207,11 @@
     }
 }
 
-/// Takes items, loses every seventh and completes the others.
+/// Pulls items, loses every seventh and completes the others.
 fn work(
     ledger: &mut Ledger,
     ms: u64,
-    taken: &mut u32,
+    pulled: &mut u32,
     lost: &mut u32,
 ) -> Result<(), Error> {
     let vm: VmId = "worker-1".parse()?;
@@ -221,8 +223,8 @@
         running: &[],
     };
     for item in ledger.pull(moment(ms), &request).items {
-        *taken += 1;
-        if taken.is_multiple_of(7) {
+        *pulled += 1;
+        if pulled.is_multiple_of(7) {
             *lost += 1;
             continue;
         }
@@ -241,12 +243,12 @@
     let record = job()?;
     let id = record.id.clone();
     platform.add(record);
-    let (mut taken, mut lost) = (0, 0);
+    let (mut pulled, mut lost) = (0, 0);
     let mut ms = 0;
     for _ in 0..STEPS_MAX {
         ms += STEP_MS;
         drive(&mut ledger, &mut platform, ms, Event::Tick);
-        work(&mut ledger, ms, &mut taken, &mut lost)?;
+        work(&mut ledger, ms, &mut pulled, &mut lost)?;
         let record = &platform.records[&id].record;
         if record.state == JobState::Completed {
             break;
@@ -261,9 +263,9 @@
     let text = String::from_utf8(text)?;
     let lines: Vec<&str> = text.lines().collect();
     let distinct: BTreeSet<&str> = lines.iter().copied().collect();
-    println!("{taken} items taken, {lost} of them lost with a worker");
+    println!("{pulled} items pulled, {lost} of them lost with a worker");
     println!("{} lines, {} distinct", lines.len(), distinct.len());
-    println!("{:?} after {ms} ms of made-up time", record.state);
+    println!("{:?} after {ms} ms of simulated time", record.state);
     assert_eq!(record.state, JobState::Completed);
     assert_eq!((lines.len(), distinct.len()), (40, 40));
     Ok(())
--- a/crates/ledger/src/assignment.rs
+++ b/crates/ledger/src/assignment.rs
@@ -1,14 +1,14 @@
 use base::stable_hash;
 
-/// Assigns partitions to members and returns each partition's place in
-/// `members`.
+/// Assigns partitions to members and returns the index in `members` for each
+/// partition.
 ///
-/// Rendezvous hashing with caps: each partition goes to the member with the
-/// highest weight that has capacity, and the loads of two members differ by one
-/// at most. All entries that know the same members agree without asking
-/// anybody. Plain rendezvous hashing moves a little less but leaves some
-/// members with twice the load of others; a ring needs many points per member
-/// to be as even.
+/// Uses rendezvous hashing with bounded loads: each partition goes to the
+/// member with the highest weight that has spare capacity, and the loads of
+/// two members differ by at most one. All entries that see the same members
+/// compute the same assignment without coordination. Plain rendezvous hashing
+/// moves slightly fewer partitions but can give some members twice the load of
+/// others; a hash ring needs many points per member to be as even.
 ///
 /// # Example
 ///
@@ -25,7 +25,7 @@
         return Vec::new();
     }
     let floor = partitions as usize / members.len();
-    // So many members carry one more than the others.
+    // Number of members that get one partition more than the others.
     let mut extra = partitions as usize % members.len();
     let mut load = vec![0; members.len()];
     (0..partitions)
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -1,4 +1,4 @@
-//! Commits of several jobs in one transaction.
+//! Commits the results of several jobs in one transaction.
 
 use std::collections::BTreeSet;
 
@@ -11,35 +11,35 @@
     job::{Job, JobKey},
 };
 
-/// What a commit waits for.
+/// Stage of a commit.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// Its parts are being stored.
+    /// The parts are being stored.
     Storing,
-    /// They are to be stored retry_stage.
+    /// Storing the parts is retried at this time.
     StoreAt(Millis),
-    /// Its transaction is on its way.
+    /// The transaction is in flight.
     Writing,
-    /// The transaction is to be sent, or sent retry_stage.
+    /// The transaction is sent, or sent again, at this time.
     WriteAt(Millis),
     /// The records are being read back.
     Reading,
-    /// They are to be read back.
+    /// The records are read back at this time.
     ReadAt(Millis),
 }
 
-/// The part of one job in a commit.
+/// The results of one job in a commit.
 #[derive(Debug)]
 struct JobShare {
     key: JobKey,
     id: JobId,
     completed: BTreeSet<u32>,
     failed: BTreeSet<u32>,
-    /// Nothing else waited when the commit began.
+    /// All pending results of the job are in this commit.
     covers_all_pending: bool,
 }
 
-/// A commit under way.
+/// A commit in progress.
 #[derive(Debug)]
 pub(crate) struct Commit {
     id: CommitId,
@@ -47,7 +47,7 @@
     shares: Vec<JobShare>,
     parts: Vec<Part>,
     chunks: Vec<Chunk>,
-    /// The transaction as it was sent.
+    /// The records of the transaction as sent.
     records: Vec<RecordUpdate>,
     stage: Stage,
     failures: u32,
@@ -62,15 +62,16 @@
 }
 
 impl Ledger {
-    /// Begins a commit when it is time, or takes one further.
+    /// Starts a commit if one is due, or advances the current one.
     pub(crate) fn advance_commit(&mut self, moment: Moment, number: u32) {
         let now = moment.now;
         let Some(fence) = self.partition(number).ownership.fence_for_commits()
         else {
             return;
         };
-        // Sending is fenced anyway; not to send spares the service useless
-        // calls of an owner whose lease has ended.
+        // The fencing token protects the records in any case; this check saves
+        // the key-value service useless calls by an owner whose lease has
+        // ended.
         if !self.is_valid(now) {
             return;
         }
@@ -169,9 +170,9 @@
         }
     }
 
-    /// Sends the transaction. A copy that may be on its way is sent retry_stage
-    /// unchanged; only one of them can take effect, since each changes what
-    /// it compares.
+    /// Sends the transaction. If an earlier copy may still be in flight, the
+    /// same transaction is sent again unchanged; at most one copy can take
+    /// effect, since each changes the revisions that it compares.
     fn write(&mut self, moment: Moment, number: u32, fence: u64) {
         let Some(mut commit) = self.partition(number).commit.take() else {
             return;
@@ -179,7 +180,8 @@
         if !commit.may_have_applied {
             match self.next_records(moment, &commit) {
                 Some(records) => commit.records = records,
-                // A job is gone; the others' results wait for another commit.
+                // A job was removed; the results of the others go into a later
+                // commit.
                 None => return,
             }
         }
@@ -225,7 +227,8 @@
             WriteOutcome::Done(revision) => {
                 self.finish(moment, number, revision);
             }
-            // An earlier copy may be what changed the records.
+            // An earlier copy of this transaction may have changed the
+            // records.
             WriteOutcome::Refused if commit.may_have_applied => {
                 self.retry_stage(moment, number, Stage::ReadAt);
             }
@@ -298,7 +301,8 @@
         }
     }
 
-    /// The injected_fault fault: goes on as if the write had failed.
+    /// Implements [`InjectedFault::NoReadBack`]: continues as if the write had
+    /// failed.
     fn assume_failed(&mut self, number: u32, found: &[VersionedRecord]) {
         self.partition(number).commit = None;
         for seen in found {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Takes note that a commit took effect.
+    /// Applies a commit that took effect.
     fn finish(&mut self, moment: Moment, number: u32, revision: u64) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
@@ -345,9 +349,9 @@
         }
     }
 
-    /// Gives a commit up whose compares do not grant: a job was cancelled,
-    /// or the partition has another owner. Its jobs are read anew; what is
-    /// still open then is committed retry_stage.
+    /// Abandons a commit whose compares failed: a job was cancelled, or the
+    /// partition has another owner. Its jobs are read again, and results that
+    /// are still pending go into a later commit.
     fn abandon_commit(&mut self, moment: Moment, number: u32) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -1,4 +1,4 @@
-//! Items on loan to companions, and their results.
+//! Grants of items to companions, and the results that they report.
 
 use base::{JobId, Millis, UnixMillis, VmId};
 use slotmap::{Key, KeyData};
@@ -9,18 +9,20 @@
     job::{Grant, GrantKey, Job, JobKey, PendingLine, VmKey},
 };
 
-/// Results that may wait for their commit, in bytes. Beyond this nothing is
-/// granted: during a long outage a thin machine would run out of memory.
+/// Maximum size of results that await a commit, in bytes. Beyond it no items
+/// are granted, since a small machine would run out of memory during a long
+/// outage of the key-value service or the data VMs.
 const MAX_PENDING_RESULT_BYTES: usize = 64 << 20;
 
-/// Jobs that are looked at for one pull.
+/// Maximum number of jobs considered for one pull.
 const MAX_CANDIDATE_JOBS: usize = 256;
 
-/// Service that a customer may catch up after it had nothing to run, in items.
+/// Maximum service that a customer may catch up after an idle period, in
+/// items.
 const MAX_CATCH_UP_ITEMS: u64 = 64;
 
 impl Ledger {
-    /// Renews what a companion runs and grants it more.
+    /// Renews the grants that a companion runs and grants it more items.
     pub fn pull(
         &mut self,
         moment: Moment,
@@ -54,18 +56,18 @@
         answer
     }
 
-    /// Takes what became of an item.
+    /// Processes the reported outcome of an item.
     ///
-    /// A completed item is used whenever it is still open: also late, from
-    /// an expired loan, or from one of an earlier owner. Running it again
-    /// would waste an endpoint's time.
+    /// A completed item is used as long as the item is open, even if the
+    /// result is late, or its grant has expired or was made by an earlier
+    /// owner. Running the item again would waste endpoint time.
     pub fn result(
         &mut self,
         moment: Moment,
         job: &JobId,
         index: u32,
         grant: u64,
-        end: RunOutcome,
+        outcome: RunOutcome,
     ) -> Ack {
         let Some(key) = self.by_id.get(job).copied() else {
             return Ack::Ignored;
@@ -81,7 +83,7 @@
             }
             return Ack::Ignored;
         }
-        match end {
+        match outcome {
             RunOutcome::Completed(line) => {
                 let sink = Sink::Output;
                 self.settle(key, index, PendingLine { bytes: line, sink })
@@ -90,7 +92,7 @@
                 let sink = Sink::Errors;
                 self.settle(key, index, PendingLine { bytes: line, sink })
             }
-            // The end of the loan was counted when it expired.
+            // The failed attempt was counted when the grant expired.
             _ if !is_current => Ack::Ignored,
             RunOutcome::Returned => {
                 self.reopen_item(key, index, moment.now, 0)
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Opens an item again that was not tried, after a pause.
+    /// Reopens an item that was not attempted, after a delay.
     fn reopen_item(
         &mut self,
         key: JobKey,
@@ -130,7 +132,7 @@
         Ack::Reopened
     }
 
-    /// Returns the machine that has an item on this loan.
+    /// Returns the VM that holds an item under this grant.
     pub fn granted_to(
         &self,
         job: &JobId,
@@ -145,7 +147,7 @@
         (owner.record.id == *job).then_some(vm)
     }
 
-    /// Takes the error line that [`Action::GiveUp`] asked for.
+    /// Settles an item with the error line requested by [`Action::GiveUp`].
     pub fn give_up(
         &mut self,
         job: &JobId,
@@ -161,20 +163,20 @@
         }
     }
 
-    /// Returns the failed attempts at an item that this owner has seen.
+    /// Returns the number of failed attempts at an item seen by this owner.
     pub fn attempts(&self, job: &JobId, index: u32) -> u32 {
         let key = self.by_id.get(job);
         let job = key.and_then(|key| self.jobs.get(*key));
         job.map_or(0, |job| job.attempts(index))
     }
 
-    /// Ends the loans whose time is over.
+    /// Ends expired grants.
     pub(crate) fn expire_grants(&mut self, now: Millis) {
         let is_expired = |grant: &Grant| grant.expires_at <= now;
         self.end_grants(now, is_expired);
     }
 
-    /// Notes a companion; the loans of its earlier incarnation ended with that.
+    /// Registers a companion and ends the grants of its earlier incarnation.
     fn register_companion(
         &mut self,
         now: Millis,
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Extends the loans that a companion still runs and returns those that
-    /// it must stop.
+    /// Extends the grants that a companion still runs and returns those that
+    /// are revoked.
     fn renew(&mut self, now: Millis, vm: VmKey, running: &[u64]) -> Vec<u64> {
         let expires_at = now.saturating_add_ms(self.options.grant_ttl_ms);
         let mut revoked = Vec::new();
@@ -251,8 +253,8 @@
         revoked
     }
 
-    /// Returns the jobs that start_tag the next grants: those with work whose
-    /// due time is near the earliest.
+    /// Returns the jobs that compete for the next grants: those with open
+    /// items whose due time is close to the earliest.
     fn candidates(&self, now: Millis, models: &[String]) -> Vec<JobKey> {
         let mut candidates = Vec::new();
         let mut last = UnixMillis::new(u64::MAX);
@@ -275,8 +277,9 @@
         candidates
     }
 
-    /// Chooses the job whose customer got least; of one customer's jobs the one
-    /// that is due first (start-time fair queueing over items).
+    /// Selects the job of the customer that has received the least service,
+    /// and among the jobs of one customer the one due first (start-time fair
+    /// queueing over items).
     fn next_by_fair_share(&self, candidates: &[JobKey]) -> Option<usize> {
         let order = |at: &usize| {
             let job = self.jobs.get(candidates[*at]);
@@ -336,8 +339,8 @@
         }
     }
 
-    /// Counts a failed attempt and opens the item again; returns the
-    /// attempts if there were too many.
+    /// Counts a failed attempt and reopens the item, or returns the number of
+    /// attempts if the limit is reached.
     fn record_failure(
         &mut self,
         now: Millis,
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -7,17 +7,17 @@
 use crate::{JobRecord, JobState, Sink};
 
 new_key_type! {
-    /// Names a loan.
+    /// Key of a grant.
     pub(crate) struct GrantKey;
-    /// Names a job in memory.
+    /// Key of a job in memory.
     pub(crate) struct JobKey;
 }
 
-/// Names a companion's machine: its place in the ledger's list.
+/// Key of a companion's VM: its index in the ledger's list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub(crate) struct VmKey(pub(crate) u32);
 
-/// An item on loan.
+/// An item that is granted to a companion.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
     pub(crate) job: JobKey,
@@ -26,21 +26,21 @@
     pub(crate) expires_at: Millis,
 }
 
-/// A result that waits for its commit.
+/// An output or error line that is not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingLine {
     pub(crate) bytes: Bytes,
     pub(crate) sink: Sink,
 }
 
-/// The attempts at an item that is not settled.
+/// Attempts at an item that is not settled.
 #[derive(Clone, Debug, Default)]
 struct AttemptHistory {
     failures: u32,
     vms: Vec<VmKey>,
 }
 
-/// An item that is open reopened after an attempt.
+/// An item that may be granted again after an attempt.
 #[derive(Clone, Copy, Debug)]
 struct ReopenedItem {
     index: u32,
@@ -48,16 +48,16 @@
     not_before: Millis,
 }
 
-/// A job of a partition.
+/// A job of an owned partition.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) partition: u32,
     pub(crate) record: JobRecord,
     /// Revision of the record.
     pub(crate) revision: u64,
-    /// Newest revision of its marker that was acted on.
+    /// Latest revision of the job's marker that was processed.
     pub(crate) marker: u64,
-    /// Fencing number that the record was last read under.
+    /// Fencing token under which the record was last read.
     pub(crate) fence: u64,
     pub(crate) pending: BTreeMap<u32, PendingLine>,
     pub(crate) is_at_risk: bool,
@@ -86,10 +86,11 @@
         }
     }
 
-    /// Takes a record that was read; what it settles no longer waits here.
+    /// Replaces the record by one that was read and drops pending results that
+    /// it already settles.
     ///
-    /// A result that was remove_committed by a write of unknown outcome, or by
-    /// another owner, would otherwise be remove_committed a second time.
+    /// Otherwise a result that was committed by a write of unknown outcome, or
+    /// by another owner, would be committed twice.
     pub(crate) fn adopt(&mut self, record: JobRecord, revision: u64) {
         if revision < self.revision {
             return;
@@ -156,8 +157,8 @@
         self.granted.remove(&index)
     }
 
-    /// Chooses an item for an endpoint: first one that is open reopened and
-    /// that this endpoint has not had, else the next in order.
+    /// Selects an item for an endpoint: first a reopened item that this
+    /// endpoint has not attempted recently, then the next item in order.
     pub(crate) fn next_open(
         &mut self,
         vm: VmKey,
@@ -185,7 +186,7 @@
         None
     }
 
-    /// Opens an item reopened.
+    /// Makes an item available again after a delay.
     pub(crate) fn reopen(&mut self, index: u32, now: Millis, pause_ms: u64) {
         let known =
             self.reopened.iter().any(|reopened| reopened.index == index);
@@ -200,19 +201,20 @@
         });
     }
 
-    /// Counts a failed attempt and returns how many there were.
+    /// Counts a failed attempt and returns the total.
     pub(crate) fn count_failure(&mut self, index: u32) -> u32 {
         let history = self.history.entry(index).or_default();
         history.failures += 1;
         history.failures
     }
 
-    /// Notes that an error line is being made; false if it was before.
+    /// Records that an error line was requested; returns false if it already
+    /// was.
     pub(crate) fn begin_give_up(&mut self, index: u32) -> bool {
         self.giving_up.insert(index)
     }
 
-    /// Settles an item; false if it is settled already.
+    /// Settles an item; returns false if it is already settled.
     pub(crate) fn settle(&mut self, index: u32, pending: PendingLine) -> bool {
         if index >= self.record.items || self.is_settled(index) {
             return false;
@@ -224,7 +226,7 @@
         true
     }
 
-    /// Forgets what a commit has settled.
+    /// Removes the results that a commit has made durable.
     pub(crate) fn remove_committed(&mut self, items: &BTreeSet<u32>) {
         self.pending.retain(|index, _| !items.contains(index));
     }
--- a/crates/ledger/src/lease.rs
+++ b/crates/ledger/src/lease.rs
@@ -2,14 +2,15 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Share of its life after which a lease is renewed: a third leaves two more
-/// attempts.
+/// Fraction of the TTL after which the lease is renewed: a third leaves time
+/// for two more attempts.
 const RENEWAL_DIVISOR: u64 = 3;
 
-/// The holder's view of its lease.
+/// The member's view of its lease.
 ///
-/// It counts from before the send, so that its end is never later than the
-/// service's. A paused holder finds the lease unsafe at its next read_membership.
+/// The TTL is counted from before the request was sent, so that the lease
+/// never ends later here than at the key-value service. A member that was
+/// paused finds its lease invalid at the next check.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Lease {
     pub(crate) id: i64,
@@ -41,30 +42,29 @@
     }
 }
 
-/// The life of an owner, seen from one partition.
+/// State of this process's ownership of one partition.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum OwnershipState {
-    /// Not owned here.
+    /// Not owned by this process.
     #[default]
     Unowned,
-    /// Claimed; the answer is awaited.
+    /// Claimed; the response is pending.
     Acquiring,
     /// Owned; the open jobs are being read.
     Loading { fence: u64 },
-    /// Owned and at work.
+    /// Owned, with all open jobs read.
     Owned { fence: u64 },
-    /// Owned; nothing more is granted, and after the last commit the
-    /// partition goes to another member.
+    /// Owned, but handed over after the last commit; no items are granted.
     Draining { fence: u64, until: Millis },
-    /// The key is being deleted.
+    /// The owner key is being deleted.
     DeletingKey { fence: u64 },
-    /// The lease ended. Results are kept, for the case that no other entry
-    /// takes the partition.
+    /// The lease ended. Results are kept in case no other entry claims the
+    /// partition.
     Lost,
 }
 
 impl OwnershipState {
-    /// Returns the fencing number while the partition is owned.
+    /// Returns the fencing token while the partition is owned.
     pub(crate) fn fence(self) -> Option<u64> {
         match self {
             OwnershipState::Loading { fence }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the fencing number while items may be granted.
+    /// Returns the fencing token while items may be granted.
     pub(crate) fn fence_for_grants(self) -> Option<u64> {
         match self {
             OwnershipState::Loading { fence }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the fencing number while commits may be made.
+    /// Returns the fencing token while commits may be made.
     pub(crate) fn fence_for_commits(self) -> Option<u64> {
         match self {
             OwnershipState::DeletingKey { .. } => None,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,15 +1,16 @@
-//! Fenced batch ledger as a state machine without I/O.
+//! Batch job ledger with fencing, as a state machine without I/O.
 //!
-//! [`Ledger`] decides which partitions this process owns, which item runs
-//! where and when it is complete. It is told what happened
-//! ([`Ledger::handle`], [`Ledger::pull`], [`Ledger::result`]) and returns
-//! what to do ([`Action`]); time and random numbers are arguments. The
-//! caller owns the key-value service, the blobs and the clock.
+//! [`Ledger`] decides which partitions this process owns, which companion runs
+//! which item and when an item is complete. The caller passes in events and
+//! requests ([`Ledger::handle`], [`Ledger::pull`], [`Ledger::result`]) and
+//! carries out the returned actions ([`Action`]). Time and random numbers are
+//! arguments; the caller owns the key-value service, the blob store and the
+//! clock.
 //!
-//! What it relies on: each [`WriteAction`] is one transaction that compares
-//! the owner's key and the revision of each record. A record holds the
-//! whole completion state of its job, so whoever reads it has_seen_members which items
-//! are settled, whatever became of the answers before.
+//! The ledger requires that each [`WriteAction`] runs as one transaction that
+//! compares the owner key and the revision of each record. A record holds the
+//! complete settlement state of its job, so any reader of the record knows
+//! which items are settled, even if the responses to earlier writes were lost.
 //!
 //! # Example
 //!
@@ -25,22 +26,23 @@
 //! };
 //! let actions = ledger.handle(at(0), Event::Tick);
 //! assert!(matches!(actions[..], [Action::ReadMembership]));
-//! let nobody = Event::MembershipRead {
+//! let empty = Event::MembershipRead {
 //!     revision: Some(1),
 //!     members: vec![],
 //!     owners: vec![],
 //! };
-//! let actions = ledger.handle(at(5), nobody);
+//! let actions = ledger.handle(at(5), empty);
 //! assert!(matches!(actions[..], [Action::Join { ttl_s: 10 }]));
 //! ```
 //!
-//! An item from the claim of its partition to its commit:
+//! The path of an item, from the claim of its partition to the commit of its
+//! result:
 //!
 //! ```
 //! use base::{Millis, UnixMillis};
 //! use pomeloslip_ledger::{
-//!     Action, Event, RunOutcome, JobRecord, Ledger, OpenJobMarker, Moment, Options,
-//!     PartitionOwner, PullRequest, VersionedRecord, Ack,
+//!     Ack, Action, Event, JobRecord, Ledger, Moment, OpenJobMarker, Options,
+//!     PartitionOwner, PullRequest, RunOutcome, VersionedRecord,
 //! };
 //! # use serde_json::json;
 //! # let at = |ms| Moment {
@@ -56,12 +58,13 @@
 //! #     "output": [], "errors": [], "operation": 0,
 //! # }))?;
 //!
-//! let mut ledger = Ledger::new("entry-1", 7, Options::default().partitions(1));
+//! let options = Options::default().partitions(1);
+//! let mut ledger = Ledger::new("entry-1", 7, options);
 //! ledger.handle(at(0), Event::Joined {
 //!     sent_at: Millis::new(0),
 //!     lease: Some(9),
 //! });
-//! let own = PartitionOwner {
+//! let owner = PartitionOwner {
 //!     partition: 0,
 //!     member: "entry-1".to_owned(),
 //!     lease: 9,
@@ -70,7 +73,7 @@
 //! ledger.handle(at(0), Event::MembershipRead {
 //!     revision: Some(5),
 //!     members: vec!["entry-1".to_owned()],
-//!     owners: vec![own],
+//!     owners: vec![owner],
 //! });
 //! let job = record.id.clone();
 //! let marker = OpenJobMarker {
@@ -104,13 +107,14 @@
 //!     running: &[],
 //! };
 //! let item = ledger.pull(at(3), &request).items.remove(0);
-//! let line = RunOutcome::Completed("the answer\n".into());
-//! let taken = ledger.result(at(4), &job, item.index, item.grant, line);
-//! assert_eq!(taken, Ack::Settled);
-//! // The results are stored first, then their transaction is written.
+//! let outcome = RunOutcome::Completed("the answer\n".into());
+//! let ack = ledger.result(at(4), &job, item.index, item.grant, outcome);
+//! assert_eq!(ack, Ack::Settled);
+//! // Results are stored first, then the transaction that refers to them is
+//! // written.
 //! let actions = ledger.handle(at(1_000), Event::Tick);
-//! let stores = |action: &Action| matches!(action, Action::Store { .. });
-//! assert!(actions.iter().any(stores));
+//! let is_store = |action: &Action| matches!(action, Action::Store { .. });
+//! assert!(actions.iter().any(is_store));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -13,15 +13,15 @@
     risk::Throughput,
 };
 
-/// One partition of the jobs.
+/// State of one partition of the jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Partition {
     pub(crate) ownership: OwnershipState,
     pub(crate) list_at: Millis,
     pub(crate) is_listing: bool,
-    /// The markers were read once in this ownership.
+    /// The markers were read at least once since the partition was acquired.
     pub(crate) was_listed: bool,
-    /// Jobs whose record is being read.
+    /// Jobs whose records are being read.
     pub(crate) loading: BTreeSet<JobId>,
     pub(crate) commit: Option<Commit>,
     pub(crate) commit_at: Millis,
@@ -42,18 +42,19 @@
     pub(crate) read_membership_at: Millis,
     pub(crate) seen_revision: u64,
     pub(crate) members: Vec<String>,
-    /// Place in `members` of the one that each partition belongs to.
+    /// Index in `members` of the assigned owner of each partition.
     pub(crate) assigned: Vec<usize>,
     pub(crate) partitions: Vec<Partition>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) by_id: HashMap<JobId, JobKey>,
     pub(crate) by_due: BTreeSet<(UnixMillis, JobKey)>,
     pub(crate) grants: SlotMap<GrantKey, Grant>,
-    /// Makes the numbers of grants of two processes differ.
+    /// Makes the grant numbers of two processes differ.
     pub(crate) salt: u64,
-    /// Lives of the companions, by machine.
+    /// Incarnations of the companions, by VM.
     pub(crate) vms: IndexMap<VmId, u64>,
-    /// Service that each customer got, in items.
+    /// Start tag of each customer's next grant: the service it has received,
+    /// in items.
     pub(crate) next_start_tags: HashMap<Customer, u64>,
     pub(crate) virtual_time: u64,
     pub(crate) pending_result_bytes: usize,
@@ -65,8 +66,8 @@
 }
 
 impl Ledger {
-    /// Makes the ledger of one life of a process. `member` names that life;
-    /// `salt` is a random number that no other life has drawn.
+    /// Creates the ledger of one process incarnation. `member` identifies the
+    /// incarnation; `salt` is a random number unique to it.
     pub fn new(
         member: impl Into<String>,
         salt: u64,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Takes note of an event and returns what to do, in order.
+    /// Processes an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Action> {
         self.random ^= moment.random;
         match event {
@@ -165,7 +166,7 @@
             .collect()
     }
 
-    /// Returns what a person needs to see.
+    /// Returns a summary for operators.
     pub fn status(&self) -> LedgerStatus {
         let jobs = || self.jobs.values().filter(|job| self.is_owned(job));
         LedgerStatus {
@@ -177,20 +178,20 @@
         }
     }
 
-    /// Returns the record of an open job of an owned partition, as last
-    /// read or committed.
+    /// Returns the record of an open job of an owned partition, as last read
+    /// or committed.
     pub fn job(&self, id: &JobId) -> Option<&crate::JobRecord> {
         let job = self.jobs.get(*self.by_id.get(id)?)?;
         Some(&job.record)
     }
 
-    /// Returns the lease that the partitions are owned under.
+    /// Returns the lease under which partitions are owned.
     pub fn lease(&self) -> Option<i64> {
         self.lease.map(|lease| lease.id)
     }
 
-    /// Makes the ledger read_membership for a job at the next tick, if it owns its
-    /// partition.
+    /// Requests that the markers of the job's partition are listed at the next
+    /// tick, if the partition is owned.
     pub fn request_listing(&mut self, job: &JobId) {
         let number = partition_of(job, self.options.partitions);
         if let Some(partition) = self.partitions.get_mut(number as usize) {
@@ -213,8 +214,8 @@
         self.pending_result_bytes = lines.map(|line| line.bytes.len()).sum();
     }
 
-    /// Puts off the end of all grants after a pause of this process: it was
-    /// the owner that did not listen, not the companions that were silent.
+    /// Extends all grants after a pause of this process, since renewals from
+    /// the companions could not be received meanwhile.
     fn extend_grants_after_pause(&mut self, now: Millis) {
         let gap_ms = now.saturating_ms_since(self.last_tick);
         self.last_tick = now;
@@ -226,15 +227,16 @@
         }
     }
 
-    /// Tells whether the lease surely holds. What is sent meanwhile is
-    /// fenced all the same.
+    /// Reports whether the lease is certainly valid. Writes are fenced in any
+    /// case.
     pub(crate) fn is_valid(&self, now: Millis) -> bool {
         let margin_ms = self.options.lease_margin_ms;
         self.lease
             .is_some_and(|lease| lease.is_valid(now, margin_ms))
     }
 
-    /// Tells whether a job was read under the present ownership.
+    /// Reports whether a job was read under the current ownership of its
+    /// partition.
     pub(crate) fn is_owned(&self, job: &Job) -> bool {
         let ownership = self.partitions[job.partition as usize].ownership;
         ownership.fence() == Some(job.fence)
@@ -244,7 +246,7 @@
         &mut self.partitions[number as usize]
     }
 
-    /// Forgets a job and its grants.
+    /// Removes a job and its grants.
     pub(crate) fn drop_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else {
             return;
@@ -256,7 +258,8 @@
         }
     }
 
-    /// Draws a random number (SplitMix64 over the callers' numbers).
+    /// Returns a random number (SplitMix64, seeded by the caller's random
+    /// numbers).
     pub(crate) fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.random;
@@ -265,14 +268,14 @@
         z ^ (z >> 31)
     }
 
-    /// Returns a moment between three and five quarters of a span from now.
+    /// Returns a time between 3/4 and 5/4 of a span from now.
     pub(crate) fn jittered(&mut self, now: Millis, span_ms: u64) -> Millis {
         let spread = self.next_random() % (span_ms / 2).max(1);
         now.saturating_add_ms(span_ms - span_ms / 4 + spread)
     }
 
-    /// Returns when to try again after some failures: drawn evenly below a
-    /// ceiling that doubles, so that owners do not come back together.
+    /// Returns the time of the next retry: random below a ceiling that doubles
+    /// with each failure, so that owners do not retry in step.
     pub(crate) fn backoff(&mut self, now: Millis, failures: u32) -> Millis {
         const BASE_MS: u64 = 20;
         const MAX_MS: u64 = 2_000;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,208 +1,212 @@
-//! What goes into the ledger and comes out of it.
+//! Inputs and outputs of the ledger: events, requests, actions and responses.
 
 use base::{Customer, JobId, Millis, UnixMillis, VmId};
 use bytes::Bytes;
 
 use crate::{Chunk, JobRecord, Page, Sink};
 
-/// The time and a random number, read by the caller for each event.
+/// Time and a random number, supplied by the caller with each input.
 #[derive(Clone, Copy, Debug)]
 pub struct Moment {
     /// Monotonic time.
     pub now: Millis,
-    /// Calendar time.
+    /// Wall-clock time.
     pub unix: UnixMillis,
-    /// A fresh random number.
+    /// A new random number.
     pub random: u64,
 }
 
-/// Names one commit of this process.
+/// Identifies a commit of this process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
 pub struct CommitId(pub(crate) u64);
 
-/// An entry that shares the partitions, as seen in the service.
+/// The owner of a partition, as read from the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PartitionOwner {
-    /// Partition.
+    /// The partition.
     pub partition: u32,
-    /// Its owner.
+    /// Member that owns the partition.
     pub member: String,
-    /// The owner's lease.
+    /// Lease of the owner.
     pub lease: i64,
-    /// Create revision of the key.
+    /// Fencing token: the create revision of the owner key.
     pub fence: u64,
 }
 
-/// The marker of an open job.
+/// The marker key of an open job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OpenJobMarker {
     /// The job.
     pub job: JobId,
-    /// Revision of the marker; a cancel raises it.
+    /// Revision of the marker; a cancel increases it.
     pub revision: u64,
 }
 
-/// A job's record with its revision.
+/// A job record with its revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VersionedRecord {
     /// The record.
     pub record: JobRecord,
-    /// Revision of its last write.
+    /// Revision of the last write to the record.
     pub revision: u64,
 }
 
-/// What became of a guarded write.
+/// Outcome of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
-    /// It took effect at this revision.
+    /// The write took effect at this revision.
     Done(u64),
-    /// A compare did not grant.
+    /// A compare failed.
     Refused,
-    /// It certainly had no effect.
+    /// The write certainly had no effect.
     NotDone,
-    /// Its answer is lost.
+    /// The response was lost; the write may have taken effect.
     Unknown,
 }
 
-/// What the ledger is told. Each [`Action`] but [`Action::GiveUp`] is answered by
-/// one event, also when the call failed.
+/// An event for [`Ledger::handle`](crate::Ledger::handle). Each [`Action`]
+/// except [`Action::GiveUp`] is followed by exactly one event, even if the
+/// call failed.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
-    /// Answers [`Action::Join`]; `None` if it failed.
+    /// Result of [`Action::Join`].
     Joined {
-        /// When the call was sent.
+        /// Time at which the request was sent.
         sent_at: Millis,
         /// The lease.
         lease: Option<i64>,
     },
-    /// Answers [`Action::Renew`].
+    /// Result of [`Action::Renew`].
     Renewed {
-        /// When the call was sent.
+        /// Time at which the request was sent.
         sent_at: Millis,
         /// The lease.
         lease: i64,
-        /// `Some(true)` if renewed, `Some(false)` if the lease is gone,
-        /// `None` if the call failed.
+        /// `Some(true)` if the lease was renewed, `Some(false)` if it no
+        /// longer exists, `None` if the call failed.
         alive: Option<bool>,
     },
-    /// Answers [`Action::ReadMembership`].
+    /// Result of [`Action::ReadMembership`].
     MembershipRead {
-        /// Revision of the read; `None` if it failed.
+        /// Revision of the read; `None` if the read failed.
         revision: Option<u64>,
-        /// Members that live.
+        /// Members whose lease is alive.
         members: Vec<String>,
         /// Owners of partitions.
         owners: Vec<PartitionOwner>,
     },
-    /// Answers [`Action::Claim`].
+    /// Result of [`Action::Claim`].
     Claimed {
         /// The partition.
         partition: u32,
-        /// The lease that it was claimed under.
+        /// Lease under which the partition was claimed.
         lease: i64,
-        /// Fencing number if it is owned now; `None` if not or not known.
+        /// Fencing token if the partition is owned now; `None` if it is not
+        /// owned or the outcome is unknown.
         fence: Option<u64>,
     },
-    /// Answers [`Action::Release`], however it went.
+    /// Result of [`Action::Release`], successful or not.
     Released {
         /// The partition.
         partition: u32,
-        /// Fencing number that was given up.
+        /// Fencing token that was released.
         fence: u64,
     },
-    /// Answers [`Action::List`].
+    /// Result of [`Action::List`].
     Listed {
         /// The partition.
         partition: u32,
-        /// Fencing number of the list's action.
+        /// Fencing token of the action.
         fence: u64,
-        /// Marks of open jobs; `None` if the read failed.
+        /// Markers of open jobs; `None` if the read failed.
         markers: Option<Vec<OpenJobMarker>>,
     },
-    /// Answers [`Action::Load`].
+    /// Result of [`Action::Load`].
     Loaded {
         /// The partition.
         partition: u32,
-        /// Fencing number of the load's action.
+        /// Fencing token of the action.
         fence: u64,
         /// The job.
         job: JobId,
-        /// Revision of the marker that asked for it.
+        /// Revision of the marker that caused the read.
         marker: u64,
-        /// Its record; `Ok(None)` if there is none.
+        /// The job record; `Ok(None)` if it does not exist.
         found: Result<Option<Box<VersionedRecord>>, ()>,
     },
-    /// Answers [`Action::Store`].
+    /// Result of [`Action::Store`].
     Stored {
         /// The commit.
         commit: CommitId,
-        /// A reference for each part, in order; `None` if one is not stored.
+        /// A chunk reference for each part, in order; `None` if any part was
+        /// not stored.
         chunks: Option<Vec<Chunk>>,
     },
-    /// Answers [`Action::Write`].
+    /// Result of [`Action::Write`].
     Written {
         /// The commit.
         commit: CommitId,
-        /// What became of it.
+        /// Outcome of the write.
         outcome: WriteOutcome,
     },
-    /// Answers [`Action::ReadBack`].
+    /// Result of [`Action::ReadBack`].
     ReadBack {
         /// The commit.
         commit: CommitId,
-        /// The records that are there now; `None` if the read failed.
+        /// Records as stored now; `None` if the read failed.
         found: Option<Vec<VersionedRecord>>,
     },
 }
 
-/// Results of one job and file, to be stored before they are committed.
+/// Result lines for one file of a job, to be stored before they are committed.
 #[derive(Clone, Debug)]
 pub struct Part {
     /// The job.
     pub job: JobId,
     /// File that the lines belong to.
     pub sink: Sink,
-    /// Id that the blob must get.
+    /// ID to store the blob under.
     pub blob: String,
-    /// Lines.
+    /// Number of lines.
     pub items: u32,
-    /// The lines themselves.
+    /// The lines.
     pub bytes: Bytes,
 }
 
-/// The next record of one job within a commit.
+/// The updated record of one job in a commit.
 #[derive(Clone, Debug)]
 pub struct RecordUpdate {
     /// The record.
     pub record: JobRecord,
-    /// Revision that the record must still have.
+    /// Revision that the stored record must still have.
     pub revision: u64,
-    /// Pages that it no longer holds.
+    /// Pages moved out of the record.
     pub pages: Vec<Page>,
 }
 
-/// One transaction: all records, if every compare holds.
+/// A transaction that writes all records if every compare holds.
 #[derive(Clone, Debug)]
 pub struct WriteAction {
     /// The commit.
     pub commit: CommitId,
     /// The partition.
     pub partition: u32,
-    /// Create revision that the owner's key must have; `None` only with a
-    /// injected_fault fault.
+    /// Fencing token: the create revision that the owner key must have. `None`
+    /// only with an injected fault.
     pub fence: Option<u64>,
-    /// The records. The marker of one that is no longer open is deleted.
+    /// Records to write. The marker of a record that is no longer open is
+    /// deleted.
     pub records: Vec<RecordUpdate>,
 }
 
-/// What the ledger wants done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Obtain a lease and write this member's key under it.
+    /// Obtain a lease and write the key of this member under it.
     Join {
-        /// Life of the lease, in seconds.
+        /// Time to live of the lease, in seconds.
         ttl_s: u32,
     },
     /// Renew the lease.
@@ -212,43 +216,43 @@
     },
     /// Read members and owners at one revision.
     ReadMembership,
-    /// Create the owner's key, if it does not exist.
+    /// Create the owner key if it does not exist.
     Claim {
         /// The partition.
         partition: u32,
         /// The lease.
         lease: i64,
     },
-    /// Delete the owner's key, if it still has this create revision.
+    /// Delete the owner key if it still has this create revision.
     Release {
         /// The partition.
         partition: u32,
-        /// Its create revision.
+        /// Fencing token: the create revision of the owner key.
         fence: u64,
     },
     /// Read the markers of a partition's open jobs.
     List {
         /// The partition.
         partition: u32,
-        /// Fencing number, returned in the answer.
+        /// Fencing token, returned in the event.
         fence: u64,
     },
-    /// Read a job's record.
+    /// Read a job record.
     Load {
         /// The partition.
         partition: u32,
-        /// Fencing number, returned in the answer.
+        /// Fencing token, returned in the event.
         fence: u64,
         /// The job.
         job: JobId,
-        /// Revision of its marker, returned in the answer.
+        /// Revision of the marker, returned in the event.
         marker: u64,
     },
     /// Store parts on two data VMs.
     Store {
         /// The commit.
         commit: CommitId,
-        /// What to store.
+        /// Parts to store.
         parts: Vec<Part>,
     },
     /// Run a transaction.
@@ -259,108 +263,109 @@
         commit: CommitId,
         /// The partition.
         partition: u32,
-        /// Its jobs.
+        /// Jobs of the commit.
         jobs: Vec<JobId>,
     },
-    /// Make the error line of an item whose loans all ended without a word
-    /// and hand it to [`Ledger::give_up`](crate::Ledger::give_up).
+    /// Create the error line of an item whose grants all expired without a
+    /// result, and pass it to [`Ledger::give_up`](crate::Ledger::give_up).
     GiveUp {
         /// The job.
         job: JobId,
-        /// Place in the job.
+        /// Index of the item in the job.
         index: u32,
-        /// Attempts made.
+        /// Number of failed attempts.
         attempts: u32,
     },
 }
 
-/// A companion's request for items.
+/// A request of a companion for items.
 #[derive(Clone, Debug)]
 pub struct PullRequest<'a> {
-    /// Machine of the companion.
+    /// VM of the companion.
     pub vm: &'a VmId,
-    /// Life of the companion.
+    /// Incarnation of the companion.
     pub incarnation: u64,
-    /// Models of its endpoint; empty if not known.
+    /// Models of its endpoint; empty if unknown.
     pub models: &'a [String],
-    /// Most items that it takes.
+    /// Maximum number of items to grant.
     pub capacity: u32,
-    /// Grants that it still runs.
+    /// Grants that the companion still runs.
     pub running: &'a [u64],
 }
 
-/// An item on loan.
+/// An item that is granted to a companion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Granted {
-    /// Names the loan.
+    /// Identifies the grant.
     pub grant: u64,
     /// Partition of the job.
     pub partition: u32,
-    /// Fencing number of the owner.
+    /// Fencing token of the owner.
     pub fence: u64,
     /// The job.
     pub job: JobId,
-    /// Place in the job.
+    /// Index of the item in the job.
     pub index: u32,
-    /// Attempts before this one.
+    /// Number of failed attempts before this one.
     pub attempt: u32,
-    /// Customer.
+    /// Customer that owns the job.
     pub customer: Customer,
-    /// When the job is due.
+    /// Due time of the job.
     pub due: UnixMillis,
 }
 
-/// The answer to a pull.
+/// The response to a pull.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PullResponse {
-    /// New loans.
+    /// New grants.
     pub items: Vec<Granted>,
-    /// Loans to stop at once.
+    /// Grants whose runs the companion must stop immediately.
     pub revoked: Vec<u64>,
     /// Whether more items could be granted.
     pub more: bool,
 }
 
-/// How an item ended at an endpoint.
+/// Outcome of running an item at an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
-    /// A whole answer; its output line.
+    /// A complete response; carries the output line.
     Completed(Bytes),
-    /// A refusal that every endpoint would repeat; its error line.
+    /// A rejection that every endpoint would repeat; carries the error line.
     Rejected(Bytes),
-    /// Worth another attempt; the error line if it was the last.
+    /// A retryable failure; carries the error line to use if attempts are
+    /// exhausted.
     Failed(Bytes),
-    /// Given back before it was tried.
+    /// Returned by the companion without an attempt.
     Returned,
-    /// It may not be tried for now.
+    /// Held by the quarantine; the item must not run yet.
     Quarantined {
-        /// When it may, in milliseconds from now.
+        /// Delay until the item may run, in milliseconds.
         for_ms: u64,
     },
 }
 
-/// What the ledger did with a result.
+/// Acknowledges a result: what the ledger did with it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ack {
-    /// The item is settled by it and waits for its commit.
+    /// The result settled the item and awaits its commit.
     Settled,
     /// The item is open again.
     Reopened,
-    /// The item is settled already or its job is not here.
+    /// The item was already settled, or its job is not owned here.
     Ignored,
 }
 
-/// What a person needs to see of the ledger.
+/// Summary of the ledger for operators.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LedgerStatus {
-    /// Partitions that are owned.
+    /// Number of owned partitions.
     pub partitions: usize,
-    /// Jobs of them that are open.
+    /// Number of open jobs in owned partitions.
     pub open_jobs: usize,
-    /// Jobs that are expected to be late.
+    /// Number of jobs expected to miss their due time.
     pub jobs_at_risk: usize,
-    /// Items on loan.
+    /// Number of granted items.
     pub grants: usize,
-    /// Results that wait for their commit.
+    /// Number of results that await a commit.
     pub pending_results: usize,
 }
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -1,6 +1,6 @@
 macro_rules! options {
     ($($(#[$doc:meta])* $name:ident: $type:ty = $default:expr;)*) => {
-        /// Limits and spans of a [`Ledger`](crate::Ledger).
+        /// Limits, intervals and timeouts of a [`Ledger`](crate::Ledger).
         ///
         /// # Example
         ///
@@ -33,57 +33,64 @@
 }
 
 options! {
-    /// Sets the partitions that jobs hash to.
+    /// Sets the number of partitions that jobs are hashed into.
     partitions: u32 = 32;
-    /// Sets the life of the lease after its last renewal, in seconds.
+    /// Sets the time to live of the lease, in seconds.
     lease_ttl_s: u32 = 10;
-    /// Sets how long before its end the lease is no longer relied on.
+    /// Sets the safety margin: the lease counts as expired this long before
+    /// its end.
     lease_margin_ms: u64 = 500;
-    /// Sets the time between two looks at members and owners.
+    /// Sets the interval between reads of the members and owners.
     membership_interval_ms: u64 = 500;
-    /// Sets the time between two looks at the markers of open jobs.
+    /// Sets the interval between reads of the open-job markers.
     list_interval_ms: u64 = 1_000;
-    /// Sets that time for an entry that owns nothing and may not join.
+    /// Sets the membership read interval of an entry that owns no partitions
+    /// and cannot join.
     idle_membership_interval_ms: u64 = 10_000;
-    /// Sets how many entries share the partitions; others stand by.
+    /// Sets the maximum number of entries that own partitions; further entries
+    /// stand by.
     members_max: usize = 32;
-    /// Sets the shortest time between two commits of a partition.
+    /// Sets the minimum interval between two commits of a partition.
     commit_interval_ms: u64 = 250;
-    /// Sets the most items of one commit.
+    /// Sets the maximum number of items in one commit.
     commit_items_max: usize = 2_000;
-    /// Sets the most jobs of one commit; a transaction has few steps.
+    /// Sets the maximum number of jobs in one commit; the key-value service
+    /// limits the operations of a transaction.
     commit_jobs_max: usize = 16;
-    /// Sets the most items granted at once.
+    /// Sets the maximum number of items granted by one pull.
     grant_items_max: u32 = 8;
-    /// Sets the life of a grant after its last renewal.
+    /// Sets the time to live of a grant after its last renewal.
     grant_ttl_ms: u64 = 10_000;
-    /// Sets the attempts after which an item is given up.
+    /// Sets the number of failed attempts after which an item is given up.
     attempts_max: u32 = 5;
-    /// Sets the shortest pause before another attempt; it doubles.
+    /// Sets the base delay before a retry; the delay doubles with each
+    /// failure.
     retry_base_ms: u64 = 100;
-    /// Sets when an endpoint may have an item again that it had before.
+    /// Sets the delay before an endpoint may be granted an item that it has
+    /// already attempted.
     same_endpoint_delay_ms: u64 = 5_000;
-    /// Sets within which span of the earliest due time customers share.
+    /// Sets the due-time band: jobs due within this span of the earliest one
+    /// share grants fairly among customers.
     due_band_ms: u64 = 15 * 60 * 1_000;
 }
 
-/// A fault that a test plants to see that it is found.
+/// A fault that tests inject to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum InjectedFault {
-    /// Transactions do not compare the fencing number.
+    /// Transactions do not compare the fencing token.
     NoFence,
-    /// A write of unknown outcome is taken as not done.
+    /// A write of unknown outcome is treated as failed.
     NoReadBack,
 }
 
 impl Options {
-    /// Returns the partitions that jobs hash to.
+    /// Returns the number of partitions.
     #[inline]
     pub fn get_partitions(&self) -> u32 {
         self.partitions
     }
 
-    /// Plants a fault, for tests only.
+    /// Injects a fault; for tests only.
     #[doc(hidden)]
     pub fn inject_fault(mut self, fault: InjectedFault) -> Self {
         self.injected_fault = Some(fault);
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Lease, members, and the partitions owned.
+//! Lease, membership and ownership of partitions.
 
 use base::{JobId, Millis};
 
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Ends a ownership. Results stay, for the case that the partition comes
-    /// back before anybody else has it; their jobs are read anew then.
+    /// Ends the ownership of a partition but keeps its results, in case the
+    /// partition is acquired again before another entry claims it; its jobs
+    /// are read again then.
     fn lose_partition(&mut self, number: u32) {
         *self.partition(number) = Partition {
             ownership: OwnershipState::Lost,
@@ -117,7 +118,7 @@
         };
     }
 
-    /// Ends a ownership and forgets its jobs.
+    /// Ends the ownership of a partition and drops its jobs.
     fn leave_partition(&mut self, number: u32) {
         *self.partition(number) = Partition::default();
         for key in self.jobs_of(number) {
@@ -140,7 +141,7 @@
         owners: &[PartitionOwner],
     ) {
         self.is_reading_membership = false;
-        // A view that was delayed says nothing of what is now.
+        // Ignores a delayed read that is older than the last one.
         let Some(revision) = revision.filter(|r| *r >= self.seen_revision)
         else {
             return;
@@ -175,8 +176,8 @@
         let mine = owner.filter(is_mine).map(|owner| owner.fence);
         let ownership = self.partition(number).ownership;
         match (ownership.fence(), mine) {
-            // The answer to a claim was lost, or an old copy of a claim
-            // made the key once more.
+            // The response to a claim was lost, or a delayed copy of a claim
+            // created the key again.
             (None, Some(fence)) => self.begin_tenure(now, number, fence),
             (Some(known), Some(fence)) if fence > known => {
                 self.begin_tenure(now, number, fence);
@@ -272,7 +273,8 @@
         self.maintain_partition(now, number);
     }
 
-    /// Lists the markers when it is time, and hands a partition over.
+    /// Lists the markers if a read is due, and releases a partition that has
+    /// drained.
     pub(crate) fn maintain_partition(&mut self, now: Millis, number: u32) {
         let ownership = self.partition(number).ownership;
         if let OwnershipState::Draining { fence, until } = ownership
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Tells whether nothing of a partition runs or is_acquiring.
+    /// Reports whether a partition has no commit, pending results or grants.
     fn is_idle(&self, number: u32) -> bool {
         let partition = &self.partitions[number as usize];
         let mut jobs = self.jobs.values().filter(|j| j.partition == number);
@@ -347,8 +349,8 @@
         self.finish_loading(number);
     }
 
-    /// Forgets jobs that ended without this process knowing: by a commit of
-    /// unknown outcome, or by another owner.
+    /// Drops jobs that ended without the knowledge of this process: by a
+    /// commit of unknown outcome, or by another owner.
     fn drop_jobs_without_marker(
         &mut self,
         number: u32,
@@ -397,7 +399,7 @@
         }
         self.partition(number).loading.remove(id);
         match found {
-            // The next list asks for it again.
+            // The next listing of the markers retries the read.
             Err(()) => {}
             Ok(Some(seen)) if seen.record.is_open() => {
                 self.adopt_record(number, fence, marker, *seen);
@@ -437,7 +439,7 @@
         }
     }
 
-    /// Ends the loading once every open job has been read.
+    /// Completes the loading of a partition once every open job has been read.
     fn finish_loading(&mut self, number: u32) {
         let partition = self.partition(number);
         if let OwnershipState::Loading { fence } = partition.ownership
--- a/crates/ledger/src/ranges.rs
+++ b/crates/ledger/src/ranges.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Serialize};
 
-/// A set of item numbers, kept as sorted ranges.
+/// A set of item indices, stored as sorted ranges.
 ///
-/// Serialised as a flat list of gaps and lengths: small numbers, since items
-/// are granted in order and complete almost in order. A bitmap was rejected;
-/// it costs 9 KB for a job of 54,000 items even when all are complete.
+/// Serialized as a flat list of gaps and lengths. These are small numbers,
+/// since items are granted in order and complete almost in order. A bitmap
+/// would take 9 KB for a job of 54,000 items even when all are complete.
 ///
 /// # Example
 ///
@@ -26,13 +26,13 @@
 }
 
 impl RangeSet {
-    /// Tells whether an item is in the set.
+    /// Reports whether an item is in the set.
     pub fn contains(&self, index: u32) -> bool {
         let at = self.ranges.partition_point(|(_, to)| *to <= index);
         self.ranges.get(at).is_some_and(|(from, _)| *from <= index)
     }
 
-    /// Adds an item; returns false if it was there already.
+    /// Inserts an item; returns false if it was already present.
     pub fn insert(&mut self, index: u32) -> bool {
         let at = self.ranges.partition_point(|(_, to)| *to < index);
         let joins_left =
@@ -66,13 +66,13 @@
         self.len
     }
 
-    /// Tells whether the set is empty.
+    /// Reports whether the set is empty.
     #[inline]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the items in order.
+    /// Iterates over the items in order.
     pub fn iter(&self) -> impl Iterator<Item = u32> {
         self.ranges.iter().flat_map(|(from, to)| *from..*to)
     }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -1,51 +1,55 @@
-//! What the key-value service keeps of a job.
+//! Job records as stored in the key-value service.
 
 use base::{Customer, FileId, JobId, UnixMillis, stable_hash};
 use serde::{Deserialize, Serialize};
 
 use crate::RangeSet;
 
-/// References to pieces that a record holds before they move to a page.
+/// Maximum number of chunk references held in a record before they move to a
+/// page.
 pub const MAX_INLINE_CHUNKS: usize = 64;
 
-/// One stored piece of a file: whole lines.
+/// A stored chunk of a file; holds whole lines.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Id of the blob on the data VMs.
+    /// Blob ID on the data VMs.
     pub blob: String,
-    /// Length of the blob.
+    /// Length of the blob, in bytes.
     pub bytes: u64,
     /// CRC-32 of the blob.
     pub crc: u32,
-    /// Lines in it.
+    /// Number of lines in the blob.
     pub items: u32,
 }
 
-/// How far a job is.
+/// State of a job.
+///
+/// Serialized in snake case.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Items are open.
+    /// Items are still open.
     InProgress,
-    /// No item starts any more; the last results are being committed.
+    /// A cancel was requested: no item starts, and the remaining results are
+    /// being committed.
     Cancelling,
-    /// Stopped by its customer.
+    /// Cancelled by its customer.
     Cancelled,
-    /// Every item is in the output or in the error file.
+    /// Every item is in the output file or in the error file.
     Completed,
 }
 
-/// Which file of a job a piece belongs to.
+/// Result file of a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
 pub enum Sink {
     /// Completed items.
     Output,
-    /// Items that can never complete.
+    /// Items that were rejected or given up.
     Errors,
 }
 
 impl Sink {
-    /// Returns the short name used in keys and blob ids.
+    /// Returns the short name used in keys and blob IDs.
     #[inline]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -55,86 +59,88 @@
     }
 }
 
-/// Pieces of a job that no longer fit into its record.
+/// A page of chunk references that no longer fit into the job record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Page {
-    /// File that the pieces belong to.
+    /// File that the chunks belong to.
     pub sink: Sink,
-    /// Counts the pages of that file, from 0.
+    /// Page number within the file, from 0.
     pub number: u32,
-    /// The pieces, in order.
+    /// Chunk references, in order.
     pub chunks: Vec<Chunk>,
 }
 
-/// A batch job.
+/// The stored record of a batch job.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its id.
+    /// Job ID.
     pub id: JobId,
-    /// Customer that it belongs to.
+    /// Customer that owns the job.
     #[serde(rename = "tenant")]
     pub customer: Customer,
-    /// Digest of what was asked for; a resend must be the same.
+    /// Digest of the create request; a resend with the same key must match it.
     pub content: String,
     /// Input file.
     pub input: FileId,
-    /// Models that its items name; empty if there are too many to list.
+    /// Models named by the items; empty if there are too many to list.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Path that the items are sent to.
+    /// Request path of the items.
     pub path: String,
-    /// Completion window as asked for.
+    /// Requested completion window.
     pub window: String,
-    /// Whatever the customer attached.
+    /// Metadata attached by the customer.
     pub metadata: serde_json::Value,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub created: UnixMillis,
-    /// When it is due.
+    /// Due time.
     pub due: UnixMillis,
-    /// When it was completed or cancelled.
+    /// Time of completion or cancellation.
     pub ended: Option<UnixMillis>,
-    /// How far it is.
+    /// Current state.
     pub state: JobState,
-    /// Items of the input.
+    /// Number of items in the input file.
     pub items: u32,
     /// Completed items.
     pub done: RangeSet,
-    /// Items given up.
+    /// Items that were rejected or given up.
     pub failed: RangeSet,
-    /// Newest pieces of the output.
+    /// Most recent chunks of the output file.
     pub output: Vec<Chunk>,
-    /// Newest pieces of the error file.
+    /// Most recent chunks of the error file.
     pub errors: Vec<Chunk>,
-    /// Pages of the output before `output`.
+    /// Number of pages that precede `output`.
     #[serde(default)]
     pub output_pages: u32,
-    /// Pages of the error file before `errors`.
+    /// Number of pages that precede `errors`.
     #[serde(default)]
     pub error_pages: u32,
-    /// Whether its owner expects it to be late.
+    /// Whether the owner expects the job to miss its due time.
     #[serde(default)]
     pub at_risk: bool,
-    /// Last operation, so that a write whose answer was lost is recognised.
+    /// ID of the last operation, by which a write whose response was lost is
+    /// recognized.
     pub operation: u64,
 }
 
 impl JobRecord {
-    /// Tells whether the owner of its partition still works on it.
+    /// Reports whether the job still has work for the owner of its partition.
     pub fn is_open(&self) -> bool {
         matches!(self.state, JobState::InProgress | JobState::Cancelling)
     }
 
-    /// Tells whether an item is in a committed result.
+    /// Reports whether an item is part of a committed result.
     pub fn is_settled(&self, index: u32) -> bool {
         self.done.contains(index) || self.failed.contains(index)
     }
 
-    /// Returns how many items are in no committed result.
+    /// Returns the number of items that are not part of a committed result.
     pub fn remaining_items(&self) -> u32 {
         self.items - self.done.len() - self.failed.len()
     }
 
-    /// Adds a piece and returns the page that became full by it.
+    /// Appends a chunk reference and returns a page if the inline list was
+    /// full.
     pub(crate) fn push(&mut self, sink: Sink, chunk: Chunk) -> Option<Page> {
         let (chunks, pages) = match sink {
             Sink::Output => (&mut self.output, &mut self.output_pages),
--- a/crates/ledger/src/risk.rs
+++ b/crates/ledger/src/risk.rs
@@ -1,23 +1,23 @@
-//! Which jobs will be late at the present throughput.
+//! Predicts which jobs will miss their due time at the current throughput.
 
 use base::Millis;
 
 use crate::{Ledger, Moment};
 
-/// Time between two looks, in milliseconds.
+/// Interval between samples, in milliseconds.
 const SAMPLE_INTERVAL_MS: u64 = 1_000;
 
-/// Weight of the newest sample, in percent.
+/// Weight of the newest sample in the moving average, in percent.
 const NEWEST_SAMPLE_PERCENT: f64 = 10.0;
 
-/// Reserve that a job needs not to be at risk.
+/// Safety factor on the estimated run time of a job that is not at risk.
 const SAFETY_FACTOR: f64 = 1.1;
 
-/// Reserve that a job at risk needs to count as safe again; the gap keeps a
-/// job at the border from being written at each read_membership.
+/// Safety factor for a job that is already at risk. It is larger, since
+/// without hysteresis a borderline job would be written at each sample.
 const RECOVERY_SAFETY_FACTOR: f64 = 1.3;
 
-/// How fast items settle.
+/// Moving average of the rate at which items settle.
 #[derive(Debug, Default)]
 pub(crate) struct Throughput {
     items_per_s: f64,
@@ -30,7 +30,8 @@
         self.settled += 1;
     }
 
-    /// Takes a sample; one without work says nothing of the throughput.
+    /// Takes a sample. A sample without open items does not update the
+    /// average.
     fn sample(&mut self, now: Millis, has_work: bool) {
         let ms = now.saturating_ms_since(self.sampled_at).max(1);
         let newest = f64::from(self.settled) * 1_000.0 / ms as f64;
@@ -52,7 +53,8 @@
 }
 
 impl Ledger {
-    /// Adds up, earliest due first, what must run items_ahead each job ends.
+    /// Estimates, in order of due time, whether each job completes in time
+    /// given the items of all jobs due earlier.
     pub(crate) fn assess_risk(&mut self, moment: Moment) {
         if moment.now.saturating_ms_since(self.throughput.sampled_at)
             < SAMPLE_INTERVAL_MS
@@ -90,7 +92,8 @@
                             items_ahead as f64 / self.throughput.items_per_s;
                         s * 1_000.0 * safety_factor > slack_ms as f64
                     }
-                    // Nothing has run yet: half of its time is gone.
+                    // The throughput is not known yet: the job is at risk once
+                    // half of its window has passed.
                     false => slack_ms < window_ms / 2,
                 };
         }
--- a/crates/ledger/tests/grants.rs
+++ b/crates/ledger/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Grants, attempts, due times and the lease, one decision at a time.
+//! Unit-level tests of grants, attempts, due times and the lease.
 
 use base::{Millis, UnixMillis, VmId};
 use pomeloslip_ledger::{
@@ -36,14 +36,14 @@
     Options::default().partitions(1).attempts_max(3)
 }
 
-/// Makes a ledger that owns its only partition and has read these jobs.
+/// Creates a ledger that owns its only partition and has loaded these jobs.
 fn owner(options: Options, jobs: Vec<JobRecord>) -> Ledger {
     let mut ledger = Ledger::new(MEMBER, 77, options);
     ledger.handle(at(0), Event::Tick);
     let sent_at = Millis::new(0);
     let lease = Some(LEASE);
     ledger.handle(at(0), Event::Joined { sent_at, lease });
-    ledger.handle(at(0), looked(5));
+    ledger.handle(at(0), membership_read(5));
     let markers = jobs.iter().map(|job| OpenJobMarker {
         job: job.id.clone(),
         revision: 1,
@@ -61,7 +61,7 @@
     ledger
 }
 
-fn looked(revision: u64) -> Event {
+fn membership_read(revision: u64) -> Event {
     Event::MembershipRead {
         revision: Some(revision),
         members: vec![MEMBER.to_owned()],
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_failed_item_goes_to_an_endpoint_that_has_not_had_it() {
+fn a_failed_item_goes_to_an_endpoint_that_has_not_attempted_it() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
     assert_eq!(end(&mut ledger, 1, &item, failed()), Ack::Reopened);
@@ -135,15 +135,16 @@
     let again = pull(&mut ledger, 500, "vm-2", 1).remove(0);
     assert_eq!((again.index, again.attempt), (0, 1));
     end(&mut ledger, 501, &again, failed());
-    // Both have had it; the first may have it again after a while, since
-    // there may be no third.
+    // Both endpoints have attempted the item; the first may attempt it again
+    // after a delay, since there may be no third endpoint.
     assert_eq!(pull(&mut ledger, 1_500, "vm-1", 1), []);
     let last = pull(&mut ledger, 6_000, "vm-1", 1).remove(0);
     assert_eq!(end(&mut ledger, 6_001, &last, failed()), Ack::Settled);
 }
 
-/// Symptom: a run costs an endpoint's time twice. Events: a loan expires, the
-/// item goes to another companion, then the first one's answer arrives.
+/// Guards against running an item twice when its first result is late: the
+/// grant expires, the item goes to another companion, then the first
+/// companion's result arrives.
 #[test]
 fn a_late_result_is_used_and_never_doubled() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
@@ -167,8 +168,8 @@
     assert_eq!(end(&mut ledger, 10_803, &second, completed()), Ack::Ignored);
 }
 
-/// Symptom: an item runs while another owner grants it too. Events: the owner
-/// is paused past its lease and wakes. Cause: it still believes in the lease.
+/// Guards against granting an item that another owner grants too: the owner is
+/// paused past its lease and still considers it valid afterwards.
 #[test]
 fn an_owner_grants_nothing_once_its_lease_may_have_ended() {
     let mut ledger = owner(options(), vec![record("j", "t", 9, HOUR_MS)]);
@@ -203,13 +204,13 @@
 }
 
 #[test]
-fn an_item_that_kills_its_companions_is_given_up() {
+fn an_item_that_crashes_its_companions_is_given_up() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
-    let mut asked = Vec::new();
+    let mut give_ups = Vec::new();
     for ms in (0..60_000).step_by(500) {
         let actions = ledger.handle(at(ms), Event::Tick);
         let gives_up = |a: &Action| matches!(a, Action::GiveUp { .. });
-        asked.extend(actions.into_iter().filter(gives_up));
+        give_ups.extend(actions.into_iter().filter(gives_up));
         let sent_at = Millis::new(ms);
         let (lease, alive) = (LEASE, Some(true));
         let renewed = Event::Renewed {
@@ -222,16 +223,15 @@
         pull(&mut ledger, ms, &vm, 1);
     }
     assert!(
-        matches!(&asked[..], [Action::GiveUp { attempts: 3, .. }]),
-        "{asked:?}"
+        matches!(&give_ups[..], [Action::GiveUp { attempts: 3, .. }]),
+        "{give_ups:?}"
     );
 }
 
-/// Symptom: all loans end at once although the companions work. Events: the
-/// owner is paused for longer than a loan lasts. Cause: it could not hear
-/// the renewals.
+/// Guards against expiring all grants of working companions: the owner is
+/// paused for longer than the grant TTL and could not receive renewals.
 #[test]
-fn a_pause_of_the_owner_ends_no_loans() {
+fn a_pause_of_the_owner_ends_no_grants() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     pull(&mut ledger, 0, "vm-1", 1);
     ledger.handle(at(30_000), Event::Tick);
@@ -244,7 +244,7 @@
 )]
 fn a_job_is_at_risk_before_it_is_late(items: u32, at_risk: bool) {
     let mut ledger = owner(options(), vec![record("j", "t", items, 60_000)]);
-    // One item a second.
+    // One item per second.
     for second in 0..8 {
         let ms = second * 1_000;
         let item = pull(&mut ledger, ms, "vm-1", 1).remove(0);
--- a/crates/ledger/tests/parts.rs
+++ b/crates/ledger/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Sets of items and the spread of partitions.
+//! Tests of item sets and of the partition assignment.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use yare::parameterized;
 
 #[test]
-fn a_range_set_is_a_set() {
+fn range_set_matches_btree_set() {
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..200 {
         let mut ranges = RangeSet::default();
@@ -34,7 +34,7 @@
     assert!(serde_json::from_str::<RangeSet>(text).is_err());
 }
 
-/// Every other item of the largest job must fit into a value.
+/// A set of every other item of the largest job must fit into a stored value.
 #[test]
 fn the_worst_range_set_is_small() {
     let set: RangeSet = (0..54_000).step_by(2).collect();
@@ -46,7 +46,7 @@
     (0..count).map(|at| format!("member-{at}")).collect()
 }
 
-fn spread(partitions: u32, names: &[String]) -> Vec<String> {
+fn assignment(partitions: u32, names: &[String]) -> Vec<String> {
     let refs: Vec<&str> = names.iter().map(String::as_str).collect();
     let of = assign(partitions, &refs);
     of.into_iter().map(|at| names[at].clone()).collect()
@@ -58,31 +58,32 @@
     five = { 64, 5 },
     more_members = { 8, 20 },
 )]
-fn the_spread_is_even(partitions: u32, members: usize) {
+fn the_assignment_is_even(partitions: u32, members: usize) {
     let names = names(members);
-    let of = spread(partitions, &names);
+    let of = assignment(partitions, &names);
     let loads: Vec<usize> = names
         .iter()
         .map(|name| of.iter().filter(|at| *at == name).count())
         .collect();
-    let (least, most) = (loads.iter().min(), loads.iter().max());
-    assert!(most <= least.map(|least| least + 1).as_ref(), "{loads:?}");
+    let (min, max) = (loads.iter().min(), loads.iter().max());
+    assert!(max <= min.map(|min| min + 1).as_ref(), "{loads:?}");
 }
 
 #[test]
-fn few_partitions_move_when_a_member_goes() {
+fn few_partitions_move_when_a_member_is_removed() {
     let names = names(8);
-    let before = spread(64, &names);
-    let mut needless = 0;
-    for gone in 0..8 {
-        let mut rest = names.clone();
-        let gone = rest.remove(gone);
-        let after = spread(64, &rest);
+    let before = assignment(64, &names);
+    let mut avoidable = 0;
+    for removed in 0..8 {
+        let mut remaining = names.clone();
+        let removed = remaining.remove(removed);
+        let after = assignment(64, &remaining);
         let moved = before.iter().zip(&after);
-        let moved = moved.filter(|(b, a)| b != a && **b != gone);
-        needless += moved.count();
+        let moved = moved.filter(|(b, a)| b != a && **b != removed);
+        avoidable += moved.count();
     }
-    // Of 56 partitions whose member stays; a modulus would move 7 in 8.
-    println!("{needless} needless moves in 8 losses");
-    assert!(needless <= 8 * 56 / 4, "{needless}");
+    // 56 partitions belong to a remaining member; hashing by modulus would
+    // move 7 in 8 of them.
+    println!("{avoidable} avoidable moves in 8 removals");
+    assert!(avoidable <= 8 * 56 / 4, "{avoidable}");
 }
--- a/crates/ledger/tests/property.rs
+++ b/crates/ledger/tests/property.rs
@@ -1,11 +1,12 @@
-//! Range sets against a plain set, and their texts from outside.
+//! Compares range sets with `BTreeSet` and checks their deserialization.
 
 use std::collections::BTreeSet;
 
 use pomeloslip_ledger::RangeSet;
 use proptest::{prelude::*, test_runner::RngSeed};
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Cases are generated from a fixed seed; `PROPERTY_FACTOR` multiplies their
+/// number.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -25,9 +26,9 @@
     #![proptest_config(config(2_000))]
 
     #[test]
-    fn it_holds_what_a_plain_set_holds(
+    fn range_set_behaves_like_btree_set(
         items in prop::collection::vec(item(), 0..120),
-        asked in prop::collection::vec(item(), 20),
+        queried in prop::collection::vec(item(), 20),
     ) {
         let mut set = RangeSet::default();
         let mut plain = BTreeSet::new();
@@ -37,10 +38,10 @@
         prop_assert_eq!(set.len() as usize, plain.len());
         prop_assert_eq!(set.is_empty(), plain.is_empty());
         prop_assert!(set.iter().eq(plain.iter().copied()));
-        for item in asked {
+        for item in queried {
             prop_assert_eq!(set.contains(item), plain.contains(&item));
         }
-        // Ranges neither touch nor are empty.
+        // Ranges are separated and not empty.
         for pair in set.ranges().windows(2) {
             prop_assert!(pair[0].1 < pair[1].0);
         }
@@ -50,11 +51,10 @@
         prop_assert_eq!(back, set);
     }
 
-    /// Symptom: items count as complete that never ran. Sequence: a record
-    /// is read back damaged. Cause, if it fails: a list was taken that no
-    /// set is written as.
+    /// Guards against counting items as complete that never ran: a damaged
+    /// record is read back, and a list is accepted that no set serializes to.
     #[test]
-    fn a_list_is_a_set_in_its_one_form_or_refused(
+    fn only_canonical_lists_are_accepted(
         gaps in prop::collection::vec(
             prop_oneof![0..5_u32, any::<u32>()], 0..8,
         ),
--- a/crates/ledger/tests/world/companions.rs
+++ b/crates/ledger/tests/simulation/companions.rs
@@ -1,24 +1,24 @@
-//! The companions of the model: they pull, run and report.
+//! Simulated companions: they pull items, run them and report results.
 
 use base::VmId;
 use pomeloslip_ledger::{Granted, PullRequest, RunOutcome};
 use rand::Rng;
 
-use super::{Message, OWNERS, PULL_MS, World, line};
+use super::{Message, OWNERS, PULL_MS, Simulation, line};
 
-impl World {
+impl Simulation {
     pub(super) fn wake(&mut self, companion: usize) {
         let delay = self.rng.random_range(PULL_MS / 2..PULL_MS * 2);
         self.send(delay, Message::Wake { companion });
         let owner = self.rng.random_range(0..OWNERS);
-        let life = self.companions[companion].life;
+        let incarnation = self.companions[companion].incarnation;
         let running = self.companions[companion].running.keys();
         let own = running.filter(|(at, _)| *at == owner);
         let running = own.map(|(_, grant)| *grant).collect();
         let pull = Message::Pull {
             owner,
             companion,
-            life,
+            incarnation,
             running,
         };
         if self.chance(2.0) {
@@ -33,14 +33,14 @@
         &mut self,
         owner: usize,
         companion: usize,
-        life: u64,
+        incarnation: u64,
         running: &[u64],
     ) {
         let vm: VmId = format!("vm-{companion}").parse().expect("an id");
         let moment = self.moment(owner);
         let request = PullRequest {
             vm: &vm,
-            incarnation: life,
+            incarnation,
             models: &[],
             capacity: 3,
             running,
@@ -54,7 +54,7 @@
             delay,
             Message::Grant {
                 companion,
-                life,
+                incarnation,
                 owner,
                 items: answer.items,
                 revoked: answer.revoked,
@@ -65,12 +65,12 @@
     pub(super) fn take_grant(
         &mut self,
         companion: usize,
-        life: u64,
+        incarnation: u64,
         owner: usize,
         items: Vec<Granted>,
         revoked: &[u64],
     ) {
-        if self.companions[companion].life != life {
+        if self.companions[companion].incarnation != incarnation {
             return;
         }
         for grant in revoked {
@@ -81,12 +81,12 @@
             let known = &mut self.companions[companion].running;
             known.insert((owner, grant), item);
             let ms = match self.rng.random_range(0..20) {
-                0 if !self.is_calm() => 2_000,
+                0 if !self.is_fault_free() => 2_000,
                 _ => self.rng.random_range(5..150),
             };
             let ran = Message::Ran {
                 companion,
-                life,
+                incarnation,
                 owner,
                 grant,
             };
@@ -97,11 +97,11 @@
     pub(super) fn ran(
         &mut self,
         companion: usize,
-        life: u64,
+        incarnation: u64,
         owner: usize,
         grant: u64,
     ) {
-        if self.companions[companion].life != life {
+        if self.companions[companion].incarnation != incarnation {
             return;
         }
         let running = &mut self.companions[companion].running;
@@ -110,8 +110,8 @@
         };
         let line = line(&item.job, item.index);
         let end = match self.rng.random_range(0..20) {
-            0 if !self.is_calm() => RunOutcome::Failed(line),
-            1 if !self.is_calm() => RunOutcome::Returned,
+            0 if !self.is_fault_free() => RunOutcome::Failed(line),
+            1 if !self.is_fault_free() => RunOutcome::Returned,
             _ if item.index % 17 == 3 => RunOutcome::Rejected(line),
             _ => RunOutcome::Completed(line),
         };
--- a/crates/ledger/tests/world/service.rs
+++ b/crates/ledger/tests/simulation/fake_kv.rs
@@ -1,4 +1,4 @@
-//! The fake service, and what must hold of it after each step.
+//! Fake key-value service that checks the invariants after each commit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,28 +12,28 @@
     PartitionOwner, VersionedRecord, WriteAction, WriteOutcome, partition_of,
 };
 
-use super::{Seen, job_id};
+use super::{RunStats, job_id};
 
 const PARTITIONS: u32 = 4;
 
-/// The key-value service with a list of what each commit made visible.
+/// The key-value service and the results that each commit made visible.
 #[derive(Default)]
-pub(crate) struct Service {
+pub(crate) struct FakeKv {
     pub(crate) down_until: u64,
     store: Store,
     now: u64,
-    /// The blob that each committed item is in.
+    /// Blob that holds each committed item.
     committed: BTreeMap<JobId, BTreeMap<u32, String>>,
     pages: BTreeMap<JobId, Vec<Chunk>>,
-    seen: Seen,
+    stats: RunStats,
 }
 
-/// The event after a call whose answer is lost.
+/// Returns the event for a call whose response is lost.
 pub(crate) fn failed(action: &Action, sent_at: u64) -> Event {
     failure(action, sent_at, WriteOutcome::Unknown)
 }
 
-/// The event after a call that was refused.
+/// Returns the event for a call that was refused without effect.
 pub(crate) fn refused(action: &Action, sent_at: u64) -> Event {
     failure(action, sent_at, WriteOutcome::NotDone)
 }
@@ -96,7 +96,7 @@
     }
 }
 
-/// The event after parts were stored. A chunk's blob id stands for its
+/// Returns the event for stored parts. The blob ID of a chunk encodes its
 /// content: `id|job index,job index`.
 pub(crate) fn stored(commit: CommitId, parts: &[Part], fails: bool) -> Event {
     let chunk = |part: &Part| {
@@ -159,7 +159,7 @@
     key.rsplit('/').next().unwrap_or_default().to_owned()
 }
 
-impl Service {
+impl FakeKv {
     pub(crate) fn expire(&mut self, now: u64) {
         self.now = now;
         self.store.expire(Millis::new(now));
@@ -189,7 +189,7 @@
         })
     }
 
-    /// Does a call; an error is a broken promise.
+    /// Carries out a call; an error is a violated invariant.
     pub(crate) fn call(
         &mut self,
         member: &str,
@@ -207,7 +207,7 @@
                     alive: Some(kept.is_ok()),
                 }
             }
-            Action::ReadMembership => self.look(),
+            Action::ReadMembership => self.read_membership(),
             Action::Claim { partition, lease } => {
                 self.claim(member, partition, lease)
             }
@@ -273,7 +273,7 @@
         }
     }
 
-    fn look(&mut self) -> Event {
+    fn read_membership(&mut self) -> Event {
         let reply = self.read(vec![get("entries/"), get("owners/")]);
         let revision = Some(reply.revision);
         let (members, owners): (Vec<_>, Vec<_>) = found(reply)
@@ -342,7 +342,7 @@
             false => WriteOutcome::Refused,
         };
         if reply.succeeded {
-            self.seen.commits += 1;
+            self.stats.commits += 1;
             if owner.as_deref() != Some(member) {
                 return Err(format!(
                     "{member} committed to partition {} of {owner:?}",
@@ -356,13 +356,13 @@
                 self.check(&next.record)?;
             }
         } else if owner.as_deref() != Some(member) {
-            self.seen.refused_stale += 1;
+            self.stats.refused_stale += 1;
         }
         let commit = write.commit;
         Ok(Event::Written { commit, outcome })
     }
 
-    /// Looks at all that a record makes visible.
+    /// Checks all items that a record makes visible.
     fn check(&mut self, record: &JobRecord) -> Result<(), String> {
         let id = &record.id;
         let paged = self.pages.get(id).into_iter().flatten();
@@ -433,7 +433,8 @@
         self.read(vec![put(job_key(&id), value, None), marked]);
     }
 
-    /// Cancels a job as another entry does: by a compare of its revision.
+    /// Cancels a job as another entry would. The read and the write are atomic
+    /// here, which stands in for a compare of the revision.
     pub(crate) fn cancel(&mut self, number: u64) {
         let id = job_id(number);
         let Some(VersionedRecord { mut record, .. }) = self.record(&id) else {
@@ -458,8 +459,8 @@
         found(reply).len() as u64 == jobs && self.open_jobs().is_empty()
     }
 
-    /// Checks every job once more, when all have ended.
-    pub(crate) fn check_end(mut self) -> Result<Seen, String> {
+    /// Checks every job once more after all have ended.
+    pub(crate) fn check_end(mut self) -> Result<RunStats, String> {
         let reply = self.read(vec![get("jobs/")]);
         for kv in found(reply) {
             let record: JobRecord =
@@ -467,12 +468,12 @@
             self.check(&record)?;
             match record.state {
                 JobState::Completed if record.remaining_items() == 0 => {
-                    self.seen.completed_jobs += 1;
+                    self.stats.completed_jobs += 1;
                 }
-                JobState::Cancelled => self.seen.cancelled_jobs += 1,
+                JobState::Cancelled => self.stats.cancelled_jobs += 1,
                 state => return Err(format!("{} is {state:?}", record.id)),
             }
         }
-        Ok(self.seen)
+        Ok(self.stats)
     }
 }
--- a/crates/ledger/tests/world/mod.rs
+++ b/crates/ledger/tests/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! Owners, companions and a service in one thread, driven from a seed.
+//! Deterministic simulation of owners, companions and a key-value fake_kv in
+//! one thread, driven by a seed.
 
 mod companions;
-mod service;
+mod fake_kv;
 
 use std::collections::BTreeMap;
 
@@ -12,7 +13,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use self::service::Service;
+use self::fake_kv::FakeKv;
 
 const OWNERS: usize = 3;
 const COMPANIONS: usize = 3;
@@ -20,41 +21,43 @@
 const TICK_MS: u64 = 50;
 const PULL_MS: u64 = 60;
 
-/// How long faults happen, and how long all must be done afterwards.
-const CHAOS_MS: u64 = 12_000;
-const CALM_MS: u64 = 60_000;
+/// Duration of the fault phase, and the time limit for all jobs to end after
+/// it.
+const FAULT_PHASE_MS: u64 = 12_000;
+const RECOVERY_PHASE_MS: u64 = 60_000;
 
-/// What happens to a call on its way to the service and back.
+/// Fate of a call to the key-value fake_kv and of its response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    Answered,
-    /// It never arrives.
-    LostBefore,
-    /// It takes effect and its answer is lost.
-    LostAfter,
-    /// Its answer is lost and it takes effect much later.
-    Late,
-    /// It arrives a second time, much later.
-    Twice,
+enum Delivery {
+    Delivered,
+    /// The request is lost.
+    RequestLost,
+    /// The call takes effect and its response is lost.
+    ResponseLost,
+    /// The response is lost and the call takes effect much later.
+    Delayed,
+    /// The request is delivered a second time, much later.
+    Duplicated,
 }
 
-/// A message in flight. `life` voids those of an earlier life.
+/// A message in flight. A message of an earlier `incarnation` of the receiver
+/// is dropped.
 #[derive(Clone, Debug)]
 enum Message {
     Tick {
         owner: usize,
-        life: u64,
+        incarnation: u64,
     },
     Call {
         owner: usize,
-        life: u64,
+        incarnation: u64,
         action: Action,
         sent_at: u64,
-        way: Way,
+        delivery: Delivery,
     },
-    Tell {
+    Event {
         owner: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
     Wake {
@@ -63,19 +66,19 @@
     Pull {
         owner: usize,
         companion: usize,
-        life: u64,
+        incarnation: u64,
         running: Vec<u64>,
     },
     Grant {
         companion: usize,
-        life: u64,
+        incarnation: u64,
         owner: usize,
         items: Vec<Granted>,
         revoked: Vec<u64>,
     },
     Ran {
         companion: usize,
-        life: u64,
+        incarnation: u64,
         owner: usize,
         grant: u64,
     },
@@ -94,44 +97,44 @@
 
 struct Owner {
     ledger: Ledger,
-    life: u64,
+    incarnation: u64,
     paused_until: u64,
-    /// Its clock is ahead of the others by this.
-    ahead_ms: u64,
+    /// Offset of the owner's monotonic clock.
+    clock_offset_ms: u64,
 }
 
 #[derive(Default)]
 struct Companion {
-    life: u64,
+    incarnation: u64,
     running: BTreeMap<(usize, u64), Granted>,
 }
 
-/// Everything that one seed decides.
-pub(crate) struct World {
+/// The complete state of a simulation run.
+pub(crate) struct Simulation {
     rng: StdRng,
     options: Options,
     now: u64,
     sequence: u64,
     queue: BTreeMap<(u64, u64), Message>,
-    service: Service,
+    fake_kv: FakeKv,
     owners: Vec<Owner>,
     companions: Vec<Companion>,
-    lives: u64,
-    /// Crashes an owner at this message; no other fault happens.
+    incarnations: u64,
+    /// Crashes an owner at this message; no other fault is injected.
     crash_at: Option<u64>,
     messages: u64,
 }
 
-/// What a run was like, so that a test can see that faults happened.
+/// Statistics of a run, by which a test verifies that faults occurred.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct RunStats {
     pub(crate) commits: u64,
     pub(crate) refused_stale: u64,
     pub(crate) completed_jobs: u64,
     pub(crate) cancelled_jobs: u64,
 }
 
-impl std::ops::AddAssign for Seen {
+impl std::ops::AddAssign for RunStats {
     fn add_assign(&mut self, other: Self) {
         self.commits += other.commits;
         self.refused_stale += other.refused_stale;
@@ -144,7 +147,7 @@
     format!("batch_{number}").parse().expect("a valid id")
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(
         seed: u64,
         injected_fault: Option<InjectedFault>,
@@ -165,33 +168,33 @@
         if let Some(fault) = injected_fault {
             options = options.inject_fault(fault);
         }
-        let mut world = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             options,
             now: 0,
             sequence: 0,
             queue: BTreeMap::new(),
-            service: Service::default(),
+            fake_kv: FakeKv::default(),
             owners: Vec::new(),
             companions: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             crash_at: None,
             messages: 0,
         };
-        world.start(CHAOS_MS / 2);
-        world
+        simulation.start(FAULT_PHASE_MS / 2);
+        simulation
     }
 
-    /// Makes a world in which one owner crashes at a message, and nothing
-    /// else happens.
+    /// Creates a simulation in which one owner crashes at a given message and
+    /// no other fault is injected.
     pub(crate) fn with_crash(seed: u64, crash_at: u64) -> Self {
-        let mut world = Self::new(seed, None);
-        world.queue.clear();
-        world.owners.clear();
-        world.companions.clear();
-        world.crash_at = Some(crash_at);
-        world.start(300);
-        world
+        let mut simulation = Self::new(seed, None);
+        simulation.queue.clear();
+        simulation.owners.clear();
+        simulation.companions.clear();
+        simulation.crash_at = Some(crash_at);
+        simulation.start(300);
+        simulation
     }
 
     fn start(&mut self, create_ms: u64) {
@@ -204,8 +207,8 @@
             self.send(PULL_MS, Message::Wake { companion });
         }
         for owner in 0..OWNERS {
-            let life = self.owners[owner].life;
-            self.send(1, Message::Tick { owner, life });
+            let incarnation = self.owners[owner].incarnation;
+            self.send(1, Message::Tick { owner, incarnation });
         }
         for number in 0..JOBS {
             let at = self.rng.random_range(0..create_ms);
@@ -218,45 +221,46 @@
     }
 
     fn new_owner(&mut self) -> Owner {
-        self.lives += 1;
-        let life = self.lives;
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
         let salt = self.rng.random();
-        let member = format!("member-{life}");
+        let member = format!("member-{incarnation}");
         let ledger = Ledger::new(member, salt, self.options.clone());
-        let ahead_ms = self.rng.random_range(0..1_000_000);
+        let clock_offset_ms = self.rng.random_range(0..1_000_000);
         Owner {
             ledger,
-            life,
+            incarnation,
             paused_until: 0,
-            ahead_ms,
+            clock_offset_ms,
         }
     }
 
-    /// Runs to the end and says what went wrong first.
-    pub(crate) fn run(mut self) -> Result<Seen, String> {
+    /// Runs to the end and returns the first violated invariant as an error.
+    pub(crate) fn run(mut self) -> Result<RunStats, String> {
         while let Some(((at, _), message)) = self.queue.pop_first() {
             self.now = self.now.max(at);
-            let looks = matches!(message, Message::Tick { .. });
-            if looks && self.is_calm() && self.service.all_ended(JOBS) {
-                return self.service.check_end();
+            let is_tick = matches!(message, Message::Tick { .. });
+            if is_tick && self.is_fault_free() && self.fake_kv.all_ended(JOBS)
+            {
+                return self.fake_kv.check_end();
             }
-            if self.now > CHAOS_MS + CALM_MS {
-                let left = self.service.open_jobs();
-                return Err(format!("lost items: not ended are {left:?}"));
+            if self.now > FAULT_PHASE_MS + RECOVERY_PHASE_MS {
+                let open_jobs = self.fake_kv.open_jobs();
+                return Err(format!("jobs that did not end: {open_jobs:?}"));
             }
-            self.service.expire(self.now);
-            self.mischief();
+            self.fake_kv.expire(self.now);
+            self.inject_faults();
             self.deliver(message)?;
         }
-        Err("nothing is in flight any more".to_owned())
+        Err("no message is in flight".to_owned())
     }
 
-    fn is_calm(&self) -> bool {
-        self.crash_at.is_some() || self.now >= CHAOS_MS
+    fn is_fault_free(&self) -> bool {
+        self.crash_at.is_some() || self.now >= FAULT_PHASE_MS
     }
 
     fn chance(&mut self, percent: f64) -> bool {
-        !self.is_calm() && self.rng.random_bool(percent / 100.0)
+        !self.is_fault_free() && self.rng.random_bool(percent / 100.0)
     }
 
     fn send(&mut self, delay_ms: u64, message: Message) {
@@ -272,8 +276,9 @@
         }
     }
 
-    /// Pauses, crashes and outages, about one in 300 messages each.
-    fn mischief(&mut self) {
+    /// Injects pauses, crashes and outages, each with a probability of 0.05 to
+    /// 0.3 percent per message.
+    fn inject_faults(&mut self) {
         self.messages += 1;
         if self.crash_at == Some(self.messages) {
             self.crash();
@@ -289,114 +294,126 @@
         if self.chance(0.2) {
             let companion = self.rng.random_range(0..COMPANIONS);
             let companion = &mut self.companions[companion];
-            companion.life += 1;
+            companion.incarnation += 1;
             companion.running.clear();
         }
         if self.chance(0.05) {
             let until = self.now + self.rng.random_range(500..5_000);
-            self.service.down_until = until;
+            self.fake_kv.down_until = until;
         }
     }
 
     fn crash(&mut self) {
         let owner = self.rng.random_range(0..OWNERS);
         self.owners[owner] = self.new_owner();
-        let life = self.owners[owner].life;
-        self.send(TICK_MS, Message::Tick { owner, life });
+        let incarnation = self.owners[owner].incarnation;
+        self.send(TICK_MS, Message::Tick { owner, incarnation });
     }
 
     fn deliver(&mut self, message: Message) -> Result<(), String> {
-        if let Some(until) = self.sleeps(&message) {
+        if let Some(until) = self.resume_time(&message) {
             let delay = until - self.now + self.rng.random_range(0..5);
             self.send(delay, message);
             return Ok(());
         }
         match message {
-            Message::Tick { owner, life } => {
-                if self.owners[owner].life == life {
-                    self.send(TICK_MS, Message::Tick { owner, life });
-                    self.tell(owner, life, Event::Tick);
+            Message::Tick { owner, incarnation } => {
+                if self.owners[owner].incarnation == incarnation {
+                    self.send(TICK_MS, Message::Tick { owner, incarnation });
+                    self.handle_event(owner, incarnation, Event::Tick);
                 }
             }
-            Message::Tell { owner, life, event } => {
-                self.tell(owner, life, event);
+            Message::Event {
+                owner,
+                incarnation,
+                event,
+            } => {
+                self.handle_event(owner, incarnation, event);
             }
             Message::Call {
                 owner,
-                life,
+                incarnation,
                 action,
                 sent_at,
-                way,
-            } => self.arrive(owner, life, action, sent_at, way)?,
+                delivery,
+            } => self.receive_call(
+                owner,
+                incarnation,
+                action,
+                sent_at,
+                delivery,
+            )?,
             Message::Wake { companion } => self.wake(companion),
             Message::Pull {
                 owner,
                 companion,
-                life,
+                incarnation,
                 running,
-            } => self.pull(owner, companion, life, &running),
+            } => self.pull(owner, companion, incarnation, &running),
             Message::Grant {
                 companion,
-                life,
+                incarnation,
                 owner,
                 items,
                 revoked,
-            } => self.take_grant(companion, life, owner, items, &revoked),
+            } => {
+                self.take_grant(companion, incarnation, owner, items, &revoked)
+            }
             Message::Ran {
                 companion,
-                life,
+                incarnation,
                 owner,
                 grant,
-            } => self.ran(companion, life, owner, grant),
+            } => self.ran(companion, incarnation, owner, grant),
             Message::Result { owner, item, end } => {
                 let moment = self.moment(owner);
                 let ledger = &mut self.owners[owner].ledger;
                 let (job, index) = (&item.job, item.index);
                 ledger.result(moment, job, index, item.grant, end);
             }
-            Message::Create { number } => self.service.create(number),
-            Message::Cancel { number } => self.service.cancel(number),
+            Message::Create { number } => self.fake_kv.create(number),
+            Message::Cancel { number } => self.fake_kv.cancel(number),
         }
         Ok(())
     }
 
-    /// Returns when the receiver wakes, if it is paused.
-    fn sleeps(&self, message: &Message) -> Option<u64> {
+    /// Returns the time at which the receiver resumes, if it is paused.
+    fn resume_time(&self, message: &Message) -> Option<u64> {
         let owner = match message {
             Message::Tick { owner, .. }
-            | Message::Tell { owner, .. }
+            | Message::Event { owner, .. }
             | Message::Pull { owner, .. }
             | Message::Result { owner, .. } => *owner,
             _ => return None,
         };
         let until = self.owners[owner].paused_until;
-        (until > self.now && !self.is_calm()).then_some(until)
+        (until > self.now && !self.is_fault_free()).then_some(until)
     }
 
     fn moment(&mut self, owner: usize) -> Moment {
         Moment {
-            now: Millis::new(self.now + self.owners[owner].ahead_ms),
+            now: Millis::new(self.now + self.owners[owner].clock_offset_ms),
             unix: UnixMillis::new(self.now),
             random: self.rng.random(),
         }
     }
 
-    fn tell(&mut self, owner: usize, life: u64, event: Event) {
-        if self.owners[owner].life != life {
+    fn handle_event(&mut self, owner: usize, incarnation: u64, event: Event) {
+        if self.owners[owner].incarnation != incarnation {
             return;
         }
         let moment = self.moment(owner);
         let actions = self.owners[owner].ledger.handle(moment, event);
         let sent_at = moment.now.as_ms();
         for action in actions {
-            self.start_call(owner, life, action, sent_at);
+            self.start_call(owner, incarnation, action, sent_at);
         }
     }
 
     fn start_call(
         &mut self,
         owner: usize,
-        life: u64,
+        incarnation: u64,
         action: Action,
         sent_at: u64,
     ) {
@@ -405,70 +422,88 @@
             self.owners[owner].ledger.give_up(job, *index, line);
             return;
         }
-        let way = match self.rng.random_range(0..100) {
-            _ if self.is_calm() => Way::Answered,
-            0..3 => Way::LostBefore,
-            3..6 => Way::LostAfter,
-            6..8 => Way::Late,
-            8..10 => Way::Twice,
-            _ => Way::Answered,
+        let delivery = match self.rng.random_range(0..100) {
+            _ if self.is_fault_free() => Delivery::Delivered,
+            0..3 => Delivery::RequestLost,
+            3..6 => Delivery::ResponseLost,
+            6..8 => Delivery::Delayed,
+            8..10 => Delivery::Duplicated,
+            _ => Delivery::Delivered,
         };
-        let delay = match way {
-            Way::Late => self.rng.random_range(500..6_000),
+        let delay = match delivery {
+            Delivery::Delayed => self.rng.random_range(500..6_000),
             _ => self.delay(),
         };
-        if way == Way::Twice {
-            let way = Way::LostAfter;
+        if delivery == Delivery::Duplicated {
+            let delivery = Delivery::ResponseLost;
             let copy = Message::Call {
                 owner,
-                life,
+                incarnation,
                 action: action.clone(),
                 sent_at,
-                way,
+                delivery,
             };
             let later = delay + self.rng.random_range(0..4_000);
             self.send(later, copy);
         }
-        if matches!(way, Way::LostBefore | Way::LostAfter | Way::Late) {
-            let event = service::failed(&action, sent_at);
+        if matches!(
+            delivery,
+            Delivery::RequestLost | Delivery::ResponseLost | Delivery::Delayed
+        ) {
+            let event = fake_kv::failed(&action, sent_at);
             let wait = 20 + self.rng.random_range(0..100);
-            self.send(wait, Message::Tell { owner, life, event });
+            self.send(
+                wait,
+                Message::Event {
+                    owner,
+                    incarnation,
+                    event,
+                },
+            );
         }
-        if way != Way::LostBefore {
+        if delivery != Delivery::RequestLost {
             let call = Message::Call {
                 owner,
-                life,
+                incarnation,
                 action,
                 sent_at,
-                way,
+                delivery,
             };
             self.send(delay, call);
         }
     }
 
-    fn arrive(
+    fn receive_call(
         &mut self,
         owner: usize,
-        life: u64,
+        incarnation: u64,
         action: Action,
         sent_at: u64,
-        way: Way,
+        delivery: Delivery,
     ) -> Result<(), String> {
-        let is_down = self.service.down_until > self.now && !self.is_calm();
+        let is_down =
+            self.fake_kv.down_until > self.now && !self.is_fault_free();
         let event = match &action {
             Action::Store { commit, parts } => {
                 let fails = self.chance(5.0);
-                service::stored(*commit, parts, fails)
+                fake_kv::stored(*commit, parts, fails)
             }
-            _ if is_down => service::refused(&action, sent_at),
+            _ if is_down => fake_kv::refused(&action, sent_at),
             _ => {
-                let member = format!("member-{life}");
-                self.service.call(&member, &action, sent_at)?
+                let member = format!("member-{incarnation}");
+                self.fake_kv.call(&member, &action, sent_at)?
             }
         };
-        if matches!(way, Way::Answered | Way::Twice) {
+        if matches!(delivery, Delivery::Delivered | Delivery::Duplicated) {
             let delay = self.delay();
-            self.send(delay, Message::Tell { owner, life, event });
+            self.send(
+                delay,
+                Message::Event {
+                    owner,
+                    incarnation,
+                    event,
+                },
+            );
         }
         Ok(())
     }
