--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -166,7 +166,7 @@
                 commit.stage = Stage::WriteAt(moment.now);
                 self.advance_commit(moment, number);
             }
-            None => self.retry_stage(moment, number, Stage::StoreAt),
+            None => self.retry(moment, number, Stage::StoreAt),
         }
     }
 
@@ -230,15 +230,15 @@
             // An earlier copy of this transaction may have changed the
             // records.
             WriteOutcome::Refused if commit.may_have_applied => {
-                self.retry_stage(moment, number, Stage::ReadAt);
+                self.retry(moment, number, Stage::ReadAt);
             }
             WriteOutcome::Refused => self.abandon_commit(moment, number),
             WriteOutcome::NotDone => {
-                self.retry_stage(moment, number, Stage::WriteAt);
+                self.retry(moment, number, Stage::WriteAt);
             }
             WriteOutcome::Unknown => {
                 commit.may_have_applied = true;
-                self.retry_stage(moment, number, Stage::ReadAt);
+                self.retry(moment, number, Stage::ReadAt);
             }
         }
     }
@@ -269,7 +269,7 @@
             return;
         }
         let Some(found) = found else {
-            return self.retry_stage(moment, number, Stage::ReadAt);
+            return self.retry(moment, number, Stage::ReadAt);
         };
         let operation = commit.operation;
         let is_open = found.len() == commit.records.len()
@@ -291,9 +291,7 @@
                 self.finish(moment, number, revision);
                 self.adopt_records(found);
             }
-            None if is_open => {
-                self.retry_stage(moment, number, Stage::WriteAt)
-            }
+            None if is_open => self.retry(moment, number, Stage::WriteAt),
             None => {
                 self.abandon_commit(moment, number);
                 self.adopt_records(found);
@@ -371,7 +369,7 @@
         self.read_membership_at = moment.now;
     }
 
-    fn retry_stage(
+    fn retry(
         &mut self,
         moment: Moment,
         number: u32,
--- a/crates/ledger/tests/simulation/companions.rs
+++ b/crates/ledger/tests/simulation/companions.rs
@@ -62,7 +62,7 @@
         );
     }
 
-    pub(super) fn take_grant(
+    pub(super) fn on_grant(
         &mut self,
         companion: usize,
         incarnation: u64,
--- a/crates/ledger/tests/simulation/mod.rs
+++ b/crates/ledger/tests/simulation/mod.rs
@@ -356,9 +356,7 @@
                 owner,
                 items,
                 revoked,
-            } => {
-                self.take_grant(companion, incarnation, owner, items, &revoked)
-            }
+            } => self.on_grant(companion, incarnation, owner, items, &revoked),
             Message::Ran {
                 companion,
                 incarnation,
--- a/crates/rules/src/calendar.rs
+++ b/crates/rules/src/calendar.rs
@@ -1,4 +1,4 @@
-//! Conditions on the calendar, and the time that they are tested at.
+//! Calendar conditions, and the time at which they are evaluated.
 
 use std::{cell::OnceCell, fmt};
 
@@ -13,8 +13,8 @@
 
 /// An IANA time zone, such as `Europe/Tallinn`.
 ///
-/// The rules of the zones come with the program and not from the machine:
-/// two machines must decide alike at the same time.
+/// Time zone data is bundled with the program instead of read from the host,
+/// so that all hosts decide alike at the same time.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Zone {
@@ -57,7 +57,7 @@
         let near = nearest(&name, names.iter().map(String::as_str));
         let near = near.map(|near| format!("; did you mean {near:?}?"));
         let near = near.unwrap_or_default();
-        Err(format!("{name:?} is no IANA time zone{near}"))
+        Err(format!("{name:?} is not an IANA time zone{near}"))
     }
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// A time of the day, written `HH:MM`.
+/// A time of day, written as `HH:MM`.
 #[derive(
     Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Serialize, Deserialize,
 )]
@@ -80,7 +80,7 @@
     fn try_from(text: String) -> Result<Self, String> {
         let parsed = Time::strptime("%H:%M", &text);
         parsed.map(ClockTime).map_err(|_| {
-            format!("{text:?} is no time of the day from 00:00 to 23:59")
+            format!("{text:?} is not a time of day from 00:00 to 23:59")
         })
     }
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A day, written `YYYY-MM-DD`.
+/// A date, written as `YYYY-MM-DD`.
 #[derive(
     Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Serialize, Deserialize,
 )]
@@ -111,7 +111,7 @@
         let parsed = Date::strptime("%Y-%m-%d", &text);
         parsed
             .map(Day)
-            .map_err(|_| format!("{text:?} is no day such as 2026-12-24"))
+            .map_err(|_| format!("{text:?} is not a date such as 2026-12-24"))
     }
 }
 
@@ -127,15 +127,15 @@
     }
 }
 
-/// A part of every day. It goes over midnight if `from` is the later one.
+/// A daily time range. It spans midnight if `from` is later than `to`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeOfDay {
-    /// First minute that is in it.
+    /// First minute of the range.
     pub from: ClockTime,
-    /// First minute that is no longer in it.
+    /// First minute after the range.
     pub to: ClockTime,
-    /// Time zone; UTC if left out.
+    /// Time zone; UTC by default.
     #[serde(default)]
     pub zone: Zone,
 }
@@ -156,7 +156,7 @@
     }
 }
 
-/// A run of days, both ends included.
+/// A range of dates, both ends included.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DateRange {
@@ -164,7 +164,7 @@
     pub from: Day,
     /// Last day.
     pub to: Day,
-    /// Time zone in which the days begin and end; UTC if left out.
+    /// Time zone in which the days begin and end; UTC by default.
     #[serde(default)]
     pub zone: Zone,
 }
@@ -182,7 +182,7 @@
     }
 }
 
-/// The time of a decision.
+/// The time of a decision, with its lazily formatted text.
 #[derive(Debug)]
 pub(crate) struct DecisionTime {
     at: UnixMillis,
@@ -199,7 +199,7 @@
         self.at
     }
 
-    /// Returns the time in UTC for people.
+    /// Formats the time in UTC for display.
     pub(crate) fn text(&self) -> &str {
         self.text.get_or_init(|| {
             let civil = Zone::default().civil(self.at);
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -1,4 +1,4 @@
-//! What a configuration must mean beyond its shape.
+//! Semantic checks of a configuration, after it has been deserialized.
 
 use conf::{Check, Findings, OneOrMany, UniqueNames, settings::EndpointKind};
 
@@ -149,7 +149,7 @@
         let wanted = when.service.as_ref();
         self.check_defined(&key("service"), "service", wanted, &services);
         if when.model.is_some() && when.service.is_some() {
-            let message = "no request asks for a model and a service";
+            let message = "no request names both a model and a service";
             self.findings.report(&key("service"), message);
         }
         self.ranges(path, when);
@@ -160,10 +160,11 @@
             let path = format!("{path}.prompt_bytes");
             match (range.min, range.max) {
                 (None, None) => {
-                    self.findings.report(&path, "takes `min` or `max`");
+                    self.findings.report(&path, "needs `min` or `max`");
                 }
                 (Some(min), Some(max)) if min > max => {
-                    let message = format!("min {min} is over max {max}");
+                    let message =
+                        format!("min {min} is greater than max {max}");
                     self.findings.report(&path, message);
                 }
                 _ => {}
@@ -231,7 +232,7 @@
             (then.first_token_ms, then.deadline_ms)
             && first > all
         {
-            let message = format!("{first} is over deadline_ms {all}");
+            let message = format!("{first} is greater than deadline_ms {all}");
             self.findings.report(&key("first_token_ms"), message);
         }
         if let Some(retries) = then.retries {
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Refuses keys that say how to send a request that is not sent.
+    /// Reports keys that control routing in a rule that routes nothing.
     fn reject_routing_keys(&mut self, path: &str, then: &Then) {
         let given = [
             ("fallback_pools", then.fallback_pools.is_some()),
@@ -278,7 +279,8 @@
         self.findings.range(&share_path, share, 0.0, 1.0);
         self.findings.range(&floor_path, floor, 0.0, 1.0);
         if floor > share {
-            let message = format!("{floor} is over batch_share {share}");
+            let message =
+                format!("{floor} is greater than batch_share {share}");
             self.findings.report(&floor_path, message);
         }
     }
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Refuses a rule that sends requests for a model or a service to a pool
-    /// that does not serve it; each such request would fail.
+    /// Reports a rule that routes requests for a model or a service to a pool
+    /// that does not serve it, since every such request would fail.
     fn check_served(&mut self, path: &str, rule: &Rule) {
         let Some(name) = &rule.then.pool else { return };
         let mut pools = self.config.pools.iter();
@@ -340,7 +342,8 @@
         }
     }
 
-    /// A name may lack its definition only because that could not be read.
+    /// Reports an undefined name, unless the section that may define it could
+    /// not be read completely.
     fn check_known(
         &mut self,
         path: &str,
@@ -372,7 +375,7 @@
 
     fn not_empty<T>(&mut self, path: &str, list: Option<&OneOrMany<T>>) {
         if list.is_some_and(|list| list.is_empty()) {
-            let message = "an empty list never holds; leave the key out";
+            let message = "an empty list never matches; omit the key";
             self.findings.report(path, message);
         }
     }
@@ -393,7 +396,8 @@
         if let Some(rate) = rate
             && !(rate > 0.0 && rate <= MAX_RATE_PER_S)
         {
-            let message = format!("{rate} is not over 0 and up to 1e9");
+            let message =
+                format!("{rate} is not greater than 0 and at most 1e9");
             self.findings.report(path, message);
         }
     }
--- a/crates/rules/src/compiled.rs
+++ b/crates/rules/src/compiled.rs
@@ -12,10 +12,10 @@
 };
 
 new_key_type! {
-    /// Names a customer within one compiled configuration.
+    /// Key of a customer in one compiled configuration.
     pub struct CustomerKey;
 
-    /// Names a pool within one compiled configuration.
+    /// Key of a pool in one compiled configuration.
     pub struct PoolKey;
 }
 
@@ -39,7 +39,7 @@
         &self.config.customer
     }
 
-    /// Returns the customer's limits over the whole fleet.
+    /// Returns the customer's fleet-wide limits.
     #[inline]
     pub fn limits(&self) -> &CustomerLimits {
         &self.config.limits
@@ -72,23 +72,24 @@
         &self.config.pool
     }
 
-    /// Returns what the configuration says of the pool.
+    /// Returns the configuration of the pool.
     #[inline]
     pub fn config(&self) -> &PoolConfig {
         &self.config
     }
 
-    /// Tells whether the pool's endpoints refuse old orders by themselves.
+    /// Reports whether the pool's endpoints reject commands with a stale
+    /// fencing token themselves.
     #[inline]
     pub fn checks_fence(&self) -> bool {
         self.config.order_fencing == OrderFencing::Checked
     }
 
-    /// Tells whether a call of this method may run twice.
+    /// Reports whether a call with this method may run more than once.
     ///
-    /// Engines only compute, so theirs may. A service's call may do
-    /// something in the world; without word from the operators only the
-    /// methods that HTTP calls safe are repeated.
+    /// Calls of engines have no side effects, so they may. A call of a service
+    /// may have some; unless operators list other methods, only those that
+    /// HTTP defines as safe are repeated.
     pub fn is_repeatable(&self, method: &str) -> bool {
         const SAFE: [Method; 3] = [Method::Get, Method::Head, Method::Options];
         if self.config.kind == EndpointKind::Engine {
@@ -104,12 +105,12 @@
 #[derive(Clone, Debug)]
 struct CompiledRule {
     name: Option<String>,
-    /// Those that the index does not cover.
+    /// Conditions that the index does not cover.
     tests: Vec<Condition>,
     outcome: Outcome,
 }
 
-/// A configuration that is indexed for decisions; it never changes.
+/// An immutable configuration, indexed for decisions.
 ///
 /// # Example
 ///
@@ -207,10 +208,11 @@
         self.revision
     }
 
-    /// Returns the customer whose key has this SHA-256 digest.
+    /// Returns the customer that owns the API key with this SHA-256 digest.
     ///
-    /// The time of the search tells nothing about keys: an attacker who
-    /// guesses keys cannot choose their digests.
+    /// The lookup does not run in constant time, but its timing reveals
+    /// nothing about keys: an attacker who guesses keys cannot choose their
+    /// digests.
     #[inline]
     pub fn customer_by_key_digest(
         &self,
@@ -251,7 +253,7 @@
         self.pools.values()
     }
 
-    /// Returns the names of all models that some pool serves, sorted.
+    /// Returns the names of all models that any pool serves, sorted.
     pub fn models(&self) -> Vec<&str> {
         let lists = self.pools.values().map(|pool| &pool.config.models);
         let models = lists.flatten().flat_map(|list| list.iter());
@@ -260,7 +262,7 @@
         sorted.into_iter().collect()
     }
 
-    /// Returns what the first rule that holds says.
+    /// Returns the decision of the first rule whose conditions all hold.
     pub fn decide(
         &self,
         sample: &Sample<'_>,
@@ -295,12 +297,12 @@
             let pool = self.pool(key);
             pool.is_some_and(|pool| pool.is_repeatable(method))
         };
-        // A retry may go to any of the pools.
+        // A retry may be sent to any of the pools.
         let all = || route.pools().all(by_pool);
         route.repeatable().unwrap_or_else(all)
     }
 
-    /// Tells for each rule whether it holds, and if not, which conditions
+    /// Explains for each rule whether it matches, and if not, which conditions
     /// fail.
     pub fn explain(
         &self,
--- a/crates/rules/src/condition.rs
+++ b/crates/rules/src/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions one by one: tested by decisions, told by explanations.
+//! Single conditions: evaluated by decisions and described in explanations.
 
 use std::fmt::Display;
 
@@ -31,7 +31,7 @@
 }
 
 impl Condition {
-    /// Lists the conditions of a rule, cheap ones first.
+    /// Lists the conditions of a rule, cheapest first.
     pub(crate) fn list(when: When) -> Vec<Condition> {
         let When {
             class,
@@ -66,8 +66,8 @@
         .collect()
     }
 
-    /// Tells whether an index finds the rules that hold for this condition,
-    /// so that a decision need not test it.
+    /// Reports whether the rule index covers this condition, so that a
+    /// decision does not need to evaluate it.
     pub(crate) fn is_indexed(&self) -> bool {
         matches!(
             self,
@@ -95,11 +95,11 @@
                 values.iter().any(|method| method.as_str() == sample.method)
             }
             Condition::Path(values) => {
-                values.iter().any(|one| one.matches(sample.path))
+                values.iter().any(|item| item.matches(sample.path))
             }
-            Condition::Header(values) => values.iter().any(|one| {
-                let value = sample.facts.header(&one.name);
-                value.is_some_and(|value| one.matches(value))
+            Condition::Header(values) => values.iter().any(|item| {
+                let value = sample.facts.header(&item.name);
+                value.is_some_and(|value| item.matches(value))
             }),
             Condition::PromptBytes(range) => {
                 range.contains(sample.prompt_bytes)
@@ -107,15 +107,15 @@
             Condition::DueInMs(due) => {
                 sample.due_in_ms.is_some_and(|ms| ms < due.below)
             }
-            Condition::PoolLoad(values) => values.iter().any(|one| {
-                let load = sample.facts.pool_load(&one.pool);
-                load.is_some_and(|load| load > one.above)
+            Condition::PoolLoad(values) => values.iter().any(|item| {
+                let load = sample.facts.pool_load(&item.pool);
+                load.is_some_and(|load| load > item.above)
             }),
             Condition::Dates(values) => {
-                values.iter().any(|one| one.contains(now))
+                values.iter().any(|item| item.contains(now))
             }
             Condition::TimeOfDay(values) => {
-                values.iter().any(|one| one.contains(now))
+                values.iter().any(|item| item.contains(now))
             }
         }
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns what the condition asks for, for people.
+    /// Describes the value that the condition requires, for display.
     pub(crate) fn wanted(&self) -> String {
         match self {
             Condition::Class(values) => one_of(values),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Returns what the sample has instead, for people.
+    /// Describes the value that the sample has, for display.
     pub(crate) fn found(
         &self,
         sample: &Sample<'_>,
@@ -169,17 +169,17 @@
             Condition::Service(_) => or_none(sample.service),
             Condition::Method(_) => sample.method.to_owned(),
             Condition::Path(_) => sample.path.to_owned(),
-            Condition::Header(values) => join_values(values, |one| {
-                let value = sample.facts.header(&one.name);
+            Condition::Header(values) => join_values(values, |item| {
+                let value = sample.facts.header(&item.name);
                 let value = value.map(|value| format!("{value:?}"));
-                format!("{}: {}", one.name, or_none(value))
+                format!("{}: {}", item.name, or_none(value))
             }),
             Condition::PromptBytes(_) => sample.prompt_bytes.to_string(),
             Condition::DueInMs(_) => or_none(sample.due_in_ms),
-            Condition::PoolLoad(values) => join_values(values, |one| {
-                let load = sample.facts.pool_load(&one.pool);
+            Condition::PoolLoad(values) => join_values(values, |item| {
+                let load = sample.facts.pool_load(&item.pool);
                 let load = load.map_or("unknown".into(), |l| l.to_string());
-                format!("{} {load}", one.pool)
+                format!("{} {load}", item.pool)
             }),
             Condition::Dates(_) | Condition::TimeOfDay(_) => {
                 now.text().to_owned()
@@ -189,15 +189,15 @@
 }
 
 fn lower_names(values: OneOrMany<HeaderMatch>) -> OneOrMany<HeaderMatch> {
-    let lower = |one: &HeaderMatch| HeaderMatch {
-        name: one.name.to_lowercase(),
-        ..one.clone()
+    let lower = |item: &HeaderMatch| HeaderMatch {
+        name: item.name.to_lowercase(),
+        ..item.clone()
     };
     OneOrMany::new(values.iter().map(lower).collect())
 }
 
 fn matches_any<T: AsRef<str>>(values: &[T], found: Option<&str>) -> bool {
-    found.is_some_and(|found| values.iter().any(|one| one.as_ref() == found))
+    found.is_some_and(|found| values.iter().any(|item| item.as_ref() == found))
 }
 
 fn join_values<T>(values: &[T], text: impl Fn(&T) -> String) -> String {
--- a/crates/rules/src/config.rs
+++ b/crates/rules/src/config.rs
@@ -10,18 +10,18 @@
 
 /// The operators' configuration: customers, pools and ordered rules.
 ///
-/// Its text is the authority and is kept as it was written; this is what
-/// the text says.
+/// The text of the configuration is authoritative and stored as written; this
+/// is its parsed form.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
-    /// Who may call.
+    /// Customers that may send requests.
     #[serde(rename = "tenants")]
     pub customers: Vec<CustomerConfig>,
-    /// Groups of endpoints that requests go to.
+    /// Groups of endpoints that requests are routed to.
     pub pools: Vec<PoolConfig>,
-    /// What happens to a request; the first rule whose conditions hold
-    /// decides.
+    /// Rules that decide on a request; the first rule whose conditions all
+    /// hold applies.
     pub rules: Vec<Rule>,
 }
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Every problem of the text with its place, up to 20.
+    /// Returns the problems of the text with their positions, at most 20.
     ///
     /// # Example
     ///
@@ -57,7 +57,7 @@
         parse_checked(source_name, text).map_err(RulesError::of)
     }
 
-    /// Indexes a configuration for decisions.
+    /// Compiles the configuration into an index for decisions.
     pub fn compile(self, revision: Revision) -> CompiledConfig {
         CompiledConfig::new(self, revision)
     }
@@ -67,13 +67,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerConfig {
-    /// Its name.
+    /// Name.
     #[serde(rename = "tenant")]
     pub customer: Customer,
-    /// SHA-256 digests of its keys; several while a key is replaced.
+    /// SHA-256 digests of its API keys; several during a key rotation.
     #[serde(default)]
     pub key_sha256: OneOrMany<KeyDigest>,
-    /// Its limits over all rules and the whole fleet.
+    /// Limits over all rules and the whole fleet.
     #[serde(default)]
     pub limits: CustomerLimits,
     /// Share of contended capacity, relative to other customers.
@@ -87,32 +87,32 @@
     }
 }
 
-/// Limits of a customer; what is left out is not limited.
+/// Limits of a customer; an omitted key is unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CustomerLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub requests_per_s: Option<f64>,
-    /// Requests that may come at once after a pause; those of one second
-    /// if left out.
+    /// Burst: requests that may arrive at once after an idle period; by
+    /// default those of one second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub burst: Option<u32>,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrent: Option<u32>,
-    /// Batch items that are accepted and not completed.
+    /// Maximum number of batch items that are accepted and not completed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub batch_items_open: Option<u64>,
 }
 
-/// A group of endpoints that do the same.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolConfig {
-    /// Its name.
+    /// Name.
     pub pool: String,
-    /// What its endpoints are.
+    /// Kind of its endpoints.
     pub kind: EndpointKind,
     /// Models that its engines serve.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -120,20 +120,20 @@
     /// Service that its endpoints are instances of.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<Service>,
-    /// Methods whose calls may run twice, unless a rule says otherwise; GET,
-    /// HEAD and OPTIONS if left out. Calls of engines may always.
+    /// Methods whose calls may run more than once, unless a rule overrides it;
+    /// by default GET, HEAD and OPTIONS. Calls of engines always may.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<OneOrMany<Method>>,
-    /// Whether its endpoints refuse orders with an old fencing number.
+    /// Whether its endpoints reject commands with a stale fencing token.
     #[serde(default)]
     pub order_fencing: OrderFencing,
-    /// Endpoints that have no companion, for processes that read no machine
-    /// list.
+    /// Endpoints without a companion, for processes that do not read the list
+    /// of VMs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub hosts: Vec<HttpAddress>,
 }
 
-/// Whether endpoints refuse orders with an old fencing number.
+/// Whether endpoints reject commands with a stale fencing token.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
@@ -141,81 +141,82 @@
 pub enum OrderFencing {
     /// They do.
     Checked,
-    /// They do not; only their companion may give orders.
+    /// They do not; only their companion may send them commands.
     #[default]
     Unchecked,
 }
 
-/// A rule: if this holds, do that.
+/// A rule: conditions and the action to take if all of them hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Its name in logs and explanations.
+    /// Name shown in logs and explanations.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub name: Option<String>,
-    /// Its conditions; without any it always holds.
+    /// Conditions; a rule without conditions always matches.
     #[serde(default)]
     pub when: When,
-    /// What it does.
+    /// Action of the rule.
     pub then: Then,
 }
 
-/// What a rule does: exactly one of `pool`, `refuse` and `shed`.
+/// The action of a rule: exactly one of `pool`, `refuse` and `shed`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Then {
-    /// Pool that the request goes to.
+    /// Pool that the request is routed to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
-    /// Pools that are tried after it, in order.
+    /// Pools to try after `pool`, in order.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fallback_pools: Option<OneOrMany<String>>,
-    /// Longest time to the end of the answer, in milliseconds.
+    /// Deadline for the end of the response, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
     /// Target for the first token, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub first_token_ms: Option<u64>,
-    /// Attempts after the first; 2 if left out.
+    /// Maximum number of retries; 2 by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retries: Option<u32>,
-    /// Wait for a first byte before a second attempt runs beside the first,
-    /// in milliseconds; no such attempt if left out.
+    /// Hedging delay: time without a first byte after which a second attempt
+    /// starts alongside the first, in milliseconds; no hedging by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hedge_ms: Option<u64>,
-    /// Whether the request may run twice.
+    /// Whether the request may run more than once.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
-    /// Requests a second of this rule over the whole fleet.
+    /// Maximum rate of this rule over the whole fleet, in requests per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_s: Option<f64>,
-    /// Requests of this rule that may run at once over the whole fleet.
+    /// Maximum number of concurrent requests of this rule over the whole
+    /// fleet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrent: Option<u32>,
-    /// Refuses the request because the fleet is too busy for it.
+    /// Refuses the request because of overload.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub shed: bool,
     /// Refuses the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<Refuse>,
-    /// Largest share of a pool's places that batch work may take, 0 to 1.
+    /// Maximum share of a pool's slots that batch work may use, 0 to 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub batch_share: Option<f64>,
-    /// Share of a pool's places that batch work keeps beside online work,
+    /// Share of a pool's slots reserved for batch work alongside online work,
     /// 0 to 1.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub batch_floor: Option<f64>,
 }
 
-/// A refusal that a rule asks for.
+/// A refusal configured by a rule.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Refuse {
-    /// Status of the answer, 400 to 599.
+    /// HTTP status of the response, 400 to 599.
     pub status: u16,
-    /// Reason, for the caller.
+    /// Reason shown to the caller.
     pub detail: String,
-    /// Seconds after which to come back.
+    /// Retry delay sent to the caller, in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u32>,
 }
--- a/crates/rules/src/decision.rs
+++ b/crates/rules/src/decision.rs
@@ -4,17 +4,17 @@
 
 use crate::{PoolEntry, PoolKey, Refuse, config::Then};
 
-/// Attempts after the first if a rule does not say.
+/// Maximum number of retries if a rule does not set it.
 const DEFAULT_RETRIES: u32 = 2;
 
-/// Seconds after which a refused caller should come back if a rule does not
-/// say. Without a time, callers come back at once and keep the overload up.
+/// Retry delay of refusals if a rule does not set it, in seconds. Without a
+/// delay, callers retry at once and sustain the overload.
 const DEFAULT_RETRY_AFTER_S: u32 = 5;
 
-/// Statuses by which a caller is asked to come back.
+/// Statuses that ask the caller to retry later.
 const RETRYABLE_STATUSES: [u16; 2] = [429, 503];
 
-/// What the rules say of a request.
+/// The decision of the rules on a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision<'a> {
     rule: Option<usize>,
@@ -31,48 +31,48 @@
         Self { rule, name, action }
     }
 
-    /// Returns the number of the rule that decided, counted from 0.
+    /// Returns the index of the rule that applies, from 0.
     #[inline]
     pub fn rule(&self) -> Option<usize> {
         self.rule
     }
 
-    /// Returns the name of the rule that decided.
+    /// Returns the name of the rule that applies.
     #[inline]
     pub fn rule_name(&self) -> Option<&'a str> {
         self.name
     }
 
-    /// Returns what to do.
+    /// Returns the action to take.
     #[inline]
     pub fn action(&self) -> Action<'a> {
         self.action
     }
 }
 
-/// What to do with a request.
+/// Action to take on a request.
 #[derive(Clone, Copy, Debug)]
 pub enum Action<'a> {
-    /// Send it to a pool.
+    /// Route the request to a pool.
     Route {
-        /// Where and how.
+        /// Destination and options.
         route: &'a Route,
-        /// Whether it may run twice.
+        /// Whether the request may run more than once.
         repeatable: bool,
     },
-    /// Refuse it as a rule says.
+    /// Refuse the request as a rule configures.
     Refuse(&'a Refusal),
-    /// Refuse it because the fleet is too busy for it; the caller is asked
-    /// to come back ([`Action::retry_after_s`]).
+    /// Refuse the request because of overload; the caller is asked to retry
+    /// later ([`Action::retry_after_s`]).
     Shed,
-    /// Refuse it because no rule holds. A silent default was rejected: it
-    /// would hide that a rule is missing.
+    /// Refuse the request because no rule matches. A default action would hide
+    /// that a rule is missing.
     NoRule,
 }
 
 impl Action<'_> {
-    /// Returns the seconds after which a refused caller should come back,
-    /// if that can help.
+    /// Returns the retry delay for a refused caller, in seconds, or `None` if
+    /// a retry would not help.
     pub fn retry_after_s(&self) -> Option<u32> {
         match self {
             Action::Route { .. } | Action::NoRule => None,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Where and how to send a request.
+/// Destination and options of a routed request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     pool: PoolKey,
@@ -103,7 +103,7 @@
         std::iter::once(self.pool).chain(fallbacks)
     }
 
-    /// Returns the longest time to the end of the answer, in milliseconds.
+    /// Returns the deadline for the end of the response, in milliseconds.
     #[inline]
     pub fn deadline_ms(&self) -> Option<u64> {
         self.then.deadline_ms
@@ -115,71 +115,71 @@
         self.then.first_token_ms
     }
 
-    /// Returns the attempts after the first.
+    /// Returns the maximum number of retries.
     #[inline]
     pub fn retries(&self) -> u32 {
         self.then.retries.unwrap_or(DEFAULT_RETRIES)
     }
 
-    /// Returns the wait before a second attempt beside the first, in
-    /// milliseconds.
+    /// Returns the hedging delay, in milliseconds.
     #[inline]
     pub fn hedge_ms(&self) -> Option<u64> {
         self.then.hedge_ms
     }
 
-    /// Returns whether the rule says that a request may run twice; the
-    /// answer for a request is in [`Action::Route`].
+    /// Returns whether the rule itself allows a request to run more than once;
+    /// [`Action::Route`] holds the effective value for a request.
     #[inline]
     pub fn repeatable(&self) -> Option<bool> {
         self.then.repeatable
     }
 
-    /// Returns the requests a second of the rule over the whole fleet.
+    /// Returns the maximum rate of the rule over the whole fleet, in requests
+    /// per second.
     #[inline]
     pub fn rate_per_s(&self) -> Option<f64> {
         self.then.rate_per_s
     }
 
-    /// Returns the requests of the rule that may run at once over the whole
-    /// fleet.
+    /// Returns the maximum number of concurrent requests of the rule over the
+    /// whole fleet.
     #[inline]
     pub fn concurrent(&self) -> Option<u32> {
         self.then.concurrent
     }
 
-    /// Returns the largest share of places for batch work.
+    /// Returns the maximum share of slots that batch work may use.
     #[inline]
     pub fn batch_share(&self) -> f64 {
         self.then.batch_share.unwrap_or(1.0)
     }
 
-    /// Returns the share of places that batch work keeps.
+    /// Returns the share of slots reserved for batch work.
     #[inline]
     pub fn batch_floor(&self) -> f64 {
         self.then.batch_floor.unwrap_or(0.0)
     }
 }
 
-/// A refusal that a rule asks for.
+/// A refusal configured by a rule.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal(Refuse);
 
 impl Refusal {
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the response.
     #[inline]
     pub fn status(&self) -> u16 {
         self.0.status
     }
 
-    /// Returns the reason, for the caller.
+    /// Returns the reason shown to the caller.
     #[inline]
     pub fn detail(&self) -> &str {
         &self.0.detail
     }
 
-    /// Returns the seconds after which to come back. A status that asks the
-    /// caller to come back always has them.
+    /// Returns the retry delay for the caller, in seconds. Statuses that ask
+    /// the caller to retry always have one.
     pub fn retry_after_s(&self) -> Option<u32> {
         let is_retryable = RETRYABLE_STATUSES.contains(&self.0.status);
         let default = is_retryable.then_some(DEFAULT_RETRY_AFTER_S);
@@ -187,7 +187,7 @@
     }
 }
 
-/// What a compiled rule does.
+/// Compiled action of a rule.
 #[derive(Clone, Debug)]
 pub(crate) enum Outcome {
     Route(Route),
@@ -196,7 +196,7 @@
 }
 
 impl Outcome {
-    /// Compiles an action; the check has made sure that its pools exist.
+    /// Compiles an action. The checks have verified that its pools exist.
     pub(crate) fn new(then: Then, pools: &HashMap<String, PoolKey>) -> Self {
         if let Some(refuse) = then.refuse {
             return Outcome::Refuse(Refusal(refuse));
--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -1,4 +1,4 @@
-//! Differences of two configurations in words.
+//! Textual differences between two configurations.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 
 use crate::Config;
 
-/// Returns the differences of two texts of a configuration, one a line.
+/// Returns the differences between two configuration texts, one per line.
 ///
-/// See [`Config::diff`]. If one of them is not valid, that is the only line.
+/// See [`Config::diff`]. If a text is not valid, its error is the only line.
 ///
 /// # Example
 ///
@@ -39,12 +39,12 @@
 }
 
 impl Config {
-    /// Returns what turns this configuration into another, one a line: `+`
-    /// for what is new, `-` for what is gone, `~` for a changed key and `>`
-    /// for a rule that has moved among those that stay.
+    /// Returns the changes from this configuration to another, one per line:
+    /// `+` for an addition, `-` for a removal, `~` for a changed key and `>`
+    /// for a rule that moved relative to the rules that stay.
     ///
-    /// Customers, pools and named rules are matched by their names, rules
-    /// without a name by their whole content.
+    /// Customers, pools and named rules are matched by name, unnamed rules by
+    /// their whole content.
     pub fn diff(&self, new: &Config) -> Vec<String> {
         let mut lines = Vec::new();
         let customers =
@@ -69,7 +69,7 @@
     }
 }
 
-/// One customer, pool or rule.
+/// A customer, pool or rule.
 struct Item {
     title: String,
     value: Value,
@@ -83,7 +83,7 @@
     let mut seen = HashMap::<String, usize>::new();
     let item = |one: &T| {
         let mut title = format!("{kind} {}", name(one));
-        // Two rules without a name may be the same.
+        // Two unnamed rules may have the same content.
         let count = seen.entry(title.clone()).or_default();
         *count += 1;
         if *count > 1 {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns a longest subsequence of numbers that keep their order.
+/// Returns a longest increasing subsequence.
 fn longest_increasing_subsequence(numbers: &[usize]) -> Vec<usize> {
     let mut best: Vec<Vec<usize>> = Vec::new();
     for (end, &number) in numbers.iter().enumerate() {
@@ -155,7 +155,7 @@
     best.into_iter().max_by_key(Vec::len).unwrap_or_default()
 }
 
-/// Adds a line for each key that differs, new_index any depth.
+/// Appends a line for each key that differs, at any depth.
 fn append_changes(
     title: &str,
     path: &str,
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -3,9 +3,9 @@
 use conf::{ConfError, Problem};
 use error_stack::Report;
 
-/// Says that a configuration is not valid, with every problem and its place.
+/// Error for an invalid configuration, with every problem and its position.
 ///
-/// Displays one line for each problem; see [`Problem`].
+/// Displays one line per problem; see [`Problem`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RulesError(ConfError);
 
@@ -15,7 +15,7 @@
         report.change_context(error)
     }
 
-    /// Returns the problems in the order of the text.
+    /// Returns the problems in text order.
     pub fn problems(&self) -> impl Iterator<Item = &Problem> {
         self.0.problems()
     }
@@ -29,7 +29,7 @@
 
 impl std::error::Error for RulesError {}
 
-/// Returns the problems of a report, for answers to machines.
+/// Returns the problems of a report, for machine-readable responses.
 ///
 /// # Example
 ///
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -5,7 +5,7 @@
 
 use crate::{Sample, calendar::DecisionTime, condition::Condition};
 
-/// Tells why a request is decided as it is.
+/// Explains the decision on a request.
 ///
 /// # Example
 ///
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
     revision: Revision,
-    /// Number of the rule that decides, counted from 1 as shown to people.
+    /// Number of the rule that applies, from 1 as displayed.
     rule: Option<usize>,
     action: String,
     rules: Vec<RuleExplanation>,
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Returns the number of the rule that decides, counted from 1.
+    /// Returns the number of the rule that applies, from 1.
     #[inline]
     pub fn rule(&self) -> Option<usize> {
         self.rule
     }
 
-    /// Returns what is done with the request.
+    /// Returns a description of the action taken.
     #[inline]
     pub fn action(&self) -> &str {
         &self.action
     }
 
-    /// Returns each rule in order.
+    /// Returns the explanation of each rule, in order.
     #[inline]
     pub fn rules(&self) -> &[RuleExplanation] {
         &self.rules
@@ -89,19 +89,19 @@
     }
 }
 
-/// What became of a rule.
+/// Result of evaluating a rule.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It is the first that holds.
+    /// The rule is the first that matches, so it applies.
     Decides,
-    /// It holds, but an earlier one decides.
+    /// The rule matches, but an earlier one applies.
     ComesLater,
-    /// A condition fails.
+    /// A condition does not hold.
     DoesNotHold,
 }
 
-/// Tells whether one rule holds.
+/// Explains whether one rule matches.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RuleExplanation {
     rule: usize,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Returns the number of the rule, counted from 1.
+    /// Returns the number of the rule, from 1.
     #[inline]
     pub fn rule(&self) -> usize {
         self.rule
@@ -146,13 +146,13 @@
         self.name.as_deref()
     }
 
-    /// Returns what became of the rule.
+    /// Returns the result of evaluating the rule.
     #[inline]
     pub fn verdict(&self) -> Verdict {
         self.verdict
     }
 
-    /// Returns the conditions that fail.
+    /// Returns the conditions that do not hold.
     #[inline]
     pub fn failures(&self) -> &[Failure] {
         &self.failures
@@ -179,7 +179,7 @@
     }
 }
 
-/// A condition that fails.
+/// A condition that does not hold.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Failure {
     condition: String,
@@ -194,13 +194,13 @@
         &self.condition
     }
 
-    /// Returns what the rule asks for.
+    /// Returns the value that the rule requires.
     #[inline]
     pub fn wanted(&self) -> &str {
         &self.wanted
     }
 
-    /// Returns what the request has instead.
+    /// Returns the value that the request has.
     #[inline]
     pub fn found(&self) -> &str {
         &self.found
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -1,10 +1,11 @@
-//! Finds the rules that may hold for a request without testing each.
+//! Inverted index that finds candidate rules without evaluating each rule.
 //!
-//! For every value that rules ask for, a set of rules is kept that it leaves
-//! unconstrained: those that name it and those that do not ask. The sets of a
-//! request's class, customer, model, service and method are intersected, a few
-//! machine words for 200 rules. A tree over the conditions was rejected: its
-//! size can grow with the product of the conditions.
+//! For each value named by a condition, the index stores the set of rules that
+//! the value does not rule out: rules that name it and rules without that
+//! condition. A lookup intersects the sets for the request's class, customer,
+//! model, service and method, a few machine words for 200 rules. A decision
+//! tree over the conditions was rejected, since its size can grow with the
+//! product of the conditions.
 
 use std::collections::HashMap;
 
@@ -12,7 +13,7 @@
 
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// A set of rules by their number.
+/// A set of rule indices, stored as a bitmap.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 struct RuleSet(Vec<u64>);
 
@@ -26,11 +27,11 @@
     }
 }
 
-/// Rules by the value of one condition.
+/// Rules by the value of one kind of condition.
 #[derive(Clone, Debug)]
 struct ValueIndex {
     by_value: HashMap<String, RuleSet>,
-    /// Rules that do not ask.
+    /// Rules without a condition of this kind.
     unconstrained: RuleSet,
 }
 
@@ -44,14 +45,12 @@
         for (rule, conditions) in rules.iter().enumerate() {
             match conditions.iter().find_map(&indexed_values) {
                 None => unconstrained.insert(rule),
-                Some(indexed_values) => {
-                    constrained.push((rule, indexed_values))
-                }
+                Some(values) => constrained.push((rule, values)),
             }
         }
         let mut by_value = HashMap::<_, RuleSet>::new();
-        for (rule, indexed_values) in constrained {
-            for value in indexed_values {
+        for (rule, values) in constrained {
+            for value in values {
                 let set = by_value
                     .entry(value)
                     .or_insert_with(|| unconstrained.clone());
@@ -98,7 +97,8 @@
         }
     }
 
-    /// Returns the rules whose indexed conditions hold, in their order.
+    /// Returns the indices of the rules whose indexed conditions hold, in
+    /// order.
     pub(crate) fn candidates<'a>(
         &'a self,
         sample: &Sample<'_>,
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,12 +1,13 @@
 //! Ordered operator rules: parse, compile once per revision, decide, explain.
 //!
-//! Operators drive the system by one YAML document ([`Config`]): customers,
-//! pools and an ordered list of rules. The first rule whose conditions hold
-//! decides; a request that no rule covers is refused as such.
+//! Operators control request routing with one YAML document ([`Config`]):
+//! customers, pools and an ordered list of rules. The first rule whose
+//! conditions all hold applies; a request that no rule matches is refused.
 //!
-//! A process parses a document once for each revision, compiles it
-//! ([`CompiledConfig`]) and then decides each request ([`CompiledConfig::decide`])
-//! without a lock or an allocation. The time is an argument.
+//! A process parses and compiles a document once per revision
+//! ([`CompiledConfig`]) and then decides each request
+//! ([`CompiledConfig::decide`]) without taking a lock or allocating. The
+//! current time is an argument.
 
 mod calendar;
 mod check;
--- a/crates/rules/src/sample.rs
+++ b/crates/rules/src/sample.rs
@@ -3,15 +3,14 @@
 use base::Class;
 use conf::nearest;
 
-/// What a decision may need of a request beyond its head, looked up only if
-/// a rule asks for it.
+/// Request data that is looked up only if a rule needs it.
 pub trait Facts {
-    /// Returns a header by its lower-case name.
+    /// Returns the value of a header by its lower-case name.
     fn header(&self, _name: &str) -> Option<&str> {
         None
     }
 
-    /// Returns the share of a pool's places that are in use, if it is known.
+    /// Returns the share of a pool's slots in use, if known.
     fn pool_load(&self, _pool: &str) -> Option<f64> {
         None
     }
@@ -19,7 +18,7 @@
 
 impl Facts for () {}
 
-/// A request as the rules see it.
+/// The attributes of a request that rules match.
 ///
 /// # Example
 ///
@@ -36,29 +35,28 @@
 /// ```
 #[derive(Clone, Copy)]
 pub struct Sample<'a> {
-    /// Whether somebody waits.
+    /// Class: online or batch.
     pub class: Class,
-    /// Who calls.
+    /// Customer that sends the request.
     pub customer: &'a str,
-    /// Model that is asked for.
+    /// Requested model.
     pub model: Option<&'a str>,
-    /// Plain service that is asked for.
+    /// Requested service, if it is not a model.
     pub service: Option<&'a str>,
-    /// Path, without a query.
+    /// Path without the query.
     pub path: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Length of the prompt, in bytes.
     pub prompt_bytes: u64,
-    /// Time to the due time of batch work, in milliseconds; 0 if it has
-    /// passed.
+    /// Time until the batch work is due, in milliseconds; 0 if overdue.
     pub due_in_ms: Option<u64>,
-    /// Headers and loads.
+    /// Headers and pool loads.
     pub facts: &'a dyn Facts,
 }
 
 impl<'a> Sample<'a> {
-    /// Makes a sample of a POST to `/` that says nothing else.
+    /// Creates a sample of a POST to `/` without further attributes.
     pub fn new(class: Class, customer: &'a str) -> Self {
         Self {
             class,
@@ -102,10 +100,10 @@
     "pool_load.POOL",
 ];
 
-/// A sample that an operator writes as `KEY=VALUE` words.
+/// An owned sample, set from `KEY=VALUE` arguments of an operator.
 ///
-/// Keys are those of the conditions: `class`, `tenant`, `model`, `service`,
-/// `path`, `method`, `prompt_bytes`, `due_in_ms`, `header.NAME` and
+/// The keys are those of the conditions: `class`, `tenant`, `model`,
+/// `service`, `path`, `method`, `prompt_bytes`, `due_in_ms`, `header.NAME` and
 /// `pool_load.POOL`.
 ///
 /// # Example
@@ -152,11 +150,12 @@
 }
 
 impl SampleBuf {
-    /// Sets one key from a `KEY=VALUE` word.
+    /// Sets one attribute from a `KEY=VALUE` argument.
     ///
     /// # Errors
     ///
-    /// If there is no `=`, the key is unknown or the value does not fit it.
+    /// Returns an error if there is no `=`, the key is unknown or the value is
+    /// invalid.
     pub fn set(&mut self, word: &str) -> Result<(), SampleError> {
         let (key, value) = word.split_once('=').ok_or_else(|| {
             SampleError(format!("{word:?} is not of the form KEY=VALUE"))
@@ -185,7 +184,7 @@
         Ok(())
     }
 
-    /// Returns the sample for a decision.
+    /// Returns a borrowed sample for a decision.
     pub fn as_sample(&self) -> Sample<'_> {
         Sample {
             class: self.class,
@@ -211,7 +210,7 @@
     }
 }
 
-/// Says what is wrong with a word of a sample.
+/// Error for an invalid `KEY=VALUE` argument.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SampleError(String);
 
@@ -232,7 +231,7 @@
 fn parse<T: FromStr>(key: &str, value: &str) -> Result<T, SampleError> {
     value
         .parse()
-        .map_err(|_| SampleError(format!("{key}: {value:?} is no number")))
+        .map_err(|_| SampleError(format!("{key}: {value:?} is not a number")))
 }
 
 fn unknown<const N: usize>(
--- a/crates/rules/src/when.rs
+++ b/crates/rules/src/when.rs
@@ -6,52 +6,52 @@
 
 use crate::calendar::{DateRange, TimeOfDay};
 
-/// Conditions of a rule: all that are given must hold.
+/// Conditions of a rule; all that are given must hold.
 ///
-/// A condition that takes a list holds if one item of the list does.
+/// A condition with a list holds if any item of the list matches.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct When {
-    /// Whether somebody waits.
+    /// Class: online or batch.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class: Option<OneOrMany<Class>>,
-    /// Who calls.
+    /// Customer that sends the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "tenant")]
     pub customer: Option<OneOrMany<Customer>>,
-    /// Model that is asked for.
+    /// Requested model.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub model: Option<OneOrMany<Model>>,
-    /// Plain service that is asked for.
+    /// Requested service, if it is not a model.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service: Option<OneOrMany<Service>>,
-    /// Path of the call.
+    /// Path of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path: Option<OneOrMany<PathPattern>>,
-    /// Method of the call.
+    /// HTTP method of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub method: Option<OneOrMany<Method>>,
-    /// A header of the call.
+    /// A header of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub header: Option<OneOrMany<HeaderMatch>>,
     /// Length of the prompt, in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prompt_bytes: Option<ByteRange>,
-    /// Part of the day.
+    /// Daily time range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub time_of_day: Option<OneOrMany<TimeOfDay>>,
-    /// Days.
+    /// Date range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dates: Option<OneOrMany<DateRange>>,
     /// Load of a pool.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool_load: Option<OneOrMany<PoolLoad>>,
-    /// Time to the due time of batch work, in milliseconds.
+    /// Time until batch work is due, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub due_in_ms: Option<DueIn>,
 }
 
-/// A path, or the start of paths if it ends with `*`.
+/// A path, or a path prefix if it ends with `*`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PathPattern {
@@ -94,28 +94,28 @@
     }
 }
 
-/// A method of HTTP.
+/// An HTTP method.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Reads the headers.
+    /// Reads only the headers.
     Head,
-    /// Asks what is possible.
+    /// Queries the supported methods.
     Options,
-    /// Does something.
+    /// Submits data or triggers an operation.
     Post,
-    /// Writes the whole.
+    /// Replaces a resource.
     Put,
-    /// Writes a part.
+    /// Modifies part of a resource.
     Patch,
-    /// Deletes.
+    /// Deletes a resource.
     Delete,
 }
 
 impl Method {
-    /// Returns the method as it stands in a request.
+    /// Returns the method name as written in a request.
     ///
     /// # Example
     ///
@@ -144,17 +144,17 @@
     }
 }
 
-/// A header with a value or the start of one; just a name asks whether the
-/// header is there.
+/// Matches a header by its value or a prefix of it; without either, the header
+/// must only be present.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeaderMatch {
-    /// Name; letter case does not count.
+    /// Header name, compared without regard to case.
     pub name: String,
-    /// The whole value.
+    /// Exact value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub equals: Option<String>,
-    /// Start of the value.
+    /// Prefix of the value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefix: Option<String>,
 }
@@ -187,10 +187,10 @@
 )]
 #[serde(default, deny_unknown_fields)]
 pub struct ByteRange {
-    /// Least length, in bytes.
+    /// Minimum length, in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub min: Option<u64>,
-    /// Greatest length, in bytes.
+    /// Maximum length, in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max: Option<u64>,
 }
@@ -213,14 +213,14 @@
     }
 }
 
-/// A load of a pool.
+/// A threshold on the load of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolLoad {
-    /// The pool.
+    /// Pool name.
     pub pool: String,
-    /// Share of its places in use above which the condition holds; more
-    /// than 1 is a queue.
+    /// Share of slots in use above which the condition holds; a share above 1
+    /// includes queued requests.
     pub above: f64,
 }
 
@@ -230,12 +230,12 @@
     }
 }
 
-/// Time to a due time.
+/// A threshold on the time until work is due.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DueIn {
-    /// Holds below this, in milliseconds; never for work that has no due
-    /// time.
+    /// The condition holds below this time, in milliseconds; never for work
+    /// without a due time.
     pub below: u64,
 }
 
--- a/crates/rules/tests/common/mod.rs
+++ b/crates/rules/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A document that uses every key.
+//! A rules document that uses every key.
 
 pub(crate) const RULES: &str = "\
 tenants:
--- a/crates/rules/tests/config.rs
+++ b/crates/rules/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a configuration may say, and how it is told what is wrong.
+//! Tests of configuration parsing, its error messages and diffs.
 
 use base::{Customer, Revision};
 use pomeloslip_rules::{Config, diff};
@@ -14,7 +14,7 @@
     report.current_context().to_string()
 }
 
-/// A document with one rule over one pool of each kind.
+/// Returns a document with one rule and one pool of each kind.
 fn with_rule(rule: &str) -> String {
     format!(
         "tenants: [{{tenant: alama}}]\n\
@@ -51,18 +51,18 @@
     unknown_service = { "{when: {service: registry}, then: {shed: true}}", "f:6:20: rules[0].when.service: unknown service \"registry\"; did you mean \"registry-desk\"?" },
     class = { "{when: {class: bach}, then: {shed: true}}", "f:6:18: rules[0].when.class: unknown value \"bach\"; one of online, batch; did you mean \"batch\"?" },
     method = { "{when: {method: [get]}, then: {shed: true}}", "f:6:20: rules[0].when.method[0]: unknown value \"get\"; one of GET, HEAD, OPTIONS, POST, PUT, PATCH, DELETE; did you mean \"GET\"?" },
-    zone = { "{when: {time_of_day: {from: 20:00, to: 06:00, zone: Europe/Talinn}}, then: {shed: true}}", "f:6:55: rules[0].when.time_of_day.zone: \"Europe/Talinn\" is no IANA time zone; did you mean \"Europe/Tallinn\"?" },
-    time = { "{when: {time_of_day: {from: 24:00, to: 06:00}}, then: {shed: true}}", "f:6:31: rules[0].when.time_of_day.from: \"24:00\" is no time of the day from 00:00 to 23:59" },
+    zone = { "{when: {time_of_day: {from: 20:00, to: 06:00, zone: Europe/Talinn}}, then: {shed: true}}", "f:6:55: rules[0].when.time_of_day.zone: \"Europe/Talinn\" is not an IANA time zone; did you mean \"Europe/Tallinn\"?" },
+    time = { "{when: {time_of_day: {from: 24:00, to: 06:00}}, then: {shed: true}}", "f:6:31: rules[0].when.time_of_day.from: \"24:00\" is not a time of day from 00:00 to 23:59" },
     no_time = { "{when: {time_of_day: {from: 06:00, to: 06:00}}, then: {shed: true}}", "f:6:24: rules[0].when.time_of_day: `from` and `to` are the same" },
-    date = { "{when: {dates: {from: 2026-02-30, to: 2026-03-01}}, then: {shed: true}}", "f:6:25: rules[0].when.dates.from: \"2026-02-30\" is no day such as 2026-12-24" },
+    date = { "{when: {dates: {from: 2026-02-30, to: 2026-03-01}}, then: {shed: true}}", "f:6:25: rules[0].when.dates.from: \"2026-02-30\" is not a date such as 2026-12-24" },
     dates = { "{when: {dates: [{from: 2026-02-03, to: 2026-02-01}]}, then: {shed: true}}", "f:6:19: rules[0].when.dates[0]: `from` is after `to`" },
     path = { "{when: {path: v1}, then: {shed: true}}", "f:6:17: rules[0].when.path: \"v1\" does not start with /" },
     path_star = { "{when: {path: /a*b}, then: {shed: true}}", "f:6:17: rules[0].when.path: \"/a*b\" has a * before its end" },
     header = { "{when: {header: {name: x, equals: a, prefix: b}}, then: {shed: true}}", "f:6:19: rules[0].when.header: takes one of `equals` and `prefix`" },
-    empty_list = { "{when: {model: []}, then: {shed: true}}", "f:6:18: rules[0].when.model: an empty list never holds; leave the key out" },
-    bytes = { "{when: {prompt_bytes: {min: 2, max: 1}}, then: {shed: true}}", "f:6:25: rules[0].when.prompt_bytes: min 2 is over max 1" },
-    no_bytes = { "{when: {prompt_bytes: {}}, then: {shed: true}}", "f:6:25: rules[0].when.prompt_bytes: takes `min` or `max`" },
-    both = { "{when: {model: a, service: registry-desk}, then: {shed: true}}", "f:6:30: rules[0].when.service: no request asks for a model and a service" },
+    empty_list = { "{when: {model: []}, then: {shed: true}}", "f:6:18: rules[0].when.model: an empty list never matches; omit the key" },
+    bytes = { "{when: {prompt_bytes: {min: 2, max: 1}}, then: {shed: true}}", "f:6:25: rules[0].when.prompt_bytes: min 2 is greater than max 1" },
+    no_bytes = { "{when: {prompt_bytes: {}}, then: {shed: true}}", "f:6:25: rules[0].when.prompt_bytes: needs `min` or `max`" },
+    both = { "{when: {model: a, service: registry-desk}, then: {shed: true}}", "f:6:30: rules[0].when.service: no request names both a model and a service" },
     load = { "{when: {pool_load: {pool: lm, above: -1}}, then: {shed: true}}", "f:6:40: rules[0].when.pool_load.above: -1 is not in 0 to 1000" },
     no_action = { "{then: {}}", "f:6:10: rules[0].then: takes exactly one of `pool`, `refuse`, `shed`" },
     two_actions = { "{then: {pool: lm, shed: true}}", "f:6:10: rules[0].then: takes exactly one of `pool`, `refuse`, `shed`" },
@@ -70,12 +70,12 @@
     useless = { "{then: {shed: true, retries: 1}}", "f:6:32: rules[0].then.retries: has no effect without `pool`" },
     status = { "{then: {refuse: {status: 200}}}", "f:6:28: rules[0].then.refuse.status: 200 is not in 400 to 599" },
     deadline = { "{then: {pool: lm, deadline_ms: 0}}", "f:6:34: rules[0].then.deadline_ms: 0 is not in 1 to 86400000" },
-    first_token = { "{then: {pool: lm, deadline_ms: 5, first_token_ms: 6}}", "f:6:53: rules[0].then.first_token_ms: 6 is over deadline_ms 5" },
+    first_token = { "{then: {pool: lm, deadline_ms: 5, first_token_ms: 6}}", "f:6:53: rules[0].then.first_token_ms: 6 is greater than deadline_ms 5" },
     retries = { "{then: {pool: lm, retries: 11}}", "f:6:30: rules[0].then.retries: 11 is not in 0 to 10" },
     hedge = { "{then: {pool: lm, hedge_ms: 5, repeatable: false}}", "f:6:31: rules[0].then.hedge_ms: runs a request twice, which `repeatable` forbids" },
-    rate = { "{then: {pool: lm, rate_per_s: 0}}", "f:6:33: rules[0].then.rate_per_s: 0 is not over 0 and up to 1e9" },
+    rate = { "{then: {pool: lm, rate_per_s: 0}}", "f:6:33: rules[0].then.rate_per_s: 0 is not greater than 0 and at most 1e9" },
     share = { "{then: {pool: lm, batch_share: 1.5}}", "f:6:34: rules[0].then.batch_share: 1.5 is not in 0 to 1" },
-    floor = { "{then: {pool: lm, batch_share: 0.2, batch_floor: 0.3}}", "f:6:52: rules[0].then.batch_floor: 0.3 is over batch_share 0.2" },
+    floor = { "{then: {pool: lm, batch_share: 0.2, batch_floor: 0.3}}", "f:6:52: rules[0].then.batch_floor: 0.3 is greater than batch_share 0.2" },
     wrong_pool = { "{when: {model: [a, b]}, then: {pool: desk}}", "f:6:40: rules[0].then.pool: \"desk\" has no model a\nf:6:40: rules[0].then.pool: \"desk\" has no model b" },
     wrong_service = { "{when: {service: registry-desk}, then: {pool: lm}}", "f:6:49: rules[0].then.pool: \"lm\" is not service registry-desk" },
 )]
@@ -99,11 +99,10 @@
     assert_eq!(error(text), line);
 }
 
-/// Symptom: an operator mends one error and gets a hundred others. Sequence:
-/// a pool cannot be read, so every rule names an unknown pool. Cause: checks
-/// that follow from an earlier problem.
+/// Guards against follow-up errors that hide the actual problem: a pool cannot
+/// be read, and each rule that names it reports an unknown pool.
 #[test]
-fn broken_pool_makes_no_other_problems() {
+fn invalid_pool_causes_no_follow_up_errors() {
     let text = "\
 pools:
 - {pool: lm, kind: engin, models: [a]}
@@ -120,7 +119,7 @@
     );
 }
 
-/// Two keys of a customer are valid while one replaces the other; one key of
+/// A customer may have two valid keys during a rotation, but a key shared by
 /// two customers would bill the wrong one.
 #[test]
 fn digest_belongs_to_one_customer() {
@@ -169,7 +168,7 @@
 }
 
 #[test]
-fn moved_rules_are_told_once() {
+fn moved_rules_are_reported_once() {
     let rule =
         |name: &str| format!("- {{name: {name}, then: {{shed: true}}}}\n");
     let text = |names: &str| {
@@ -192,12 +191,12 @@
 }
 
 #[test]
-fn difference_to_a_broken_text_says_so() {
+fn diff_with_an_invalid_text_reports_its_error() {
     assert_eq!(diff("rules: []", "rules: 1").len(), 1);
 }
 
-/// Changes a text at some places, as a slip of the hand would.
-fn mutated() -> impl Strategy<Value = String> {
+/// Generates a document with random edits, like typing errors.
+fn edited_document() -> impl Strategy<Value = String> {
     let piece = prop::sample::select(vec![
         "", " ", "\n", ":", "-", "[", "]", "{", "}", "'", "\"", "#", "&a ",
         "*a", "!t ", "0", "-1", "1e999", ".nan", "~", "a: ", "\t", "\u{e4}",
@@ -223,9 +222,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever an editor leaves behind, parsing answers with places.
+    /// Parsing any damaged document returns a configuration or problems with
+    /// valid positions.
     #[test]
-    fn broken_documents_are_answered(text in mutated()) {
+    fn damaged_documents_report_valid_positions(text in edited_document()) {
         match Config::parse("f", &text) {
             Ok(config) => {
                 config.compile(Revision::new(1));
--- a/crates/rules/tests/decide.rs
+++ b/crates/rules/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Which rule decides, and the reasons that are given.
+//! Tests of decisions and of their explanations.
 
 use base::{Class, Revision, UnixMillis};
 use pomeloslip_rules::{
@@ -14,7 +14,7 @@
 /// 2026-12-26 12:00 in Dar es Salaam.
 const NOON: u64 = 1_798_275_600_000;
 
-/// 2026-12-27 02:00 there, still the 26th in UTC.
+/// 2026-12-27 02:00 in Dar es Salaam, still the 26th in UTC.
 const AFTER_THE_SEASON: u64 = NOON + 14 * 3_600_000;
 
 fn compile(text: &str) -> CompiledConfig {
@@ -88,11 +88,10 @@
     assert_eq!(found, expected);
 }
 
-/// Symptom: refused callers come back at once and keep the overload up.
-/// Sequence: a rule refuses with 429 and no word of when. Cause: the time is
-/// optional in a rule.
+/// Guards against refused callers that retry at once and sustain the overload:
+/// a rule refuses with 429 and sets no retry delay.
 #[test]
-fn refusals_say_when_to_come_back() {
+fn refusals_carry_a_retry_delay() {
     let rules = compile(RULES);
     let now = UnixMillis::new(NOON);
     let long = sample("prompt_bytes=10000");
@@ -104,8 +103,8 @@
     let busy = sample("class=batch pool_load.alama=1.5");
     let shed = rules.decide(&busy.as_sample(), now);
     assert_eq!(shed.action().retry_after_s(), Some(5));
-    let forever = compile("rules: [{then: {refuse: {}}}]");
-    let refused = forever.decide(&long.as_sample(), now);
+    let permanent = compile("rules: [{then: {refuse: {}}}]");
+    let refused = permanent.decide(&long.as_sample(), now);
     assert_eq!(refused.action().retry_after_s(), None);
 }
 
@@ -160,7 +159,7 @@
 }
 
 #[test]
-fn later_rules_that_hold_are_told() {
+fn later_matching_rules_are_reported() {
     let rules = compile("rules: [{then: {shed: true}}, {then: {shed: true}}]");
     let words = sample("");
     let explanation = rules.explain(&words.as_sample(), UnixMillis::new(0));
@@ -168,17 +167,18 @@
 }
 
 #[test]
-fn summer_time_moves_the_night() {
+fn time_of_day_follows_daylight_saving_time() {
     let rules = compile(
         "rules: [{when: {time_of_day: {from: 00:00, to: 01:00, \
          zone: Europe/Tallinn}}, then: {shed: true}}]",
     );
-    // 22:30 UTC is 00:30 there in winter, 01:30 in summer.
+    // 22:30 UTC is 00:30 in Tallinn in winter and 01:30 in summer.
     let winter = 1_767_306_600_000; // 2026-01-01
     let summer = 1_782_945_000_000; // 2026-07-01
     assert_eq!(decided(&rules, "", winter), Some(0));
     assert_eq!(decided(&rules, "", summer), None);
-    // Times behind the calendar count as its last, just after 00:00 there.
+    // Times beyond the calendar's range are clamped to its last instant, which
+    // is just after 00:00 in Tallinn.
     assert_eq!(decided(&rules, "", u64::MAX), Some(0));
 }
 
@@ -186,14 +186,14 @@
     no_value = { "tenant", "\"tenant\" is not of the form KEY=VALUE" },
     key = { "modle=x", "unknown key \"modle\"; did you mean \"model\"?" },
     class = { "class=bacth", "unknown class \"bacth\"; did you mean \"batch\"?" },
-    number = { "prompt_bytes=many", "prompt_bytes: \"many\" is no number" },
+    number = { "prompt_bytes=many", "prompt_bytes: \"many\" is not a number" },
 )]
 fn wrong_sample(word: &str, message: &str) {
     let error = SampleBuf::default().set(word).expect_err("an error");
     assert_eq!(error.to_string(), message);
 }
 
-/// Makes 200 rules whose conditions overlap at random.
+/// Generates 150 to 199 rules whose conditions overlap at random.
 fn many_rules() -> impl Strategy<Value = String> {
     let one = |name: &'static str, key: &'static str, of: &'static [&str]| {
         prop::collection::vec(prop::sample::select(of), 0..3).prop_map(
@@ -218,14 +218,14 @@
 "
         .to_owned();
         for (class, customer, model, method, long) in rules {
-            // Most rules ask for a header that is not there, so that the
-            // decision is deep in the list.
-            let rest = match long {
+            // About half of the rules require a header that is absent, so that
+            // the matching rule is deep in the list.
+            let last_condition = match long {
                 true => "prompt_bytes: {min: 5}",
                 false => "header: {name: none}",
             };
             text.push_str(&format!(
-                "- {{when: {{{class}{customer}{model}{method}{rest}}}, \
+                "- {{when: {{{class}{customer}{model}{method}{last_condition}}}, \
                  then: {{shed: true}}}}\n"
             ));
         }
@@ -241,9 +241,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// The index finds the rule that a walk over all conditions finds.
+    /// The index finds the same rule as a linear scan over all conditions.
     #[test]
-    fn index_agrees_with_the_conditions(text in many_rules()) {
+    fn index_agrees_with_a_linear_scan(text in many_rules()) {
         let rules = compile(&text);
         let now = UnixMillis::new(0);
         for (class, customer, model, method) in [
@@ -252,20 +252,20 @@
             (Class::Batch, "t3", Some("m2"), "POST"),
             (Class::Batch, "t4", Some("m3"), "PUT"),
         ] {
-            let buf = sample("prompt_bytes=9");
+            let owned = sample("prompt_bytes=9");
             let sample = pomeloslip_rules::Sample {
                 class,
                 customer,
                 model,
                 method,
-                ..buf.as_sample()
+                ..owned.as_sample()
             };
-            let walked = rules
+            let scanned = rules
                 .explain(&sample, now)
                 .rules()
                 .iter()
                 .position(|rule| rule.failures().is_empty());
-            prop_assert_eq!(rules.decide(&sample, now).rule(), walked);
+            prop_assert_eq!(rules.decide(&sample, now).rule(), scanned);
         }
     }
 }
--- a/crates/rules/tests/examples.rs
+++ b/crates/rules/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The rules in `examples` and in the operators' pages decide as they say.
+//! Checks that the rules in `examples` and in the operator pages decide as
+//! documented.
 
 use std::{
     fs,
@@ -21,8 +22,8 @@
     config.compile(Revision::new(1))
 }
 
-/// Decides on `WORDS`, of which `at=TIME` is the time, and tells the rule
-/// and what becomes of the request.
+/// Decides on a sample given as words, where `at=TIME` sets the time, and
+/// returns the rule name and a description of the outcome.
 fn decided(rules: &CompiledConfig, words: &str) -> (String, &'static str) {
     let mut sample = SampleBuf::default();
     let mut now = UnixMillis::new(0);
@@ -36,7 +37,7 @@
         }
     }
     let decision = rules.decide(&sample.as_sample(), now);
-    let what = match decision.action() {
+    let outcome = match decision.action() {
         Action::Route { repeatable, .. } if repeatable => "may run twice",
         Action::Route { .. } => "runs at most once",
         Action::Refuse(_) => "refused",
@@ -44,7 +45,7 @@
         Action::NoRule => "no rule",
     };
     let rule = decision.rule_name().unwrap_or("none");
-    (rule.to_owned(), what)
+    (rule.to_owned(), outcome)
 }
 
 #[parameterized(
@@ -61,10 +62,10 @@
     batch_in_season_at_night = { "tenant=crew class=batch model=korv-lm at=2026-12-24T23:30:00Z", "briefings", "may run twice" },
     other_model = { "tenant=crew model=other", "none", "no rule" },
 )]
-fn taevakorv(words: &str, rule: &str, what: &str) {
+fn taevakorv(words: &str, rule: &str, outcome: &str) {
     let text = text("examples/taevakorv/rules.yaml");
     let rules = compile("rules.yaml", &text);
-    assert_eq!(decided(&rules, words), (rule.to_owned(), what));
+    assert_eq!(decided(&rules, words), (rule.to_owned(), outcome));
 }
 
 #[parameterized(
@@ -76,12 +77,12 @@
     branch_at_night = { "tenant=branches model=alama-llm at=2026-03-02T18:00:00Z", "counter-check", "may run twice" },
     bundles = { "tenant=branches class=batch model=alama-llm at=2026-03-02T20:00:00Z", "bundles", "may run twice" },
 )]
-fn alama(words: &str, rule: &str, what: &str) {
+fn alama(words: &str, rule: &str, outcome: &str) {
     let rules = compile("rules.yaml", &text("examples/alama/rules.yaml"));
-    assert_eq!(decided(&rules, words), (rule.to_owned(), what));
+    assert_eq!(decided(&rules, words), (rule.to_owned(), outcome));
 }
 
-/// Returns the bodies of a page's fenced blocks of one kind, in order.
+/// Returns the contents of a page's fenced code blocks of one kind, in order.
 fn blocks(page: &str, kind: &str) -> Vec<String> {
     let open = format!("```{kind}\n");
     let parts = page.split(&open).skip(1);
@@ -89,26 +90,26 @@
     bodies.map(str::to_owned).collect()
 }
 
-/// Each rules document of the cookbook is followed by what it decides, in
-/// lines `WORDS -> RULE: WHAT`.
+/// Each rules document of the cookbook is followed by the decisions that it
+/// makes, in lines `WORDS -> RULE: OUTCOME`.
 #[test]
-fn the_cookbook_decides_as_it_says() {
+fn the_cookbook_examples_decide_as_documented() {
     let page = text("docs/operators/rules.md");
     let documents = blocks(&page, "yaml");
     let decisions = blocks(&page, "text");
     assert!(documents.len() >= 4);
     assert_eq!(documents.len(), decisions.len());
-    for (document, lines) in documents.iter().zip(&decisions) {
+    for (document, expected_lines) in documents.iter().zip(&decisions) {
         let rules = compile("docs/operators/rules.md", document);
-        for line in lines.lines() {
-            let (words, says) = line.split_once(" -> ").expect("an arrow");
-            let (rule, what) = decided(&rules, words);
-            assert_eq!(says, format!("{rule}: {what}"), "{words}");
+        for line in expected_lines.lines() {
+            let (words, expected) = line.split_once(" -> ").expect("an arrow");
+            let (rule, outcome) = decided(&rules, words);
+            assert_eq!(expected, format!("{rule}: {outcome}"), "{words}");
         }
     }
 }
 
-/// Returns all test sources of the workspace as one text.
+/// Returns all Rust sources under a folder as one text.
 fn sources(folder: &Path) -> String {
     let mut all = String::new();
     for entry in fs::read_dir(folder).expect("a folder") {
@@ -122,8 +123,8 @@
     all
 }
 
-/// Symptom: a promise rests on a test that is gone. Sequence: a test is
-/// renamed or replaced, the page is not.
+/// Guards against a promise that refers to a missing test, after a test was
+/// renamed or replaced and the page was not updated.
 #[test]
 fn the_promises_name_tests_that_exist() {
     let crates = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("..");
