--- a/crates/ledger/src/assignment.rs
+++ b/crates/ledger/src/assignment.rs
@@ -15,8 +15,8 @@
 /// ```
 /// use pomeloslip_ledger::assign;
 ///
-/// let of = assign(32, &["a", "b", "c"]);
-/// let load = |member| of.iter().filter(|m| **m == member).count();
+/// let assignment = assign(32, &["a", "b", "c"]);
+/// let load = |member| assignment.iter().filter(|m| **m == member).count();
 /// assert!((0..3).all(|member| (10..=11).contains(&load(member))));
 /// assert!(assign(32, &[]).is_empty());
 /// ```
@@ -30,15 +30,15 @@
     let mut load = vec![0; members.len()];
     (0..partitions)
         .map(|partition| {
-            let chosen = members_by_weight(partition, members)
+            let owner = members_by_weight(partition, members)
                 .into_iter()
                 .find(|m| load[*m] < floor || (load[*m] == floor && extra > 0))
                 .unwrap_or(0);
-            if load[chosen] == floor {
+            if load[owner] == floor {
                 extra = extra.saturating_sub(1);
             }
-            load[chosen] += 1;
-            chosen
+            load[owner] += 1;
+            owner
         })
         .collect()
 }
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -30,7 +30,7 @@
 
 /// The results of one job in a commit.
 #[derive(Debug)]
-struct JobShare {
+struct JobResults {
     key: JobKey,
     id: JobId,
     completed: BTreeSet<u32>,
@@ -44,7 +44,7 @@
 pub(crate) struct Commit {
     id: CommitId,
     operation: u64,
-    shares: Vec<JobShare>,
+    job_results: Vec<JobResults>,
     parts: Vec<Part>,
     chunks: Vec<Chunk>,
     /// The records of the transaction as sent.
@@ -57,7 +57,7 @@
 
 impl Commit {
     pub(crate) fn includes(&self, key: JobKey) -> bool {
-        self.shares.iter().any(|share| share.key == key)
+        self.job_results.iter().any(|results| results.key == key)
     }
 }
 
@@ -72,7 +72,7 @@
         // The fencing token protects the records in any case; this check saves
         // the key-value service useless calls by an owner whose lease has
         // ended.
-        if !self.is_valid(now) {
+        if !self.has_valid_lease(now) {
             return;
         }
         let partition = self.partition(number);
@@ -98,10 +98,12 @@
             self.jittered(moment.now, interval_ms);
         let operation = self.next_random();
         let mut capacity = self.options.commit_items_max;
-        let mut shares = Vec::new();
+        let mut job_results = Vec::new();
         let mut parts = Vec::new();
         for (_, key) in &self.by_due {
-            if shares.len() >= self.options.commit_jobs_max || capacity == 0 {
+            if job_results.len() >= self.options.commit_jobs_max
+                || capacity == 0
+            {
                 break;
             }
             let Some(job) = self.jobs.get(*key) else {
@@ -109,12 +111,12 @@
             };
             let is_ready = job.partition == number && job.fence == fence;
             if is_ready && job.needs_commit() {
-                let share = share_of(*key, job, &mut capacity);
-                parts.extend(parts_of(job, &share, operation));
-                shares.push(share);
+                let results = collect_results(*key, job, &mut capacity);
+                parts.extend(build_parts(job, &results, operation));
+                job_results.push(results);
             }
         }
-        if shares.is_empty() {
+        if job_results.is_empty() {
             return;
         }
         self.commits += 1;
@@ -122,7 +124,7 @@
         self.partition(number).commit = Some(Commit {
             id: CommitId(self.commits),
             operation,
-            shares,
+            job_results,
             parts,
             chunks: Vec::new(),
             records: Vec::new(),
@@ -202,13 +204,13 @@
         moment: Moment,
         commit: &Commit,
     ) -> Option<Vec<RecordUpdate>> {
-        let next = |share: &JobShare| {
-            let job = self.jobs.get(share.key)?;
+        let next = |results: &JobResults| {
+            let job = self.jobs.get(results.key)?;
             let parts = commit.parts.iter().zip(&commit.chunks);
-            let own = parts.filter(|(part, _)| part.job == share.id);
-            Some(next_record(moment, job, share, own, commit.operation))
+            let own = parts.filter(|(part, _)| part.job == results.id);
+            Some(next_record(moment, job, results, own, commit.operation))
         };
-        commit.shares.iter().map(next).collect()
+        commit.job_results.iter().map(next).collect()
     }
 
     pub(crate) fn on_written(
@@ -225,7 +227,7 @@
         }
         match outcome {
             WriteOutcome::Done(revision) => {
-                self.finish(moment, number, revision);
+                self.complete_commit(moment, number, revision);
             }
             // An earlier copy of this transaction may have changed the
             // records.
@@ -246,7 +248,8 @@
     fn read_back(&mut self, number: u32) {
         if let Some(commit) = &mut self.partition(number).commit {
             commit.stage = Stage::Reading;
-            let ids = commit.shares.iter().map(|share| share.id.clone());
+            let ids =
+                commit.job_results.iter().map(|results| results.id.clone());
             let action = Action::ReadBack {
                 commit: commit.id,
                 partition: number,
@@ -272,7 +275,7 @@
             return self.retry(moment, number, Stage::ReadAt);
         };
         let operation = commit.operation;
-        let is_open = found.len() == commit.records.len()
+        let is_unchanged = found.len() == commit.records.len()
             && commit.records.iter().all(|next| {
                 found.iter().any(|seen| {
                     seen.record.id == next.record.id
@@ -288,10 +291,10 @@
         }
         match done {
             Some(revision) => {
-                self.finish(moment, number, revision);
+                self.complete_commit(moment, number, revision);
                 self.adopt_records(found);
             }
-            None if is_open => self.retry(moment, number, Stage::WriteAt),
+            None if is_unchanged => self.retry(moment, number, Stage::WriteAt),
             None => {
                 self.abandon_commit(moment, number);
                 self.adopt_records(found);
@@ -318,7 +321,7 @@
                 continue;
             };
             if !record.is_open() {
-                self.drop_job(key);
+                self.remove_job(key);
             } else if let Some(job) = self.jobs.get_mut(key) {
                 job.adopt(record, revision);
             }
@@ -326,23 +329,23 @@
     }
 
     /// Applies a commit that took effect.
-    fn finish(&mut self, moment: Moment, number: u32, revision: u64) {
+    fn complete_commit(&mut self, moment: Moment, number: u32, revision: u64) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
         };
         let interval_ms = self.options.commit_interval_ms;
         self.partition(number).commit_at =
             self.jittered(moment.now, interval_ms);
-        for (share, next) in commit.shares.iter().zip(commit.records) {
-            let Some(job) = self.jobs.get_mut(share.key) else {
+        for (results, next) in commit.job_results.iter().zip(commit.records) {
+            let Some(job) = self.jobs.get_mut(results.key) else {
                 continue;
             };
-            job.remove_committed(&share.completed);
-            job.remove_committed(&share.failed);
+            job.remove_committed(&results.completed);
+            job.remove_committed(&results.failed);
             let is_open = next.record.is_open();
             job.adopt(next.record, revision);
             if !is_open {
-                self.drop_job(share.key);
+                self.remove_job(results.key);
             }
         }
     }
@@ -358,13 +361,13 @@
         else {
             return;
         };
-        for share in commit.shares {
-            let Some(job) = self.jobs.get_mut(share.key) else {
+        for results in commit.job_results {
+            let Some(job) = self.jobs.get_mut(results.key) else {
                 continue;
             };
             job.fence = 0;
             let marker = job.marker;
-            self.load(number, fence, share.id, marker);
+            self.load(number, fence, results.id, marker);
         }
         self.read_membership_at = moment.now;
     }
@@ -396,7 +399,11 @@
     }
 }
 
-fn share_of(key: JobKey, job: &Job, capacity: &mut usize) -> JobShare {
+fn collect_results(
+    key: JobKey,
+    job: &Job,
+    capacity: &mut usize,
+) -> JobResults {
     let taken = job.pending.iter().take(*capacity);
     let of = |sink: Sink| {
         let items = taken.clone().filter(move |(_, s)| s.sink == sink);
@@ -405,7 +412,7 @@
     let (completed, failed) = (of(Sink::Output), of(Sink::Errors));
     let count = completed.len() + failed.len();
     *capacity -= count;
-    JobShare {
+    JobResults {
         key,
         id: job.record.id.clone(),
         completed,
@@ -414,10 +421,10 @@
     }
 }
 
-fn parts_of(job: &Job, share: &JobShare, operation: u64) -> Vec<Part> {
+fn build_parts(job: &Job, results: &JobResults, operation: u64) -> Vec<Part> {
     let sinks = [
-        (Sink::Output, &share.completed),
-        (Sink::Errors, &share.failed),
+        (Sink::Output, &results.completed),
+        (Sink::Errors, &results.failed),
     ];
     let part = |(sink, items): (Sink, &BTreeSet<u32>)| {
         let mut bytes = BytesMut::new();
@@ -426,9 +433,9 @@
         }
         let name = sink.as_str();
         (!items.is_empty()).then(|| Part {
-            job: share.id.clone(),
+            job: results.id.clone(),
             sink,
-            blob: format!("{name}/{}/{operation:016x}", share.id),
+            blob: format!("{name}/{}/{operation:016x}", results.id),
             items: items.len() as u32,
             bytes: bytes.freeze(),
         })
@@ -439,16 +446,16 @@
 fn next_record<'a>(
     moment: Moment,
     job: &Job,
-    share: &JobShare,
+    results: &JobResults,
     own: impl Iterator<Item = (&'a Part, &'a Chunk)>,
     operation: u64,
 ) -> RecordUpdate {
     let mut record = job.record.clone();
     let mut pages = Vec::new();
-    for index in &share.completed {
+    for index in &results.completed {
         record.done.insert(*index);
     }
-    for index in &share.failed {
+    for index in &results.failed {
         record.failed.insert(*index);
     }
     for (part, chunk) in own {
@@ -456,7 +463,8 @@
     }
     if record.remaining_items() == 0 {
         record.state = JobState::Completed;
-    } else if record.state == JobState::Cancelling && share.covers_all_pending
+    } else if record.state == JobState::Cancelling
+        && results.covers_all_pending
     {
         record.state = JobState::Cancelled;
     }
--- a/crates/ledger/src/grants.rs
+++ b/crates/ledger/src/grants.rs
@@ -29,31 +29,31 @@
         request: &PullRequest<'_>,
     ) -> PullResponse {
         let vm = self.register_companion(moment.now, request);
-        let revoked = self.renew(moment.now, vm, request.running);
-        let mut answer = PullResponse {
+        let revoked = self.renew_grants(moment.now, vm, request.running);
+        let mut response = PullResponse {
             revoked,
             ..PullResponse::default()
         };
         let is_full = self.pending_result_bytes >= MAX_PENDING_RESULT_BYTES;
-        if is_full || !self.is_valid(moment.now) {
-            return answer;
+        if is_full || !self.has_valid_lease(moment.now) {
+            return response;
         }
         let capacity =
             request.capacity.min(self.options.grant_items_max) as usize;
         let mut candidates = self.candidates(moment.now, request.models);
-        while answer.items.len() < capacity {
+        while response.items.len() < capacity {
             let Some(at) = self.next_by_fair_share(&candidates) else {
                 break;
             };
             match self.grant(moment.now, candidates[at], vm) {
-                Some(granted) => answer.items.push(granted),
+                Some(granted) => response.items.push(granted),
                 None => {
                     candidates.swap_remove(at);
                 }
             }
         }
-        answer.more = !candidates.is_empty();
-        answer
+        response.more = !candidates.is_empty();
+        response
     }
 
     /// Processes the reported outcome of an item.
@@ -72,11 +72,11 @@
         let Some(key) = self.by_id.get(job).copied() else {
             return Ack::Ignored;
         };
-        let named = self.grant_key(grant);
+        let grant_key = self.grant_key(grant);
         let Some(job) = self.jobs.get_mut(key) else {
             return Ack::Ignored;
         };
-        let is_current = job.granted().get(&index) == Some(&named);
+        let is_current = job.granted().get(&index) == Some(&grant_key);
         if job.is_settled(index) {
             if is_current {
                 self.end_grant(key, index);
@@ -123,11 +123,11 @@
         key: JobKey,
         index: u32,
         now: Millis,
-        pause_ms: u64,
+        delay_ms: u64,
     ) -> Ack {
         self.end_grant(key, index);
         if let Some(job) = self.jobs.get_mut(key) {
-            job.reopen(index, now, pause_ms);
+            job.reopen(index, now, delay_ms);
         }
         Ack::Reopened
     }
@@ -235,7 +235,12 @@
 
     /// Extends the grants that a companion still runs and returns those that
     /// are revoked.
-    fn renew(&mut self, now: Millis, vm: VmKey, running: &[u64]) -> Vec<u64> {
+    fn renew_grants(
+        &mut self,
+        now: Millis,
+        vm: VmKey,
+        running: &[u64],
+    ) -> Vec<u64> {
         let expires_at = now.saturating_add_ms(self.options.grant_ttl_ms);
         let mut revoked = Vec::new();
         for number in running {
@@ -243,7 +248,7 @@
             let jobs = &self.jobs;
             let runs = |grant: &&mut Grant| {
                 let job = jobs.get(grant.job);
-                grant.vm == vm && job.is_some_and(Job::is_running)
+                grant.vm == vm && job.is_some_and(Job::is_in_progress)
             };
             match self.grants.get_mut(key).filter(runs) {
                 Some(grant) => grant.expires_at = expires_at,
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReopenedItem {
     index: u32,
-    since: Millis,
+    reopened_at: Millis,
     not_before: Millis,
 }
 
@@ -61,7 +61,7 @@
     pub(crate) fence: u64,
     pub(crate) pending: BTreeMap<u32, PendingLine>,
     pub(crate) is_at_risk: bool,
-    next: u32,
+    next_index: u32,
     reopened: Vec<ReopenedItem>,
     granted: BTreeMap<u32, GrantKey>,
     history: BTreeMap<u32, AttemptHistory>,
@@ -78,7 +78,7 @@
             marker: 0,
             fence: 0,
             pending: BTreeMap::new(),
-            next: 0,
+            next_index: 0,
             reopened: Vec::new(),
             granted: BTreeMap::new(),
             history: BTreeMap::new(),
@@ -109,7 +109,7 @@
         self.pending.contains_key(&index) || self.record.is_settled(index)
     }
 
-    pub(crate) fn is_running(&self) -> bool {
+    pub(crate) fn is_in_progress(&self) -> bool {
         self.record.state == JobState::InProgress
     }
 
@@ -121,8 +121,8 @@
     }
 
     pub(crate) fn has_work(&self, now: Millis) -> bool {
-        self.is_running()
-            && (self.next < self.record.items
+        self.is_in_progress()
+            && (self.next_index < self.record.items
                 || self
                     .reopened
                     .iter()
@@ -167,18 +167,22 @@
     ) -> Option<u32> {
         let history = &self.history;
         let may_run = |reopened: &ReopenedItem| {
-            let had = history.get(&reopened.index).is_some_and(|history| {
-                history.vms.contains(&vm)
-                    && reopened.since.saturating_add_ms(same_vm_delay_ms) > now
-            });
-            reopened.not_before <= now && !had
+            let attempted_recently =
+                history.get(&reopened.index).is_some_and(|history| {
+                    history.vms.contains(&vm)
+                        && reopened
+                            .reopened_at
+                            .saturating_add_ms(same_vm_delay_ms)
+                            > now
+                });
+            reopened.not_before <= now && !attempted_recently
         };
         if let Some(at) = self.reopened.iter().position(may_run) {
             return Some(self.reopened.swap_remove(at).index);
         }
-        while self.next < self.record.items {
-            let index = self.next;
-            self.next += 1;
+        while self.next_index < self.record.items {
+            let index = self.next_index;
+            self.next_index += 1;
             if !self.is_settled(index) && !self.granted.contains_key(&index) {
                 return Some(index);
             }
@@ -187,17 +191,19 @@
     }
 
     /// Makes an item available again after a delay.
-    pub(crate) fn reopen(&mut self, index: u32, now: Millis, pause_ms: u64) {
-        let known =
+    pub(crate) fn reopen(&mut self, index: u32, now: Millis, delay_ms: u64) {
+        let is_reopened =
             self.reopened.iter().any(|reopened| reopened.index == index);
-        if known || self.is_settled(index) || self.granted.contains_key(&index)
+        if is_reopened
+            || self.is_settled(index)
+            || self.granted.contains_key(&index)
         {
             return;
         }
         self.reopened.push(ReopenedItem {
             index,
-            since: now,
-            not_before: now.saturating_add_ms(pause_ms),
+            reopened_at: now,
+            not_before: now.saturating_add_ms(delay_ms),
         });
     }
 
--- a/crates/ledger/src/lease.rs
+++ b/crates/ledger/src/lease.rs
@@ -34,7 +34,7 @@
         now.saturating_add_ms(margin_ms) < expires_at
     }
 
-    pub(crate) fn wants_renewal(&self, now: Millis) -> bool {
+    pub(crate) fn needs_renewal(&self, now: Millis) -> bool {
         let due = self
             .sent_at
             .saturating_add_ms(self.ttl_ms / RENEWAL_DIVISOR);
@@ -54,7 +54,8 @@
     Loading { fence: u64 },
     /// Owned, with all open jobs read.
     Owned { fence: u64 },
-    /// Owned, but handed over after the last commit; no items are granted.
+    /// Being handed over: no items are granted, and the key is deleted once
+    /// nothing is pending, at the latest at `until`.
     Draining { fence: u64, until: Millis },
     /// The owner key is being deleted.
     DeletingKey { fence: u64 },
--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -40,7 +40,7 @@
     pub(crate) renew_at: Millis,
     pub(crate) is_reading_membership: bool,
     pub(crate) read_membership_at: Millis,
-    pub(crate) seen_revision: u64,
+    pub(crate) last_read_revision: u64,
     pub(crate) members: Vec<String>,
     /// Index in `members` of the assigned owner of each partition.
     pub(crate) assigned: Vec<usize>,
@@ -85,7 +85,7 @@
             renew_at: Millis::new(0),
             is_reading_membership: false,
             read_membership_at: Millis::new(0),
-            seen_revision: 0,
+            last_read_revision: 0,
             members: Vec::new(),
             assigned: Vec::new(),
             partitions,
@@ -227,9 +227,9 @@
         }
     }
 
-    /// Reports whether the lease is certainly valid. Writes are fenced in any
-    /// case.
-    pub(crate) fn is_valid(&self, now: Millis) -> bool {
+    /// Reports whether this member certainly holds a lease. Writes are fenced
+    /// in any case.
+    pub(crate) fn has_valid_lease(&self, now: Millis) -> bool {
         let margin_ms = self.options.lease_margin_ms;
         self.lease
             .is_some_and(|lease| lease.is_valid(now, margin_ms))
@@ -247,7 +247,7 @@
     }
 
     /// Removes a job and its grants.
-    pub(crate) fn drop_job(&mut self, key: JobKey) {
+    pub(crate) fn remove_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else {
             return;
         };
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -13,7 +13,7 @@
 impl Ledger {
     pub(crate) fn maintain_lease(&mut self, now: Millis) {
         match &mut self.lease {
-            Some(lease) if lease.wants_renewal(now) => {
+            Some(lease) if lease.needs_renewal(now) => {
                 if now >= self.renew_at {
                     lease.is_renewing = true;
                     let lease = lease.id;
@@ -28,7 +28,7 @@
     fn join(&mut self, now: Millis) {
         let others = self.members.iter().filter(|m| **m != self.member);
         let has_capacity = others.count() < self.options.members_max;
-        let has_seen_members = self.seen_revision > 0;
+        let has_seen_members = self.last_read_revision > 0;
         if has_seen_members
             && has_capacity
             && !self.is_joining
@@ -69,8 +69,8 @@
                 self.read_membership(now);
             }
             None => {
-                let pause_ms = self.options.membership_interval_ms;
-                self.join_at = self.jittered(now, pause_ms);
+                let delay_ms = self.options.membership_interval_ms;
+                self.join_at = self.jittered(now, delay_ms);
             }
         }
     }
@@ -90,8 +90,8 @@
             Some(true) => lease.sent_at = lease.sent_at.max(sent_at),
             Some(false) => self.lose_lease(moment.now),
             None => {
-                let pause_ms = lease.ttl_ms / 12;
-                self.renew_at = self.jittered(moment.now, pause_ms);
+                let delay_ms = lease.ttl_ms / 12;
+                self.renew_at = self.jittered(moment.now, delay_ms);
             }
         }
     }
@@ -119,10 +119,10 @@
     }
 
     /// Ends the ownership of a partition and drops its jobs.
-    fn leave_partition(&mut self, number: u32) {
+    fn drop_partition(&mut self, number: u32) {
         *self.partition(number) = Partition::default();
         for key in self.jobs_of(number) {
-            self.drop_job(key);
+            self.remove_job(key);
         }
     }
 
@@ -142,11 +142,12 @@
     ) {
         self.is_reading_membership = false;
         // Ignores a delayed read that is older than the last one.
-        let Some(revision) = revision.filter(|r| *r >= self.seen_revision)
+        let Some(revision) =
+            revision.filter(|r| *r >= self.last_read_revision)
         else {
             return;
         };
-        self.seen_revision = revision;
+        self.last_read_revision = revision;
         members.sort_unstable();
         if members != self.members {
             self.members = members;
@@ -178,13 +179,13 @@
         match (ownership.fence(), mine) {
             // The response to a claim was lost, or a delayed copy of a claim
             // created the key again.
-            (None, Some(fence)) => self.begin_tenure(now, number, fence),
+            (None, Some(fence)) => self.begin_ownership(now, number, fence),
             (Some(known), Some(fence)) if fence > known => {
-                self.begin_tenure(now, number, fence);
+                self.begin_ownership(now, number, fence);
             }
             (Some(_), Some(_)) => {}
             (Some(known), None) if revision < known => {}
-            (Some(_), None) if owner.is_some() => self.leave_partition(number),
+            (Some(_), None) if owner.is_some() => self.drop_partition(number),
             (Some(_), None) => self.lose_partition(number),
             (None, None) => {
                 let is_acquiring = ownership == OwnershipState::Acquiring;
@@ -192,7 +193,7 @@
                     && !is_acquiring
                     && ownership != OwnershipState::Unowned
                 {
-                    self.leave_partition(number);
+                    self.drop_partition(number);
                 }
             }
         }
@@ -214,7 +215,7 @@
         let ownership = self.partition(number).ownership;
         match ownership {
             OwnershipState::Unowned | OwnershipState::Lost
-                if is_mine && owner.is_none() && self.is_valid(now) =>
+                if is_mine && owner.is_none() && self.has_valid_lease(now) =>
             {
                 let Some(lease) = self.lease.map(|lease| lease.id) else {
                     return;
@@ -246,15 +247,14 @@
         lease: i64,
         fence: Option<u64>,
     ) {
-        let is_current =
-            self.lease.is_some_and(|lease_held| lease_held.id == lease);
+        let is_current = self.lease.is_some_and(|current| current.id == lease);
         let is_acquiring =
             self.partition(number).ownership == OwnershipState::Acquiring;
         if !is_current || !is_acquiring {
             return;
         }
         match fence {
-            Some(fence) => self.begin_tenure(moment.now, number, fence),
+            Some(fence) => self.begin_ownership(moment.now, number, fence),
             None => {
                 self.partition(number).ownership = OwnershipState::Lost;
                 self.read_membership_at = moment.now;
@@ -262,7 +262,7 @@
         }
     }
 
-    fn begin_tenure(&mut self, now: Millis, number: u32, fence: u64) {
+    fn begin_ownership(&mut self, now: Millis, number: u32, fence: u64) {
         let interval_ms = self.options.commit_interval_ms;
         let commit_at = self.jittered(now, interval_ms);
         *self.partition(number) = Partition {
@@ -310,7 +310,7 @@
         if self.partition(number).ownership
             == (OwnershipState::DeletingKey { fence })
         {
-            self.leave_partition(number);
+            self.drop_partition(number);
         }
     }
 
@@ -361,9 +361,10 @@
         for key in self.jobs_of(number) {
             let is_marked = marked.contains(&self.jobs[key].record.id);
             let commit = &self.partitions[number as usize].commit;
-            let commits = commit.as_ref().is_some_and(|c| c.includes(key));
-            if !is_marked && !commits {
-                self.drop_job(key);
+            let is_committing =
+                commit.as_ref().is_some_and(|c| c.includes(key));
+            if !is_marked && !is_committing {
+                self.remove_job(key);
             }
         }
     }
@@ -406,7 +407,7 @@
             }
             Ok(_) => {
                 if let Some(key) = self.by_id.get(id).copied() {
-                    self.drop_job(key);
+                    self.remove_job(key);
                 }
             }
         }
--- a/crates/ledger/src/record.rs
+++ b/crates/ledger/src/record.rs
@@ -23,8 +23,6 @@
 }
 
 /// State of a job.
-///
-/// Serialized in snake case.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
--- a/crates/ledger/src/risk.rs
+++ b/crates/ledger/src/risk.rs
@@ -40,11 +40,11 @@
         if !has_work {
             return;
         }
-        let share = match self.items_per_s > 0.0 {
+        let weight = match self.items_per_s > 0.0 {
             true => NEWEST_SAMPLE_PERCENT / 100.0,
             false => 1.0,
         };
-        self.items_per_s += (newest - self.items_per_s) * share;
+        self.items_per_s += (newest - self.items_per_s) * weight;
     }
 
     fn is_known(&self) -> bool {
@@ -76,7 +76,7 @@
             let pending = job.pending.len() as u32;
             let remaining = record.remaining_items().saturating_sub(pending);
             items_ahead += u64::from(remaining);
-            if !job.is_running() {
+            if !job.is_in_progress() {
                 continue;
             }
             let slack_ms = record.due.saturating_ms_since(moment.unix);
