--- a/crates/bench/benches/ledger/sim.rs
+++ b/crates/bench/benches/ledger/sim.rs
@@ -299,7 +299,7 @@
         }
         Event::Written {
             commit: write.commit,
-            outcome: WriteOutcome::Done(revision),
+            outcome: WriteOutcome::Applied(revision),
         }
     }
 
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -201,17 +201,19 @@
     pub(super) async fn write(&self, write: WriteAction) -> Event {
         let commit = write.commit;
         let Some(txn) = self.transaction(write) else {
-            let outcome = WriteOutcome::NotDone;
+            let outcome = WriteOutcome::NotApplied;
             return Event::Written { commit, outcome };
         };
         let outcome = match self.kv.txn(txn).await {
-            Ok(reply) if reply.succeeded => WriteOutcome::Done(reply.revision),
-            Ok(_) => WriteOutcome::Refused,
+            Ok(reply) if reply.succeeded => {
+                WriteOutcome::Applied(reply.revision)
+            }
+            Ok(_) => WriteOutcome::Conflict,
             Err(report) => {
                 log::info!(error:? = report; "a commit was not answered");
                 match report.current_context() {
                     KvError::Unknown => WriteOutcome::Unknown,
-                    _ => WriteOutcome::NotDone,
+                    _ => WriteOutcome::NotApplied,
                 }
             }
         };
--- a/crates/ledger/examples/embed_ledger.rs
+++ b/crates/ledger/examples/embed_ledger.rs
@@ -163,7 +163,7 @@
                 seen.is_some_and(|seen| seen.revision == next.revision)
             });
         if !holds {
-            return WriteOutcome::Refused;
+            return WriteOutcome::Conflict;
         }
         self.revision += 1;
         let revision = self.revision;
@@ -173,7 +173,7 @@
             self.records
                 .insert(id, VersionedRecord { record, revision });
         }
-        WriteOutcome::Done(revision)
+        WriteOutcome::Applied(revision)
     }
 }
 
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -226,16 +226,16 @@
             return;
         }
         match outcome {
-            WriteOutcome::Done(revision) => {
+            WriteOutcome::Applied(revision) => {
                 self.complete_commit(moment, number, revision);
             }
             // An earlier copy of this transaction may have changed the
             // records.
-            WriteOutcome::Refused if commit.may_have_applied => {
+            WriteOutcome::Conflict if commit.may_have_applied => {
                 self.retry(moment, number, Stage::ReadAt);
             }
-            WriteOutcome::Refused => self.abandon_commit(moment, number),
-            WriteOutcome::NotDone => {
+            WriteOutcome::Conflict => self.abandon_commit(moment, number),
+            WriteOutcome::NotApplied => {
                 self.retry(moment, number, Stage::WriteAt);
             }
             WriteOutcome::Unknown => {
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteOutcome {
     /// The write took effect at this revision.
-    Done(u64),
+    Applied(u64),
     /// A compare failed.
-    Refused,
+    Conflict,
     /// The write certainly had no effect.
-    NotDone,
+    NotApplied,
     /// The response was lost; the write may have taken effect.
     Unknown,
 }
--- a/crates/ledger/tests/simulation/fake_kv.rs
+++ b/crates/ledger/tests/simulation/fake_kv.rs
@@ -35,7 +35,7 @@
 
 /// Returns the event for a call that was refused without effect.
 pub(crate) fn refused(action: &Action, sent_at: u64) -> Event {
-    failure(action, sent_at, WriteOutcome::NotDone)
+    failure(action, sent_at, WriteOutcome::NotApplied)
 }
 
 fn failure(action: &Action, sent_at: u64, outcome: WriteOutcome) -> Event {
@@ -338,8 +338,8 @@
         let owner = owner.map(|kv| text(&kv));
         let reply = self.txn(txn).expect("a valid transaction");
         let outcome = match reply.succeeded {
-            true => WriteOutcome::Done(reply.revision),
-            false => WriteOutcome::Refused,
+            true => WriteOutcome::Applied(reply.revision),
+            false => WriteOutcome::Conflict,
         };
         if reply.succeeded {
             self.stats.commits += 1;
