--- a/crates/ledger/src/lease.rs
+++ b/crates/ledger/src/lease.rs
@@ -4,7 +4,7 @@
 
 /// Fraction of the TTL after which the lease is renewed: a third leaves time
 /// for two more attempts.
-const RENEWAL_DIVISOR: u64 = 3;
+const RENEW_DIVISOR: u64 = 3;
 
 /// The member's view of its lease.
 ///
@@ -34,10 +34,8 @@
         now.saturating_add_ms(margin_ms) < expires_at
     }
 
-    pub(crate) fn needs_renewal(&self, now: Millis) -> bool {
-        let due = self
-            .sent_at
-            .saturating_add_ms(self.ttl_ms / RENEWAL_DIVISOR);
+    pub(crate) fn wants_renewal(&self, now: Millis) -> bool {
+        let due = self.sent_at.saturating_add_ms(self.ttl_ms / RENEW_DIVISOR);
         !self.is_renewing && now >= due
     }
 }
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -13,7 +13,7 @@
 impl Ledger {
     pub(crate) fn maintain_lease(&mut self, now: Millis) {
         match &mut self.lease {
-            Some(lease) if lease.needs_renewal(now) => {
+            Some(lease) if lease.wants_renewal(now) => {
                 if now >= self.renew_at {
                     lease.is_renewing = true;
                     let lease = lease.id;
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -18,9 +18,9 @@
             config: self,
             findings,
         };
-        checker.customers();
-        checker.pools();
-        checker.rules();
+        checker.check_customers();
+        checker.check_pools();
+        checker.check_rules();
     }
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl<'c> Checker<'c, '_, '_> {
-    fn customers(&mut self) {
+    fn check_customers(&mut self) {
         let mut names = UniqueNames::default();
         let mut digests = UniqueNames::default();
         for (index, customer) in self.config.customers.iter().enumerate() {
@@ -43,11 +43,11 @@
                 let digest = digest.to_string();
                 digests.add(&path, &digest, self.findings);
             }
-            self.customer(&path, customer);
+            self.check_customer(&path, customer);
         }
     }
 
-    fn customer(&mut self, path: &str, customer: &CustomerConfig) {
+    fn check_customer(&mut self, path: &str, customer: &CustomerConfig) {
         let weight = format!("{path}.weight");
         self.findings.range(&weight, customer.weight, 1, MAX_WEIGHT);
         let CustomerLimits {
@@ -58,26 +58,26 @@
         } = customer.limits;
         let key = |key: &str| format!("{path}.limits.{key}");
         self.check_rate(&key("requests_per_s"), requests_per_s);
-        self.at_least_one(&key("burst"), burst);
-        self.at_least_one(&key("concurrent"), concurrent);
+        self.check_at_least_one(&key("burst"), burst);
+        self.check_at_least_one(&key("concurrent"), concurrent);
         if burst.is_some() && requests_per_s.is_none() {
             let message = "has no effect without `requests_per_s`";
             self.findings.report(&key("burst"), message);
         }
     }
 
-    fn pools(&mut self) {
+    fn check_pools(&mut self) {
         let mut names = UniqueNames::default();
         for (index, pool) in self.config.pools.iter().enumerate() {
             let path = self.findings.item("pools", index);
             let name = format!("{path}.pool");
             names.add(&name, &pool.pool, self.findings);
             self.findings.name(&name, &pool.pool);
-            self.pool(&path, pool);
+            self.check_pool(&path, pool);
         }
     }
 
-    fn pool(&mut self, path: &str, pool: &PoolConfig) {
+    fn check_pool(&mut self, path: &str, pool: &PoolConfig) {
         let models = format!("{path}.models");
         let service = format!("{path}.service");
         let repeatable = format!("{path}.repeatable");
@@ -111,7 +111,7 @@
         }
     }
 
-    fn rules(&mut self) {
+    fn check_rules(&mut self) {
         let mut names = UniqueNames::default();
         for (index, rule) in self.config.rules.iter().enumerate() {
             let path = self.findings.item("rules", index);
@@ -119,21 +119,21 @@
                 let path = format!("{path}.name");
                 names.add(&path, name, self.findings);
             }
-            self.when(&format!("{path}.when"), &rule.when);
-            self.then(&format!("{path}.then"), &rule.then);
+            self.check_when(&format!("{path}.when"), &rule.when);
+            self.check_then(&format!("{path}.then"), &rule.then);
             self.check_served(&path, rule);
         }
     }
 
-    fn when(&mut self, path: &str, when: &When) {
+    fn check_when(&mut self, path: &str, when: &When) {
         let key = |key: &str| format!("{path}.{key}");
-        self.not_empty(&key("class"), when.class.as_ref());
-        self.not_empty(&key("path"), when.path.as_ref());
-        self.not_empty(&key("method"), when.method.as_ref());
-        self.not_empty(&key("header"), when.header.as_ref());
-        self.not_empty(&key("time_of_day"), when.time_of_day.as_ref());
-        self.not_empty(&key("dates"), when.dates.as_ref());
-        self.not_empty(&key("pool_load"), when.pool_load.as_ref());
+        self.check_not_empty(&key("class"), when.class.as_ref());
+        self.check_not_empty(&key("path"), when.path.as_ref());
+        self.check_not_empty(&key("method"), when.method.as_ref());
+        self.check_not_empty(&key("header"), when.header.as_ref());
+        self.check_not_empty(&key("time_of_day"), when.time_of_day.as_ref());
+        self.check_not_empty(&key("dates"), when.dates.as_ref());
+        self.check_not_empty(&key("pool_load"), when.pool_load.as_ref());
         let config = self.config;
         let customers =
             config.customers.iter().map(|one| one.customer.as_str());
@@ -152,10 +152,10 @@
             let message = "no request names both a model and a service";
             self.findings.report(&key("service"), message);
         }
-        self.ranges(path, when);
+        self.check_ranges(path, when);
     }
 
-    fn ranges(&mut self, path: &str, when: &When) {
+    fn check_ranges(&mut self, path: &str, when: &When) {
         if let Some(range) = when.prompt_bytes {
             let path = format!("{path}.prompt_bytes");
             match (range.min, range.max) {
@@ -204,7 +204,7 @@
         }
     }
 
-    fn then(&mut self, path: &str, then: &Then) {
+    fn check_then(&mut self, path: &str, then: &Then) {
         let key = |key: &str| format!("{path}.{key}");
         let actions = [then.pool.is_some(), then.refuse.is_some(), then.shed];
         if actions.into_iter().filter(|action| *action).count() != 1 {
@@ -244,10 +244,10 @@
             self.findings.report(&key("hedge_ms"), message);
         }
         self.check_rate(&key("rate_per_s"), then.rate_per_s);
-        self.at_least_one(&key("concurrent"), then.concurrent);
-        self.shares(path, then);
+        self.check_at_least_one(&key("concurrent"), then.concurrent);
+        self.check_shares(path, then);
         if let Some(refuse) = &then.refuse {
-            self.refuse(&key("refuse"), refuse);
+            self.check_refuse(&key("refuse"), refuse);
         }
     }
 
@@ -271,7 +271,7 @@
         }
     }
 
-    fn shares(&mut self, path: &str, then: &Then) {
+    fn check_shares(&mut self, path: &str, then: &Then) {
         let share = then.batch_share.unwrap_or(1.0);
         let floor = then.batch_floor.unwrap_or(0.0);
         let floor_path = format!("{path}.batch_floor");
@@ -285,7 +285,7 @@
         }
     }
 
-    fn refuse(&mut self, path: &str, refuse: &Refuse) {
+    fn check_refuse(&mut self, path: &str, refuse: &Refuse) {
         let status = format!("{path}.status");
         self.findings.range(&status, refuse.status, 400, 599);
         if refuse.detail.is_empty() {
@@ -334,7 +334,7 @@
         wanted: Option<&OneOrMany<T>>,
         names: &[&str],
     ) {
-        self.not_empty(path, wanted);
+        self.check_not_empty(path, wanted);
         let Some(wanted) = wanted else { return };
         for (index, one) in wanted.iter().enumerate() {
             let item = self.findings.item(path, index);
@@ -373,14 +373,14 @@
             .collect()
     }
 
-    fn not_empty<T>(&mut self, path: &str, list: Option<&OneOrMany<T>>) {
+    fn check_not_empty<T>(&mut self, path: &str, list: Option<&OneOrMany<T>>) {
         if list.is_some_and(|list| list.is_empty()) {
             let message = "an empty list never matches; omit the key";
             self.findings.report(path, message);
         }
     }
 
-    fn at_least_one(&mut self, path: &str, number: Option<u32>) {
+    fn check_at_least_one(&mut self, path: &str, number: Option<u32>) {
         if let Some(number) = number {
             self.findings.range(path, number, 1, u32::MAX);
         }
--- a/crates/rules/src/compiled.rs
+++ b/crates/rules/src/compiled.rs
@@ -97,7 +97,7 @@
         }
         let listed = self.config.repeatable.as_deref();
         let methods = listed.unwrap_or(&SAFE);
-        methods.iter().any(|one| one.as_str() == method)
+        methods.iter().any(|listed| listed.as_str() == method)
     }
 }
 
@@ -106,7 +106,7 @@
 struct CompiledRule {
     name: Option<String>,
     /// Conditions that the index does not cover.
-    tests: Vec<Condition>,
+    unindexed: Vec<Condition>,
     outcome: Outcome,
 }
 
@@ -181,10 +181,11 @@
         let mut conditions = Vec::new();
         for rule in config.rules {
             let all = Condition::list(rule.when);
-            let tests = all.iter().filter(|one| !one.is_indexed());
+            let unindexed =
+                all.iter().filter(|condition| !condition.is_indexed());
             rules.push(CompiledRule {
                 name: rule.name,
-                tests: tests.cloned().collect(),
+                unindexed: unindexed.cloned().collect(),
                 outcome: Outcome::new(rule.then, &pool_keys),
             });
             conditions.push(all);
@@ -270,8 +271,10 @@
     ) -> Decision<'_> {
         let decision_time = DecisionTime::new(now);
         let holds = |rule: &usize| {
-            let tests = &self.rules[*rule].tests;
-            tests.iter().all(|test| test.holds(sample, &decision_time))
+            let unindexed = &self.rules[*rule].unindexed;
+            unindexed
+                .iter()
+                .all(|condition| condition.holds(sample, &decision_time))
         };
         match self.index.candidates(sample).find(holds) {
             Some(rule) => self.decision(rule, sample.method),
@@ -293,12 +296,12 @@
     }
 
     fn is_repeatable(&self, route: &Route, method: &str) -> bool {
-        let by_pool = |key| {
+        let pool_allows = |key| {
             let pool = self.pool(key);
             pool.is_some_and(|pool| pool.is_repeatable(method))
         };
         // A retry may be sent to any of the pools.
-        let all = || route.pools().all(by_pool);
+        let all = || route.pools().all(pool_allows);
         route.repeatable().unwrap_or_else(all)
     }
 
@@ -311,14 +314,14 @@
     ) -> Explanation {
         let decision_time = DecisionTime::new(now);
         let deciding_rule = self.decide(sample, now).rule();
-        let rules = self.conditions.iter().enumerate().map(|(at, all)| {
-            let name = self.rules[at].name.clone();
+        let rules = self.conditions.iter().enumerate().map(|(index, all)| {
+            let name = self.rules[index].name.clone();
             let failures = all
                 .iter()
-                .filter(|one| !one.holds(sample, &decision_time))
-                .map(|one| one.failure(sample, &decision_time))
+                .filter(|condition| !condition.holds(sample, &decision_time))
+                .map(|condition| condition.failure(sample, &decision_time))
                 .collect();
-            RuleExplanation::new(at, name, failures, deciding_rule)
+            RuleExplanation::new(index, name, failures, deciding_rule)
         });
         let rules = rules.collect();
         let action = match deciding_rule {
--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -111,9 +111,9 @@
     for item in old.iter().filter(|item| find(new, item).is_none()) {
         lines.push(format!("- {}", item.title));
     }
-    let kept: Vec<usize> =
+    let old_indices_kept: Vec<usize> =
         old.iter().filter_map(|item| find(new, item)).collect();
-    let unmoved = longest_increasing_subsequence(&kept);
+    let in_order = longest_increasing_subsequence(&old_indices_kept);
     for (new_index, item) in new.iter().enumerate() {
         let Some(old_index) = find(old, item) else {
             let place = format!(" at {}", new_index + 1);
@@ -129,7 +129,7 @@
             &item.value,
             lines,
         );
-        if ordered && !unmoved.contains(&new_index) {
+        if ordered && !in_order.contains(&new_index) {
             let title = &item.title;
             let (from, to) = (old_index + 1, new_index + 1);
             lines.push(format!("> {title}: from {from} to {to}"));
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -113,12 +113,12 @@
         let words = 0..sets[0].0.len();
         words.flat_map(move |at| {
             let common = sets.iter().fold(!0, |all, set| all & set.0[at]);
-            ones(common).map(move |bit| at * WORD_BITS + bit)
+            set_bits(common).map(move |bit| at * WORD_BITS + bit)
         })
     }
 }
 
-fn ones(mut word: u64) -> impl Iterator<Item = usize> {
+fn set_bits(mut word: u64) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
         if word == 0 {
             return None;
