--- a/crates/ledger/tests/grants.rs
+++ b/crates/ledger/tests/grants.rs
@@ -163,8 +163,8 @@
     let second = pull(&mut ledger, 10_800, "vm-2", 1).remove(0);
     assert_eq!(end(&mut ledger, 10_801, &first, completed()), Ack::Settled);
     let running = [second.grant];
-    let answer = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
-    assert_eq!(answer.revoked, running);
+    let response = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
+    assert_eq!(response.revoked, running);
     assert_eq!(end(&mut ledger, 10_803, &second, completed()), Ack::Ignored);
 }
 
@@ -185,9 +185,9 @@
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
     job.state = pomeloslip_ledger::JobState::Cancelling;
     load(&mut ledger, job, 2);
-    let answer = pull_as(&mut ledger, 1, "vm-1", 4, &[item.grant]);
-    assert_eq!(answer.items, []);
-    assert_eq!(answer.revoked, [item.grant]);
+    let response = pull_as(&mut ledger, 1, "vm-1", 4, &[item.grant]);
+    assert_eq!(response.items, []);
+    assert_eq!(response.revoked, [item.grant]);
 }
 
 #[test]
--- a/crates/ledger/tests/parts.rs
+++ b/crates/ledger/tests/parts.rs
@@ -30,7 +30,7 @@
     touching = { "[0,1,0,1]" },
     overflow = { "[4294967295,2]" },
 )]
-fn a_broken_range_set_is_refused(text: &str) {
+fn an_invalid_range_set_is_rejected(text: &str) {
     assert!(serde_json::from_str::<RangeSet>(text).is_err());
 }
 
@@ -46,10 +46,13 @@
     (0..count).map(|at| format!("member-{at}")).collect()
 }
 
-fn assignment(partitions: u32, names: &[String]) -> Vec<String> {
+fn assign_names(partitions: u32, names: &[String]) -> Vec<String> {
     let refs: Vec<&str> = names.iter().map(String::as_str).collect();
-    let of = assign(partitions, &refs);
-    of.into_iter().map(|at| names[at].clone()).collect()
+    let assigned_names = assign(partitions, &refs);
+    assigned_names
+        .into_iter()
+        .map(|at| names[at].clone())
+        .collect()
 }
 
 #[parameterized(
@@ -60,10 +63,10 @@
 )]
 fn the_assignment_is_even(partitions: u32, members: usize) {
     let names = names(members);
-    let of = assignment(partitions, &names);
+    let assigned_names = assign_names(partitions, &names);
     let loads: Vec<usize> = names
         .iter()
-        .map(|name| of.iter().filter(|at| *at == name).count())
+        .map(|name| assigned_names.iter().filter(|at| *at == name).count())
         .collect();
     let (min, max) = (loads.iter().min(), loads.iter().max());
     assert!(max <= min.map(|min| min + 1).as_ref(), "{loads:?}");
@@ -72,12 +75,12 @@
 #[test]
 fn few_partitions_move_when_a_member_is_removed() {
     let names = names(8);
-    let before = assignment(64, &names);
+    let before = assign_names(64, &names);
     let mut avoidable = 0;
     for removed in 0..8 {
         let mut remaining = names.clone();
         let removed = remaining.remove(removed);
-        let after = assignment(64, &remaining);
+        let after = assign_names(64, &remaining);
         let moved = before.iter().zip(&after);
         let moved = moved.filter(|(b, a)| b != a && **b != removed);
         avoidable += moved.count();
--- a/crates/ledger/tests/simulation/companions.rs
+++ b/crates/ledger/tests/simulation/companions.rs
@@ -45,7 +45,7 @@
             capacity: 3,
             running,
         };
-        let answer = self.owners[owner].ledger.pull(moment, &request);
+        let response = self.owners[owner].ledger.pull(moment, &request);
         if self.chance(3.0) {
             return;
         }
@@ -56,8 +56,8 @@
                 companion,
                 incarnation,
                 owner,
-                items: answer.items,
-                revoked: answer.revoked,
+                items: response.items,
+                revoked: response.revoked,
             },
         );
     }
--- a/crates/ledger/tests/simulation/mod.rs
+++ b/crates/ledger/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Deterministic simulation of owners, companions and a key-value fake_kv in
+//! Deterministic simulation of owners, companions and a key-value service in
 //! one thread, driven by a seed.
 
 mod companions;
@@ -26,7 +26,7 @@
 const FAULT_PHASE_MS: u64 = 12_000;
 const RECOVERY_PHASE_MS: u64 = 60_000;
 
-/// Fate of a call to the key-value fake_kv and of its response.
+/// Fate of a call to the key-value service and of its response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Delivery {
     Delivered,
--- a/crates/rules/src/sample.rs
+++ b/crates/rules/src/sample.rs
@@ -156,9 +156,9 @@
     ///
     /// Returns an error if there is no `=`, the key is unknown or the value is
     /// invalid.
-    pub fn set(&mut self, word: &str) -> Result<(), SampleError> {
-        let (key, value) = word.split_once('=').ok_or_else(|| {
-            SampleError(format!("{word:?} is not of the form KEY=VALUE"))
+    pub fn set(&mut self, argument: &str) -> Result<(), SampleError> {
+        let (key, value) = argument.split_once('=').ok_or_else(|| {
+            SampleError(format!("{argument:?} is not of the form KEY=VALUE"))
         })?;
         if let Some(name) = key.strip_prefix("header.") {
             let name = name.to_lowercase();
