--- a/crates/ledger/tests/grants.rs
+++ b/crates/ledger/tests/grants.rs
@@ -1,9 +1,10 @@
-//! Grants, attempts, due times and the lease, one decision at a time.
+//! Unit-level tests of grants, attempts, due times and the lease.
 
 use base::{Millis, UnixMillis, VmId};
 use pomeloslip_ledger::{
-    Action, Event, Granted, ItemEnd, JobRecord, Ledger, MarkSeen, Moment,
-    Options, OwnerSeen, PullAnswer, PullRequest, RecordSeen, Taken,
+    Ack, Action, Event, Granted, JobRecord, Ledger, Moment, OpenJobMarker,
+    Options, PartitionOwner, PullRequest, PullResponse, RunOutcome,
+    VersionedRecord,
 };
 use yare::parameterized;
 
@@ -35,23 +36,23 @@
     Options::default().partitions(1).attempts_max(3)
 }
 
-/// Makes a ledger that owns its only partition and has read these jobs.
+/// Creates a ledger that owns its only partition and has loaded these jobs.
 fn owner(options: Options, jobs: Vec<JobRecord>) -> Ledger {
     let mut ledger = Ledger::new(MEMBER, 77, options);
     ledger.handle(at(0), Event::Tick);
     let sent_at = Millis::new(0);
     let lease = Some(LEASE);
     ledger.handle(at(0), Event::Joined { sent_at, lease });
-    ledger.handle(at(0), looked(5));
-    let marks = jobs.iter().map(|job| MarkSeen {
+    ledger.handle(at(0), membership_read(5));
+    let markers = jobs.iter().map(|job| OpenJobMarker {
         job: job.id.clone(),
         revision: 1,
     });
-    let marks = Some(marks.collect());
+    let markers = Some(markers.collect());
     let listed = Event::Listed {
         partition: 0,
         fence: FENCE,
-        marks,
+        markers,
     };
     ledger.handle(at(0), listed);
     for record in jobs {
@@ -60,11 +61,11 @@
     ledger
 }
 
-fn looked(revision: u64) -> Event {
-    Event::Looked {
+fn membership_read(revision: u64) -> Event {
+    Event::MembershipRead {
         revision: Some(revision),
         members: vec![MEMBER.to_owned()],
-        owners: vec![OwnerSeen {
+        owners: vec![PartitionOwner {
             partition: 0,
             member: MEMBER.to_owned(),
             lease: LEASE,
@@ -75,12 +76,12 @@
 
 fn load(ledger: &mut Ledger, record: JobRecord, revision: u64) {
     let job = record.id.clone();
-    let found = Ok(Some(Box::new(RecordSeen { record, revision })));
+    let found = Ok(Some(Box::new(VersionedRecord { record, revision })));
     let loaded = Event::Loaded {
         partition: 0,
         fence: FENCE,
         job,
-        mark: revision,
+        marker: revision,
         found,
     };
     ledger.handle(at(0), loaded);
@@ -90,54 +91,60 @@
     ledger: &mut Ledger,
     ms: u64,
     vm: &str,
-    room: u32,
+    capacity: u32,
     running: &[u64],
-) -> PullAnswer {
+) -> PullResponse {
     let vm: VmId = vm.parse().expect("a vm");
     let request = PullRequest {
         vm: &vm,
         incarnation: 1,
         models: &[],
-        room,
+        capacity,
         running,
     };
     ledger.pull(at(ms), &request)
 }
 
-fn pull(ledger: &mut Ledger, ms: u64, vm: &str, room: u32) -> Vec<Granted> {
-    pull_as(ledger, ms, vm, room, &[]).items
+fn pull(
+    ledger: &mut Ledger,
+    ms: u64,
+    vm: &str,
+    capacity: u32,
+) -> Vec<Granted> {
+    pull_as(ledger, ms, vm, capacity, &[]).items
 }
 
-fn end(ledger: &mut Ledger, ms: u64, item: &Granted, end: ItemEnd) -> Taken {
+fn end(ledger: &mut Ledger, ms: u64, item: &Granted, end: RunOutcome) -> Ack {
     ledger.result(at(ms), &item.job, item.index, item.grant, end)
 }
 
-fn completed() -> ItemEnd {
-    ItemEnd::Completed("line\n".into())
+fn completed() -> RunOutcome {
+    RunOutcome::Completed("line\n".into())
 }
 
-fn failed() -> ItemEnd {
-    ItemEnd::Failed("error\n".into())
+fn failed() -> RunOutcome {
+    RunOutcome::Failed("error\n".into())
 }
 
 #[test]
-fn a_failed_item_goes_to_an_endpoint_that_has_not_had_it() {
+fn a_failed_item_goes_to_an_endpoint_that_has_not_attempted_it() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
-    assert_eq!(end(&mut ledger, 1, &item, failed()), Taken::OpenAgain);
+    assert_eq!(end(&mut ledger, 1, &item, failed()), Ack::Reopened);
     assert_eq!(pull(&mut ledger, 500, "vm-1", 1), []);
     let again = pull(&mut ledger, 500, "vm-2", 1).remove(0);
     assert_eq!((again.index, again.attempt), (0, 1));
     end(&mut ledger, 501, &again, failed());
-    // Both have had it; the first may have it again after a while, since
-    // there may be no third.
+    // Both endpoints have attempted the item; the first may attempt it again
+    // after a delay, since there may be no third endpoint.
     assert_eq!(pull(&mut ledger, 1_500, "vm-1", 1), []);
     let last = pull(&mut ledger, 6_000, "vm-1", 1).remove(0);
-    assert_eq!(end(&mut ledger, 6_001, &last, failed()), Taken::Settled);
+    assert_eq!(end(&mut ledger, 6_001, &last, failed()), Ack::Settled);
 }
 
-/// Symptom: a run costs an endpoint's time twice. Events: a loan expires, the
-/// item goes to another companion, then the first one's answer arrives.
+/// Guards against running an item twice when its first result is late: the
+/// grant expires, the item goes to another companion, then the first
+/// companion's result arrives.
 #[test]
 fn a_late_result_is_used_and_never_doubled() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
@@ -154,21 +161,15 @@
         ledger.handle(at(ms), renewed);
     }
     let second = pull(&mut ledger, 10_800, "vm-2", 1).remove(0);
-    assert_eq!(
-        end(&mut ledger, 10_801, &first, completed()),
-        Taken::Settled
-    );
+    assert_eq!(end(&mut ledger, 10_801, &first, completed()), Ack::Settled);
     let running = [second.grant];
-    let answer = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
-    assert_eq!(answer.revoked, running);
-    assert_eq!(
-        end(&mut ledger, 10_803, &second, completed()),
-        Taken::Ignored
-    );
+    let response = pull_as(&mut ledger, 10_802, "vm-2", 0, &running);
+    assert_eq!(response.revoked, running);
+    assert_eq!(end(&mut ledger, 10_803, &second, completed()), Ack::Ignored);
 }
 
-/// Symptom: an item runs while another owner grants it too. Events: the owner
-/// is paused past its lease and wakes. Cause: it still believes in the lease.
+/// Guards against granting an item that another owner grants too: the owner is
+/// paused past its lease and still considers it valid afterwards.
 #[test]
 fn an_owner_grants_nothing_once_its_lease_may_have_ended() {
     let mut ledger = owner(options(), vec![record("j", "t", 9, HOUR_MS)]);
@@ -184,9 +185,9 @@
     let item = pull(&mut ledger, 0, "vm-1", 1).remove(0);
     job.state = pomeloslip_ledger::JobState::Cancelling;
     load(&mut ledger, job, 2);
-    let answer = pull_as(&mut ledger, 1, "vm-1", 4, &[item.grant]);
-    assert_eq!(answer.items, []);
-    assert_eq!(answer.revoked, [item.grant]);
+    let response = pull_as(&mut ledger, 1, "vm-1", 4, &[item.grant]);
+    assert_eq!(response.items, []);
+    assert_eq!(response.revoked, [item.grant]);
 }
 
 #[test]
@@ -203,13 +204,13 @@
 }
 
 #[test]
-fn an_item_that_kills_its_companions_is_given_up() {
+fn an_item_that_crashes_its_companions_is_given_up() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
-    let mut asked = Vec::new();
+    let mut give_ups = Vec::new();
     for ms in (0..60_000).step_by(500) {
         let actions = ledger.handle(at(ms), Event::Tick);
         let gives_up = |a: &Action| matches!(a, Action::GiveUp { .. });
-        asked.extend(actions.into_iter().filter(gives_up));
+        give_ups.extend(actions.into_iter().filter(gives_up));
         let sent_at = Millis::new(ms);
         let (lease, alive) = (LEASE, Some(true));
         let renewed = Event::Renewed {
@@ -222,16 +223,15 @@
         pull(&mut ledger, ms, &vm, 1);
     }
     assert!(
-        matches!(&asked[..], [Action::GiveUp { attempts: 3, .. }]),
-        "{asked:?}"
+        matches!(&give_ups[..], [Action::GiveUp { attempts: 3, .. }]),
+        "{give_ups:?}"
     );
 }
 
-/// Symptom: all loans end at once although the companions work. Events: the
-/// owner is paused for longer than a loan lasts. Cause: it could not hear
-/// the renewals.
+/// Guards against expiring all grants of working companions: the owner is
+/// paused for longer than the grant TTL and could not receive renewals.
 #[test]
-fn a_pause_of_the_owner_ends_no_loans() {
+fn a_pause_of_the_owner_ends_no_grants() {
     let mut ledger = owner(options(), vec![record("j", "t", 1, HOUR_MS)]);
     pull(&mut ledger, 0, "vm-1", 1);
     ledger.handle(at(30_000), Event::Tick);
@@ -244,7 +244,7 @@
 )]
 fn a_job_is_at_risk_before_it_is_late(items: u32, at_risk: bool) {
     let mut ledger = owner(options(), vec![record("j", "t", items, 60_000)]);
-    // One item a second.
+    // One item per second.
     for second in 0..8 {
         let ms = second * 1_000;
         let item = pull(&mut ledger, ms, "vm-1", 1).remove(0);
--- a/crates/rules/src/compiled.rs
+++ b/crates/rules/src/compiled.rs
@@ -7,15 +7,15 @@
 use crate::{
     Action, Config, CustomerConfig, CustomerLimits, Decision, Explanation,
     OrderFencing, PoolConfig, Route, RuleExplanation, Sample,
-    calendar::Moment, condition::Condition, decision::Outcome,
+    calendar::DecisionTime, condition::Condition, decision::Outcome,
     index::RuleIndex, when::Method,
 };
 
 new_key_type! {
-    /// Names a customer within one compiled configuration.
+    /// Key of a customer in one compiled configuration.
     pub struct CustomerKey;
 
-    /// Names a pool within one compiled configuration.
+    /// Key of a pool in one compiled configuration.
     pub struct PoolKey;
 }
 
@@ -39,7 +39,7 @@
         &self.config.customer
     }
 
-    /// Returns the customer's limits over the whole fleet.
+    /// Returns the customer's fleet-wide limits.
     #[inline]
     pub fn limits(&self) -> &CustomerLimits {
         &self.config.limits
@@ -72,23 +72,24 @@
         &self.config.pool
     }
 
-    /// Returns what the configuration says of the pool.
+    /// Returns the configuration of the pool.
     #[inline]
     pub fn config(&self) -> &PoolConfig {
         &self.config
     }
 
-    /// Tells whether the pool's endpoints refuse old orders by themselves.
+    /// Reports whether the pool's endpoints reject commands with a stale
+    /// fencing token themselves.
     #[inline]
     pub fn checks_fence(&self) -> bool {
         self.config.order_fencing == OrderFencing::Checked
     }
 
-    /// Tells whether a call of this method may run twice.
+    /// Reports whether a call with this method may run more than once.
     ///
-    /// Engines only compute, so theirs may. A service's call may do
-    /// something in the world; without word from the operators only the
-    /// methods that HTTP calls safe are repeated.
+    /// Calls of engines have no side effects, so they may. A call of a service
+    /// may have some; unless operators list other methods, only those that
+    /// HTTP defines as safe are repeated.
     pub fn is_repeatable(&self, method: &str) -> bool {
         const SAFE: [Method; 3] = [Method::Get, Method::Head, Method::Options];
         if self.config.kind == EndpointKind::Engine {
@@ -96,7 +97,7 @@
         }
         let listed = self.config.repeatable.as_deref();
         let methods = listed.unwrap_or(&SAFE);
-        methods.iter().any(|one| one.as_str() == method)
+        methods.iter().any(|listed| listed.as_str() == method)
     }
 }
 
@@ -104,12 +105,12 @@
 #[derive(Clone, Debug)]
 struct CompiledRule {
     name: Option<String>,
-    /// Those that the index does not cover.
-    tests: Vec<Condition>,
+    /// Conditions that the index does not cover.
+    unindexed: Vec<Condition>,
     outcome: Outcome,
 }
 
-/// A configuration that is indexed for decisions; it never changes.
+/// An immutable configuration, indexed for decisions.
 ///
 /// # Example
 ///
@@ -141,7 +142,7 @@
 /// # Ok::<(), error_stack::Report<pomeloslip_rules::RulesError>>(())
 /// ```
 #[derive(Clone, Debug)]
-pub struct Compiled {
+pub struct CompiledConfig {
     revision: Revision,
     customers: SlotMap<CustomerKey, CustomerEntry>,
     customer_keys: HashMap<Customer, CustomerKey>,
@@ -154,7 +155,7 @@
     index: RuleIndex,
 }
 
-impl Compiled {
+impl CompiledConfig {
     pub(crate) fn new(config: Config, revision: Revision) -> Self {
         let mut customers = SlotMap::with_key();
         let mut customer_keys = HashMap::new();
@@ -180,10 +181,11 @@
         let mut conditions = Vec::new();
         for rule in config.rules {
             let all = Condition::list(rule.when);
-            let tests = all.iter().filter(|one| !one.is_indexed());
+            let unindexed =
+                all.iter().filter(|condition| !condition.is_indexed());
             rules.push(CompiledRule {
                 name: rule.name,
-                tests: tests.cloned().collect(),
+                unindexed: unindexed.cloned().collect(),
                 outcome: Outcome::new(rule.then, &pool_keys),
             });
             conditions.push(all);
@@ -207,10 +209,11 @@
         self.revision
     }
 
-    /// Returns the customer whose key has this SHA-256 digest.
+    /// Returns the customer that owns the API key with this SHA-256 digest.
     ///
-    /// The time of the search tells nothing about keys: an attacker who
-    /// guesses keys cannot choose their digests.
+    /// The lookup does not run in constant time, but its timing reveals
+    /// nothing about keys: an attacker who guesses keys cannot choose their
+    /// digests.
     #[inline]
     pub fn customer_by_key_digest(
         &self,
@@ -251,7 +254,7 @@
         self.pools.values()
     }
 
-    /// Returns the names of all models that some pool serves, sorted.
+    /// Returns the names of all models that any pool serves, sorted.
     pub fn models(&self) -> Vec<&str> {
         let lists = self.pools.values().map(|pool| &pool.config.models);
         let models = lists.flatten().flat_map(|list| list.iter());
@@ -260,16 +263,18 @@
         sorted.into_iter().collect()
     }
 
-    /// Returns what the first rule that holds says.
+    /// Returns the decision of the first rule whose conditions all hold.
     pub fn decide(
         &self,
         sample: &Sample<'_>,
         now: UnixMillis,
     ) -> Decision<'_> {
-        let moment = Moment::new(now);
+        let decision_time = DecisionTime::new(now);
         let holds = |rule: &usize| {
-            let tests = &self.rules[*rule].tests;
-            tests.iter().all(|test| test.holds(sample, &moment))
+            let unindexed = &self.rules[*rule].unindexed;
+            unindexed
+                .iter()
+                .all(|condition| condition.holds(sample, &decision_time))
         };
         match self.index.candidates(sample).find(holds) {
             Some(rule) => self.decision(rule, sample.method),
@@ -291,38 +296,38 @@
     }
 
     fn is_repeatable(&self, route: &Route, method: &str) -> bool {
-        let by_pool = |key| {
+        let pool_allows = |key| {
             let pool = self.pool(key);
             pool.is_some_and(|pool| pool.is_repeatable(method))
         };
-        // A retry may go to any of the pools.
-        let all = || route.pools().all(by_pool);
+        // A retry may be sent to any of the pools.
+        let all = || route.pools().all(pool_allows);
         route.repeatable().unwrap_or_else(all)
     }
 
-    /// Tells for each rule whether it holds, and if not, which conditions
+    /// Explains for each rule whether it matches, and if not, which conditions
     /// fail.
     pub fn explain(
         &self,
         sample: &Sample<'_>,
         now: UnixMillis,
     ) -> Explanation {
-        let moment = Moment::new(now);
-        let decider = self.decide(sample, now).rule();
-        let rules = self.conditions.iter().enumerate().map(|(at, all)| {
-            let name = self.rules[at].name.clone();
+        let decision_time = DecisionTime::new(now);
+        let deciding_rule = self.decide(sample, now).rule();
+        let rules = self.conditions.iter().enumerate().map(|(index, all)| {
+            let name = self.rules[index].name.clone();
             let failures = all
                 .iter()
-                .filter(|one| !one.holds(sample, &moment))
-                .map(|one| one.failure(sample, &moment))
+                .filter(|condition| !condition.holds(sample, &decision_time))
+                .map(|condition| condition.failure(sample, &decision_time))
                 .collect();
-            RuleExplanation::new(at, name, failures, decider)
+            RuleExplanation::new(index, name, failures, deciding_rule)
         });
         let rules = rules.collect();
-        let action = match decider {
+        let action = match deciding_rule {
             Some(rule) => self.rules[rule].outcome.describe(&self.pools),
             None => "refused: no rule holds".to_owned(),
         };
-        Explanation::new(self.revision, decider, action, rules)
+        Explanation::new(self.revision, deciding_rule, action, rules)
     }
 }
--- a/crates/rules/src/diff.rs
+++ b/crates/rules/src/diff.rs
@@ -1,4 +1,4 @@
-//! Differences of two configurations in words.
+//! Textual differences between two configurations.
 
 use std::collections::HashMap;
 
@@ -7,9 +7,9 @@
 
 use crate::Config;
 
-/// Returns the differences of two texts of a configuration, one a line.
+/// Returns the differences between two configuration texts, one per line.
 ///
-/// See [`Config::diff`]. If one of them is not valid, that is the only line.
+/// See [`Config::diff`]. If a text is not valid, its error is the only line.
 ///
 /// # Example
 ///
@@ -39,12 +39,12 @@
 }
 
 impl Config {
-    /// Returns what turns this configuration into another, one a line: `+`
-    /// for what is new, `-` for what is gone, `~` for a changed key and `>`
-    /// for a rule that has moved among those that stay.
+    /// Returns the changes from this configuration to another, one per line:
+    /// `+` for an addition, `-` for a removal, `~` for a changed key and `>`
+    /// for a rule that moved relative to the rules that stay.
     ///
-    /// Customers, pools and named rules are matched by their names, rules
-    /// without a name by their whole content.
+    /// Customers, pools and named rules are matched by name, unnamed rules by
+    /// their whole content.
     pub fn diff(&self, new: &Config) -> Vec<String> {
         let mut lines = Vec::new();
         let customers =
@@ -69,7 +69,7 @@
     }
 }
 
-/// One customer, pool or rule.
+/// A customer, pool or rule.
 struct Item {
     title: String,
     value: Value,
@@ -83,7 +83,7 @@
     let mut seen = HashMap::<String, usize>::new();
     let item = |one: &T| {
         let mut title = format!("{kind} {}", name(one));
-        // Two rules without a name may be the same.
+        // Two unnamed rules may have the same content.
         let count = seen.entry(title.clone()).or_default();
         *count += 1;
         if *count > 1 {
@@ -111,44 +111,52 @@
     for item in old.iter().filter(|item| find(new, item).is_none()) {
         lines.push(format!("- {}", item.title));
     }
-    let kept: Vec<usize> =
+    let old_indices_kept: Vec<usize> =
         old.iter().filter_map(|item| find(new, item)).collect();
-    let unmoved = longest_increasing(&kept);
-    for (at, item) in new.iter().enumerate() {
-        let Some(was) = find(old, item) else {
-            let place = format!(" at {}", at + 1);
+    let in_order = longest_increasing_subsequence(&old_indices_kept);
+    for (new_index, item) in new.iter().enumerate() {
+        let Some(old_index) = find(old, item) else {
+            let place = format!(" at {}", new_index + 1);
             let place = if ordered { place.as_str() } else { "" };
             let title = &item.title;
             lines.push(format!("+ {title}{place}: {}", item.value));
             continue;
         };
-        changes(&item.title, "", &old[was].value, &item.value, lines);
-        if ordered && !unmoved.contains(&at) {
+        append_changes(
+            &item.title,
+            "",
+            &old[old_index].value,
+            &item.value,
+            lines,
+        );
+        if ordered && !in_order.contains(&new_index) {
             let title = &item.title;
-            let (from, to) = (was + 1, at + 1);
+            let (from, to) = (old_index + 1, new_index + 1);
             lines.push(format!("> {title}: from {from} to {to}"));
         }
     }
 }
 
-/// Returns a longest run of numbers that keep their order.
-fn longest_increasing(numbers: &[usize]) -> Vec<usize> {
+/// Returns a longest increasing subsequence.
+fn longest_increasing_subsequence(numbers: &[usize]) -> Vec<usize> {
     let mut best: Vec<Vec<usize>> = Vec::new();
     for (end, &number) in numbers.iter().enumerate() {
-        let fits = |run: &&Vec<usize>| run.last().is_some_and(|&l| l < number);
+        let fits = |subsequence: &&Vec<usize>| {
+            subsequence.last().is_some_and(|&l| l < number)
+        };
         let before = best[..end].iter().filter(fits);
-        let mut run = before
-            .max_by_key(|run| run.len())
+        let mut subsequence = before
+            .max_by_key(|subsequence| subsequence.len())
             .cloned()
             .unwrap_or_default();
-        run.push(number);
-        best.push(run);
+        subsequence.push(number);
+        best.push(subsequence);
     }
     best.into_iter().max_by_key(Vec::len).unwrap_or_default()
 }
 
-/// Adds a line for each key that differs, at any depth.
-fn changes(
+/// Appends a line for each key that differs, at any depth.
+fn append_changes(
     title: &str,
     path: &str,
     old: &Value,
@@ -172,7 +180,7 @@
         };
         let old = olds.get(key).unwrap_or(&Value::Null);
         let new = news.get(key).unwrap_or(&Value::Null);
-        changes(title, &inner, old, new, lines);
+        append_changes(title, &inner, old, new, lines);
     }
 }
 
