--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -202,7 +202,7 @@
                     return RunEnd::Complete;
                 }
                 Ok(None) => {
-                    exchange.cut_off();
+                    exchange.mark_interrupted();
                     return RunEnd::Broken;
                 }
                 Ok(Some(Err(_))) | Err(_) => return RunEnd::Broken,
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -12,8 +12,8 @@
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
 use pass::{
-    AnswerBody, Counters, Handler, HandlerFuture, Listener, ListenerOptions,
-    Stopping,
+    Counters, Handler, HandlerFuture, Listener, ListenerOptions, ResponseBody,
+    ShutdownPhase,
 };
 use tokio::sync::watch;
 
@@ -52,7 +52,7 @@
         self: &Arc<Self>,
         address: SocketAddr,
     ) -> Result<(), Report<NodeError>> {
-        let (sender, stage) = watch::channel(Stopping::No);
+        let (sender, stage) = watch::channel(ShutdownPhase::Running);
         let options = ListenerOptions::default();
         let listener = Listener::bind(address, options, stage)
             .change_context(NodeError::Listen)?;
@@ -65,14 +65,15 @@
         Ok(())
     }
 
-    fn answer(&self, path: &str) -> Response<AnswerBody> {
+    fn answer(&self, path: &str) -> Response<ResponseBody> {
         if path != self.ready_path {
             let text = self.counters.render();
-            return Response::new(AnswerBody::own(Bytes::from(text)));
+            return Response::new(ResponseBody::from_bytes(Bytes::from(text)));
         }
         let stopping = self.stopping.load(Ordering::Relaxed);
         let ready = !stopping && self.cluster.is_ready();
-        let mut response = Response::new(AnswerBody::own(Bytes::new()));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(Bytes::new()));
         if !ready {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -26,7 +26,7 @@
     GetReply, Kv, KvError, KvFuture, LeaseId, Txn, TxnReply, Watcher,
     batch::{self, GroupCommit, TxnResult},
 };
-use pass::{AnswerBody, Counters, Fetch, Pool, read_body};
+use pass::{CallOutcome, Counters, Pool, ResponseBody, read_body};
 use tokio::time;
 
 use crate::{
@@ -160,18 +160,20 @@
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(txn)?;
         Counters::add(&self.counters.commits_shared);
-        let exchange = self.pool.exchange(&peer, request, ANSWER_BYTES);
+        let exchange = self.pool.call(&peer, request, ANSWER_BYTES);
         let wait = Duration::from_millis(patience_ms + ANSWER_MS);
         match time::timeout(wait, exchange).await {
-            Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, body))
+                if head.status.is_success() =>
+            {
                 let outcome = commit_wire::decode_outcome(&body);
                 Some(outcome.into_result(txn))
             }
-            Ok(Fetch::Answered(..) | Fetch::NotSent) => {
+            Ok(CallOutcome::Answered(..) | CallOutcome::NotSent) => {
                 self.note_silent(worker);
                 None
             }
-            Ok(Fetch::Broken) | Err(_) => {
+            Ok(CallOutcome::Broken) | Err(_) => {
                 self.note_silent(worker);
                 let report = Report::new(KvError::Unknown);
                 Some(Err(report.attach("the collecting worker is silent")))
@@ -260,7 +262,7 @@
 pub(crate) async fn take(
     group: GroupCommit,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let path = request.uri().path();
     let patience = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
     let patience_ms: Option<u64> = patience.parse().ok();
@@ -280,8 +282,8 @@
     answer(StatusCode::OK, commit_wire::encode_outcome(&outcome))
 }
 
-fn answer(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::own(body));
+fn answer(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -49,7 +49,7 @@
             .answered(|| run.evidence_keys(), run.resumed_after());
     }
 
-    fn cut_off(&self, run: &Run) {
+    fn interrupted(&self, run: &Run) {
         Counters::add(&self.counters.runs_cut_off);
         let cut_off = CutOffRun {
             keys: run.evidence_keys(),
--- a/crates/node/src/feed_wire.rs
+++ b/crates/node/src/feed_wire.rs
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use kv::{KeyValue, LeaseId, batch::GroupCommit};
 use pass::{
-    AnswerBody, Counters, Handler, HandlerFuture, Pool, Relay, read_body,
+    Counters, Handler, HandlerFuture, Pool, Relay, ResponseBody, read_body,
 };
 use serde::{Deserialize, Serialize};
 use tokio::time;
@@ -322,7 +322,7 @@
         let feed = self.feeds.get(call.number);
         let feed = feed.filter(|feed| feed.scope().covers(call.scope));
         let Some(feed) = feed.cloned() else {
-            let body = AnswerBody::own(Bytes::new());
+            let body = ResponseBody::from_bytes(Bytes::new());
             let mut response = Response::new(body);
             *response.status_mut() = StatusCode::NOT_FOUND;
             return Box::pin(std::future::ready(response));
@@ -334,7 +334,7 @@
             let bytes = pages.answer(&feed, call, clock.now());
             Counters::add(&counters.feed_answers_sent);
             Counters::count(&counters.feed_bytes_sent, bytes.len());
-            Response::new(AnswerBody::own(bytes))
+            Response::new(ResponseBody::from_bytes(bytes))
         })
     }
 }
@@ -342,14 +342,14 @@
 async fn keep_job(
     spool: Option<Arc<JobSpool>>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let status =
         match (spool, read_body(request.into_body(), MOST_BYTES).await) {
             (Some(spool), Ok(body)) => spool.keep(body).await,
             (None, Ok(_)) => StatusCode::NOT_FOUND,
             (_, Err(refusal)) => return refusal.into_response(),
         };
-    let mut response = Response::new(AnswerBody::own(Bytes::new()));
+    let mut response = Response::new(ResponseBody::from_bytes(Bytes::new()));
     *response.status_mut() = status;
     response
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -21,8 +21,9 @@
 };
 use limits::Verdict;
 use pass::{
-    AnswerBody, Counters, CustomerOutcome, Forwarder, Handler, HandlerFuture,
-    Inbound, Listener, ListenerOptions, Refusal, Stopping, read_body,
+    Counters, CustomerOutcome, Forwarder, Handler, HandlerFuture, Inbound,
+    Listener, ListenerOptions, Refusal, ResponseBody, ShutdownPhase,
+    read_body,
 };
 use tokio::{sync::watch as stage, time};
 
@@ -40,7 +41,7 @@
     gateway: Arc<Gateway>,
     listener: Listener,
     base: NodeBase,
-    stage: stage::Sender<Stopping>,
+    stage: stage::Sender<ShutdownPhase>,
     grace_ms: u64,
 }
 
@@ -83,7 +84,7 @@
         let heads: Arc<dyn Heads> =
             Arc::new(PeerHeads::new(view.clone(), clock.clone()));
         let pages = PageReader::new(ledger.clone(), heads.clone(), clock);
-        let (stage, receiver) = stage::channel(Stopping::No);
+        let (stage, receiver) = stage::channel(ShutdownPhase::Running);
         let options = ListenerOptions::default();
         let listener = Listener::bind(address, options, receiver)
             .change_context(NodeError::Listen)?;
@@ -125,9 +126,9 @@
         let count = open.load(Ordering::Relaxed);
         log::info!(connections = count; "a planned stop begins");
         self.base.begin_stop();
-        self.stage.send_replace(Stopping::Closing);
+        self.stage.send_replace(ShutdownPhase::Closing);
         time::sleep(Duration::from_millis(LEAVE_MS)).await;
-        self.stage.send_replace(Stopping::Closed);
+        self.stage.send_replace(ShutdownPhase::Closed);
         let _ = serving.await;
         let most_ms = self.grace_ms.saturating_sub(GRACE_MARGIN_MS);
         let until = began + Duration::from_millis(most_ms);
@@ -188,7 +189,7 @@
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         Counters::add(&self.counters.arrived);
         let arrived_at = Instant::now();
         self.cluster.wait_for_start().await;
@@ -210,7 +211,7 @@
             Ok(None) => {}
             Err(error) => {
                 log::info!(error:%; "a call about a job is malformed");
-                let refusal = Refusal::improper(
+                let refusal = Refusal::rejected(
                     StatusCode::BAD_REQUEST,
                     "the call is malformed",
                 );
@@ -263,7 +264,7 @@
                 Counters::add(&self.counters.over_limit);
                 let status = StatusCode::TOO_MANY_REQUESTS;
                 let why = "the customer is at its limit";
-                let refusal = Refusal::improper(status, why);
+                let refusal = Refusal::rejected(status, why);
                 Err(refusal.with_retry_after_ms(over.retry_after_ms()))
             }
             Verdict::Unavailable => {
@@ -297,7 +298,7 @@
             Counters::add(&self.counters.keys_refused);
             match denied {
                 Denied::Unknown(why) => {
-                    Refusal::improper(StatusCode::UNAUTHORIZED, why)
+                    Refusal::rejected(StatusCode::UNAUTHORIZED, why)
                 }
                 Denied::Unconfirmed(why) => {
                     Refusal::not_run(why).with_retry_after_ms(COME_BACK_MS)
@@ -329,7 +330,7 @@
                 let identified = self.identify(arrived, &config, public)?;
                 Ok((route.clone(), config.version, identified))
             }
-            None if self.cluster.is_config_sure() => Err(Refusal::improper(
+            None if self.cluster.is_config_sure() => Err(Refusal::rejected(
                 StatusCode::NOT_FOUND,
                 "no route leads there",
             )),
@@ -347,7 +348,7 @@
         parts: &Parts,
         customer: &str,
         refusal: Refusal,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let id = parts.headers.get(&self.forwarder.names().request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
         log::info!(
@@ -370,7 +371,7 @@
         body: &[u8],
         route: &Route,
         customer: Option<Customer>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let name = customer.as_ref().map_or("", Customer::as_str);
         let new = match self.new_job(parts, body, route, customer.clone()) {
             Ok(new) => new,
@@ -410,14 +411,14 @@
         let id = parts.headers.get(&self.forwarder.names().request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
         let key: JobKey = id.parse().map_err(|_| {
-            Refusal::improper(
+            Refusal::rejected(
                 StatusCode::BAD_REQUEST,
                 "the id cannot name a job",
             )
         })?;
         let items = self.dialect.items(body).map_err(|error| {
             log::info!(request_id = id, error:%; "a job is malformed");
-            Refusal::improper(StatusCode::BAD_REQUEST, "the job is malformed")
+            Refusal::rejected(StatusCode::BAD_REQUEST, "the job is malformed")
         })?;
         let host = parts.headers.get(header::HOST);
         let host = host.and_then(|host| host.to_str().ok());
@@ -441,7 +442,7 @@
         &self,
         call: JobCall,
         customer: Option<&Customer>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (job, result) = match call {
             JobCall::Results {
                 job,
@@ -458,7 +459,7 @@
             JobCall::Body { job, item } => {
                 let body = self.item_body(&job, customer, &item).await;
                 let body = body.map(|body| {
-                    Response::new(AnswerBody::own(Bytes::from(body)))
+                    Response::new(ResponseBody::from_bytes(Bytes::from(body)))
                 });
                 (job, body)
             }
@@ -473,7 +474,7 @@
         result.unwrap_or_else(|report| {
             let error = *report.current_context();
             let refusal = match error {
-                JobError::Unknown => Refusal::improper(
+                JobError::Unknown => Refusal::rejected(
                     StatusCode::NOT_FOUND,
                     "there is no such job",
                 ),
@@ -515,12 +516,12 @@
 
 fn job_refusal(error: JobError) -> Refusal {
     match error {
-        JobError::TooLarge => Refusal::improper(
+        JobError::TooLarge => Refusal::rejected(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the job is too large",
         ),
         JobError::Conflict => {
-            Refusal::improper(StatusCode::CONFLICT, "the id names another job")
+            Refusal::rejected(StatusCode::CONFLICT, "the id names another job")
         }
         JobError::Open => {
             Refusal::unknown("whether the job is kept is not known")
@@ -530,8 +531,9 @@
     }
 }
 
-fn json(status: StatusCode, body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::own(Bytes::from(body)));
+fn json(status: StatusCode, body: Vec<u8>) -> Response<ResponseBody> {
+    let mut response =
+        Response::new(ResponseBody::from_bytes(Bytes::from(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/node/src/job_heads.rs
+++ b/crates/node/src/job_heads.rs
@@ -19,7 +19,7 @@
     HeadFuture, Heads, JobKey, JobView, KnownHead, NodeRecord, Stored,
     ViewHeads, decode_head, encode_head,
 };
-use pass::{AnswerBody, Fetch, Pool};
+use pass::{CallOutcome, Pool, ResponseBody};
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
@@ -66,7 +66,7 @@
         Self(ViewHeads::new(view, clock))
     }
 
-    pub(crate) async fn answer(self, uri: Uri) -> Response<AnswerBody> {
+    pub(crate) async fn answer(self, uri: Uri) -> Response<ResponseBody> {
         let job = uri.path().strip_prefix(HEAD_PATH).unwrap_or_default();
         let wait_ms = number_in(&uri, "wait_ms").unwrap_or(0);
         let after = number_in(&uri, "after");
@@ -76,7 +76,7 @@
             }
             Err(_) => None,
         };
-        let mut response = Response::new(AnswerBody::own(
+        let mut response = Response::new(ResponseBody::from_bytes(
             known.as_ref().and_then(encode).unwrap_or_default(),
         ));
         if known.is_none() {
@@ -197,13 +197,15 @@
         let after = after.unwrap_or_default();
         let path = format!("{HEAD_PATH}{job}?wait_ms={wait_ms}{after}");
         let request = peer::question(&peer, &path).ok_or(())?;
-        let exchange = self.pool.exchange(&peer, request, HEAD_BYTES);
+        let exchange = self.pool.call(&peer, request, HEAD_BYTES);
         let patience = Duration::from_millis(wait_ms + ANSWER_MS);
         match time::timeout(patience, exchange).await {
-            Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, body))
+                if head.status.is_success() =>
+            {
                 decode(&body).map(Some).ok_or(())
             }
-            Ok(Fetch::Answered(..)) => Ok(None),
+            Ok(CallOutcome::Answered(..)) => Ok(None),
             _ => Err(()),
         }
     }
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use jobs::{BulkCache, JobKey, JobView, Ledger, Stored, decode_head_row};
 use kv::Op;
-use pass::{AnswerBody, Fetch, Pool, read_body};
+use pass::{CallOutcome, Pool, ResponseBody, read_body};
 use tokio::time;
 
 use crate::{commit_wire, commits::MOST_BYTES, peer};
@@ -68,10 +68,10 @@
         let mut request = peer::question(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(&rows)?;
-        let exchange = self.pool.exchange(&peer, request, ANSWER_BYTES);
+        let exchange = self.pool.call(&peer, request, ANSWER_BYTES);
         let wait = Duration::from_millis(PUSH_MS);
         match time::timeout(wait, exchange).await {
-            Ok(Fetch::Answered(head, _)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
                 Some(())
             }
             _ => None,
@@ -92,7 +92,7 @@
     pub(crate) async fn take(
         self,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let path = request.uri().path();
         let revision = path.strip_prefix(PUSH_PATH).unwrap_or_default();
         let revision: Option<u64> = revision.parse().ok();
@@ -108,7 +108,8 @@
                 StatusCode::BAD_REQUEST
             }
         };
-        let mut response = Response::new(AnswerBody::own(bytes::Bytes::new()));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(bytes::Bytes::new()));
         *response.status_mut() = status;
         response
     }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -24,7 +24,7 @@
     JobError, JobKey, JobView, Ledger, Members, NewJob, NodeRecord,
     decode_new_job, encode_new_job,
 };
-use pass::{Fetch, Pool};
+use pass::{CallOutcome, Pool};
 use store::{Spool, SpoolError};
 use tokio::{
     sync::{Notify, watch},
@@ -198,15 +198,17 @@
     };
     *request.method_mut() = Method::PUT;
     *request.body_mut() = bytes;
-    let exchange = pool.exchange(&peer, request, ANSWER_BYTES);
+    let exchange = pool.call(&peer, request, ANSWER_BYTES);
     let answer = match time::timeout(wait, exchange).await {
-        Ok(Fetch::Answered(head, _)) if head.status.is_success() => {
+        Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
             Spooled::Safe
         }
-        Ok(Fetch::Answered(head, _)) if head.status.is_client_error() => {
+        Ok(CallOutcome::Answered(head, _))
+            if head.status.is_client_error() =>
+        {
             Spooled::No
         }
-        Ok(Fetch::NotSent) => Spooled::No,
+        Ok(CallOutcome::NotSent) => Spooled::No,
         Ok(_) | Err(_) => Spooled::Maybe,
     };
     log::info!(
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -47,7 +47,7 @@
 }
 
 impl LoadObserver for LoadNotifier {
-    fn began(&self, endpoint: &Endpoint) {
+    fn request_started(&self, endpoint: &Endpoint) {
         let _ = self.0.send(endpoint.life());
     }
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Request, header};
 use jobs::{JobView, NodeRecord, Roster};
 use kv::paths::Paths;
-use pass::{Listener, ListenerOptions, Stopping};
+use pass::{Listener, ListenerOptions, ShutdownPhase};
 use tokio::{sync::watch, time};
 
 use crate::{NodeError, feed_wire::PeerHandler};
@@ -54,7 +54,7 @@
     address: SocketAddr,
     handler: PeerHandler,
 ) -> Result<(), Report<NodeError>> {
-    let (sender, stage) = watch::channel(Stopping::No);
+    let (sender, stage) = watch::channel(ShutdownPhase::Running);
     let options = ListenerOptions::default();
     let listener = Listener::bind(address, options, stage)
         .change_context(NodeError::Listen)?;
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/siblings.rs
@@ -13,7 +13,7 @@
     BulkCache, BulkFuture, BulkValue, JobHead, JobKey, JobView, Ledger,
     NodeRecord, Siblings,
 };
-use pass::{AnswerBody, Fetch, Pool};
+use pass::{CallOutcome, Pool, ResponseBody};
 use tokio::time;
 
 use crate::peer;
@@ -111,12 +111,12 @@
     let Some(request) = peer::question(&peer, &path) else {
         return Asked::Missing;
     };
-    match pool.exchange(&peer, request, MOST_BYTES).await {
-        Fetch::Answered(head, body) if head.status.is_success() => {
+    match pool.call(&peer, request, MOST_BYTES).await {
+        CallOutcome::Answered(head, body) if head.status.is_success() => {
             Asked::Found(Arc::new(body.to_vec()))
         }
-        Fetch::Answered(..) => Asked::Missing,
-        Fetch::NotSent | Fetch::Broken => Asked::Silent,
+        CallOutcome::Answered(..) => Asked::Missing,
+        CallOutcome::NotSent | CallOutcome::Broken => Asked::Silent,
     }
 }
 
@@ -143,12 +143,13 @@
         }
     }
 
-    pub(crate) async fn answer(self, key: String) -> Response<AnswerBody> {
+    pub(crate) async fn answer(self, key: String) -> Response<ResponseBody> {
         if let Some(value) = self.value(&key).await {
             let bytes = Bytes::copy_from_slice(&value);
-            return Response::new(AnswerBody::own(bytes));
+            return Response::new(ResponseBody::from_bytes(bytes));
         }
-        let mut response = Response::new(AnswerBody::own(Bytes::new()));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(Bytes::new()));
         *response.status_mut() = StatusCode::NOT_FOUND;
         response
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -223,7 +223,7 @@
         });
         for change in &changes {
             if let Change::Restarted { former, .. } = change {
-                pool.end(*former);
+                pool.close(*former);
             }
         }
         if !changes.is_empty() {
--- a/crates/pass/src/answer.rs
+++ b/crates/pass/src/answer.rs
@@ -9,23 +9,25 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::time::Sleep;
 
-use crate::{BrokenAnswer, Counters, Exchange, Inbound, resume::ResumedBody};
+use crate::{
+    Counters, Exchange, Inbound, IncompleteResponse, resume::ResumedBody,
+};
 
 /// The body of an answer to a caller.
 #[derive(Debug)]
-pub struct AnswerBody(Inner);
+pub struct ResponseBody(Inner);
 
 #[derive(Debug)]
 enum Inner {
-    Own(Option<Bytes>),
+    Bytes(Option<Bytes>),
     Passed(Box<PassedBody>),
     Resumed(Box<ResumedBody>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Makes a body of bytes of this node.
-    pub fn own(bytes: Bytes) -> Self {
-        Self(Inner::Own(Some(bytes)))
+    pub fn from_bytes(bytes: Bytes) -> Self {
+        Self(Inner::Bytes(Some(bytes)))
     }
 
     pub(crate) fn passed(body: PassedBody) -> Self {
@@ -37,16 +39,16 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = IncompleteResponse;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         let data = match &mut self.get_mut().0 {
-            Inner::Own(bytes) => Poll::Ready(bytes.take().map(Ok)),
+            Inner::Bytes(bytes) => Poll::Ready(bytes.take().map(Ok)),
             Inner::Passed(body) => body.poll_data(cx),
             Inner::Resumed(body) => body.poll_data(cx),
         };
@@ -55,15 +57,15 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.0 {
-            Inner::Own(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Inner::Passed(body) => body.exchange.is_whole(),
+            Inner::Bytes(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Inner::Passed(body) => body.exchange.is_complete(),
             Inner::Resumed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.0 {
-            Inner::Own(bytes) => {
+            Inner::Bytes(bytes) => {
                 let length = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(length as u64)
             }
@@ -208,7 +210,7 @@
         exchange: Exchange,
         mut request_log: RequestLog,
     ) -> Self {
-        if exchange.is_whole() {
+        if exchange.is_complete() {
             request_log.end(ANSWERED);
         }
         let deadline = Box::pin(sleep_until(request_log.request.ends_at()));
@@ -222,7 +224,7 @@
     fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         match self.exchange.poll_data(cx) {
             Poll::Pending => {}
             Poll::Ready(data) => {
@@ -232,7 +234,7 @@
                     Some(Ok(data)) => {
                         self.request_log.passed(data.len());
                         self.exchange.advance_to(self.request_log.bytes);
-                        if self.exchange.is_whole() {
+                        if self.exchange.is_complete() {
                             self.request_log.end(ANSWERED);
                         }
                     }
@@ -244,7 +246,7 @@
             return Poll::Pending;
         }
         self.request_log.end(FAILED);
-        Poll::Ready(Some(Err(BrokenAnswer::Deadline)))
+        Poll::Ready(Some(Err(IncompleteResponse::Deadline)))
     }
 }
 
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -9,7 +9,7 @@
 use crate::{
     Counters, Exchange, HeaderNames, Inbound, LoadObserver, Pool, Run,
     RunObserver,
-    channel::{Channel, says_close},
+    channel::{Channel, closes_connection},
 };
 
 /// Why one offer of a request to an endpoint came to nothing.
@@ -44,10 +44,10 @@
     /// ```
     /// use pomeloslip_pass::Failure;
     ///
-    /// assert!(Failure::Connect.surely_not_run());
-    /// assert!(!Failure::Broken.surely_not_run());
+    /// assert!(Failure::Connect.is_known_not_run());
+    /// assert!(!Failure::Broken.is_known_not_run());
     /// ```
-    pub fn surely_not_run(self) -> bool {
+    pub fn is_known_not_run(self) -> bool {
         match self {
             Failure::Connect | Failure::NotSent => true,
             Failure::NotExecuted(_) | Failure::Held { .. } => true,
@@ -91,30 +91,29 @@
 
 impl Dispatcher<'_> {
     /// Sends the request and returns the answer once its head is there.
-    pub(crate) async fn make(
+    pub(crate) async fn dispatch(
         &self,
         offer: Offer<'_>,
     ) -> Result<Exchange, Failure> {
         let endpoint = offer.endpoint.clone();
         endpoint.begin();
-        self.observer.began(&endpoint);
+        self.observer.request_started(&endpoint);
         let mut run = Run::begin(
             offer.request.clone(),
             endpoint.clone(),
             offer.resume_after,
             self.runs.clone(),
         );
-        let begun = Begun(Some(endpoint));
+        let in_flight = InFlightGuard(Some(endpoint));
         let result = time::timeout(offer.wait, self.send(&offer)).await;
         let result = result.unwrap_or(Err(Failure::Silent));
         match result {
-            Ok((channel, response)) => {
-                self.judge(&offer, begun, run, channel, response)
-            }
+            Ok((channel, response)) => self
+                .evaluate_response(&offer, in_flight, run, channel, response),
             Err(failure) => {
-                self.note(&offer, failure);
+                self.record_failure(&offer, failure);
                 if failure == Failure::Broken {
-                    run.cut_off();
+                    run.mark_interrupted();
                 }
                 Err(failure)
             }
@@ -149,7 +148,7 @@
         let id = &offer.endpoint.record().id;
         let outbound =
             offer.request.outbound(self.names, id, offer.resume_after);
-        let mut channel = Unfinished(Some(channel));
+        let mut channel = AbortOnDrop(Some(channel));
         let sender = match channel.0.as_mut() {
             Some(channel) => channel.sender(),
             None => return Err(Failure::NotSent),
@@ -166,10 +165,10 @@
         }
     }
 
-    fn judge(
+    fn evaluate_response(
         &self,
         offer: &Offer<'_>,
-        mut begun: Begun,
+        mut in_flight: InFlightGuard,
         run: Run,
         mut channel: Channel,
         response: http::Response<hyper::body::Incoming>,
@@ -177,14 +176,14 @@
         let (head, body) = response.into_parts();
         let headers = &head.headers;
         let now = self.clock.now();
-        if let Some(report) = load_report(headers, self.names) {
+        if let Some(report) = parse_load_report(headers, self.names) {
             offer.endpoint.report(report, now);
         }
         channel.note_keep_alive(headers, self.pool.options());
-        let reusable = !says_close(headers);
-        let failure = check(&head.status, headers, self.names, offer);
+        let reusable = !closes_connection(headers);
+        let failure = check_response(&head.status, headers, self.names, offer);
         // The exchange counts the request as over from here on.
-        if begun.0.take().is_none() {
+        if in_flight.0.take().is_none() {
             return Err(Failure::Broken);
         }
         let mut exchange = Exchange::new(
@@ -198,23 +197,23 @@
         match failure {
             None => {
                 offer.endpoint.succeeded();
-                exchange.note_if_whole();
+                exchange.report_if_complete();
                 Ok(exchange)
             }
             Some(failure) => {
-                self.note(offer, failure);
+                self.record_failure(offer, failure);
                 Err(failure)
             }
         }
     }
 
     /// Remembers a failure against the endpoint.
-    fn note(&self, offer: &Offer<'_>, failure: Failure) {
+    fn record_failure(&self, offer: &Offer<'_>, failure: Failure) {
         let now: Millis = self.clock.now();
         offer.endpoint.failed(failure.suspicion(), now);
         let record = offer.endpoint.record();
         if matches!(failure, Failure::Connect | Failure::Silent) {
-            self.pool.forget(offer.endpoint);
+            self.pool.clear_idle(offer.endpoint);
         }
         log::info!(
             request_id = offer.request.id(),
@@ -228,9 +227,9 @@
 }
 
 /// Counts a request as over unless an exchange takes that on.
-struct Begun(Option<Endpoint>);
+struct InFlightGuard(Option<Endpoint>);
 
-impl Drop for Begun {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(endpoint) = &self.0 {
             endpoint.end();
@@ -240,9 +239,9 @@
 
 /// Closes a connection whose answer is not waited for any more, so that the
 /// endpoint stops its work.
-struct Unfinished(Option<Channel>);
+struct AbortOnDrop(Option<Channel>);
 
-impl Drop for Unfinished {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         if let Some(channel) = &self.0 {
             channel.abort();
@@ -250,7 +249,7 @@
     }
 }
 
-fn check(
+fn check_response(
     status: &StatusCode,
     headers: &HeaderMap,
     names: &HeaderNames,
@@ -265,8 +264,8 @@
     // A late second answer to an earlier request may stand where this one's
     // is expected; only the echoed id tells.
     let echoed = headers.get(&names.request_id);
-    let same = echoed.is_some_and(|id| id == offer.request.id());
-    if !same {
+    let id_matches = echoed.is_some_and(|id| id == offer.request.id());
+    if !id_matches {
         return Some(Failure::WrongId);
     }
     let sealed = headers.contains_key(&names.seal);
@@ -275,7 +274,7 @@
     (!good).then_some(Failure::NotSealed(status))
 }
 
-fn load_report(
+fn parse_load_report(
     headers: &HeaderMap,
     names: &HeaderNames,
 ) -> Option<LoadReport> {
--- a/crates/pass/src/channel.rs
+++ b/crates/pass/src/channel.rs
@@ -63,7 +63,7 @@
 /// One sees requests that wait to their deadline while new connections to
 /// the same address work. The kernel then reports an error in about
 /// `silence_ms`.
-pub(crate) fn guard_silence(
+pub(crate) fn set_silence_timeout(
     stream: &TcpStream,
     silence_ms: u64,
 ) -> io::Result<()> {
@@ -92,7 +92,7 @@
         let wait = Duration::from_millis(options.connect_timeout_ms);
         let stream =
             time::timeout(wait, TcpStream::connect(address)).await??;
-        guard_silence(&stream, options.silence_ms)?;
+        set_silence_timeout(&stream, options.silence_ms)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
@@ -119,7 +119,7 @@
         headers: &HeaderMap,
         options: &ChannelOptions,
     ) {
-        let Some(seconds) = keep_alive_s(headers) else {
+        let Some(seconds) = keep_alive_seconds(headers) else {
             return;
         };
         let all = Duration::from_secs(seconds);
@@ -128,12 +128,12 @@
     }
 
     /// Starts the idle time.
-    pub(crate) fn rest(&mut self) {
+    pub(crate) fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
     /// Tells whether it may not be used any more.
-    pub(crate) fn is_spent(&self) -> bool {
+    pub(crate) fn is_expired(&self) -> bool {
         let over = self
             .usable_for
             .is_some_and(|most| self.idle_since.elapsed() >= most);
@@ -156,7 +156,7 @@
     }
 }
 
-fn keep_alive_s(headers: &HeaderMap) -> Option<u64> {
+fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let part = text
         .split(',')
@@ -165,7 +165,7 @@
 }
 
 /// Tells whether the sender of an answer closes the connection after it.
-pub(crate) fn says_close(headers: &HeaderMap) -> bool {
+pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/pass/src/error.rs
+++ b/crates/pass/src/error.rs
@@ -23,20 +23,20 @@
 /// of a complete answer, so that the caller cannot take a part for the
 /// whole.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BrokenAnswer {
+pub enum IncompleteResponse {
     /// The endpoint's connection broke or its bytes were no answer.
     Endpoint,
     /// The time of the request was up.
     Deadline,
 }
 
-impl fmt::Display for BrokenAnswer {
+impl fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BrokenAnswer::Endpoint => "the endpoint's answer broke off",
-            BrokenAnswer::Deadline => "the time of the request is up",
+            IncompleteResponse::Endpoint => "the endpoint's answer broke off",
+            IncompleteResponse::Deadline => "the time of the request is up",
         })
     }
 }
 
-impl error::Error for BrokenAnswer {}
+impl error::Error for IncompleteResponse {}
--- a/crates/pass/src/exchange.rs
+++ b/crates/pass/src/exchange.rs
@@ -10,7 +10,7 @@
 use http_body::Body;
 use hyper::body::Incoming;
 
-use crate::{BrokenAnswer, Pool, Run, channel::Channel};
+use crate::{IncompleteResponse, Pool, Run, channel::Channel};
 
 /// An answer of an endpoint that is being read.
 ///
@@ -25,10 +25,10 @@
     run: Run,
     pool: Arc<Pool>,
     reusable: bool,
-    whole: bool,
+    is_complete: bool,
     /// Whether the end of the answer can be told from a loss of the
     /// connection.
-    framed: bool,
+    is_framed: bool,
 }
 
 impl Exchange {
@@ -42,9 +42,9 @@
     ) -> Self {
         Self {
             status: head.status,
-            framed: is_framed(&head.headers),
+            is_framed: is_framed(&head.headers),
             head: Some(head),
-            whole: body.is_end_stream(),
+            is_complete: body.is_end_stream(),
             body,
             channel: Some(channel),
             run,
@@ -77,8 +77,8 @@
 
     /// Tells whether the answer is read to its end.
     #[inline]
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Takes note of how much of the answer has arrived, see
@@ -87,14 +87,14 @@
         self.run.advance_to(reached);
     }
 
-    /// Takes note that the answer has ended before it was whole, which its
+    /// Takes note that the answer has ended before it was is_complete, which its
     /// reader sees by its content.
-    pub fn cut_off(&mut self) {
-        self.run.cut_off();
+    pub fn mark_interrupted(&mut self) {
+        self.run.mark_interrupted();
     }
 
-    pub(crate) fn note_if_whole(&mut self) {
-        if self.whole && self.framed {
+    pub(crate) fn report_if_complete(&mut self) {
+        if self.is_complete && self.is_framed {
             self.run.answered();
         }
     }
@@ -104,11 +104,11 @@
         self.body.size_hint().exact()
     }
 
-    /// Reads on; `None` is the end of a whole answer.
+    /// Reads on; `None` is the end of a is_complete answer.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         loop {
             let frame = match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -116,18 +116,20 @@
             };
             match frame {
                 None => {
-                    self.whole = true;
-                    self.note_if_whole();
+                    self.is_complete = true;
+                    self.report_if_complete();
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
                     log::debug!(error:%; "an answer broke off");
-                    self.run.cut_off();
-                    return Poll::Ready(Some(Err(BrokenAnswer::Endpoint)));
+                    self.run.mark_interrupted();
+                    return Poll::Ready(Some(Err(
+                        IncompleteResponse::Endpoint,
+                    )));
                 }
                 Some(Ok(frame)) => {
-                    self.whole = self.body.is_end_stream();
-                    self.note_if_whole();
+                    self.is_complete = self.body.is_end_stream();
+                    self.report_if_complete();
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -148,8 +150,8 @@
         let Some(channel) = self.channel.take() else {
             return;
         };
-        if self.whole && self.reusable {
-            self.pool.give_back(self.run.endpoint(), channel);
+        if self.is_complete && self.reusable {
+            self.pool.release(self.run.endpoint(), channel);
         } else {
             channel.abort();
         }
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -14,8 +14,9 @@
 use tokio::time;
 
 use crate::{
-    AnswerBody, Counters, Exchange, Failure, HeaderNames, Inbound,
-    LoadObserver, Offer, Pool, Refusal, ReturnTimes, RunObserver, Unobserved,
+    Counters, Exchange, Failure, HeaderNames, Inbound, LoadObserver,
+    NoopObserver, Offer, Pool, Refusal, ResponseBody, RetryAfterEstimator,
+    RunObserver,
     answer::{FAILED, PassedBody, REFUSED, RequestLog, Sent},
     attempt::Dispatcher,
     request::strip_hop_by_hop,
@@ -30,17 +31,17 @@
     /// The same for other requests, which are short.
     pub plain_queue: u32,
     /// Offers of one request that may come back as not run.
-    pub offers_most: u32,
+    pub max_offers: u32,
     /// Part of the latency objective that a request may wait for room
     /// before it is refused: one part in this many.
-    pub patience_divisor: u64,
+    pub queue_wait_divisor: u64,
     /// Requests that may wait if their caller has come back: it has waited
     /// already, and a second refusal would be its last.
-    pub return_queue: u32,
+    pub retry_queue: u32,
     /// When a refused caller should come back whose endpoints are not known.
     pub retry_after_ms: u64,
     /// The same at a node that knows no endpoints at all yet.
-    pub start_retry_after_ms: u64,
+    pub startup_retry_after_ms: u64,
 }
 
 impl Default for ForwarderOptions {
@@ -53,11 +54,11 @@
         Self {
             stream_queue: 1,
             plain_queue: 10,
-            offers_most: 4,
-            patience_divisor: 8,
-            return_queue: 12,
+            max_offers: 4,
+            queue_wait_divisor: 8,
+            retry_queue: 12,
             retry_after_ms: 1_000,
-            start_retry_after_ms: 500,
+            startup_retry_after_ms: 500,
         }
     }
 }
@@ -75,7 +76,7 @@
     observer: Arc<dyn LoadObserver>,
     runs: Arc<dyn RunObserver>,
     quarantine: Quarantine,
-    returns: ReturnTimes,
+    returns: RetryAfterEstimator,
 }
 
 /// The endpoints as of a revision of the key-value service.
@@ -129,10 +130,10 @@
             pool,
             clock,
             counters,
-            observer: Arc::new(Unobserved),
-            runs: Arc::new(Unobserved),
+            observer: Arc::new(NoopObserver),
+            runs: Arc::new(NoopObserver),
             quarantine,
-            returns: ReturnTimes::default(),
+            returns: RetryAfterEstimator::default(),
         }
     }
 
@@ -178,7 +179,7 @@
         self: &Arc<Self>,
         request: Inbound,
         config_version: u64,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let request = Arc::new(request);
         let counters = self.counters.clone();
         let mut request_log =
@@ -195,8 +196,8 @@
             Err(refusal) => {
                 request_log.head(refusal.status().as_u16());
                 request_log.end(match refusal.ran() {
-                    crate::Ran::No => REFUSED,
-                    crate::Ran::Unknown => FAILED,
+                    crate::Execution::NotRun => REFUSED,
+                    crate::Execution::Unknown => FAILED,
                 });
                 log::info!(
                     request_id = request.id(),
@@ -215,21 +216,21 @@
         mut exchange: Exchange,
         mut request_log: RequestLog,
         tries: Tries,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let kind = request_log.request.route().kind();
         request_log.head(exchange.status().as_u16());
         let head = exchange.take_head();
         let resumable = kind == RouteKind::ResumableStream
             && exchange.status().is_success();
         let body = match resumable {
-            true => AnswerBody::resumed(ResumedBody::new(
+            true => ResponseBody::resumed(ResumedBody::new(
                 self.clone(),
                 exchange,
                 request_log,
                 tries,
             )),
             false => {
-                AnswerBody::passed(PassedBody::new(exchange, request_log))
+                ResponseBody::passed(PassedBody::new(exchange, request_log))
             }
         };
         let mut response = Response::new(body);
@@ -270,7 +271,7 @@
                 wait: self.wait(request, tries),
                 cleared,
             };
-            match self.dispatcher().make(offer).await {
+            match self.dispatcher().dispatch(offer).await {
                 Ok(exchange) => {
                     tries.ran();
                     if !worth_another(request.route(), &exchange, tries) {
@@ -279,7 +280,7 @@
                 }
                 Err(failure) => tries.note(failure, request.route())?,
             }
-            if tries.offers >= self.options.offers_most {
+            if tries.offers >= self.options.max_offers {
                 return Err(self.refuse(Verdict::AllFull, request, tries));
             }
         }
@@ -314,7 +315,7 @@
         }
         if verdict == Verdict::NoEndpoint {
             let back_ms = match self.endpoints.load().table.is_empty() {
-                true => self.options.start_retry_after_ms,
+                true => self.options.startup_retry_after_ms,
                 false => self.options.retry_after_ms,
             };
             return Refusal::not_run("no endpoint is known")
@@ -338,7 +339,7 @@
     ) -> Result<Choice, Refusal> {
         let route = request.route();
         let patience_ms =
-            route.target_latency_ms() / self.options.patience_divisor;
+            route.target_latency_ms() / self.options.queue_wait_divisor;
         let until = request.arrived() + Duration::from_millis(patience_ms);
         loop {
             let verdict = match self.choose(request, sent, &tries.tried) {
@@ -373,7 +374,7 @@
             tried,
             queue_allowance: match (route.kind().is_stream(), returns) {
                 (true, false) => self.options.stream_queue,
-                (true, true) => self.options.return_queue,
+                (true, true) => self.options.retry_queue,
                 (false, _) => self.options.plain_queue,
             },
         };
@@ -403,7 +404,7 @@
             wait,
             cleared,
         };
-        self.dispatcher().make(offer).await
+        self.dispatcher().dispatch(offer).await
     }
 
     /// Lets a request pass unless it is known to crash endpoints.
@@ -422,7 +423,7 @@
     }
 
     /// Asks another endpoint for the rest of a stream.
-    pub(crate) async fn take_up(
+    pub(crate) async fn resume_stream(
         &self,
         request: &Arc<Inbound>,
         mut tries: Tries,
@@ -526,7 +527,7 @@
         route: &Route,
     ) -> Result<(), Refusal> {
         self.open = false;
-        if failure.surely_not_run() {
+        if failure.is_known_not_run() {
             return Ok(());
         }
         self.ran();
--- a/crates/pass/src/lib.rs
+++ b/crates/pass/src/lib.rs
@@ -29,31 +29,33 @@
 mod listen;
 mod names;
 mod observe;
-mod own;
 mod pool;
+mod refusal;
 mod relay;
 mod request;
 mod resume;
-mod returns;
+mod retry_after;
 mod run;
 
 pub use crate::{
-    answer::AnswerBody,
+    answer::ResponseBody,
     attempt::{Failure, Offer},
     channel::ChannelOptions,
     counters::Counters,
     customers::{CustomerCounters, CustomerOutcome},
-    error::{BrokenAnswer, PassError},
+    error::{IncompleteResponse, PassError},
     events::{EventSplitter, Split},
     exchange::Exchange,
     forward::{DirectoryView, Forwarder, ForwarderOptions},
-    listen::{Handler, HandlerFuture, Listener, ListenerOptions, Stopping},
+    listen::{
+        Handler, HandlerFuture, Listener, ListenerOptions, ShutdownPhase,
+    },
     names::HeaderNames,
-    observe::{LoadObserver, Unobserved},
-    own::{Ran, Refusal},
-    pool::{Fetch, Pool},
+    observe::{LoadObserver, NoopObserver},
+    pool::{CallOutcome, Pool},
+    refusal::{Execution, Refusal},
     relay::Relay,
     request::{Inbound, read_body},
-    returns::ReturnTimes,
+    retry_after::RetryAfterEstimator,
     run::{Run, RunObserver},
 };
--- a/crates/pass/src/listen.rs
+++ b/crates/pass/src/listen.rs
@@ -21,11 +21,11 @@
     time,
 };
 
-use crate::{AnswerBody, PassError, channel::guard_silence};
+use crate::{PassError, ResponseBody, channel::set_silence_timeout};
 
 /// The future of an answer.
 pub type HandlerFuture =
-    Pin<Box<dyn Future<Output = Response<AnswerBody>> + Send>>;
+    Pin<Box<dyn Future<Output = Response<ResponseBody>> + Send>>;
 
 /// Answers requests.
 pub trait Handler: Send + Sync + 'static {
@@ -38,9 +38,9 @@
 
 /// How far a planned stop has come.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Stopping {
+pub enum ShutdownPhase {
     /// Not at all.
-    No,
+    Running,
     /// Answers end their connections; new connections are still taken.
     Closing,
     /// Idle connections are closed and no new ones are taken.
@@ -72,7 +72,7 @@
 pub struct Listener {
     socket: TcpListener,
     options: ListenerOptions,
-    stopping: watch::Receiver<Stopping>,
+    stopping: watch::Receiver<ShutdownPhase>,
     open: Arc<AtomicUsize>,
 }
 
@@ -91,7 +91,7 @@
     pub fn bind(
         address: SocketAddr,
         options: ListenerOptions,
-        stopping: watch::Receiver<Stopping>,
+        stopping: watch::Receiver<ShutdownPhase>,
     ) -> Result<Self, Report<PassError>> {
         let bind = || {
             let socket = TcpSocket::new_v4()?;
@@ -124,12 +124,12 @@
         self.open.clone()
     }
 
-    /// Serves until the stop has come to [`Stopping::Closed`]; connections
+    /// Serves until the stop has come to [`ShutdownPhase::Closed`]; connections
     /// with a request end after its answer.
     pub async fn serve(mut self, handler: Arc<dyn Handler>) {
         let mut closed = self.stopping.clone();
         let mut closed =
-            pin!(closed.wait_for(|stage| *stage == Stopping::Closed));
+            pin!(closed.wait_for(|stage| *stage == ShutdownPhase::Closed));
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -147,7 +147,9 @@
     }
 
     fn start(&mut self, stream: TcpStream, handler: &Arc<dyn Handler>) {
-        if let Err(error) = guard_silence(&stream, self.options.silence_ms) {
+        if let Err(error) =
+            set_silence_timeout(&stream, self.options.silence_ms)
+        {
             log::debug!(error:%; "a new connection has ended already");
             return;
         }
@@ -164,7 +166,7 @@
 async fn connection(
     stream: TcpStream,
     handler: Arc<dyn Handler>,
-    mut stopping: watch::Receiver<Stopping>,
+    mut stopping: watch::Receiver<ShutdownPhase>,
 ) {
     let limits = handler.limits();
     let stage = stopping.clone();
@@ -173,7 +175,7 @@
         let stage = stage.clone();
         async move {
             let mut response = answer.await;
-            if *stage.borrow() != Stopping::No {
+            if *stage.borrow() != ShutdownPhase::Running {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -190,7 +192,9 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let closed = async move {
-        let _ = stopping.wait_for(|stage| *stage == Stopping::Closed).await;
+        let _ = stopping
+            .wait_for(|stage| *stage == ShutdownPhase::Closed)
+            .await;
     };
     let ended = tokio::select! {
         result = &mut connection => Some(result),
--- a/crates/pass/src/observe.rs
+++ b/crates/pass/src/observe.rs
@@ -8,19 +8,19 @@
 /// of an online request; the endpoint's own report comes too late for that.
 pub trait LoadObserver: Send + Sync + 'static {
     /// A request is about to be sent to an endpoint.
-    fn began(&self, endpoint: &Endpoint);
+    fn request_started(&self, endpoint: &Endpoint);
 }
 
 /// Hears and does nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Unobserved;
+pub struct NoopObserver;
 
-impl LoadObserver for Unobserved {
-    fn began(&self, _endpoint: &Endpoint) {}
+impl LoadObserver for NoopObserver {
+    fn request_started(&self, _endpoint: &Endpoint) {}
 }
 
-impl RunObserver for Unobserved {
+impl RunObserver for NoopObserver {
     fn answered(&self, _run: &Run) {}
 
-    fn cut_off(&self, _run: &Run) {}
+    fn interrupted(&self, _run: &Run) {}
 }
--- a/crates/pass/src/pool.rs
+++ b/crates/pass/src/pool.rs
@@ -12,17 +12,17 @@
 
 use crate::{
     ChannelOptions,
-    channel::{Channel, says_close},
+    channel::{Channel, closes_connection},
     read_body,
 };
 
 /// Idle connections kept for one endpoint; more than a burst needs at once
 /// from one node, and far under what an endpoint accepts.
-const IDLE_MOST: usize = 32;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// How a call of the node's own ended.
 #[derive(Debug)]
-pub enum Fetch {
+pub enum CallOutcome {
     /// The whole answer.
     Answered(Parts, Bytes),
     /// The call surely did not arrive.
@@ -69,7 +69,7 @@
     pub(crate) fn take(&self, endpoint: &Endpoint) -> Option<Channel> {
         let mut lives = self.lock();
         let idle = &mut lives.get_mut(&endpoint.life())?.idle;
-        idle.retain(|channel| !channel.is_spent());
+        idle.retain(|channel| !channel.is_expired());
         let at = idle.iter().rposition(Channel::is_ready)?;
         Some(idle.remove(at))
     }
@@ -89,18 +89,18 @@
     }
 
     /// Keeps a connection whose answer is whole.
-    pub(crate) fn give_back(&self, endpoint: &Endpoint, mut channel: Channel) {
-        channel.rest();
+    pub(crate) fn release(&self, endpoint: &Endpoint, mut channel: Channel) {
+        channel.mark_idle();
         let mut lives = self.lock();
         let idle = &mut lives.entry(endpoint.life()).or_default().idle;
-        if idle.len() < IDLE_MOST {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(channel);
         }
     }
 
     /// Drops the idle connections to an endpoint, because one of them fell
     /// silent and its kin may have too.
-    pub fn forget(&self, endpoint: &Endpoint) {
+    pub fn clear_idle(&self, endpoint: &Endpoint) {
         if let Some(known) = self.lock().get_mut(&endpoint.life()) {
             known.idle.clear();
         }
@@ -112,7 +112,7 @@
     /// An endpoint that crashed behind a cut resets nothing: without this a
     /// request waits for an answer of a process that is gone until its time
     /// is up, while the endpoint that started in its place is idle.
-    pub fn end(&self, life: LifeKey) {
+    pub fn close(&self, life: LifeKey) {
         let Some(known) = self.lock().swap_remove(&life) else {
             return;
         };
@@ -127,10 +127,10 @@
         &self,
         endpoint: &Endpoint,
         request: Request<Bytes>,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Option<Bytes> {
-        match self.exchange(endpoint, request, most_bytes).await {
-            Fetch::Answered(head, body) if head.status.is_success() => {
+        match self.call(endpoint, request, max_bytes).await {
+            CallOutcome::Answered(head, body) if head.status.is_success() => {
                 Some(body)
             }
             _ => None,
@@ -138,19 +138,19 @@
     }
 
     /// Makes a call that is answered in one piece.
-    pub async fn exchange(
+    pub async fn call(
         &self,
         endpoint: &Endpoint,
         request: Request<Bytes>,
-        most_bytes: usize,
-    ) -> Fetch {
+        max_bytes: usize,
+    ) -> CallOutcome {
         let kept = self.take(endpoint);
         let channel = match kept {
             Some(channel) => Ok(channel),
             None => self.open(endpoint).await,
         };
         let Ok(mut channel) = channel else {
-            return Fetch::NotSent;
+            return CallOutcome::NotSent;
         };
         let request = request.map(Full::new);
         let sent = channel.sender().try_send_request(request).await;
@@ -158,20 +158,20 @@
             Ok(response) => response,
             Err(mut error) => {
                 return match error.take_message() {
-                    Some(_) => Fetch::NotSent,
-                    None => Fetch::Broken,
+                    Some(_) => CallOutcome::NotSent,
+                    None => CallOutcome::Broken,
                 };
             }
         };
         let (head, body) = response.into_parts();
         channel.note_keep_alive(&head.headers, &self.options);
-        let Ok(body) = read_body(body, most_bytes).await else {
-            return Fetch::Broken;
+        let Ok(body) = read_body(body, max_bytes).await else {
+            return CallOutcome::Broken;
         };
-        if !says_close(&head.headers) {
-            self.give_back(endpoint, channel);
+        if !closes_connection(&head.headers) {
+            self.release(endpoint, channel);
         }
-        Fetch::Answered(head, body)
+        CallOutcome::Answered(head, body)
     }
 
     /// Drops the idle connections to lives of which `keep` is false. Their
--- a/crates/pass/src/own.rs
+++ b/crates/pass/src/refusal.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::AnswerBody;
+use crate::ResponseBody;
 
 /// What is known of whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ran {
+pub enum Execution {
     /// It did not and never will.
-    No,
+    NotRun,
     /// It may have.
     Unknown,
 }
@@ -20,12 +20,12 @@
 ///
 /// ```
 /// use http::StatusCode;
-/// use pomeloslip_pass::{Ran, Refusal};
+/// use pomeloslip_pass::{Execution, Refusal};
 ///
 /// let refusal = Refusal::not_run("all endpoints are full")
 ///     .with_retry_after_ms(250);
 /// assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
-/// assert_eq!(refusal.ran(), Ran::No);
+/// assert_eq!(refusal.ran(), Execution::NotRun);
 /// let answer = refusal.into_response();
 /// assert_eq!(answer.headers()["retry-after"], "0.25");
 /// ```
@@ -33,40 +33,44 @@
 pub struct Refusal {
     status: StatusCode,
     reason: &'static str,
-    ran: Ran,
+    ran: Execution,
     retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
     /// Refuses a request that did not and will not run.
     pub fn not_run(reason: &'static str) -> Self {
-        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Ran::No)
+        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Execution::NotRun)
     }
 
     /// Ends a request that may have run and was not answered.
     pub fn unknown(reason: &'static str) -> Self {
-        Self::new(StatusCode::BAD_GATEWAY, reason, Ran::Unknown)
+        Self::new(StatusCode::BAD_GATEWAY, reason, Execution::Unknown)
     }
 
     /// Ends a request that may have run when its time is up.
     pub fn timed_out(reason: &'static str) -> Self {
-        Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Ran::Unknown)
+        Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Execution::Unknown)
     }
 
     /// Refuses a request that no route allows or that breaks a limit.
-    pub fn improper(status: StatusCode, reason: &'static str) -> Self {
-        Self::new(status, reason, Ran::No)
+    pub fn rejected(status: StatusCode, reason: &'static str) -> Self {
+        Self::new(status, reason, Execution::NotRun)
     }
 
     pub(crate) const fn body_too_large() -> Self {
         Self::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body of the request is too large",
-            Ran::No,
+            Execution::NotRun,
         )
     }
 
-    const fn new(status: StatusCode, reason: &'static str, ran: Ran) -> Self {
+    const fn new(
+        status: StatusCode,
+        reason: &'static str,
+        ran: Execution,
+    ) -> Self {
         Self {
             status,
             reason,
@@ -90,7 +94,7 @@
 
     /// Returns whether the request ran.
     #[inline]
-    pub fn ran(&self) -> Ran {
+    pub fn ran(&self) -> Execution {
         self.ran
     }
 
@@ -101,14 +105,15 @@
     }
 
     /// Makes the answer.
-    pub fn into_response(self) -> Response<AnswerBody> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let text = format!(
             "{{\"title\":\"{}\",\"status\":{},\"ran\":\"{}\"}}",
             self.reason,
             self.status.as_u16(),
             self.ran,
         );
-        let mut response = Response::new(AnswerBody::own(Bytes::from(text)));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(Bytes::from(text)));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(
@@ -125,11 +130,11 @@
     }
 }
 
-impl fmt::Display for Ran {
+impl fmt::Display for Execution {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
+            Execution::NotRun => "no",
+            Execution::Unknown => "unknown",
         })
     }
 }
--- a/crates/pass/src/relay.rs
+++ b/crates/pass/src/relay.rs
@@ -6,8 +6,8 @@
 use tokio::time;
 
 use crate::{
-    AnswerBody, Handler, HandlerFuture, Pool, Refusal, pool::Fetch, read_body,
-    request::strip_hop_by_hop,
+    Handler, HandlerFuture, Pool, Refusal, ResponseBody, pool::CallOutcome,
+    read_body, request::strip_hop_by_hop,
 };
 
 /// Passes calls of other nodes on to one service, byte for byte.
@@ -45,7 +45,7 @@
         }
     }
 
-    async fn pass(self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn pass(self, request: Request<Incoming>) -> Response<ResponseBody> {
         let (mut head, body) = request.into_parts();
         let body = match read_body(body, MOST_BYTES).await {
             Ok(body) => body,
@@ -58,20 +58,21 @@
             head.headers.insert(header::HOST, host);
         }
         let request = Request::from_parts(head, body);
-        let call = self.pool.exchange(&self.target, request, MOST_BYTES);
+        let call = self.pool.call(&self.target, request, MOST_BYTES);
         let wait = Duration::from_millis(TIMEOUT_MS);
         match time::timeout(wait, call).await {
-            Ok(Fetch::Answered(head, body)) => {
-                let mut response = Response::new(AnswerBody::own(body));
+            Ok(CallOutcome::Answered(head, body)) => {
+                let mut response =
+                    Response::new(ResponseBody::from_bytes(body));
                 *response.status_mut() = head.status;
                 copy_type(&head.headers, response.headers_mut());
                 response
             }
-            Ok(Fetch::NotSent) => {
+            Ok(CallOutcome::NotSent) => {
                 Refusal::not_run("the service is not reached from here")
                     .into_response()
             }
-            Ok(Fetch::Broken) | Err(_) => {
+            Ok(CallOutcome::Broken) | Err(_) => {
                 Refusal::unknown("the service's answer is lost")
                     .into_response()
             }
--- a/crates/pass/src/request.rs
+++ b/crates/pass/src/request.rs
@@ -52,17 +52,17 @@
 /// The [`Refusal`] that answers a body which is too large or breaks off.
 pub async fn read_body(
     mut body: Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, Refusal> {
     const TOO_LARGE: Refusal = Refusal::body_too_large();
-    if body.size_hint().lower() > most_bytes as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(TOO_LARGE);
     }
     let mut first = Bytes::new();
     let mut all = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return Err(Refusal::improper(
+            return Err(Refusal::rejected(
                 StatusCode::BAD_REQUEST,
                 "the body of the request breaks off",
             ));
@@ -70,7 +70,7 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if first.len() + all.len() + data.len() > most_bytes {
+        if first.len() + all.len() + data.len() > max_bytes {
             return Err(TOO_LARGE);
         }
         if first.is_empty() && all.is_empty() {
--- a/crates/pass/src/resume.rs
+++ b/crates/pass/src/resume.rs
@@ -10,7 +10,7 @@
 use tokio::time::Sleep;
 
 use crate::{
-    BrokenAnswer, Counters, EventSplitter, Exchange, Forwarder,
+    Counters, EventSplitter, Exchange, Forwarder, IncompleteResponse,
     answer::{ANSWERED, FAILED, RequestLog, Sent, sleep_until},
     forward::Tries,
 };
@@ -79,9 +79,9 @@
     pub(crate) fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         if self.deadline.as_mut().poll(cx).is_ready() {
-            return self.give_up(BrokenAnswer::Deadline);
+            return self.give_up(IncompleteResponse::Deadline);
         }
         loop {
             match &mut self.state {
@@ -90,7 +90,7 @@
                     match ready!(resuming.as_mut().poll(cx)) {
                         Some(continuation) => self.go_on(continuation),
                         None => {
-                            return self.give_up(BrokenAnswer::Endpoint);
+                            return self.give_up(IncompleteResponse::Endpoint);
                         }
                     }
                 }
@@ -113,7 +113,7 @@
                         }
                         Some(Err(_)) => self.take_up_elsewhere("broken"),
                         None if self.splitter.is_inside_event() => {
-                            exchange.cut_off();
+                            exchange.mark_interrupted();
                             self.take_up_elsewhere("ended inside an event");
                         }
                         None => {
@@ -178,14 +178,14 @@
         let request = request.clone();
         let tries = self.tries.after_broken_stream(after);
         self.state = State::Resuming(Box::pin(async move {
-            forwarder.take_up(&request, tries).await
+            forwarder.resume_stream(&request, tries).await
         }));
     }
 
     fn give_up(
         &mut self,
-        why: BrokenAnswer,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+        why: IncompleteResponse,
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         self.request_log.end(FAILED);
         self.state = State::Over;
         Poll::Ready(Some(Err(why)))
--- a/crates/pass/src/returns.rs
+++ b/crates/pass/src/retry_after.rs
@@ -15,16 +15,16 @@
 ///
 /// ```
 /// use base::Millis;
-/// use pomeloslip_pass::ReturnTimes;
+/// use pomeloslip_pass::RetryAfterEstimator;
 ///
-/// let times = ReturnTimes::default();
+/// let times = RetryAfterEstimator::default();
 /// let at = Millis::new;
 /// assert_eq!(times.refuse(at(0), 0, 5_000), 1_000);
 /// assert_eq!(times.refuse(at(300), 0, 5_000), 700);
 /// assert_eq!(times.refuse(at(300), 0, 500), 500);
 /// ```
 #[derive(Debug, Default)]
-pub struct ReturnTimes(Mutex<State>);
+pub struct RetryAfterEstimator(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
@@ -55,7 +55,7 @@
 /// Callers return over this part of the period's length, in percent.
 const SPREAD_PERCENT: u64 = 30;
 
-impl ReturnTimes {
+impl RetryAfterEstimator {
     /// Takes note of a refusal for want of room and returns in how many
     /// milliseconds the caller should come back, `most_ms` at the most.
     /// `spread` is any number that differs between callers.
--- a/crates/pass/src/run.rs
+++ b/crates/pass/src/run.rs
@@ -16,7 +16,7 @@
     fn answered(&self, run: &Run);
 
     /// The connection of a run broke before the answer was whole.
-    fn cut_off(&self, run: &Run);
+    fn interrupted(&self, run: &Run);
 }
 
 /// One run of a request at an endpoint, as far as its sender sees it.
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(crate) fn cut_off(&mut self) {
+    pub(crate) fn mark_interrupted(&mut self) {
         if self.is_over {
             return;
         }
@@ -112,7 +112,7 @@
             reached = self.reached;
             "a run is cut off"
         );
-        self.observer.cut_off(self);
+        self.observer.interrupted(self);
     }
 }
 
--- a/crates/pass/tests/common/mod.rs
+++ b/crates/pass/tests/common/mod.rs
@@ -15,8 +15,8 @@
 use http::{HeaderName, Request, Response};
 use http_body_util::BodyExt;
 use pomeloslip_pass::{
-    AnswerBody, Counters, DirectoryView, Forwarder, ForwarderOptions,
-    HeaderNames, Inbound, Pool,
+    Counters, DirectoryView, Forwarder, ForwarderOptions, HeaderNames,
+    Inbound, Pool, ResponseBody,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -241,7 +241,7 @@
 
 /// Reads an answer to its end: status and body, or what broke off.
 pub(crate) async fn read(
-    response: Response<AnswerBody>,
+    response: Response<ResponseBody>,
 ) -> (u16, Result<String, String>) {
     let status = response.status().as_u16();
     let body = response.into_body().collect().await;
