--- a/crates/pass/src/answer.rs
+++ b/crates/pass/src/answer.rs
@@ -13,25 +13,25 @@
     Counters, Exchange, Inbound, IncompleteResponse, resume::ResumedBody,
 };
 
-/// The body of an answer to a caller.
+/// The body of a response to a client.
 #[derive(Debug)]
 pub struct ResponseBody(Inner);
 
 #[derive(Debug)]
 enum Inner {
     Bytes(Option<Bytes>),
-    Passed(Box<PassedBody>),
+    Forwarded(Box<ForwardedBody>),
     Resumed(Box<ResumedBody>),
 }
 
 impl ResponseBody {
-    /// Makes a body of bytes of this node.
+    /// Creates a body from bytes of this node.
     pub fn from_bytes(bytes: Bytes) -> Self {
         Self(Inner::Bytes(Some(bytes)))
     }
 
-    pub(crate) fn passed(body: PassedBody) -> Self {
-        Self(Inner::Passed(Box::new(body)))
+    pub(crate) fn forwarded(body: ForwardedBody) -> Self {
+        Self(Inner::Forwarded(Box::new(body)))
     }
 
     pub(crate) fn resumed(body: ResumedBody) -> Self {
@@ -49,7 +49,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, IncompleteResponse>>> {
         let data = match &mut self.get_mut().0 {
             Inner::Bytes(bytes) => Poll::Ready(bytes.take().map(Ok)),
-            Inner::Passed(body) => body.poll_data(cx),
+            Inner::Forwarded(body) => body.poll_data(cx),
             Inner::Resumed(body) => body.poll_data(cx),
         };
         data.map(|data| data.map(|data| data.map(Frame::data)))
@@ -58,7 +58,7 @@
     fn is_end_stream(&self) -> bool {
         match &self.0 {
             Inner::Bytes(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Inner::Passed(body) => body.exchange.is_complete(),
+            Inner::Forwarded(body) => body.exchange.is_complete(),
             Inner::Resumed(_) => false,
         }
     }
@@ -69,7 +69,7 @@
                 let length = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(length as u64)
             }
-            Inner::Passed(body) => match body.exchange.exact_length() {
+            Inner::Forwarded(body) => match body.exchange.exact_length() {
                 Some(length) => SizeHint::with_exact(length),
                 None => SizeHint::default(),
             },
@@ -78,20 +78,20 @@
     }
 }
 
-/// Where a request was sent, and what that was decided by.
+/// Where a request was sent, and the data that decided it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sent {
     pub(crate) endpoint: String,
     pub(crate) estimated_load: u32,
     pub(crate) directory_revision: u64,
     pub(crate) offers: u32,
-    /// Time from the request's arrival to its last offer.
+    /// Time from the arrival of the request to its last offer.
     pub(crate) waited_ms: u64,
 }
 
-/// Follows one request to its end and writes the one line that tells it.
+/// Tracks one request to its end and writes its log line.
 ///
-/// Dropping it without an end means that the caller left.
+/// Dropping it without an outcome means that the client disconnected.
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     pub(crate) request: Arc<Inbound>,
@@ -102,7 +102,7 @@
     pub(crate) first_byte_ms: u64,
     pub(crate) resumed: u32,
     bytes: u64,
-    passed_at: Option<Instant>,
+    last_bytes_at: Option<Instant>,
     longest_pause: Duration,
     outcome: Option<&'static str>,
 }
@@ -122,7 +122,7 @@
             first_byte_ms: 0,
             resumed: 0,
             bytes: 0,
-            passed_at: None,
+            last_bytes_at: None,
             longest_pause: Duration::ZERO,
             outcome: None,
         }
@@ -132,34 +132,34 @@
         self.request.arrived().elapsed().as_millis() as u64
     }
 
-    /// Takes note of the head of the answer.
-    pub(crate) fn head(&mut self, status: u16) {
+    /// Records the head of the response.
+    pub(crate) fn record_head(&mut self, status: u16) {
         self.status = status;
         self.first_byte_ms = self.age_ms();
         let age = self.request.arrived().elapsed();
         self.counters.first_byte_ms.record(age);
     }
 
-    /// Takes note of bytes that were passed on.
-    pub(crate) fn passed(&mut self, bytes: usize) {
+    /// Records bytes that were forwarded.
+    pub(crate) fn record_bytes(&mut self, bytes: usize) {
         self.bytes += bytes as u64;
         let now = Instant::now();
-        if let Some(before) = self.passed_at.replace(now) {
-            self.longest_pause = self.longest_pause.max(now - before);
+        if let Some(previous) = self.last_bytes_at.replace(now) {
+            self.longest_pause = self.longest_pause.max(now - previous);
         }
     }
 
-    /// Takes note of how the request ended; the first word counts.
-    pub(crate) fn end(&mut self, outcome: &'static str) {
+    /// Records the outcome of the request; only the first one counts.
+    pub(crate) fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome.get_or_insert(outcome);
     }
 }
 
-/// Outcome of a request whose answer of an endpoint is whole.
+/// Outcome of a request with a complete response of an endpoint.
 pub(crate) const ANSWERED: &str = "answered";
 /// Outcome of a request that was refused and did not run.
 pub(crate) const REFUSED: &str = "refused";
-/// Outcome of a request that may have run and has no whole answer.
+/// Outcome of a request that may have run and has no complete response.
 pub(crate) const FAILED: &str = "failed";
 
 impl Drop for RequestLog {
@@ -197,21 +197,21 @@
     }
 }
 
-/// An answer that is passed on as it arrives.
+/// A response that is forwarded as it arrives.
 #[derive(Debug)]
-pub(crate) struct PassedBody {
+pub(crate) struct ForwardedBody {
     pub(crate) exchange: Exchange,
     pub(crate) request_log: RequestLog,
     deadline: Pin<Box<Sleep>>,
 }
 
-impl PassedBody {
+impl ForwardedBody {
     pub(crate) fn new(
         exchange: Exchange,
         mut request_log: RequestLog,
     ) -> Self {
         if exchange.is_complete() {
-            request_log.end(ANSWERED);
+            request_log.set_outcome(ANSWERED);
         }
         let deadline = Box::pin(sleep_until(request_log.request.ends_at()));
         Self {
@@ -229,13 +229,13 @@
             Poll::Pending => {}
             Poll::Ready(data) => {
                 match &data {
-                    None => self.request_log.end(ANSWERED),
-                    Some(Err(_)) => self.request_log.end(FAILED),
+                    None => self.request_log.set_outcome(ANSWERED),
+                    Some(Err(_)) => self.request_log.set_outcome(FAILED),
                     Some(Ok(data)) => {
-                        self.request_log.passed(data.len());
+                        self.request_log.record_bytes(data.len());
                         self.exchange.advance_to(self.request_log.bytes);
                         if self.exchange.is_complete() {
-                            self.request_log.end(ANSWERED);
+                            self.request_log.set_outcome(ANSWERED);
                         }
                     }
                 }
@@ -245,7 +245,7 @@
         if self.deadline.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
-        self.request_log.end(FAILED);
+        self.request_log.set_outcome(FAILED);
         Poll::Ready(Some(Err(IncompleteResponse::Deadline)))
     }
 }
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -12,32 +12,34 @@
     channel::{Channel, closes_connection},
 };
 
-/// Why one offer of a request to an endpoint came to nothing.
+/// The reason why an offer of a request to an endpoint failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection could be made.
+    /// The connection could not be established.
     Connect,
     /// The connection closed before the request was written.
     NotSent,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotExecuted(StatusCode),
     /// The connection broke after the request was written.
     Broken,
-    /// No answer in the time of the attempt.
+    /// No response arrived within the timeout of the offer.
     Silent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     WrongId,
-    /// The answer is not the endpoint's own: no seal, or encoded.
+    /// The response does not come from the endpoint itself: it has no seal
+    /// or is encoded.
     NotSealed(StatusCode),
-    /// The request was not sent, as it crashes endpoints.
+    /// The request was not sent because it is quarantined as a poison
+    /// request.
     Held {
-        /// When it may be tried again, in milliseconds from now.
+        /// Time until it may be retried, in milliseconds.
         for_ms: u64,
     },
 }
 
 impl Failure {
-    /// Tells whether the request surely did not run.
+    /// Returns whether the request is known not to have run.
     ///
     /// # Example
     ///
@@ -65,21 +67,21 @@
     }
 }
 
-/// One offer of a request to one endpoint.
+/// An offer of a request to one endpoint, which may decline to run it.
 pub struct Offer<'a> {
     /// The request.
     pub request: &'a Arc<Inbound>,
     /// The endpoint.
     pub endpoint: &'a Endpoint,
-    /// Last event that the caller has.
+    /// Id of the last event that the client has received.
     pub resume_after: Option<u64>,
-    /// Longest wait for the head of the answer.
+    /// Maximum time until the response head arrives.
     pub wait: Duration,
-    /// Says that the request may be sent.
-    pub cleared: Cleared,
+    /// Permit of the quarantine to send the request.
+    pub permit: Cleared,
 }
 
-/// What an offer needs besides the request.
+/// The dependencies of an offer besides the request.
 pub(crate) struct Dispatcher<'a> {
     pub(crate) names: &'a HeaderNames,
     pub(crate) pool: &'a Arc<Pool>,
@@ -90,7 +92,7 @@
 }
 
 impl Dispatcher<'_> {
-    /// Sends the request and returns the answer once its head is there.
+    /// Sends the request and returns once the response head has arrived.
     pub(crate) async fn dispatch(
         &self,
         offer: Offer<'_>,
@@ -125,8 +127,8 @@
         offer: &Offer<'_>,
     ) -> Result<(Channel, http::Response<hyper::body::Incoming>), Failure>
     {
-        // A kept connection may close just as it is used. The request was
-        // not written then, and a new connection is tried at once.
+        // An idle connection may close just as it is reused. The request was
+        // not written then, and a new connection is opened immediately.
         if let Some(channel) = self.pool.take(offer.endpoint) {
             match self.send_on(channel, offer).await {
                 Err(Failure::NotSent) => {}
@@ -182,7 +184,7 @@
         channel.note_keep_alive(headers, self.pool.options());
         let reusable = !closes_connection(headers);
         let failure = check_response(&head.status, headers, self.names, offer);
-        // The exchange counts the request as over from here on.
+        // From here on, the exchange decrements the in-flight count.
         if in_flight.0.take().is_none() {
             return Err(Failure::Broken);
         }
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Remembers a failure against the endpoint.
+    /// Records a failure of the endpoint.
     fn record_failure(&self, offer: &Offer<'_>, failure: Failure) {
         let now: Millis = self.clock.now();
         offer.endpoint.failed(failure.suspicion(), now);
@@ -226,7 +228,7 @@
     }
 }
 
-/// Counts a request as over unless an exchange takes that on.
+/// Decrements the in-flight count on drop unless an exchange takes over.
 struct InFlightGuard(Option<Endpoint>);
 
 impl Drop for InFlightGuard {
@@ -237,7 +239,7 @@
     }
 }
 
-/// Closes a connection whose answer is not waited for any more, so that the
+/// Closes a connection whose response is no longer awaited, so that the
 /// endpoint stops its work.
 struct AbortOnDrop(Option<Channel>);
 
@@ -261,8 +263,8 @@
     {
         return Some(Failure::NotExecuted(status));
     }
-    // A late second answer to an earlier request may stand where this one's
-    // is expected; only the echoed id tells.
+    // A late duplicate response to an earlier request may arrive in place of
+    // the expected one; only the echoed id shows the difference.
     let echoed = headers.get(&names.request_id);
     let id_matches = echoed.is_some_and(|id| id == offer.request.id());
     if !id_matches {
@@ -270,8 +272,8 @@
     }
     let sealed = headers.contains_key(&names.seal);
     let encoded = headers.contains_key(header::CONTENT_ENCODING);
-    let good = (sealed || !status.is_success()) && !encoded;
-    (!good).then_some(Failure::NotSealed(status))
+    let is_valid = (sealed || !status.is_success()) && !encoded;
+    (!is_valid).then_some(Failure::NotSealed(status))
 }
 
 fn parse_load_report(
--- a/crates/pass/src/channel.rs
+++ b/crates/pass/src/channel.rs
@@ -12,7 +12,7 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::AbortHandle, time};
 
-/// Bounds of the connections to endpoints.
+/// Limits of the connections to endpoints.
 ///
 /// # Example
 ///
@@ -24,20 +24,21 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct ChannelOptions {
-    /// Longest wait for a new connection.
+    /// Timeout for opening a connection.
     pub connect_timeout_ms: u64,
-    /// How long sent bytes may stay unacknowledged, and an idle peer
-    /// unheard, before the connection counts as dead.
+    /// Time that sent bytes may stay unacknowledged, or an idle peer silent,
+    /// before the connection counts as dead.
     pub silence_ms: u64,
-    /// How much earlier than the endpoint an idle connection is given up.
+    /// Time before the idle timeout of the endpoint at which an idle
+    /// connection is discarded.
     pub idle_margin_ms: u64,
 }
 
 impl Default for ChannelOptions {
-    /// A new connection inside a region takes a few milliseconds, a lost
-    /// opening packet is sent again after a second: waiting longer than 400
-    /// ms costs more than another endpoint. 1,500 ms of silence are several
-    /// retransmissions.
+    /// A new connection inside a region takes a few milliseconds, and a lost
+    /// SYN packet is retransmitted after one second: waiting longer than
+    /// 400 ms costs more than trying another endpoint. A silence of 1,500 ms
+    /// covers several retransmissions.
     fn default() -> Self {
         Self {
             connect_timeout_ms: 400,
@@ -47,22 +48,21 @@
     }
 }
 
-/// One connection to an endpoint, which carries one request at a time.
+/// A connection to an endpoint, which carries one request at a time.
 #[derive(Debug)]
 pub(crate) struct Channel {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     idle_since: Instant,
-    usable_for: Option<Duration>,
+    max_idle: Option<Duration>,
 }
 
-/// Sets the options that end a silent connection.
+/// Sets the socket options that close a silent connection.
 ///
-/// What goes wrong without it: something between two machines forgets a
-/// connection, packets vanish, and the kernel goes on sending for minutes.
-/// One sees requests that wait to their deadline while new connections to
-/// the same address work. The kernel then reports an error in about
-/// `silence_ms`.
+/// If a device between two machines drops the state of a connection, packets
+/// vanish and the kernel retransmits for minutes: requests wait until their
+/// deadline while new connections to the same address work. With these
+/// options the kernel reports an error after about `silence_ms`.
 pub(crate) fn set_silence_timeout(
     stream: &TcpStream,
     silence_ms: u64,
@@ -77,10 +77,10 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Shortest time that the kernel takes for keep-alive probes.
+/// Minimum keep-alive interval that the kernel accepts.
 const KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the connection counts as dead.
+/// Unanswered keep-alive probes after which the connection counts as dead.
 const KEEPALIVE_RETRIES: u32 = 2;
 
 impl Channel {
@@ -98,14 +98,18 @@
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(peer:% = address, error:%; "a connection ended");
+                log::debug!(
+                    peer:% = address,
+                    error:%;
+                    "an endpoint connection failed"
+                );
             }
         });
         Ok(Self {
             sender,
             task: task.abort_handle(),
             idle_since: Instant::now(),
-            usable_for: None,
+            max_idle: None,
         })
     }
 
@@ -113,7 +117,7 @@
         &mut self.sender
     }
 
-    /// Takes note of what an answer says about idle time.
+    /// Records the idle timeout that a response announces.
     pub(crate) fn note_keep_alive(
         &mut self,
         headers: &HeaderMap,
@@ -122,35 +126,35 @@
         let Some(seconds) = keep_alive_seconds(headers) else {
             return;
         };
-        let all = Duration::from_secs(seconds);
+        let timeout = Duration::from_secs(seconds);
         let margin = Duration::from_millis(options.idle_margin_ms);
-        self.usable_for = Some(all.saturating_sub(margin));
+        self.max_idle = Some(timeout.saturating_sub(margin));
     }
 
-    /// Starts the idle time.
+    /// Starts the idle timer.
     pub(crate) fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
-    /// Tells whether it may not be used any more.
+    /// Returns whether the connection must not be reused.
     pub(crate) fn is_expired(&self) -> bool {
-        let over = self
-            .usable_for
-            .is_some_and(|most| self.idle_since.elapsed() >= most);
-        over || self.sender.is_closed()
+        let idle_too_long = self
+            .max_idle
+            .is_some_and(|max| self.idle_since.elapsed() >= max);
+        idle_too_long || self.sender.is_closed()
     }
 
     pub(crate) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Returns what closes the connection from elsewhere.
+    /// Returns a handle that closes the connection from another task.
     pub(crate) fn abort_handle(&self) -> AbortHandle {
         self.task.clone()
     }
 
-    /// Closes the connection now, also in the middle of an answer, so that
-    /// the endpoint stops its work.
+    /// Closes the connection immediately, even during a response, so that the
+    /// endpoint stops its work.
     pub(crate) fn abort(&self) {
         self.task.abort();
     }
@@ -164,7 +168,7 @@
     part.trim().parse().ok()
 }
 
-/// Tells whether the sender of an answer closes the connection after it.
+/// Returns whether the sender of a response closes the connection after it.
 pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
--- a/crates/pass/src/counters.rs
+++ b/crates/pass/src/counters.rs
@@ -6,9 +6,9 @@
 
 use crate::CustomerCounters;
 
-/// Upper ends of the buckets of a histogram, in milliseconds: about a factor
-/// of two apart, with the objectives of interactive requests (100 to 300 ms)
-/// as ends of their own.
+/// Upper bounds of the histogram buckets in milliseconds: about a factor of
+/// two apart, with the objectives of interactive requests (100 to 300 ms) as
+/// bounds of their own.
 const BUCKETS_MS: [u64; 14] = [
     2, 5, 10, 25, 50, 100, 150, 200, 300, 500, 1_000, 2_000, 5_000, 20_000,
 ];
@@ -21,7 +21,7 @@
 }
 
 impl Histogram {
-    /// Counts a duration.
+    /// Records a duration.
     pub fn record(&self, duration: Duration) {
         let ms = duration.as_millis() as u64;
         let at = BUCKETS_MS.partition_point(|end| *end < ms);
@@ -50,18 +50,18 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $counter:ident,)+) => {
-        /// Counters and histograms of a process, read as text.
+        /// Counters and histograms of a process, exported as text.
         ///
-        /// Fixed fields with atomics instead of a map of names: a request
-        /// counts without a lock and without a look-up.
+        /// They are fixed atomic fields instead of a map by name, so that a
+        /// request is counted without a lock and without a lookup.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* pub $counter: AtomicU64,)+
-            /// Requests by customer, for the largest.
+            /// Requests by customer, for the largest customers.
             pub customers: CustomerCounters,
-            /// From the arrival of a request to the head of its answer.
+            /// From the arrival of a request to the head of its response.
             pub first_byte_ms: Histogram,
-            /// From the arrival of a request to the end of its answer.
+            /// From the arrival of a request to the end of its response.
             pub whole_ms: Histogram,
         }
 
@@ -74,7 +74,7 @@
                 ),)+]
             }
 
-            /// Writes all in the text form that metric collectors read.
+            /// Renders all metrics in the text format of metric collectors.
             ///
             /// # Example
             ///
@@ -105,76 +105,77 @@
 counters! {
     /// Requests that arrived.
     arrived,
-    /// Requests with a whole answer of an endpoint.
+    /// Requests with a complete response of an endpoint.
     answered,
     /// Requests that were refused and did not run.
     refused,
-    /// Requests that ended without an answer and may have run.
+    /// Requests that ended without a response and may have run.
     failed,
-    /// Requests whose caller left before the end.
+    /// Requests whose client disconnected before the end.
     caller_left,
     /// Attempts after the first.
     retried,
-    /// Streams that were taken up at another endpoint.
+    /// Streams that were resumed at another endpoint.
     resumed,
-    /// Runs whose connection broke before the answer was whole.
+    /// Runs whose connection broke before the response was complete.
     runs_cut_off,
-    /// Runs that were cut off and whose endpoint was not looked at, as too
-    /// many came at once.
+    /// Interrupted runs whose endpoint was not examined, because too many
+    /// runs were interrupted at once.
     runs_not_examined,
     /// Endpoints that crashed while they ran requests of this node.
     endpoints_crashed,
-    /// Requests and items that were not sent, as they crash endpoints.
+    /// Poison requests and items that were quarantined instead of sent.
     requests_held,
     /// New connections to endpoints.
     connections_opened,
     /// Calls that read from the key-value service.
     kv_reads,
-    /// Reads of it that may return what was there seconds ago.
+    /// Reads from the key-value service that may be seconds out of date.
     kv_stale_reads,
-    /// Calls that wait for changes in it.
+    /// Calls that watch the key-value service for changes.
     kv_watches,
-    /// Calls that change it.
+    /// Calls that write to the key-value service.
     kv_writes,
     /// Calls that renew a lease.
     kv_renewals,
     /// Calls to the key-value service that failed.
     kv_failures,
-    /// Writes that were sent to the worker that collects them.
+    /// Writes that were sent to the worker that batches them.
     commits_shared,
     /// Load updates that were sent to other nodes.
     load_updates_sent,
-    /// Their bytes.
+    /// Bytes of the load updates sent.
     load_bytes_sent,
-    /// Load updates that arrived.
+    /// Load updates that were received.
     load_updates_received,
-    /// Those of them that were refused.
+    /// Load updates that were received and rejected.
     load_updates_refused,
-    /// Messages about limits of customers that were sent to other nodes.
+    /// Messages about customer limits that were sent to other nodes.
     quota_messages_sent,
-    /// Their bytes.
+    /// Bytes of the messages about customer limits sent.
     quota_bytes_sent,
-    /// Messages about limits that arrived.
+    /// Messages about customer limits that were received.
     quota_messages_received,
-    /// Those of them that were refused.
+    /// Messages about customer limits that were received and rejected.
     quota_messages_refused,
-    /// Requests that were refused for want of a known key.
+    /// Requests that were refused for lack of a known API key.
     keys_refused,
-    /// Requests that were refused since their customer is at its limit.
+    /// Requests that were refused because their customer is at its limit.
     over_limit,
-    /// Requests that were refused since nobody could count them.
+    /// Requests that were refused because no node could count them against
+    /// the customer's limit.
     limits_unavailable,
-    /// Questions of other nodes for what has changed that were answered.
+    /// Responses to change requests of other nodes.
     feed_answers_sent,
-    /// Bytes of these answers.
+    /// Bytes of the responses to change requests of other nodes.
     feed_bytes_sent,
-    /// Bytes of answers of other nodes to such questions.
+    /// Bytes of the responses of other nodes to change requests.
     feed_bytes_received,
     /// Jobs that were accepted.
     jobs_accepted,
     /// Runs of batch items that were started.
     item_runs,
-    /// Runs of batch items that gave way to online requests.
+    /// Runs of batch items that were preempted by online requests.
     items_preempted,
     /// Batch items that were listed as complete.
     items_completed,
@@ -183,12 +184,12 @@
 }
 
 impl Counters {
-    /// Counts one.
+    /// Increments a counter by one.
     pub fn add(counter: &AtomicU64) {
         Self::count(counter, 1);
     }
 
-    /// Counts several, for example bytes.
+    /// Increments a counter by a number, for example of bytes.
     pub fn count(counter: &AtomicU64, number: usize) {
         counter.fetch_add(number as u64, Ordering::Relaxed);
     }
--- a/crates/pass/src/customers.rs
+++ b/crates/pass/src/customers.rs
@@ -5,12 +5,12 @@
 
 use indexmap::IndexMap;
 
-/// Counts requests by customer, for the largest of them.
+/// Counts requests by customer, for the largest customers.
 ///
-/// The number of rows has a bound whatever the number of customers: where
-/// all are taken, a new customer replaces the one with the least requests,
-/// which is counted with the rest from then on. So the largest ones keep
-/// their rows, and a list of metrics stays readable.
+/// The number of rows is bounded independently of the number of customers.
+/// When all rows are in use, a new customer replaces the one with the fewest
+/// requests, whose counts move to the row of all other customers. The largest
+/// customers keep their rows, and the list of metrics stays readable.
 ///
 /// # Example
 ///
@@ -28,22 +28,22 @@
 #[derive(Debug, Default)]
 pub struct CustomerCounters(Mutex<Rows>);
 
-/// What became of a request at the front that took it.
+/// The outcome of a request at the front that received it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CustomerOutcome {
-    /// It went on to an endpoint.
+    /// The request was forwarded to an endpoint.
     Admitted,
-    /// It was beyond the customer's limit.
+    /// The request exceeded the limit of the customer.
     OverLimit,
 }
 
-/// Customers with rows of their own.
-const ROWS_MOST: usize = 32;
+/// Maximum number of customers with their own rows.
+const MAX_ROWS: usize = 32;
 
 #[derive(Debug, Default)]
 struct Rows {
     largest: IndexMap<String, Row>,
-    rest: Row,
+    others: Row,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Writes all in the text form that metric collectors read.
+    /// Renders all rows in the text format of metric collectors.
     pub fn render(&self, text: &mut String) {
         let rows = self.lock();
-        let rest = ("", &rows.rest);
+        let others = ("", &rows.others);
         let largest = rows.largest.iter();
         let largest = largest.map(|(name, row)| (name.as_str(), row));
-        for (name, row) in largest.chain([rest]) {
+        for (name, row) in largest.chain([others]) {
             // Writing into a string cannot fail.
             let _ = writeln!(
                 text,
@@ -87,29 +87,29 @@
 
 impl Rows {
     fn row_of(&mut self, customer: &str) -> &mut Row {
-        let place = match self.largest.get_index_of(customer) {
-            Some(place) => place,
+        let index = match self.largest.get_index_of(customer) {
+            Some(index) => index,
             None => {
-                self.make_room();
+                self.evict_smallest();
                 let name = customer.to_owned();
                 self.largest.insert_full(name, Row::default()).0
             }
         };
-        &mut self.largest[place]
+        &mut self.largest[index]
     }
 
-    fn make_room(&mut self) {
-        if self.largest.len() < ROWS_MOST {
+    fn evict_smallest(&mut self) {
+        if self.largest.len() < MAX_ROWS {
             return;
         }
         let rows = self.largest.values().enumerate();
-        let least = rows.min_by_key(|(_, row)| row.requests);
-        let Some((place, _)) = least else {
+        let smallest = rows.min_by_key(|(_, row)| row.requests);
+        let Some((index, _)) = smallest else {
             return;
         };
-        if let Some((_, row)) = self.largest.swap_remove_index(place) {
-            self.rest.requests += row.requests;
-            self.rest.over_limit += row.over_limit;
+        if let Some((_, row)) = self.largest.swap_remove_index(index) {
+            self.others.requests += row.requests;
+            self.others.over_limit += row.over_limit;
         }
     }
 }
--- a/crates/pass/src/error.rs
+++ b/crates/pass/src/error.rs
@@ -1,39 +1,41 @@
 use std::{error, fmt};
 
-/// Says what a node could not do.
+/// Errors of the forwarding path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PassError {
-    /// The address of the listener cannot be used.
+    /// The listener cannot bind to its address.
     Listen,
 }
 
 impl fmt::Display for PassError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PassError::Listen => "the address cannot be listened on",
+            PassError::Listen => "cannot listen on the address",
         })
     }
 }
 
 impl error::Error for PassError {}
 
-/// Says that an answer ended before it was whole.
+/// Reports that a response ended before it was complete.
 ///
-/// The server library closes the caller's connection on it without the mark
-/// of a complete answer, so that the caller cannot take a part for the
-/// whole.
+/// On this error the server library closes the client connection without the
+/// end marker of a complete response, so that the client cannot mistake a
+/// partial response for a complete one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncompleteResponse {
-    /// The endpoint's connection broke or its bytes were no answer.
+    /// The endpoint connection broke, or its bytes were not a valid response.
     Endpoint,
-    /// The time of the request was up.
+    /// The deadline of the request passed.
     Deadline,
 }
 
 impl fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            IncompleteResponse::Endpoint => "the endpoint's answer broke off",
+            IncompleteResponse::Endpoint => {
+                "the endpoint's response is incomplete"
+            }
             IncompleteResponse::Deadline => "the time of the request is up",
         })
     }
--- a/crates/pass/src/events.rs
+++ b/crates/pass/src/events.rs
@@ -1,19 +1,19 @@
 use bytes::{Bytes, BytesMut};
 
-/// What a chunk of a stream completed.
+/// The events that a chunk of a stream completed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Split {
-    /// Whole events, ready to be passed on.
+    /// The complete events, ready to be forwarded.
     pub events: Bytes,
-    /// How many they are.
+    /// The number of events.
     pub count: u32,
 }
 
-/// Cuts a stream of server-sent events at the ends of events.
+/// Splits a stream of server-sent events at event boundaries.
 ///
-/// A stream can be taken up elsewhere only after a whole event: an endpoint
-/// may stop in the middle of one, and its second half never comes from
-/// another endpoint, which starts with the next whole event.
+/// A stream can resume at another endpoint only after a complete event. An
+/// endpoint may stop in the middle of an event, and another endpoint never
+/// sends the second half: it starts with the next complete event.
 ///
 /// # Example
 ///
@@ -28,79 +28,79 @@
 /// ```
 #[derive(Debug)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
     last_id: Option<u64>,
 }
 
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 
 impl EventSplitter {
-    /// Starts after an event, or at the beginning.
+    /// Creates a splitter that starts after an event, or at the beginning.
     pub fn new(after: Option<u64>) -> Self {
         Self {
-            rest: BytesMut::new(),
+            partial: BytesMut::new(),
             last_id: after,
         }
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     #[inline]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Tells whether a part of an event is held back.
+    /// Returns whether a partial event is buffered.
     #[inline]
     pub fn is_inside_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Forgets the part of an event that never became whole.
+    /// Discards the partial event that was never completed.
     pub fn drop_partial(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
-    /// Adds bytes and returns the events that are whole now.
+    /// Adds bytes and returns the events that are now complete.
     ///
-    /// Events up to the last id are left out: they were passed on already,
-    /// from the endpoint before.
+    /// Events up to the last id are skipped, because they were already
+    /// forwarded from the previous endpoint.
     pub fn push(&mut self, chunk: Bytes) -> Split {
-        let all = match self.rest.is_empty() {
+        let all = match self.partial.is_empty() {
             true => chunk,
             false => {
-                self.rest.extend_from_slice(&chunk);
-                self.rest.split().freeze()
+                self.partial.extend_from_slice(&chunk);
+                self.partial.split().freeze()
             }
         };
         let mut count = 0;
         let mut start = 0;
         let mut kept = BytesMut::new();
-        let mut left_out = false;
+        let mut has_skipped = false;
         while let Some(length) = find_end(&all[start..]) {
             let event = all.slice(start..start + length);
             start += length;
-            if self.is_known(&event) {
-                if !left_out {
+            if self.is_duplicate(&event) {
+                if !has_skipped {
                     kept.extend_from_slice(&all[..start - length]);
                 }
-                left_out = true;
+                has_skipped = true;
                 continue;
             }
             count += 1;
-            if left_out {
+            if has_skipped {
                 kept.extend_from_slice(&event);
             }
         }
-        self.rest.extend_from_slice(&all[start..]);
-        let events = match left_out {
+        self.partial.extend_from_slice(&all[start..]);
+        let events = match has_skipped {
             true => kept.freeze(),
             false => all.slice(..start),
         };
         Split { events, count }
     }
 
-    /// Moves on to the event's id, or tells that it was there before.
-    fn is_known(&mut self, event: &[u8]) -> bool {
+    /// Records the id of an event, or returns true if it was seen before.
+    fn is_duplicate(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             return false;
         };
@@ -114,9 +114,9 @@
 
 fn find_end(bytes: &[u8]) -> Option<usize> {
     bytes
-        .windows(END.len())
-        .position(|pair| pair == END)
-        .map(|at| at + END.len())
+        .windows(EVENT_END.len())
+        .position(|pair| pair == EVENT_END)
+        .map(|at| at + EVENT_END.len())
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
--- a/crates/pass/src/exchange.rs
+++ b/crates/pass/src/exchange.rs
@@ -12,10 +12,11 @@
 
 use crate::{IncompleteResponse, Pool, Run, channel::Channel};
 
-/// An answer of an endpoint that is being read.
+/// A response of an endpoint that is being read.
 ///
-/// Dropping it before the end closes the connection, so that the endpoint
-/// stops its work; after the end the connection is used again.
+/// Dropping the exchange before the response is complete closes the
+/// connection, so that the endpoint stops its work. After a complete response
+/// the connection is reused.
 #[derive(Debug)]
 pub struct Exchange {
     head: Option<Parts>,
@@ -26,7 +27,7 @@
     pool: Arc<Pool>,
     reusable: bool,
     is_complete: bool,
-    /// Whether the end of the answer can be told from a loss of the
+    /// Whether the end of the response can be distinguished from a lost
     /// connection.
     is_framed: bool,
 }
@@ -59,12 +60,12 @@
         self.status
     }
 
-    /// Returns the headers, unless the head was taken.
+    /// Returns the headers, or `None` after the head was taken.
     pub fn headers(&self) -> Option<&HeaderMap> {
         self.head.as_ref().map(|head| &head.headers)
     }
 
-    /// Returns the head once.
+    /// Takes the head; later calls return `None`.
     pub(crate) fn take_head(&mut self) -> Option<Parts> {
         self.head.take()
     }
@@ -75,20 +76,19 @@
         self.run.endpoint()
     }
 
-    /// Tells whether the answer is read to its end.
+    /// Returns whether the response was read to its end.
     #[inline]
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Takes note of how much of the answer has arrived, see
-    /// [`Run::reached`].
+    /// Records how much of the response has arrived, see [`Run::reached`].
     pub fn advance_to(&mut self, reached: u64) {
         self.run.advance_to(reached);
     }
 
-    /// Takes note that the answer has ended before it was is_complete, which its
-    /// reader sees by its content.
+    /// Records that the response ended before it was complete, which its
+    /// consumer detects from the content.
     pub fn mark_interrupted(&mut self) {
         self.run.mark_interrupted();
     }
@@ -104,7 +104,7 @@
         self.body.size_hint().exact()
     }
 
-    /// Reads on; `None` is the end of a is_complete answer.
+    /// Reads the next bytes; `None` marks the end of a complete response.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
@@ -121,7 +121,7 @@
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
-                    log::debug!(error:%; "an answer broke off");
+                    log::debug!(error:%; "a response was interrupted");
                     self.run.mark_interrupted();
                     return Poll::Ready(Some(Err(
                         IncompleteResponse::Endpoint,
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -17,39 +17,41 @@
     Counters, Exchange, Failure, HeaderNames, Inbound, LoadObserver,
     NoopObserver, Offer, Pool, Refusal, ResponseBody, RetryAfterEstimator,
     RunObserver,
-    answer::{FAILED, PassedBody, REFUSED, RequestLog, Sent},
+    answer::{FAILED, ForwardedBody, REFUSED, RequestLog, Sent},
     attempt::Dispatcher,
     request::strip_hop_by_hop,
     resume::{Continuation, ResumedBody},
 };
 
-/// Bounds of the way from a request to its endpoint.
+/// Limits of request forwarding.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwarderOptions {
-    /// Requests that may wait at an endpoint beyond its slots, for streams.
+    /// Streams that may queue at an endpoint beyond its slots.
     pub stream_queue: u32,
-    /// The same for other requests, which are short.
+    /// Other requests, which are short, that may queue likewise.
     pub plain_queue: u32,
-    /// Offers of one request that may come back as not run.
+    /// Maximum offers of one request to endpoints, including those that
+    /// ended without a run.
     pub max_offers: u32,
-    /// Part of the latency objective that a request may wait for room
-    /// before it is refused: one part in this many.
+    /// Fraction of the latency objective that a request may wait for
+    /// capacity before it is refused: one part in this many.
     pub queue_wait_divisor: u64,
-    /// Requests that may wait if their caller has come back: it has waited
-    /// already, and a second refusal would be its last.
+    /// Requests that may queue if their client is retrying: it has already
+    /// waited, and a second refusal would exhaust its deadline.
     pub retry_queue: u32,
-    /// When a refused caller should come back whose endpoints are not known.
+    /// Retry delay for a refused client if no endpoint of its service is
+    /// known.
     pub retry_after_ms: u64,
-    /// The same at a node that knows no endpoints at all yet.
+    /// Retry delay at a node that does not know any endpoint yet.
     pub startup_retry_after_ms: u64,
 }
 
 impl Default for ForwarderOptions {
-    /// One waiting stream starts within its objective, as slots of a full
-    /// engine come free several times within it; a second one is late. A
-    /// refusal within an eighth of the objective leaves the caller time for
-    /// another try, and in a second a burst has often passed. A node that has
-    /// just started knows its first endpoints sooner than that.
+    /// One queued stream starts within its objective, because several slots
+    /// of a full engine become free within that time; a second one is late. A
+    /// refusal within an eighth of the objective leaves the client time for a
+    /// retry, and a burst has often passed within a second. A node that has
+    /// just started learns of its first endpoints sooner than that.
     fn default() -> Self {
         Self {
             stream_queue: 1,
@@ -63,7 +65,7 @@
     }
 }
 
-/// Finds endpoints for requests and passes their answers on.
+/// Selects endpoints for requests and forwards their responses.
 pub struct Forwarder {
     names: HeaderNames,
     options: ForwarderOptions,
@@ -76,40 +78,41 @@
     observer: Arc<dyn LoadObserver>,
     runs: Arc<dyn RunObserver>,
     quarantine: Quarantine,
-    returns: RetryAfterEstimator,
+    retry_estimator: RetryAfterEstimator,
 }
 
 /// The endpoints as of a revision of the key-value service.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryView {
-    /// The endpoints that take work; the same table as long as they are the
-    /// same, so that what is made of it can be kept.
+    /// The endpoints that accept work. The table is shared until the
+    /// endpoints change, so that values derived from it can be cached.
     pub table: Arc<EndpointTable>,
     /// Revision of the listing.
     pub revision: u64,
 }
 
-/// Part of the time that a caller has left after which it returns at the
-/// latest: one part in this many. The rest is for being served.
-const RETURN_DIVISOR: u64 = 3;
+/// Fraction of the remaining time of a client after which it retries at the
+/// latest: one part in this many. The remainder is for serving the request.
+const RETRY_DELAY_DIVISOR: u64 = 3;
 
-/// Pause between two looks for room.
-const ROOM_PAUSE: Duration = Duration::from_millis(10);
+/// Interval between two checks for free capacity.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Added to the last wait of a request, so that the request's own timer is
-/// the first of the two.
-const AFTER_THE_END: Duration = Duration::from_secs(1);
+/// Added to the timeout of the last offer, so that the timer of the whole
+/// request fires first.
+const LAST_ATTEMPT_MARGIN: Duration = Duration::from_secs(1);
 
-/// How long an idempotent request waits for one endpoint while it has
-/// others to go to, in multiples of its latency objective.
-const IDEMPOTENT_WAIT: u64 = 2;
+/// Timeout of one offer of an idempotent request that has other endpoints
+/// left, in multiples of its latency objective.
+const IDEMPOTENT_WAIT_TARGETS: u64 = 2;
 
-/// How long a resumable stream waits for its first event likewise: more
-/// than a full queue takes, so that load alone moves no request.
-const STREAM_WAIT: u64 = 4;
+/// Timeout for the first event of a resumable stream, in multiples of its
+/// latency objective: longer than a full queue takes, so that load alone
+/// does not move a request.
+const STREAM_WAIT_TARGETS: u64 = 4;
 
 impl Forwarder {
-    /// Makes a forwarder that chooses among `endpoints`.
+    /// Creates a forwarder that selects among `endpoints`.
     pub fn new(
         names: HeaderNames,
         options: ForwarderOptions,
@@ -133,32 +136,32 @@
             observer: Arc::new(NoopObserver),
             runs: Arc::new(NoopObserver),
             quarantine,
-            returns: RetryAfterEstimator::default(),
+            retry_estimator: RetryAfterEstimator::default(),
         }
     }
 
-    /// Sets who hears of each request that is sent.
+    /// Sets the observer of each request that is sent.
     #[must_use]
     pub fn with_observer(mut self, observer: Arc<dyn LoadObserver>) -> Self {
         self.observer = observer;
         self
     }
 
-    /// Sets who receives how runs end.
+    /// Sets the observer of the outcomes of runs.
     #[must_use]
     pub fn with_run_observer(mut self, runs: Arc<dyn RunObserver>) -> Self {
         self.runs = runs;
         self
     }
 
-    /// Sets which requests are held as they crash endpoints.
+    /// Sets the quarantine that holds back poison requests.
     #[must_use]
     pub fn with_quarantine(mut self, quarantine: Quarantine) -> Self {
         self.quarantine = quarantine;
         self
     }
 
-    /// Sets which endpoints requests go to before all others.
+    /// Sets the endpoints that requests prefer.
     #[must_use]
     pub fn with_selection(
         mut self,
@@ -168,13 +171,13 @@
         self
     }
 
-    /// Returns the names of the headers.
+    /// Returns the header names.
     #[inline]
     pub fn names(&self) -> &HeaderNames {
         &self.names
     }
 
-    /// Answers a request by an endpoint, or refuses it.
+    /// Forwards a request to an endpoint, or refuses it.
     pub async fn forward(
         self: &Arc<Self>,
         request: Inbound,
@@ -184,25 +187,25 @@
         let counters = self.counters.clone();
         let mut request_log =
             RequestLog::new(request.clone(), counters, config_version);
-        let mut tries = Tries::new(request.resume_after());
+        let mut history = OfferHistory::new(request.resume_after());
         let ends_at = request.ends_at();
-        let whole = self.run(&request, &mut request_log.sent, &mut tries);
-        let result = match time::timeout_at(ends_at.into(), whole).await {
+        let run = self.run(&request, &mut request_log.sent, &mut history);
+        let result = match time::timeout_at(ends_at.into(), run).await {
             Ok(result) => result,
-            Err(_) => Err(tries.out_of_time()),
+            Err(_) => Err(history.timeout_refusal()),
         };
         match result {
-            Ok(exchange) => self.answer(exchange, request_log, tries),
+            Ok(exchange) => self.respond(exchange, request_log, history),
             Err(refusal) => {
-                request_log.head(refusal.status().as_u16());
-                request_log.end(match refusal.ran() {
+                request_log.record_head(refusal.status().as_u16());
+                request_log.set_outcome(match refusal.ran() {
                     crate::Execution::NotRun => REFUSED,
                     crate::Execution::Unknown => FAILED,
                 });
                 log::info!(
                     request_id = request.id(),
                     reason = refusal.reason(),
-                    offers = tries.offers,
+                    offers = history.offers,
                     ran:% = refusal.ran();
                     "a request is not served"
                 );
@@ -211,14 +214,14 @@
         }
     }
 
-    fn answer(
+    fn respond(
         self: &Arc<Self>,
         mut exchange: Exchange,
         mut request_log: RequestLog,
-        tries: Tries,
+        history: OfferHistory,
     ) -> Response<ResponseBody> {
         let kind = request_log.request.route().kind();
-        request_log.head(exchange.status().as_u16());
+        request_log.record_head(exchange.status().as_u16());
         let head = exchange.take_head();
         let resumable = kind == RouteKind::ResumableStream
             && exchange.status().is_success();
@@ -227,11 +230,12 @@
                 self.clone(),
                 exchange,
                 request_log,
-                tries,
+                history,
+            )),
+            false => ResponseBody::forwarded(ForwardedBody::new(
+                exchange,
+                request_log,
             )),
-            false => {
-                ResponseBody::passed(PassedBody::new(exchange, request_log))
-            }
         };
         let mut response = Response::new(body);
         if let Some(mut head) = head {
@@ -249,12 +253,14 @@
         &self,
         request: &Arc<Inbound>,
         sent: &mut Sent,
-        tries: &mut Tries,
+        history: &mut OfferHistory,
     ) -> Result<Exchange, Refusal> {
         loop {
-            let choice = self.find_room(request, sent, tries).await?;
-            let cleared = self.clear(request).await;
-            let cleared = cleared.map_err(|held| refuse_held(held, tries))?;
+            let choice =
+                self.wait_for_capacity(request, sent, history).await?;
+            let permit = self.obtain_permit(request).await;
+            let permit =
+                permit.map_err(|held| refuse_quarantined(held, history))?;
             let id = choice.endpoint.record().id.clone();
             sent.endpoint.clone_from(&id);
             sent.estimated_load = choice.estimated_load;
@@ -263,93 +269,99 @@
             if sent.offers > 1 {
                 Counters::add(&self.counters.retried);
             }
-            tries.begin(id);
+            history.begin_offer(id);
             let offer = Offer {
                 request,
                 endpoint: &choice.endpoint,
-                resume_after: tries.resume_after,
-                wait: self.wait(request, tries),
-                cleared,
+                resume_after: history.resume_after,
+                wait: self.offer_timeout(request, history),
+                permit,
             };
             match self.dispatcher().dispatch(offer).await {
                 Ok(exchange) => {
-                    tries.ran();
-                    if !worth_another(request.route(), &exchange, tries) {
+                    history.record_run();
+                    if !should_retry(request.route(), &exchange, history) {
                         return Ok(exchange);
                     }
                 }
-                Err(failure) => tries.note(failure, request.route())?,
+                Err(failure) => history.record(failure, request.route())?,
             }
-            if tries.offers >= self.options.max_offers {
-                return Err(self.refuse(Verdict::AllFull, request, tries));
+            if history.offers >= self.options.max_offers {
+                return Err(self.refuse(Verdict::AllFull, request, history));
             }
         }
     }
 
-    /// Returns how long the head of an answer may take at one endpoint.
-    fn wait(&self, request: &Inbound, tries: &Tries) -> Duration {
-        let left = request.left();
+    /// Returns the timeout for the response head at one endpoint.
+    fn offer_timeout(
+        &self,
+        request: &Inbound,
+        history: &OfferHistory,
+    ) -> Duration {
+        let remaining = request.remaining();
         let route = request.route();
-        let last = tries.used + 1 >= route.max_attempts();
-        if !route.kind().repeatable() || last {
-            // The timer of the whole request ends it, as its own outcome.
-            return left + AFTER_THE_END;
+        let is_last = history.possible_runs + 1 >= route.max_attempts();
+        if !route.kind().repeatable() || is_last {
+            // The timer of the whole request ends it with its own outcome.
+            return remaining + LAST_ATTEMPT_MARGIN;
         }
         let times = match route.kind().is_stream() {
-            true => STREAM_WAIT,
-            false => IDEMPOTENT_WAIT,
+            true => STREAM_WAIT_TARGETS,
+            false => IDEMPOTENT_WAIT_TARGETS,
         };
         let wait = Duration::from_millis(route.target_latency_ms() * times);
-        wait.min(left)
+        wait.min(remaining)
     }
 
-    /// Refuses for want of room; the request may have run before.
+    /// Refuses a request for lack of capacity; it may have run before.
     fn refuse(
         &self,
         verdict: Verdict,
         request: &Inbound,
-        tries: &Tries,
+        history: &OfferHistory,
     ) -> Refusal {
-        if tries.used > 0 {
+        if history.possible_runs > 0 {
             return Refusal::unknown("no other endpoint is left");
         }
         if verdict == Verdict::NoEndpoint {
-            let back_ms = match self.endpoints.load().table.is_empty() {
+            let retry_after_ms = match self.endpoints.load().table.is_empty() {
                 true => self.options.startup_retry_after_ms,
                 false => self.options.retry_after_ms,
             };
             return Refusal::not_run("no endpoint is known")
-                .with_retry_after_ms(back_ms);
+                .with_retry_after_ms(retry_after_ms);
         }
-        let left_ms = request.left().as_millis() as u64;
-        let back_ms = self.returns.refuse(
+        let remaining_ms = request.remaining().as_millis() as u64;
+        let retry_after_ms = self.retry_estimator.record_refusal(
             self.clock.now(),
-            base_spread(request.id()),
-            left_ms / RETURN_DIVISOR,
+            spread_hash(request.id()),
+            remaining_ms / RETRY_DELAY_DIVISOR,
         );
-        Refusal::not_run("all endpoints are full").with_retry_after_ms(back_ms)
+        Refusal::not_run("all endpoints are full")
+            .with_retry_after_ms(retry_after_ms)
     }
 
-    /// Waits a short while for an endpoint with room.
-    async fn find_room(
+    /// Waits a short time for an endpoint with free capacity.
+    async fn wait_for_capacity(
         &self,
         request: &Inbound,
         sent: &mut Sent,
-        tries: &Tries,
+        history: &OfferHistory,
     ) -> Result<Choice, Refusal> {
         let route = request.route();
-        let patience_ms =
+        let max_wait_ms =
             route.target_latency_ms() / self.options.queue_wait_divisor;
-        let until = request.arrived() + Duration::from_millis(patience_ms);
+        let give_up_at =
+            request.arrived() + Duration::from_millis(max_wait_ms);
         loop {
-            let verdict = match self.choose(request, sent, &tries.tried) {
+            let verdict = match self.choose(request, sent, &history.tried) {
                 Ok(choice) => return Ok(choice),
                 Err(verdict) => verdict,
             };
-            if Instant::now() >= until {
-                return Err(self.refuse(verdict, request, tries));
+            if Instant::now() >= give_up_at {
+                return Err(self.refuse(verdict, request, history));
             }
-            time::sleep(ROOM_PAUSE).await;
+            time::sleep(CAPACITY_POLL_INTERVAL).await;
         }
     }
 
@@ -360,8 +372,8 @@
         tried: &[String],
     ) -> Result<Choice, Verdict> {
         let route = request.route();
-        let returns = request.has_waited();
-        let spread = base_spread(request.id());
+        let is_retry = request.has_waited();
+        let spread = spread_hash(request.id());
         let Some(service) = route.service(spread) else {
             return Err(Verdict::NoEndpoint);
         };
@@ -372,7 +384,7 @@
             failure_domain: &self.failure_domain,
             affinity: request.affinity(),
             tried,
-            queue_allowance: match (route.kind().is_stream(), returns) {
+            queue_allowance: match (route.kind().is_stream(), is_retry) {
                 (true, false) => self.options.stream_queue,
                 (true, true) => self.options.retry_queue,
                 (false, _) => self.options.plain_queue,
@@ -382,11 +394,11 @@
         view.table.choose(&selection, &need, self.clock.now())
     }
 
-    /// Offers a request once to one endpoint of the caller's choice.
+    /// Offers a request once to an endpoint that the caller has selected.
     ///
     /// # Errors
     ///
-    /// The [`Failure`], which also tells whether the request may have run.
+    /// The [`Failure`], which also shows whether the request may have run.
     pub async fn offer(
         &self,
         request: &Arc<Inbound>,
@@ -394,21 +406,21 @@
         resume_after: Option<u64>,
         wait: Duration,
     ) -> Result<Exchange, Failure> {
-        let cleared = self.clear(request).await;
-        let cleared =
-            cleared.map_err(|Held { for_ms, .. }| Failure::Held { for_ms })?;
+        let permit = self.obtain_permit(request).await;
+        let permit =
+            permit.map_err(|Held { for_ms, .. }| Failure::Held { for_ms })?;
         let offer = Offer {
             request,
             endpoint,
             resume_after,
             wait,
-            cleared,
+            permit,
         };
         self.dispatcher().dispatch(offer).await
     }
 
-    /// Lets a request pass unless it is known to crash endpoints.
-    async fn clear(&self, request: &Inbound) -> Result<Cleared, Held> {
+    /// Obtains a send permit, unless the request is quarantined.
+    async fn obtain_permit(&self, request: &Inbound) -> Result<Cleared, Held> {
         let admitted = self.quarantine.admit(|| request.evidence_keys()).await;
         admitted.inspect_err(|held| {
             Counters::add(&self.counters.requests_held);
@@ -422,17 +434,17 @@
         })
     }
 
-    /// Asks another endpoint for the rest of a stream.
+    /// Requests the remainder of a stream from another endpoint.
     pub(crate) async fn resume_stream(
         &self,
         request: &Arc<Inbound>,
-        mut tries: Tries,
+        mut history: OfferHistory,
     ) -> Option<Continuation> {
-        if tries.used >= request.route().max_attempts() {
+        if history.possible_runs >= request.route().max_attempts() {
             return None;
         }
         let mut sent = Sent::default();
-        let result = self.run(request, &mut sent, &mut tries).await;
+        let result = self.run(request, &mut sent, &mut history).await;
         let exchange = match result {
             Ok(exchange) if exchange.status().is_success() => exchange,
             Ok(_) => return None,
@@ -440,7 +452,7 @@
                 log::info!(
                     request_id = request.id(),
                     reason = refusal.reason();
-                    "a stream is not taken up"
+                    "a stream was not resumed"
                 );
                 return None;
             }
@@ -448,7 +460,7 @@
         Some(Continuation {
             exchange,
             sent,
-            tries,
+            history,
         })
     }
 
@@ -464,34 +476,40 @@
     }
 }
 
-/// Refuses a request that crashes endpoints; one of them may have been lost
-/// to this very request.
-fn refuse_held(held: Held, tries: &Tries) -> Refusal {
-    const WHY: &str = "endpoints crash when they run this request";
-    match tries.used {
-        0 => Refusal::not_run(WHY).with_retry_after_ms(held.for_ms),
-        _ => Refusal::unknown(WHY),
+/// Refuses a poison request. An earlier offer of this request may itself have
+/// run at an endpoint that crashed.
+fn refuse_quarantined(held: Held, history: &OfferHistory) -> Refusal {
+    const REASON: &str = "endpoints crash when they run this request";
+    match history.possible_runs {
+        0 => Refusal::not_run(REASON).with_retry_after_ms(held.for_ms),
+        _ => Refusal::unknown(REASON),
     }
 }
 
-/// Tells whether an error of an endpoint is better tried elsewhere.
-fn worth_another(route: &Route, exchange: &Exchange, tries: &Tries) -> bool {
+/// Returns whether another endpoint should be tried after an error response.
+fn should_retry(
+    route: &Route,
+    exchange: &Exchange,
+    history: &OfferHistory,
+) -> bool {
     exchange.status().is_server_error()
         && route.kind().repeatable()
-        && tries.used < route.max_attempts()
+        && history.possible_runs < route.max_attempts()
 }
 
-/// What became of the offers of one request so far.
+/// The offers of one request so far and their outcomes.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct OfferHistory {
+    /// Ids of the endpoints that got an offer.
     tried: Vec<String>,
     offers: u32,
-    used: u32,
-    open: bool,
+    /// Offers that ran or may have run.
+    possible_runs: u32,
+    in_progress: bool,
     resume_after: Option<u64>,
 }
 
-impl Tries {
+impl OfferHistory {
     fn new(resume_after: Option<u64>) -> Self {
         Self {
             resume_after,
@@ -499,8 +517,8 @@
         }
     }
 
-    /// Returns the state from which a broken stream is taken up: the run
-    /// that broke counts, and the stream goes on after its last event.
+    /// Returns the state from which an interrupted stream resumes: the
+    /// interrupted run counts, and the stream continues after its last event.
     pub(crate) fn after_broken_stream(&self, after: Option<u64>) -> Self {
         Self {
             resume_after: after,
@@ -508,45 +526,47 @@
         }
     }
 
-    fn begin(&mut self, endpoint: String) {
+    fn begin_offer(&mut self, endpoint: String) {
         self.tried.push(endpoint);
         self.offers += 1;
-        self.open = true;
+        self.in_progress = true;
     }
 
-    fn ran(&mut self) {
-        self.open = false;
-        self.used += 1;
+    fn record_run(&mut self) {
+        self.in_progress = false;
+        self.possible_runs += 1;
     }
 
-    /// Counts a failed offer, or ends the request where it may not be
-    /// offered again.
-    fn note(
+    /// Counts a failed offer, or ends the request if it must not be
+    /// retried.
+    fn record(
         &mut self,
         failure: Failure,
         route: &Route,
     ) -> Result<(), Refusal> {
-        self.open = false;
+        self.in_progress = false;
         if failure.is_known_not_run() {
             return Ok(());
         }
-        self.ran();
-        if route.kind().repeatable() && self.used < route.max_attempts() {
+        self.record_run();
+        if route.kind().repeatable()
+            && self.possible_runs < route.max_attempts()
+        {
             return Ok(());
         }
         Err(Refusal::unknown("the endpoint's answer is lost"))
     }
 
-    fn out_of_time(&self) -> Refusal {
-        match self.used > 0 || self.open {
+    fn timeout_refusal(&self) -> Refusal {
+        match self.possible_runs > 0 || self.in_progress {
             true => Refusal::timed_out("the time of the request is up"),
             false => Refusal::not_run("the time of the request is up"),
         }
     }
 }
 
-/// Spreads requests over the destinations of a route by their ids.
-fn base_spread(id: &str) -> u64 {
+/// Distributes requests over the destinations of a route by their ids.
+fn spread_hash(id: &str) -> u64 {
     base::stable_hash(&[id])
 }
 
--- a/crates/pass/src/lib.rs
+++ b/crates/pass/src/lib.rs
@@ -1,21 +1,20 @@
-//! Passes requests on to endpoints and their answers back, byte for byte.
+//! Forwards requests to endpoints and streams their responses back unchanged.
 //!
-//! [`Listener`] accepts the connections of callers, [`Forwarder`] finds an
-//! endpoint for each request, sends it there and passes the answer on while
-//! it arrives. How the headers are called that carry ids, deadlines and
-//! seals is told by [`HeaderNames`], so that several dialects can use the
-//! same path.
+//! [`Listener`] accepts client connections. [`Forwarder`] selects an endpoint
+//! for each request, sends the request there and streams the response while
+//! it arrives. [`HeaderNames`] defines the names of the headers that carry
+//! ids, deadlines and seals, so that several header dialects share this code.
 //!
-//! What may be repeated decides everything after a failure: a request that
-//! surely did not run goes to another endpoint; one that may have run goes
-//! there only if its route says that it may be repeated or its stream can be
-//! taken up after the last event that arrived. All else is answered with a
-//! status that promises nothing.
+//! The handling of a failure depends on whether a retry is safe. A request
+//! that is known not to have run goes to another endpoint. A request that may
+//! have run is retried only if its route declares it repeatable, or if its
+//! stream can be resumed after the last event received. All other requests
+//! get a status that leaves open whether they ran.
 //!
-//! The path uses hyper on both sides instead of rocket and reqwest: a
-//! handler of rocket runs to its end when its caller has left and is not
-//! given the connection, and both cost many times the processor time that
-//! the smallest machines have for an event of a stream.
+//! Both sides use hyper instead of rocket and reqwest. A rocket handler keeps
+//! running after its client has disconnected and has no access to the
+//! connection, and both libraries need many times the processor time that
+//! the smallest machines can spend on one stream event.
 
 mod answer;
 mod attempt;
--- a/crates/pass/src/listen.rs
+++ b/crates/pass/src/listen.rs
@@ -23,43 +23,43 @@
 
 use crate::{PassError, ResponseBody, channel::set_silence_timeout};
 
-/// The future of an answer.
+/// The future of a response.
 pub type HandlerFuture =
     Pin<Box<dyn Future<Output = Response<ResponseBody>> + Send>>;
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. The future is dropped when the caller leaves.
+    /// Handles one request. The future is dropped when the client disconnects.
     fn handle(&self, request: Request<Incoming>) -> HandlerFuture;
 
     /// Returns the limits for a new connection.
     fn limits(&self) -> TransferLimits;
 }
 
-/// How far a planned stop has come.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ShutdownPhase {
-    /// Not at all.
+    /// No shutdown was requested.
     Running,
-    /// Answers end their connections; new connections are still taken.
+    /// Each response closes its connection; new connections are accepted.
     Closing,
-    /// Idle connections are closed and no new ones are taken.
+    /// Idle connections are closed and new connections are not accepted.
     Closed,
 }
 
-/// Bounds of a listener.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerOptions {
-    /// Connections that may wait to be accepted.
+    /// Maximum number of connections that wait to be accepted.
     pub backlog: u32,
-    /// How long sent bytes may stay unacknowledged by a caller.
+    /// Time that sent bytes may stay unacknowledged by a client.
     pub silence_ms: u64,
 }
 
 impl Default for ListenerOptions {
-    /// The backlog holds the opening packets of a burst while the processor
-    /// is taken; a caller that acknowledges nothing for five seconds has
-    /// given up any request.
+    /// The backlog holds the connection attempts of a burst while the
+    /// processor is busy. A client that acknowledges nothing for five seconds
+    /// has abandoned its request.
     fn default() -> Self {
         Self {
             backlog: 1_024,
@@ -68,22 +68,22 @@
     }
 }
 
-/// Accepts connections of callers and serves requests on them.
+/// Accepts client connections and serves requests on them.
 pub struct Listener {
     socket: TcpListener,
     options: ListenerOptions,
-    stopping: watch::Receiver<ShutdownPhase>,
+    shutdown: watch::Receiver<ShutdownPhase>,
     open: Arc<AtomicUsize>,
 }
 
-/// Pause after a failed accept, for example without a free descriptor.
+/// Pause after a failed accept, for example without a free file descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Smallest buffer that the server library allows.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+/// Minimum buffer size that the server library allows.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
 impl Listener {
-    /// Listens on an address.
+    /// Binds a listener to an address.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
     pub fn bind(
         address: SocketAddr,
         options: ListenerOptions,
-        stopping: watch::Receiver<ShutdownPhase>,
+        shutdown: watch::Receiver<ShutdownPhase>,
     ) -> Result<Self, Report<PassError>> {
         let bind = || {
             let socket = TcpSocket::new_v4()?;
@@ -105,16 +105,16 @@
         Ok(Self {
             socket,
             options,
-            stopping,
+            shutdown,
             open: Arc::default(),
         })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the local address.
     ///
     /// # Errors
     ///
-    /// [`PassError::Listen`] if the system does not tell.
+    /// [`PassError::Listen`] if the operating system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Report<PassError>> {
         self.socket.local_addr().change_context(PassError::Listen)
     }
@@ -124,12 +124,12 @@
         self.open.clone()
     }
 
-    /// Serves until the stop has come to [`ShutdownPhase::Closed`]; connections
-    /// with a request end after its answer.
+    /// Serves until the shutdown reaches [`ShutdownPhase::Closed`].
+    /// Connections with a request in flight close after its response.
     pub async fn serve(mut self, handler: Arc<dyn Handler>) {
-        let mut closed = self.stopping.clone();
+        let mut closed = self.shutdown.clone();
         let mut closed =
-            pin!(closed.wait_for(|stage| *stage == ShutdownPhase::Closed));
+            pin!(closed.wait_for(|phase| *phase == ShutdownPhase::Closed));
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -139,7 +139,7 @@
             match accepted {
                 Ok((stream, _)) => self.start(stream, &handler),
                 Err(error) => {
-                    log::warn!(error:%; "a connection is not accepted");
+                    log::warn!(error:%; "cannot accept a connection");
                     time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -150,50 +150,50 @@
         if let Err(error) =
             set_silence_timeout(&stream, self.options.silence_ms)
         {
-            log::debug!(error:%; "a new connection has ended already");
+            log::debug!(error:%; "a new connection closed early");
             return;
         }
-        let open = Open::new(&self.open);
+        let open = OpenConnection::new(&self.open);
         let handler = handler.clone();
-        let stopping = self.stopping.clone();
+        let shutdown = self.shutdown.clone();
         tokio::spawn(async move {
             let _open = open;
-            connection(stream, handler, stopping).await;
+            serve_connection(stream, handler, shutdown).await;
         });
     }
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     handler: Arc<dyn Handler>,
-    mut stopping: watch::Receiver<ShutdownPhase>,
+    mut shutdown: watch::Receiver<ShutdownPhase>,
 ) {
     let limits = handler.limits();
-    let stage = stopping.clone();
+    let phase = shutdown.clone();
     let service = service_fn(move |request| {
-        let answer = handler.handle(request);
-        let stage = stage.clone();
+        let pending = handler.handle(request);
+        let phase = phase.clone();
         async move {
-            let mut response = answer.await;
-            if *stage.borrow() != ShutdownPhase::Running {
+            let mut response = pending.await;
+            if *phase.borrow() != ShutdownPhase::Running {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
             Ok::<_, Infallible>(response)
         }
     });
-    // The library's only timer before a request covers idle time as well,
-    // so it is set to the longer of both limits.
-    let quiet_ms = limits.idle_timeout_ms.max(limits.header_timeout_ms);
+    // The only timer of the library before a request also covers idle time,
+    // so it is set to the larger of the two limits.
+    let timeout_ms = limits.idle_timeout_ms.max(limits.header_timeout_ms);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(quiet_ms))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES))
+        .header_read_timeout(Duration::from_millis(timeout_ms))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let closed = async move {
-        let _ = stopping
-            .wait_for(|stage| *stage == ShutdownPhase::Closed)
+        let _ = shutdown
+            .wait_for(|phase| *phase == ShutdownPhase::Closed)
             .await;
     };
     let ended = tokio::select! {
@@ -208,21 +208,21 @@
         }
     };
     if let Err(error) = result {
-        log::debug!(error:%; "a caller's connection ended");
+        log::debug!(error:%; "a client connection failed");
     }
 }
 
-/// Counts a connection as open while it lives.
-struct Open(Arc<AtomicUsize>);
+/// Counts a connection as open until dropped.
+struct OpenConnection(Arc<AtomicUsize>);
 
-impl Open {
+impl OpenConnection {
     fn new(open: &Arc<AtomicUsize>) -> Self {
         open.fetch_add(1, Ordering::Relaxed);
         Self(open.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/pass/src/names.rs
+++ b/crates/pass/src/names.rs
@@ -1,27 +1,28 @@
 use access::KeyHeaders;
 use http::HeaderName;
 
-/// How the headers of a dialect are called.
+/// The header names of a dialect.
 ///
-/// The adapter of a platform makes one; nothing else knows the names.
+/// The adapter of each platform creates one; no other code contains the
+/// names.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Id of one try of a caller; endpoints echo it.
+    /// Id of one attempt of a client; endpoints echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender still waits.
+    /// Remaining time in milliseconds that the sender waits.
     pub deadline_ms: HeaderName,
-    /// Last event that arrived; the stream goes on after it.
+    /// Id of the last event received; the stream resumes after it.
     pub resume_after: HeaderName,
-    /// Proof of an endpoint that the answer is its own.
+    /// Proof that the response was produced by the endpoint.
     pub seal: HeaderName,
-    /// The one endpoint that may run the request.
+    /// Id of the only endpoint that may run the request.
     pub target: HeaderName,
-    /// Says that the endpoint did not run the request.
+    /// Marks a response to a request that the endpoint did not run.
     pub not_executed: HeaderName,
-    /// Load of the endpoint: running, waiting, slots.
+    /// Load of the endpoint: running requests, waiting requests, slots.
     pub load: HeaderName,
-    /// Parts of the prompt, in order, each with its tokens.
+    /// Parts of the prompt, in order, each with its token count.
     pub prompt_parts: HeaderName,
-    /// Key of the caller, and name of its customer.
+    /// API key of the client, and name of its customer.
     pub keys: KeyHeaders,
 }
--- a/crates/pass/src/observe.rs
+++ b/crates/pass/src/observe.rs
@@ -2,16 +2,17 @@
 
 use crate::{Run, RunObserver};
 
-/// Hears of each request that is sent to an endpoint.
+/// Receives a notification for each request that is sent to an endpoint.
 ///
-/// Batch work at an endpoint gives way the sooner the earlier its node hears
-/// of an online request; the endpoint's own report comes too late for that.
+/// The sooner the node of an endpoint learns of an online request, the sooner
+/// it preempts batch work there. The load report of the endpoint itself
+/// arrives too late for that.
 pub trait LoadObserver: Send + Sync + 'static {
-    /// A request is about to be sent to an endpoint.
+    /// Called just before a request is sent to an endpoint.
     fn request_started(&self, endpoint: &Endpoint);
 }
 
-/// Hears and does nothing.
+/// Ignores all notifications.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoopObserver;
 
--- a/crates/pass/src/pool.rs
+++ b/crates/pass/src/pool.rs
@@ -16,59 +16,59 @@
     read_body,
 };
 
-/// Idle connections kept for one endpoint; more than a burst needs at once
-/// from one node, and far under what an endpoint accepts.
+/// Maximum number of idle connections to one endpoint: more than one node
+/// needs in a burst, and far fewer than an endpoint accepts.
 const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// How a call of the node's own ended.
+/// The outcome of a call that the node makes on its own behalf.
 #[derive(Debug)]
 pub enum CallOutcome {
-    /// The whole answer.
+    /// A complete response arrived.
     Answered(Parts, Bytes),
-    /// The call surely did not arrive.
+    /// The request is connections not to have arrived.
     NotSent,
-    /// The call may have been done.
+    /// The request may have been executed.
     Broken,
 }
 
-/// Connections to endpoints.
+/// A pool of connections to endpoints.
 ///
-/// They are kept by the life of the endpoint, not by its address or id: an
-/// address is used again by endpoints of other services, and an endpoint
-/// may start again under its id.
+/// Connections are keyed by the incarnation of the endpoint, not by its
+/// address or id: endpoints of other services may reuse an address, and an
+/// endpoint may restart under the same id.
 #[derive(Debug, Default)]
 pub struct Pool {
     options: ChannelOptions,
-    lives: Mutex<IndexMap<LifeKey, Connections>>,
+    incarnations: Mutex<IndexMap<LifeKey, Connections>>,
 }
 
-/// The connections to one life of an endpoint.
+/// The connections to one incarnation of an endpoint.
 #[derive(Debug, Default)]
 struct Connections {
     idle: Vec<Channel>,
-    /// Ends any that is open, also in the middle of an answer.
+    /// Handles that close any open connection, even during a response.
     open: Vec<AbortHandle>,
 }
 
 impl Pool {
-    /// Makes an empty pool.
+    /// Creates an empty pool.
     pub fn new(options: ChannelOptions) -> Self {
         Self {
             options,
-            lives: Mutex::default(),
+            incarnations: Mutex::default(),
         }
     }
 
-    /// Returns the bounds of its connections.
+    /// Returns the limits of the connections.
     #[inline]
     pub fn options(&self) -> &ChannelOptions {
         &self.options
     }
 
-    /// Returns an idle connection, the one that was used last.
+    /// Takes the most recently used idle connection.
     pub(crate) fn take(&self, endpoint: &Endpoint) -> Option<Channel> {
-        let mut lives = self.lock();
-        let idle = &mut lives.get_mut(&endpoint.life())?.idle;
+        let mut incarnations = self.lock();
+        let idle = &mut incarnations.get_mut(&endpoint.life())?.idle;
         idle.retain(|channel| !channel.is_expired());
         let at = idle.iter().rposition(Channel::is_ready)?;
         Some(idle.remove(at))
@@ -81,48 +81,49 @@
     ) -> io::Result<Channel> {
         let address = endpoint.record().address;
         let channel = Channel::open(address, &self.options).await?;
-        let mut lives = self.lock();
-        let open = &mut lives.entry(endpoint.life()).or_default().open;
+        let mut incarnations = self.lock();
+        let open = &mut incarnations.entry(endpoint.life()).or_default().open;
         open.retain(|connection| !connection.is_finished());
         open.push(channel.abort_handle());
         Ok(channel)
     }
 
-    /// Keeps a connection whose answer is whole.
+    /// Returns a connection to the pool after a complete response.
     pub(crate) fn release(&self, endpoint: &Endpoint, mut channel: Channel) {
         channel.mark_idle();
-        let mut lives = self.lock();
-        let idle = &mut lives.entry(endpoint.life()).or_default().idle;
+        let mut incarnations = self.lock();
+        let idle = &mut incarnations.entry(endpoint.life()).or_default().idle;
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(channel);
         }
     }
 
-    /// Drops the idle connections to an endpoint, because one of them fell
-    /// silent and its kin may have too.
+    /// Drops the idle connections to an endpoint after one of its connections
+    /// fell silent, because the others may be dead too.
     pub fn clear_idle(&self, endpoint: &Endpoint) {
-        if let Some(known) = self.lock().get_mut(&endpoint.life()) {
-            known.idle.clear();
+        if let Some(connections) = self.lock().get_mut(&endpoint.life()) {
+            connections.idle.clear();
         }
     }
 
-    /// Ends all connections to a life that is over, also those with a
-    /// request in flight.
+    /// Closes all connections to an incarnation that has ended, including
+    /// those with a request in flight.
     ///
-    /// An endpoint that crashed behind a cut resets nothing: without this a
-    /// request waits for an answer of a process that is gone until its time
-    /// is up, while the endpoint that started in its place is idle.
-    pub fn close(&self, life: LifeKey) {
-        let Some(known) = self.lock().swap_remove(&life) else {
+    /// An endpoint that crashes behind a network partition resets no
+    /// connections. Without this call a request would wait until its deadline
+    /// for a process that no longer exists, while the restarted endpoint is
+    /// idle.
+    pub fn close(&self, incarnation: LifeKey) {
+        let Some(connections) = self.lock().swap_remove(&incarnation) else {
             return;
         };
-        for connection in known.open {
+        for connection in connections.open {
             connection.abort();
         }
     }
 
-    /// Asks an endpoint a question of the node's own and returns the body
-    /// of a good answer.
+    /// Sends a request of the node itself and returns the body of a
+    /// successful response.
     pub async fn fetch(
         &self,
         endpoint: &Endpoint,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Makes a call that is answered in one piece.
+    /// Sends a request and reads the complete response.
     pub async fn call(
         &self,
         endpoint: &Endpoint,
@@ -174,14 +175,16 @@
         CallOutcome::Answered(head, body)
     }
 
-    /// Drops the idle connections to lives of which `keep` is false. Their
-    /// requests in flight go on: an endpoint that has left the list ends
-    /// what it runs.
+    /// Drops the idle connections to incarnations for which `keep` returns
+    /// false. Their requests in flight continue: an endpoint that was removed
+    /// from the list finishes the requests that it runs.
     pub fn retain(&self, mut keep: impl FnMut(LifeKey) -> bool) {
-        self.lock().retain(|life, _| keep(*life));
+        self.lock().retain(|incarnation, _| keep(*incarnation));
     }
 
     fn lock(&self) -> MutexGuard<'_, IndexMap<LifeKey, Connections>> {
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner)
+        self.incarnations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/pass/src/refusal.rs
+++ b/crates/pass/src/refusal.rs
@@ -5,16 +5,16 @@
 
 use crate::ResponseBody;
 
-/// What is known of whether a request ran.
+/// The knowledge of whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Execution {
-    /// It did not and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
-/// An answer of the node itself in place of an endpoint's.
+/// A response of the node itself in place of one of an endpoint.
 ///
 /// # Example
 ///
@@ -26,8 +26,8 @@
 ///     .with_retry_after_ms(250);
 /// assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
 /// assert_eq!(refusal.ran(), Execution::NotRun);
-/// let answer = refusal.into_response();
-/// assert_eq!(answer.headers()["retry-after"], "0.25");
+/// let response = refusal.into_response();
+/// assert_eq!(response.headers()["retry-after"], "0.25");
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
@@ -43,17 +43,17 @@
         Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Execution::NotRun)
     }
 
-    /// Ends a request that may have run and was not answered.
+    /// Ends a request that may have run and has no response.
     pub fn unknown(reason: &'static str) -> Self {
         Self::new(StatusCode::BAD_GATEWAY, reason, Execution::Unknown)
     }
 
-    /// Ends a request that may have run when its time is up.
+    /// Ends a request that may have run when its deadline passes.
     pub fn timed_out(reason: &'static str) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Execution::Unknown)
     }
 
-    /// Refuses a request that no route allows or that breaks a limit.
+    /// Rejects a request that no route allows or that exceeds a limit.
     pub fn rejected(status: StatusCode, reason: &'static str) -> Self {
         Self::new(status, reason, Execution::NotRun)
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the client should retry.
     #[must_use]
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
@@ -104,7 +104,7 @@
         self.reason
     }
 
-    /// Makes the answer.
+    /// Builds the response.
     pub fn into_response(self) -> Response<ResponseBody> {
         let text = format!(
             "{{\"title\":\"{}\",\"status\":{},\"ran\":\"{}\"}}",
--- a/crates/pass/src/relay.rs
+++ b/crates/pass/src/relay.rs
@@ -10,26 +10,27 @@
     read_body, request::strip_hop_by_hop,
 };
 
-/// Passes calls of other nodes on to one service, byte for byte.
+/// Forwards calls of other nodes to one service unchanged.
 ///
-/// A node that the service turns away, or that has lost the path to it,
-/// reaches it through a node that has not. The relay never uses another
-/// relay, so that no call goes in circles.
+/// A node that the service rejects, or that has lost its network path to the
+/// service, reaches it through a node that still has access. A relay never
+/// uses another relay, so calls cannot loop.
 #[derive(Clone)]
 pub struct Relay {
     target: Endpoint,
     pool: Arc<Pool>,
 }
 
-/// Largest call and answer: a value of the service as text, several times.
-const MOST_BYTES: usize = 32 * 1024 * 1024;
+/// Maximum size of a request or response body: several times the text form
+/// of the largest value of the key-value service.
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// Longest wait for an answer, in milliseconds: a waiting watch and the
-/// slowest answer together.
+/// Response timeout in milliseconds: the wait of a watch plus the slowest
+/// response.
 const TIMEOUT_MS: u64 = 8_000;
 
 impl Relay {
-    /// Passes calls on to the service at an address.
+    /// Creates a relay to the service at an address.
     pub fn new(target: SocketAddr) -> Self {
         Self {
             target: Endpoint::new(EndpointRecord {
@@ -45,9 +46,12 @@
         }
     }
 
-    async fn pass(self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn forward(
+        self,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let (mut head, body) = request.into_parts();
-        let body = match read_body(body, MOST_BYTES).await {
+        let body = match read_body(body, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(refusal) => return refusal.into_response(),
         };
@@ -58,14 +62,14 @@
             head.headers.insert(header::HOST, host);
         }
         let request = Request::from_parts(head, body);
-        let call = self.pool.call(&self.target, request, MOST_BYTES);
+        let call = self.pool.call(&self.target, request, MAX_BODY_BYTES);
         let wait = Duration::from_millis(TIMEOUT_MS);
         match time::timeout(wait, call).await {
             Ok(CallOutcome::Answered(head, body)) => {
                 let mut response =
                     Response::new(ResponseBody::from_bytes(body));
                 *response.status_mut() = head.status;
-                copy_type(&head.headers, response.headers_mut());
+                copy_content_type(&head.headers, response.headers_mut());
                 response
             }
             Ok(CallOutcome::NotSent) => {
@@ -80,7 +84,7 @@
     }
 }
 
-fn copy_type(from: &HeaderMap, to: &mut HeaderMap) {
+fn copy_content_type(from: &HeaderMap, to: &mut HeaderMap) {
     if let Some(kind) = from.get(header::CONTENT_TYPE) {
         to.insert(header::CONTENT_TYPE, kind.clone());
     }
@@ -88,12 +92,12 @@
 
 impl Handler for Relay {
     fn handle(&self, request: Request<Incoming>) -> HandlerFuture {
-        Box::pin(self.clone().pass(request))
+        Box::pin(self.clone().forward(request))
     }
 
     fn limits(&self) -> TransferLimits {
         TransferLimits {
-            max_body_bytes: MOST_BYTES,
+            max_body_bytes: MAX_BODY_BYTES,
             ..TransferLimits::default()
         }
     }
--- a/crates/pass/src/request.rs
+++ b/crates/pass/src/request.rs
@@ -18,7 +18,7 @@
 
 use crate::{HeaderNames, Refusal};
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -31,7 +31,7 @@
     header::UPGRADE,
 ];
 
-/// Removes what concerns one connection only, also what `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads a whole body, as long as it keeps to the limit.
+/// Reads a complete body up to a size limit.
 ///
 /// # Errors
 ///
-/// The [`Refusal`] that answers a body which is too large or breaks off.
+/// The [`Refusal`] for a body that is too large or incomplete.
 pub async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -88,8 +88,8 @@
     })
 }
 
-/// A request of a caller with all that is needed to send it on, once or
-/// several times.
+/// A client request with all data to send it to endpoints, once or several
+/// times.
 #[derive(Debug)]
 pub struct Inbound {
     id: String,
@@ -104,21 +104,21 @@
     affinity: u64,
     admitted: Admitted,
     digest: OnceLock<RequestDigest>,
-    /// The job that the request is an item of, if it is one.
+    /// Id of the job of which the request is an item, if any.
     job: Option<String>,
 }
 
-/// Part of a route's time that a caller has left which has not waited yet,
-/// in percent. Callers whose time is shorter from the start are taken for
-/// ones that return; they may queue a little longer, no more.
-const FRESH_PERCENT: u64 = 95;
+/// Minimum remaining time of a client that has not waited yet, in percent of
+/// the timeout of the route. Clients that set a shorter deadline from the
+/// start count as retrying; the only effect is a slightly longer queue.
+const MIN_FRESH_PERCENT: u64 = 95;
 
 impl Inbound {
-    /// Takes a request apart. Its admission names the customer, in every
-    /// copy that is sent to an endpoint.
+    /// Creates a request from its parts. The admission sets the customer in
+    /// each copy that is sent to an endpoint.
     ///
-    /// It ends at the caller's deadline or at the route's timeout, whichever
-    /// comes first.
+    /// The request ends at the deadline of the client or at the timeout of
+    /// the route, whichever comes first.
     pub fn new(
         parts: Parts,
         body: Bytes,
@@ -146,7 +146,7 @@
         let wait_ms = deadline_ms
             .unwrap_or(u64::MAX)
             .min(route.timeout_ms())
-            .min(LONGEST_MS);
+            .min(MAX_DURATION_MS);
         strip_hop_by_hop(&mut headers);
         headers.remove(header::EXPECT);
         headers.remove(header::CONTENT_LENGTH);
@@ -168,32 +168,30 @@
         }
     }
 
-    /// Makes the request an item of a job: what speaks against it counts
-    /// for the job as well, and for all items of the same path.
+    /// Marks the request as an item of a job: its crash records also count
+    /// for the job, and for all items of the same path.
     #[must_use]
     pub fn with_job(mut self, job: &str) -> Self {
         self.job = Some(job.to_owned());
         self
     }
 
-    /// Replaces the time after which the request ends, counted from its
-    /// arrival.
+    /// Replaces the timeout of the request, counted from its arrival.
     #[must_use]
     pub fn with_wait_ms(mut self, wait_ms: u64) -> Self {
-        let wait = Duration::from_millis(wait_ms.min(LONGEST_MS));
+        let wait = Duration::from_millis(wait_ms.min(MAX_DURATION_MS));
         self.ends_at = self.arrived + wait;
         self
     }
 
-    /// Returns the id of the try.
+    /// Returns the id of the attempt.
     #[inline]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Returns the digest of what the request asks for, which all tries of
-    /// it share. It is made when it is first asked for, which most requests
-    /// never are.
+    /// Returns the digest of the content of the request, which all attempts
+    /// share. It is computed on first use; most requests never need it.
     pub fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             RequestDigest::of(RequestContent {
@@ -206,7 +204,7 @@
         })
     }
 
-    /// Returns under which keys evidence on the request is kept.
+    /// Returns the keys under which crash records of the request are stored.
     pub fn evidence_keys(&self) -> EvidenceKeys {
         let keys = EvidenceKeys::from(self.digest());
         let Some(job) = &self.job else {
@@ -223,7 +221,7 @@
         host.and_then(|host| host.to_str().ok()).unwrap_or_default()
     }
 
-    /// Returns the name of the customer; empty without one.
+    /// Returns the name of the customer, or an empty string.
     #[inline]
     pub fn customer(&self) -> &str {
         self.admitted.customer().map_or("", |name| name.as_str())
@@ -235,48 +233,48 @@
         &self.route
     }
 
-    /// Returns when the request arrived.
+    /// Returns the time of arrival.
     #[inline]
     pub fn arrived(&self) -> Instant {
         self.arrived
     }
 
-    /// Returns when it ends whatever its state.
+    /// Returns the time at which the request ends in any state.
     #[inline]
     pub fn ends_at(&self) -> Instant {
         self.ends_at
     }
 
-    /// Returns the last event that the caller has already.
+    /// Returns the id of the last event that the client has received.
     #[inline]
     pub fn resume_after(&self) -> Option<u64> {
         self.resume_after
     }
 
-    /// Returns the hash of the prompt's shared parts; of a request without a
-    /// prompt that of its id.
+    /// Returns the hash of the shared parts of the prompt, or the hash of the
+    /// id for a request without a prompt.
     ///
-    /// What goes wrong where such requests all have the hash of no parts:
-    /// they prefer the same few endpoints, and others get no request at all.
+    /// If all requests without a prompt had the hash of an empty prompt, they
+    /// would prefer the same few endpoints and leave others without requests.
     #[inline]
     pub fn affinity(&self) -> u64 {
         self.affinity
     }
 
-    /// Tells whether the caller has spent a part of its time before it sent
-    /// this request, as one does that was refused and has come back.
+    /// Returns whether the client spent part of its time before it sent this
+    /// request, as a client does that was refused and retries.
     pub fn has_waited(&self) -> bool {
         let given = self.ends_at.saturating_duration_since(self.arrived);
         let given_ms = given.as_millis() as u64;
-        given_ms < self.route.timeout_ms() * FRESH_PERCENT / 100
+        given_ms < self.route.timeout_ms() * MIN_FRESH_PERCENT / 100
     }
 
-    /// Returns the time that is left.
-    pub fn left(&self) -> Duration {
+    /// Returns the remaining time.
+    pub fn remaining(&self) -> Duration {
         self.ends_at.saturating_duration_since(Instant::now())
     }
 
-    /// Makes the request for one endpoint.
+    /// Builds the request for one endpoint.
     pub(crate) fn outbound(
         &self,
         names: &HeaderNames,
@@ -287,8 +285,11 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let mut headers = self.headers.clone();
-        let left_ms = self.left().as_millis().max(1) as u64;
-        headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
+        let remaining_ms = self.remaining().as_millis().max(1) as u64;
+        headers.insert(
+            names.deadline_ms.clone(),
+            HeaderValue::from(remaining_ms),
+        );
         if let Ok(id) = HeaderValue::from_str(endpoint) {
             headers.insert(names.target.clone(), id);
         }
@@ -301,23 +302,23 @@
     }
 }
 
-/// Longest time of any request, so that sums of times stay in range.
-const LONGEST_MS: u64 = 86_400_000;
+/// Maximum duration of any request, so that sums of times do not overflow.
+const MAX_DURATION_MS: u64 = 86_400_000;
 
 fn origin_form(uri: &Uri) -> PathAndQuery {
     let root = || PathAndQuery::from_static("/");
     uri.path_and_query().cloned().unwrap_or_else(root)
 }
 
-/// Hashes the prompt's parts without the last one, which belongs to the
-/// request itself.
+/// Hashes the parts of the prompt except the last one, which is specific to
+/// the request.
 fn affinity(parts: &str) -> u64 {
     let shared = parts.rsplit_once(',').map_or("", |(shared, _)| shared);
     hash(shared)
 }
 
-/// Hashes a text by FNV-1a: the value is only compared within this process,
-/// and a cryptographic hash costs a microsecond for each request.
+/// Hashes a text with FNV-1a: the value is only compared within this process,
+/// and a cryptographic hash costs a microsecond per request.
 fn hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/pass/src/resume.rs
+++ b/crates/pass/src/resume.rs
@@ -12,28 +12,28 @@
 use crate::{
     Counters, EventSplitter, Exchange, Forwarder, IncompleteResponse,
     answer::{ANSWERED, FAILED, RequestLog, Sent, sleep_until},
-    forward::Tries,
+    forward::OfferHistory,
 };
 
 type Resuming = Pin<Box<dyn Future<Output = Option<Continuation>> + Send>>;
 
-/// A stream that another endpoint goes on with.
+/// A stream that was resumed at another endpoint.
 pub(crate) struct Continuation {
     pub(crate) exchange: Exchange,
     pub(crate) sent: Sent,
-    pub(crate) tries: Tries,
+    pub(crate) history: OfferHistory,
 }
 
-/// A stream that goes on at another endpoint when its endpoint fails.
+/// A stream that resumes at another endpoint when its endpoint fails.
 ///
-/// Only whole events are passed on, so that the next endpoint can start
+/// Only complete events are forwarded, so that the next endpoint can start
 /// after the last of them.
 pub(crate) struct ResumedBody {
     forwarder: Arc<Forwarder>,
     state: State,
     splitter: EventSplitter,
     request_log: RequestLog,
-    tries: Tries,
+    history: OfferHistory,
     deadline: Pin<Box<Sleep>>,
     stall: Pin<Box<Sleep>>,
     stall_after: Duration,
@@ -45,24 +45,25 @@
     Over,
 }
 
-/// Pauses of a stream after which its endpoint counts as silent, in multiples
+/// Pause of a stream after which its endpoint counts as silent, in multiples
 /// of the pause that the route allows: an engine that preempts a run and
-/// reads it again takes about two.
+/// recomputes its prompt takes about two.
 const STALL_GAPS: u64 = 3;
 
-/// Shortest such time, in milliseconds, for routes with short pauses or none.
-const STALL_LEAST_MS: u64 = 600;
+/// Minimum of that pause in milliseconds, for routes with a short pause
+/// target or none.
+const MIN_STALL_MS: u64 = 600;
 
 impl ResumedBody {
     pub(crate) fn new(
         forwarder: Arc<Forwarder>,
         exchange: Exchange,
         request_log: RequestLog,
-        tries: Tries,
+        history: OfferHistory,
     ) -> Self {
         let request = &request_log.request;
         let stall_ms =
-            (request.route().gap_target_ms() * STALL_GAPS).max(STALL_LEAST_MS);
+            (request.route().gap_target_ms() * STALL_GAPS).max(MIN_STALL_MS);
         let stall_after = Duration::from_millis(stall_ms);
         Self {
             splitter: EventSplitter::new(request.resume_after()),
@@ -72,7 +73,7 @@
             forwarder,
             state: State::Reading(Box::new(exchange)),
             request_log,
-            tries,
+            history,
         }
     }
 
@@ -81,16 +82,16 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         if self.deadline.as_mut().poll(cx).is_ready() {
-            return self.give_up(IncompleteResponse::Deadline);
+            return self.fail(IncompleteResponse::Deadline);
         }
         loop {
             match &mut self.state {
                 State::Over => return Poll::Ready(None),
                 State::Resuming(resuming) => {
                     match ready!(resuming.as_mut().poll(cx)) {
-                        Some(continuation) => self.go_on(continuation),
+                        Some(continuation) => self.continue_with(continuation),
                         None => {
-                            return self.give_up(IncompleteResponse::Endpoint);
+                            return self.fail(IncompleteResponse::Endpoint);
                         }
                     }
                 }
@@ -99,26 +100,26 @@
                         Poll::Ready(data) => data,
                         Poll::Pending => {
                             ready!(self.stall.as_mut().poll(cx));
-                            self.take_up_elsewhere("silent");
+                            self.resume_elsewhere("silent");
                             continue;
                         }
                     };
                     match data {
                         Some(Ok(chunk)) => {
                             let events = self.pass_on(chunk);
-                            self.note_progress();
+                            self.report_progress();
                             if let Some(events) = events {
                                 return Poll::Ready(Some(Ok(events)));
                             }
                         }
-                        Some(Err(_)) => self.take_up_elsewhere("broken"),
+                        Some(Err(_)) => self.resume_elsewhere("broken"),
                         None if self.splitter.is_inside_event() => {
                             exchange.mark_interrupted();
-                            self.take_up_elsewhere("ended inside an event");
+                            self.resume_elsewhere("ended inside an event");
                         }
                         None => {
                             self.state = State::Over;
-                            self.request_log.end(ANSWERED);
+                            self.request_log.set_outcome(ANSWERED);
                             return Poll::Ready(None);
                         }
                     }
@@ -128,40 +129,40 @@
     }
 
     fn pass_on(&mut self, chunk: Bytes) -> Option<Bytes> {
-        let again = tokio::time::Instant::now() + self.stall_after;
-        self.stall.as_mut().reset(again);
+        let stall_at = tokio::time::Instant::now() + self.stall_after;
+        self.stall.as_mut().reset(stall_at);
         let split = self.splitter.push(chunk);
         if split.events.is_empty() {
             return None;
         }
-        self.request_log.passed(split.events.len());
+        self.request_log.record_bytes(split.events.len());
         Some(split.events)
     }
 
-    fn note_progress(&mut self) {
+    fn report_progress(&mut self) {
         let reached = self.splitter.last_id().unwrap_or(0);
         if let State::Reading(exchange) = &mut self.state {
             exchange.advance_to(reached);
         }
     }
 
-    fn go_on(&mut self, continuation: Continuation) {
+    fn continue_with(&mut self, continuation: Continuation) {
         let offers = self.request_log.sent.offers + continuation.sent.offers;
         self.request_log.sent = Sent {
             offers,
             ..continuation.sent
         };
-        self.tries = continuation.tries;
+        self.history = continuation.history;
         self.request_log.resumed += 1;
         Counters::add(&self.request_log.counters.resumed);
         self.state = State::Reading(Box::new(continuation.exchange));
-        let again = tokio::time::Instant::now() + self.stall_after;
-        self.stall.as_mut().reset(again);
+        let stall_at = tokio::time::Instant::now() + self.stall_after;
+        self.stall.as_mut().reset(stall_at);
     }
 
-    /// Drops the answer, which closes its connection, and asks another
-    /// endpoint for the rest.
-    fn take_up_elsewhere(&mut self, reason: &'static str) {
+    /// Drops the response, which closes its connection, and requests the
+    /// remainder from another endpoint.
+    fn resume_elsewhere(&mut self, reason: &'static str) {
         self.splitter.drop_partial();
         let request = &self.request_log.request;
         let after = self.splitter.last_id();
@@ -176,19 +177,19 @@
         self.state = State::Over;
         let forwarder = self.forwarder.clone();
         let request = request.clone();
-        let tries = self.tries.after_broken_stream(after);
+        let history = self.history.after_broken_stream(after);
         self.state = State::Resuming(Box::pin(async move {
-            forwarder.resume_stream(&request, tries).await
+            forwarder.resume_stream(&request, history).await
         }));
     }
 
-    fn give_up(
+    fn fail(
         &mut self,
-        why: IncompleteResponse,
+        error: IncompleteResponse,
     ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
-        self.request_log.end(FAILED);
+        self.request_log.set_outcome(FAILED);
         self.state = State::Over;
-        Poll::Ready(Some(Err(why)))
+        Poll::Ready(Some(Err(error)))
     }
 }
 
--- a/crates/pass/src/run.rs
+++ b/crates/pass/src/run.rs
@@ -10,26 +10,27 @@
 
 use crate::Inbound;
 
-/// Receives how runs of requests at endpoints end.
+/// Receives the outcomes of runs at endpoints.
 pub trait RunObserver: Send + Sync + 'static {
-    /// An endpoint answered a request in full.
+    /// Called when an endpoint has sent a complete response.
     fn answered(&self, run: &Run);
 
-    /// The connection of a run broke before the answer was whole.
+    /// Called when the connection of a run broke before the response was
+    /// complete.
     fn interrupted(&self, run: &Run);
 }
 
-/// One run of a request at an endpoint, as far as its sender sees it.
+/// A run of a request at an endpoint, as seen by its sender.
 ///
-/// A run that the sender gives up itself is not reported to the observer,
-/// since it says nothing about the endpoint.
+/// A run that the sender cancels itself is not reported to the observer,
+/// because it says nothing about the endpoint.
 pub struct Run {
     request: Arc<Inbound>,
     endpoint: Endpoint,
-    began: Instant,
+    started_at: Instant,
     resumed_after: u64,
     reached: u64,
-    is_over: bool,
+    has_ended: bool,
     observer: Arc<dyn RunObserver>,
 }
 
@@ -44,10 +45,10 @@
         Self {
             request,
             endpoint,
-            began: Instant::now(),
+            started_at: Instant::now(),
             resumed_after,
             reached: resumed_after,
-            is_over: false,
+            has_ended: false,
             observer,
         }
     }
@@ -57,7 +58,7 @@
         self.request.digest()
     }
 
-    /// Returns under which keys evidence on the request is kept.
+    /// Returns the keys under which crash records of the request are stored.
     pub fn evidence_keys(&self) -> EvidenceKeys {
         self.request.evidence_keys()
     }
@@ -68,20 +69,20 @@
         &self.endpoint
     }
 
-    /// Returns how long the run has lasted.
+    /// Returns the duration of the run so far.
     pub fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Returns how much of the answer was there before this run: the event
-    /// after which a stream was taken up, or 0.
+    /// Returns how much of the response existed before this run: the id of
+    /// the event after which a stream was resumed, or 0.
     #[inline]
     pub fn resumed_after(&self) -> u64 {
         self.resumed_after
     }
 
-    /// Returns how much of the answer has arrived: the last event of a
-    /// stream that may be resumed, and bytes of any other answer.
+    /// Returns how much of the response has arrived: the id of the last event
+    /// of a resumable stream, or the byte count of any other response.
     #[inline]
     pub fn reached(&self) -> u64 {
         self.reached
@@ -92,17 +93,17 @@
     }
 
     pub(crate) fn answered(&mut self) {
-        if !self.is_over {
-            self.is_over = true;
+        if !self.has_ended {
+            self.has_ended = true;
             self.observer.answered(self);
         }
     }
 
     pub(crate) fn mark_interrupted(&mut self) {
-        if self.is_over {
+        if self.has_ended {
             return;
         }
-        self.is_over = true;
+        self.has_ended = true;
         log::info!(
             request_id = self.request.id(),
             digest:% = self.digest(),
--- a/crates/pass/tests/common/mod.rs
+++ b/crates/pass/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An endpoint that plays a script, and a forwarder before it.
+//! A scripted endpoint and a forwarder that sends requests to it.
 
 use std::{
     net::SocketAddr,
@@ -24,18 +24,18 @@
     time::{sleep, timeout},
 };
 
-/// What an endpoint does with the next request.
+/// The reaction of an endpoint to the next request.
 #[derive(Clone, Debug)]
 #[allow(dead_code)]
 pub(crate) enum Act {
     /// Writes these bytes, with `ID` replaced by the request's id, and keeps
-    /// the connection.
-    Answer(String),
+    /// the connection open.
+    Respond(String),
     /// Writes these bytes and closes the connection.
-    AnswerAndClose(String),
-    /// Closes the connection without a byte.
+    RespondAndClose(String),
+    /// Closes the connection without writing any bytes.
     Close,
-    /// Says nothing until the caller leaves.
+    /// Writes nothing until the client disconnects.
     Silent,
 }
 
@@ -43,32 +43,32 @@
 pub(crate) struct Scripted {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<String>>>,
-    /// Connections that their caller closed in the middle of a silent act.
-    pub left: Arc<Mutex<u32>>,
+    /// Number of connections that the client closed during a silent act.
+    pub disconnects: Arc<Mutex<u32>>,
 }
 
 impl Scripted {
-    /// Plays the acts in the order in which requests arrive, on whatever
-    /// connection; the last one is repeated.
+    /// Performs the acts in the order in which requests arrive on any
+    /// connection; the last act is repeated.
     pub(crate) async fn start(acts: Vec<Act>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let requests: Arc<Mutex<Vec<String>>> = Arc::default();
-        let left: Arc<Mutex<u32>> = Arc::default();
-        let (seen, gone) = (requests.clone(), left.clone());
+        let disconnects: Arc<Mutex<u32>> = Arc::default();
+        let (seen, disconnected) = (requests.clone(), disconnects.clone());
         tokio::spawn(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else {
                     return;
                 };
                 let (acts, seen) = (acts.clone(), seen.clone());
-                tokio::spawn(serve(stream, acts, seen, gone.clone()));
+                tokio::spawn(serve(stream, acts, seen, disconnected.clone()));
             }
         });
         Self {
             address,
             requests,
-            left,
+            disconnects,
         }
     }
 
@@ -82,7 +82,7 @@
     mut stream: TcpStream,
     acts: Vec<Act>,
     seen: Arc<Mutex<Vec<String>>>,
-    left: Arc<Mutex<u32>>,
+    disconnects: Arc<Mutex<u32>>,
 ) {
     while let Some(request) = read_request(&mut stream).await {
         let id = header(&request, "x-id").unwrap_or_default();
@@ -93,13 +93,13 @@
         };
         let act = acts.get(number).or(acts.last()).cloned();
         match act {
-            Some(Act::Answer(text)) => {
+            Some(Act::Respond(text)) => {
                 let text = text.replace("ID", &id);
                 if stream.write_all(text.as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Some(Act::AnswerAndClose(text)) => {
+            Some(Act::RespondAndClose(text)) => {
                 let text = text.replace("ID", &id);
                 let _ = stream.write_all(text.as_bytes()).await;
                 return;
@@ -107,7 +107,7 @@
             Some(Act::Silent) => {
                 let mut byte = [0];
                 let _ = stream.read(&mut byte).await;
-                *left.lock().expect("lock") += 1;
+                *disconnects.lock().expect("lock") += 1;
                 return;
             }
             Some(Act::Close) | None => return,
@@ -131,7 +131,7 @@
     Some(head + &String::from_utf8_lossy(&body))
 }
 
-/// Returns a header of a request's text.
+/// Returns the value of a header in the text of a request.
 pub(crate) fn header(request: &str, name: &str) -> Option<String> {
     request.lines().find_map(|line| {
         let (key, value) = line.split_once(": ")?;
@@ -139,7 +139,7 @@
     })
 }
 
-/// Names of headers that no platform uses.
+/// Header names that no platform uses.
 pub(crate) fn names() -> HeaderNames {
     let name = HeaderName::from_static;
     HeaderNames {
@@ -158,7 +158,8 @@
     }
 }
 
-pub(crate) struct Bench {
+/// A forwarder and the objects that tests inspect.
+pub(crate) struct Fixture {
     pub forwarder: Arc<Forwarder>,
     #[allow(dead_code)]
     pub counters: Arc<Counters>,
@@ -168,8 +169,8 @@
     pub pool: Arc<Pool>,
 }
 
-/// Makes a forwarder to some endpoints; the first is preferred.
-pub(crate) fn bench(addresses: &[SocketAddr]) -> Bench {
+/// Creates a forwarder to some endpoints; the first is preferred.
+pub(crate) fn fixture(addresses: &[SocketAddr]) -> Fixture {
     let endpoints: Vec<Endpoint> = addresses
         .iter()
         .enumerate()
@@ -203,7 +204,7 @@
         Arc::new(SystemClock::new()),
         counters.clone(),
     );
-    Bench {
+    Fixture {
         forwarder: Arc::new(forwarder),
         counters,
         endpoints,
@@ -211,7 +212,7 @@
     }
 }
 
-/// A route of a kind with generous times and two attempts.
+/// Creates a route of a kind with long timeouts and two attempts.
 pub(crate) fn route(kind: RouteKind) -> Route {
     Route::new("r", "a.example", "/", "app")
         .with_kind(kind)
@@ -219,7 +220,7 @@
         .with_max_attempts(2)
 }
 
-/// Makes a request with an id.
+/// Creates a request with an id.
 pub(crate) fn request(id: &str, route: Route) -> Inbound {
     let request = Request::builder()
         .method("POST")
@@ -239,7 +240,7 @@
     Inbound::new(parts, body, Arc::new(route), &names(), now, admitted)
 }
 
-/// Reads an answer to its end: status and body, or what broke off.
+/// Reads a response to its end: its status, and its body or the error.
 pub(crate) async fn read(
     response: Response<ResponseBody>,
 ) -> (u16, Result<String, String>) {
@@ -251,11 +252,11 @@
     (status, body)
 }
 
-/// Waits until `holds` is true.
+/// Waits until `condition` returns true.
 #[allow(dead_code)]
-pub(crate) async fn until(mut holds: impl FnMut() -> bool) {
+pub(crate) async fn until(mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             sleep(Duration::from_millis(5)).await;
         }
     };
@@ -264,8 +265,8 @@
         .expect("in time");
 }
 
-/// A whole good answer.
-pub(crate) fn good(body: &str) -> String {
+/// Returns a complete, valid response.
+pub(crate) fn valid_response(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-seal: s\r\n\
          content-length: {}\r\n\r\n{body}",
@@ -273,7 +274,7 @@
     )
 }
 
-/// The head of a stream, and one chunk of it.
+/// Returns the response head of a stream.
 #[allow(dead_code)]
 pub(crate) fn stream_head() -> String {
     "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-seal: s\r\n\
@@ -281,6 +282,7 @@
         .to_owned()
 }
 
+/// Returns an HTTP chunk with a text.
 #[allow(dead_code)]
 pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
--- a/crates/pass/tests/customers.rs
+++ b/crates/pass/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Which customers have counters of their own.
+//! Selection of the customers that have their own counters.
 
 use pomeloslip_pass::{CustomerCounters, CustomerOutcome};
 
@@ -8,11 +8,11 @@
     text
 }
 
-/// Symptom: the list of metrics has a line for each of thousands of
-/// customers. Events: all of them send a request, a few send many. Cause: each
-/// name had a counter for good.
+/// Guards against a list of metrics with thousands of rows: many customers
+/// send one request each, a few send many, and every name keeps a row
+/// permanently.
 #[test]
-fn the_largest_customers_keep_their_rows_and_none_is_lost() {
+fn the_largest_customers_keep_their_rows_and_no_request_is_lost() {
     let counters = CustomerCounters::default();
     for round in 0..20 {
         for large in 0..4 {
@@ -41,6 +41,6 @@
         number.parse::<u64>().expect("a number")
     });
     let numbers: Vec<u64> = numbers.collect();
-    assert_eq!(numbers.len(), 33, "32 and the rest");
+    assert_eq!(numbers.len(), 33, "32 rows and one for all others");
     assert_eq!(numbers.iter().sum::<u64>(), 4 * 220 + 1_000);
 }
--- a/crates/pass/tests/events.rs
+++ b/crates/pass/tests/events.rs
@@ -1,4 +1,4 @@
-//! Cutting a stream at the ends of events.
+//! Splitting a stream at event boundaries.
 
 use bytes::Bytes;
 use pomeloslip_pass::EventSplitter;
@@ -29,22 +29,22 @@
     assert!(!splitter.is_inside_event());
 }
 
-/// Symptom: a caller gets one event twice. Events: a stream breaks, another
-/// endpoint takes it up and begins with an event that was passed on already.
-/// Cause: the endpoint counted from another place.
+/// Guards against duplicate events: a stream is interrupted, and the endpoint
+/// that resumes it starts with an event that was already forwarded, because
+/// it counts events from a different position.
 #[test]
-fn events_that_were_passed_on_are_left_out() {
+fn events_that_were_already_forwarded_are_skipped() {
     let mut splitter = EventSplitter::new(Some(2));
     let split = splitter.push(Bytes::from_static(STREAM));
     assert_eq!(&split.events[..], b"id: 3\ndata:\n\n");
     assert_eq!(split.count, 1);
 }
 
-/// Symptom: a caller gets half an event, then the start of another. Events:
-/// an endpoint stops inside an event, another one goes on. Cause: what
-/// arrived of the event was passed on at once.
+/// Guards against a partial event followed by the start of another: an
+/// endpoint stops within an event, another endpoint resumes the stream, and
+/// the partial event was forwarded as soon as it arrived.
 #[test]
-fn half_an_event_is_never_passed_on() {
+fn a_partial_event_is_never_forwarded() {
     let mut splitter = EventSplitter::new(None);
     let first =
         splitter.push(Bytes::from_static(b"id: 1\ndata: a\n\nid: 2\nda"));
--- a/crates/pass/tests/forward.rs
+++ b/crates/pass/tests/forward.rs
@@ -1,10 +1,10 @@
-//! What becomes of a request when its endpoint fails, by kind of route.
+//! Handling of endpoint failures by kind of route.
 
 mod common;
 
 use common::{
-    Act, Scripted, bench, chunk, good, header, read, request, route,
-    stream_head, until,
+    Act, Scripted, chunk, fixture, header, read, request, route, stream_head,
+    until, valid_response,
 };
 use fleet::RouteKind;
 use yare::parameterized;
@@ -14,10 +14,11 @@
 
 #[tokio::test]
 async fn bytes_are_passed_on_untouched() {
-    let one = Scripted::start(vec![Act::Answer(good("hello"))]).await;
-    let bench = bench(&[one.address]);
+    let one =
+        Scripted::start(vec![Act::Respond(valid_response("hello"))]).await;
+    let setup = fixture(&[one.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(response.headers()["x-seal"], "s");
     assert_eq!(read(response).await, (200, Ok("hello".to_owned())));
     let seen = &one.seen()[0];
@@ -30,28 +31,31 @@
     assert_eq!(header(seen, "x-other").as_deref(), Some("kept"));
     assert_eq!(header(seen, "x-target").as_deref(), Some("e0"));
     assert_eq!(header(seen, "x-hop"), None);
-    let left: u64 = header(seen, "x-deadline").unwrap().parse().unwrap();
-    assert!((3_000..=4_000).contains(&left), "{left} ms are left");
+    let remaining: u64 = header(seen, "x-deadline").unwrap().parse().unwrap();
+    assert!(
+        (3_000..=4_000).contains(&remaining),
+        "{remaining} ms remain"
+    );
 }
 
 #[tokio::test]
 async fn a_connection_is_used_again_after_a_whole_answer() {
-    let one = Scripted::start(vec![Act::Answer(good("x"))]).await;
-    let bench = bench(&[one.address]);
+    let one = Scripted::start(vec![Act::Respond(valid_response("x"))]).await;
+    let setup = fixture(&[one.address]);
     for id in ["r1", "r2", "r3"] {
         let request = request(id, route(RouteKind::AtMostOnce));
-        let response = bench.forwarder.forward(request, 1).await;
+        let response = setup.forwarder.forward(request, 1).await;
         assert_eq!(read(response).await.0, 200);
-        until(|| bench.endpoints[0].in_flight() == 0).await;
+        until(|| setup.endpoints[0].in_flight() == 0).await;
         tokio::task::yield_now().await;
     }
-    let opened = &bench.counters.connections_opened;
+    let opened = &setup.counters.connections_opened;
     let opened = opened.load(std::sync::atomic::Ordering::Relaxed);
     assert_eq!(opened, 1);
 }
 
-/// An endpoint that says it did not run the request is no reason to give up,
-/// whatever the kind: the request goes to the next one.
+/// If an endpoint reports that it did not run a request, the request goes to
+/// the next endpoint, for every kind of route.
 #[parameterized(
     idempotent = { RouteKind::Idempotent },
     at_most_once = { RouteKind::AtMostOnce },
@@ -59,30 +63,31 @@
 )]
 #[test_macro(tokio::test)]
 async fn a_request_that_did_not_run_goes_elsewhere(kind: RouteKind) {
-    let full = Scripted::start(vec![Act::Answer(NOT_RUN.to_owned())]).await;
-    let free = Scripted::start(vec![Act::Answer(good("ok"))]).await;
-    let bench = bench(&[full.address, free.address]);
+    let full = Scripted::start(vec![Act::Respond(NOT_RUN.to_owned())]).await;
+    let free = Scripted::start(vec![Act::Respond(valid_response("ok"))]).await;
+    let setup = fixture(&[full.address, free.address]);
     let response =
-        bench.forwarder.forward(request("r1", route(kind)), 1).await;
+        setup.forwarder.forward(request("r1", route(kind)), 1).await;
     assert_eq!(read(response).await, (200, Ok("ok".to_owned())));
     assert_eq!(full.seen().len(), 1);
 }
 
-/// Symptom: a booking is made twice. Events: the request is written, the
-/// connection closes without an answer, the request is sent elsewhere.
-/// Cause: a lost answer taken for a request that did not run.
+/// Guards against duplicate execution: the connection closes without a
+/// response after the request was written, and the request is sent to another
+/// endpoint because a lost response is taken for a request that did not run.
 #[parameterized(
     at_most_once = { RouteKind::AtMostOnce },
     stream = { RouteKind::Stream },
 )]
 #[test_macro(tokio::test)]
-async fn what_may_have_run_is_not_sent_again(kind: RouteKind) {
+async fn a_request_that_may_have_run_is_not_retried(kind: RouteKind) {
     let lost = Scripted::start(vec![Act::Close]).await;
-    let other = Scripted::start(vec![Act::Answer(good("ok"))]).await;
-    let bench = bench(&[lost.address, other.address]);
+    let other =
+        Scripted::start(vec![Act::Respond(valid_response("ok"))]).await;
+    let setup = fixture(&[lost.address, other.address]);
     let response =
-        bench.forwarder.forward(request("r1", route(kind)), 1).await;
-    assert_eq!(response.status(), 502, "502 promises nothing");
+        setup.forwarder.forward(request("r1", route(kind)), 1).await;
+    assert_eq!(response.status(), 502, "502 leaves open whether it ran");
     assert_eq!(lost.seen().len(), 1);
     assert_eq!(other.seen().len(), 0);
 }
@@ -92,24 +97,24 @@
     let lost = Scripted::start(vec![Act::Close]).await;
     let other = Scripted::start(vec![Act::Close]).await;
     let third = Scripted::start(vec![Act::Close]).await;
-    let bench = bench(&[lost.address, other.address, third.address]);
+    let setup = fixture(&[lost.address, other.address, third.address]);
     let request = request("r1", route(RouteKind::Idempotent));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(response.status(), 502);
     let runs = lost.seen().len() + other.seen().len() + third.seen().len();
     assert_eq!(runs, 2, "max_attempts is two");
 }
 
-/// Symptom: a caller gets another caller's answer. Events: an endpoint
-/// writes a second answer late, where the next one is expected. Cause:
-/// answers matched by their place on the connection.
+/// Guards against a client receiving the response to another request: an
+/// endpoint writes a late duplicate response where the next one is expected,
+/// and responses are matched by their order on the connection only.
 #[tokio::test]
 async fn an_answer_with_another_id_is_never_passed_on() {
-    let wrong = good("of another").replace("ID", "r0");
-    let bad = Scripted::start(vec![Act::Answer(wrong)]).await;
-    let bench = bench(&[bad.address]);
+    let wrong = valid_response("of another").replace("ID", "r0");
+    let bad = Scripted::start(vec![Act::Respond(wrong)]).await;
+    let setup = fixture(&[bad.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(response.status(), 502);
 }
 
@@ -120,12 +125,12 @@
     no_http = { "garbage\r\n\r\n" },
 )]
 #[test_macro(tokio::test)]
-async fn what_is_not_the_endpoints_own_answer_is_no_success(text: &str) {
+async fn an_unsealed_or_invalid_response_ends_in_502(text: &str) {
     let bad =
-        Scripted::start(vec![Act::AnswerAndClose(text.to_owned())]).await;
-    let bench = bench(&[bad.address]);
+        Scripted::start(vec![Act::RespondAndClose(text.to_owned())]).await;
+    let setup = fixture(&[bad.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(response.status(), 502);
 }
 
@@ -133,16 +138,16 @@
 async fn a_failure_of_the_endpoint_is_passed_on_as_it_is() {
     let text = "HTTP/1.1 500 Oops\r\nx-id: ID\r\nx-seal: s\r\n\
                 content-length: 3\r\n\r\nbad";
-    let one = Scripted::start(vec![Act::Answer(text.to_owned())]).await;
-    let bench = bench(&[one.address]);
+    let one = Scripted::start(vec![Act::Respond(text.to_owned())]).await;
+    let setup = fixture(&[one.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(read(response).await, (500, Ok("bad".to_owned())));
 }
 
-/// Symptom: a caller takes half an answer for a whole one. Events: the
-/// endpoint dies inside its answer. Cause: an end of the connection taken
-/// for the end of the answer.
+/// Guards against a partial response that looks complete: an endpoint crashes
+/// during its response, and the end of the connection is taken for the end of
+/// the response.
 #[parameterized(
     shorter_than_its_length = {
         "HTTP/1.1 200 OK\r\nx-id: ID\r\nx-seal: s\r\n\
@@ -154,30 +159,30 @@
     },
 )]
 #[test_macro(tokio::test)]
-async fn half_an_answer_ends_as_broken(text: &str) {
+async fn a_partial_response_ends_with_an_error(text: &str) {
     let bad =
-        Scripted::start(vec![Act::AnswerAndClose(text.to_owned())]).await;
-    let bench = bench(&[bad.address]);
+        Scripted::start(vec![Act::RespondAndClose(text.to_owned())]).await;
+    let setup = fixture(&[bad.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     let (status, body) = read(response).await;
     assert_eq!(status, 200);
     assert!(body.is_err(), "{body:?}");
 }
 
-/// A stream that may be taken up goes on at the next endpoint after the last
-/// whole event, inside the same answer.
+/// A resumable stream continues at the next endpoint after the last complete
+/// event, within the same response.
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_after_its_last_event() {
+async fn an_interrupted_stream_resumes_after_its_last_event() {
     let first = stream_head()
         + &chunk("id: 1\ndata: a\n\n")
         + &chunk("id: 2\ndata: b\n\nid: 3\nda");
     let second = stream_head() + &chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n";
-    let one = Scripted::start(vec![Act::AnswerAndClose(first)]).await;
-    let two = Scripted::start(vec![Act::Answer(second)]).await;
-    let bench = bench(&[one.address, two.address]);
+    let one = Scripted::start(vec![Act::RespondAndClose(first)]).await;
+    let two = Scripted::start(vec![Act::Respond(second)]).await;
+    let setup = fixture(&[one.address, two.address]);
     let request = request("r1", route(RouteKind::ResumableStream));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     let (status, body) = read(response).await;
     let whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
     assert_eq!((status, body), (200, Ok(whole.to_owned())));
@@ -185,131 +190,132 @@
     assert_eq!(header(resumed, "x-resume").as_deref(), Some("2"));
 }
 
-/// The same failure on a route whose streams may not be taken up: the answer
-/// breaks off and nothing runs twice.
+/// The same failure on a route whose streams are not resumable: the response
+/// ends with an error, and the request does not run twice.
 #[tokio::test]
-async fn a_broken_stream_that_may_run_once_breaks_off() {
+async fn an_interrupted_stream_that_is_not_resumable_ends_with_an_error() {
     let first = stream_head() + &chunk("id: 1\ndata: a\n\n");
-    let one = Scripted::start(vec![Act::AnswerAndClose(first)]).await;
-    let two = Scripted::start(vec![Act::Answer(good("x"))]).await;
-    let bench = bench(&[one.address, two.address]);
+    let one = Scripted::start(vec![Act::RespondAndClose(first)]).await;
+    let two = Scripted::start(vec![Act::Respond(valid_response("x"))]).await;
+    let setup = fixture(&[one.address, two.address]);
     let request = request("r1", route(RouteKind::Stream));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert!(read(response).await.1.is_err());
     assert_eq!(two.seen().len(), 0);
 }
 
-/// A stream that falls silent in the middle is taken up elsewhere too, and
-/// the silent endpoint's connection is closed so that it stops.
+/// A stream that becomes silent is also resumed at another endpoint, and the
+/// connection to the silent endpoint is closed so that it stops its work.
 #[tokio::test]
-async fn a_silent_stream_goes_on_elsewhere() {
+async fn a_silent_stream_resumes_at_another_endpoint() {
     let first = stream_head() + &chunk("id: 1\ndata: a\n\n");
     let second = stream_head() + &chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
-    let one = Scripted::start(vec![Act::Answer(first)]).await;
-    let two = Scripted::start(vec![Act::Answer(second)]).await;
-    let bench = bench(&[one.address, two.address]);
+    let one = Scripted::start(vec![Act::Respond(first)]).await;
+    let two = Scripted::start(vec![Act::Respond(second)]).await;
+    let setup = fixture(&[one.address, two.address]);
     let request = request("r1", route(RouteKind::ResumableStream));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     let body = read(response).await.1.expect("whole");
     assert_eq!(body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
-/// Symptom: an engine works on for a caller who left. Events: the caller
-/// leaves before the first event. Cause: the wait for the engine's answer
-/// was not tied to the caller.
+/// Guards against an engine that keeps working for a disconnected client: the
+/// client disconnects before the first event, and the wait for the response
+/// of the engine is not cancelled with the client.
 #[tokio::test]
-async fn an_endpoint_hears_at_once_that_the_caller_left() {
+async fn a_client_disconnect_closes_the_endpoint_connection() {
     let one = Scripted::start(vec![Act::Silent]).await;
-    let bench = bench(&[one.address]);
+    let setup = fixture(&[one.address]);
     let request = request("r1", route(RouteKind::Stream));
-    let forwarder = bench.forwarder.clone();
+    let forwarder = setup.forwarder.clone();
     let task =
         tokio::spawn(async move { forwarder.forward(request, 1).await });
     until(|| one.seen().len() == 1).await;
     task.abort();
-    until(|| *one.left.lock().expect("lock") == 1).await;
-    until(|| bench.endpoints[0].in_flight() == 0).await;
+    until(|| *one.disconnects.lock().expect("lock") == 1).await;
+    until(|| setup.endpoints[0].in_flight() == 0).await;
 }
 
 #[tokio::test]
 async fn the_time_of_a_request_that_may_have_run_ends_in_504() {
     let one = Scripted::start(vec![Act::Silent]).await;
-    let bench = bench(&[one.address]);
+    let setup = fixture(&[one.address]);
     let short = route(RouteKind::AtMostOnce).with_times(150, 100);
-    let response = bench.forwarder.forward(request("r1", short), 1).await;
+    let response = setup.forwarder.forward(request("r1", short), 1).await;
     assert_eq!(response.status(), 504);
 }
 
-/// A refusal says that the request has not run and when to come back, and
-/// comes early in the request's time.
+/// A refusal states that the request has not run and when to retry, and it
+/// arrives early in the time of the request.
 #[tokio::test]
-async fn a_full_fleet_is_refused_early_and_truly() {
-    let one = Scripted::start(vec![Act::Answer(good("x"))]).await;
-    let bench = bench(&[one.address]);
-    (0..40).for_each(|_| bench.endpoints[0].begin());
+async fn a_request_to_a_full_fleet_is_refused_early() {
+    let one = Scripted::start(vec![Act::Respond(valid_response("x"))]).await;
+    let setup = fixture(&[one.address]);
+    (0..40).for_each(|_| setup.endpoints[0].begin());
     let began = std::time::Instant::now();
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
     assert!(began.elapsed().as_millis() < 2_000);
     assert_eq!(one.seen().len(), 0);
 }
 
-/// A closed port is not a lost request: the next endpoint gets it, whatever
-/// its kind.
+/// A request that meets a closed port did not run: it goes to the next
+/// endpoint, for every kind of route.
 #[tokio::test]
 async fn an_endpoint_that_cannot_be_reached_did_not_run_anything() {
     let gone = {
         let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
         taken.local_addr().expect("address")
     };
-    let free = Scripted::start(vec![Act::Answer(good("ok"))]).await;
-    let bench = bench(&[gone, free.address]);
+    let free = Scripted::start(vec![Act::Respond(valid_response("ok"))]).await;
+    let setup = fixture(&[gone, free.address]);
     let request = request("r1", route(RouteKind::AtMostOnce));
-    let response = bench.forwarder.forward(request, 1).await;
+    let response = setup.forwarder.forward(request, 1).await;
     assert_eq!(read(response).await, (200, Ok("ok".to_owned())));
 }
 
-/// Symptom: requests hang until their time is up although their endpoint
-/// has long started again. Events: an endpoint crashes behind a cut, so that
-/// nothing resets its connections, and starts again. Cause: requests in
-/// flight waited on connections to a process that is gone.
+/// Guards against requests that hang until their deadline although their
+/// endpoint has restarted: an endpoint crashes behind a network partition, so
+/// that its connections are not reset, and requests in flight wait for a
+/// process that no longer exists.
 #[parameterized(
     idempotent = { RouteKind::Idempotent, 200 },
     at_most_once = { RouteKind::AtMostOnce, 502 },
 )]
 #[test_macro(tokio::test)]
-async fn requests_in_flight_end_with_the_life_of_their_endpoint(
+async fn requests_in_flight_end_with_the_incarnation_of_their_endpoint(
     kind: RouteKind,
     status: u16,
 ) {
     let gone = Scripted::start(vec![Act::Silent]).await;
-    let other = Scripted::start(vec![Act::Answer(good("ok"))]).await;
-    let bench = bench(&[gone.address, other.address]);
-    let forwarder = bench.forwarder.clone();
+    let other =
+        Scripted::start(vec![Act::Respond(valid_response("ok"))]).await;
+    let setup = fixture(&[gone.address, other.address]);
+    let forwarder = setup.forwarder.clone();
     let pending = tokio::spawn(async move {
         forwarder.forward(request("r1", route(kind)), 1).await
     });
     until(|| gone.seen().len() == 1).await;
-    bench.pool.close(bench.endpoints[0].life());
+    setup.pool.close(setup.endpoints[0].life());
     let response = pending.await.expect("an answer");
     assert_eq!(response.status().as_u16(), status);
 }
 
-/// Symptom: a stream stands still although another endpoint could go on
-/// with it. Events: as above, in the middle of the stream.
+/// Guards against a stream that stalls although another endpoint could resume
+/// it: the same crash happens in the middle of the stream.
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_when_the_life_of_its_endpoint_ends() {
+async fn a_stream_resumes_when_the_incarnation_of_its_endpoint_ends() {
     let part = stream_head() + &chunk("id: 1\ndata: a\n\n");
     let rest = chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n";
-    let gone = Scripted::start(vec![Act::Answer(part)]).await;
+    let gone = Scripted::start(vec![Act::Respond(part)]).await;
     let other =
-        Scripted::start(vec![Act::Answer(stream_head() + &rest)]).await;
-    let bench = bench(&[gone.address, other.address]);
+        Scripted::start(vec![Act::Respond(stream_head() + &rest)]).await;
+    let setup = fixture(&[gone.address, other.address]);
     let request = request("r1", route(RouteKind::ResumableStream));
-    let response = bench.forwarder.forward(request, 1).await;
-    bench.pool.close(bench.endpoints[0].life());
+    let response = setup.forwarder.forward(request, 1).await;
+    setup.pool.close(setup.endpoints[0].life());
     let whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n".to_owned();
     assert_eq!(read(response).await, (200, Ok(whole)));
     assert_eq!(header(&other.seen()[0], "x-resume").as_deref(), Some("1"));
--- a/crates/pass/tests/returns.rs
+++ b/crates/pass/tests/returns.rs
@@ -1,53 +1,59 @@
-//! When refused callers come back.
+//! Retry delays of refused clients.
 
 use base::Millis;
 use pomeloslip_pass::RetryAfterEstimator;
 
-/// Refuses a caller every 50 ms for a while and returns the last answer.
-fn crowd(times: &RetryAfterEstimator, from_ms: u64, for_ms: u64) -> u64 {
-    let mut back_ms = 0;
+/// Refuses a client every 50 ms for a time and returns the last delay.
+fn overload(
+    estimator: &RetryAfterEstimator,
+    from_ms: u64,
+    for_ms: u64,
+) -> u64 {
+    let mut retry_after_ms = 0;
     for at_ms in (from_ms..=from_ms + for_ms).step_by(50) {
-        back_ms = times.refuse(Millis::new(at_ms), 0, 10_000);
+        retry_after_ms =
+            estimator.record_refusal(Millis::new(at_ms), 0, 10_000);
     }
-    back_ms
+    retry_after_ms
 }
 
-/// The pattern: bursts of 2.4 s. Symptom: callers that came back a second
-/// after they were refused were refused again, and had lost. Cause: the time
-/// was a constant, whatever bursts the node had seen.
+/// Guards against repeated refusals in bursts of 2.4 s: clients that retry
+/// after a constant second are refused again and exhaust their time, because
+/// the delay ignores the length of earlier bursts at the node.
 #[test]
-fn callers_return_when_the_burst_is_expected_to_be_over() {
-    let times = RetryAfterEstimator::default();
+fn clients_retry_when_the_burst_is_expected_to_be_over() {
+    let estimator = RetryAfterEstimator::default();
     for burst in 0..6 {
-        crowd(&times, burst * 5_800, 2_400);
+        overload(&estimator, burst * 5_800, 2_400);
     }
-    let first = times.refuse(Millis::new(40_000), 0, 10_000);
+    let first = estimator.record_refusal(Millis::new(40_000), 0, 10_000);
     assert!((2_300..=2_400).contains(&first), "{first}");
-    let second = times.refuse(Millis::new(40_300), 0, 10_000);
+    let second = estimator.record_refusal(Millis::new(40_300), 0, 10_000);
     assert_eq!(second, first - 300);
 }
 
 #[test]
-fn a_burst_longer_than_expected_is_asked_about_again_soon() {
-    let times = RetryAfterEstimator::default();
-    assert_eq!(crowd(&times, 0, 5_000), 300);
+fn clients_retry_soon_in_a_burst_longer_than_expected() {
+    let estimator = RetryAfterEstimator::default();
+    assert_eq!(overload(&estimator, 0, 5_000), 300);
 }
 
-/// Callers that all return at one moment would make a burst of their own.
+/// Clients that all retry at the same moment would cause another burst.
 #[test]
-fn callers_return_one_after_the_other() {
-    let times = RetryAfterEstimator::default();
+fn retry_delays_are_spread() {
+    let estimator = RetryAfterEstimator::default();
     let now = Millis::new(0);
-    let mut back: Vec<u64> =
-        (0..30).map(|n| times.refuse(now, n * 10, 10_000)).collect();
-    back.sort_unstable();
-    back.dedup();
-    assert_eq!(back.len(), 30);
-    assert!(back.iter().all(|ms| (1_000..1_300).contains(ms)));
+    let mut delays: Vec<u64> = (0..30)
+        .map(|n| estimator.record_refusal(now, n * 10, 10_000))
+        .collect();
+    delays.sort_unstable();
+    delays.dedup();
+    assert_eq!(delays.len(), 30);
+    assert!(delays.iter().all(|ms| (1_000..1_300).contains(ms)));
 }
 
 #[test]
-fn nobody_is_sent_away_for_longer_than_there_is_time() {
-    let times = RetryAfterEstimator::default();
-    assert_eq!(times.refuse(Millis::new(0), 7, 400), 400);
+fn the_retry_delay_does_not_exceed_the_remaining_time() {
+    let estimator = RetryAfterEstimator::default();
+    assert_eq!(estimator.record_refusal(Millis::new(0), 7, 400), 400);
 }
