--- a/crates/companion/src/admission.rs
+++ b/crates/companion/src/admission.rs
@@ -1,4 +1,4 @@
-//! Drives the gate: hands its decisions to the calls that wait for them.
+//! Runs the gate and delivers its decisions to the waiting calls.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -14,13 +14,13 @@
 use tokio::sync::{Notify, mpsc};
 use upstream::Seen;
 
-/// Time between two looks of the gate at what has not moved.
+/// Interval at which the gate checks for calls without progress.
 const TICK_MS: u64 = 50;
 
-/// Weight of every customer; the rules give none yet.
+/// Weight of every customer; the rules do not define weights.
 const WEIGHT: u32 = 1;
 
-/// A decision on one call.
+/// A decision about one call.
 #[derive(Clone, Copy, Debug)]
 enum Signal {
     Start,
@@ -36,15 +36,15 @@
 }
 
 impl State {
-    /// Hands the decisions out. The receivers may be gone: their calls end
-    /// at the same moment.
-    fn tell(&mut self) {
+    /// Delivers the pending decisions. A receiver may already be closed if its
+    /// call is ending.
+    fn dispatch(&mut self) {
         for action in self.actions.drain(..) {
             let (key, signal) = match action {
                 Action::Start(key) => (key, Signal::Start),
-                Action::GiveUp(key, why) => (key, Signal::GiveUp(why)),
+                Action::GiveUp(key, reason) => (key, Signal::GiveUp(reason)),
                 Action::Return(key) => (key, Signal::Return),
-                Action::Stop(key, why) => (key, Signal::Stop(why)),
+                Action::Stop(key, reason) => (key, Signal::Stop(reason)),
             };
             if let Some(sender) = self.signals.get(key) {
                 let _ = sender.send(signal);
@@ -74,14 +74,15 @@
         })
     }
 
-    /// Takes an online call or refuses it at once.
+    /// Admits an online call to the gate, or refuses it immediately.
     ///
-    /// A long queue only moves the wait here, where the entry cannot send
-    /// the call elsewhere any more; a refusal costs it a millisecond.
-    pub(crate) fn arrive(
+    /// A long queue would only move the wait to the companion, where the entry
+    /// can no longer send the call to another endpoint; a refusal costs the
+    /// entry a millisecond.
+    pub(crate) fn admit_online(
         self: &Arc<Self>,
         customer: &Customer,
-    ) -> Result<Place, Refused> {
+    ) -> Result<GateCall, Refused> {
         let arrival = Arrival {
             customer: customer.clone(),
             weight: WEIGHT,
@@ -89,12 +90,12 @@
         self.enter(|gate, now, actions| gate.arrive(now, &arrival, actions))
     }
 
-    /// Takes a batch item in hand.
-    pub(crate) fn offer(
+    /// Admits a batch item to the gate.
+    pub(crate) fn admit_batch(
         self: &Arc<Self>,
         customer: &Customer,
         due: UnixMillis,
-    ) -> Place {
+    ) -> GateCall {
         let unix = self.timer.clock().unix();
         let due_in_ms = due.saturating_ms_since(unix);
         let item = BatchArrival {
@@ -106,7 +107,7 @@
             Ok::<_, std::convert::Infallible>(gate.offer(now, &item, actions))
         });
         match entered {
-            Ok(place) => place,
+            Ok(call) => call,
             Err(never) => match never {},
         }
     }
@@ -118,17 +119,17 @@
             Millis,
             &mut Vec<Action>,
         ) -> Result<CallKey, E>,
-    ) -> Result<Place, E> {
+    ) -> Result<GateCall, E> {
         let (sender, signals) = mpsc::unbounded_channel();
         let now = self.timer.now();
         let mut state = self.lock();
         let State { gate, actions, .. } = &mut *state;
         let key = take(gate, now, actions)?;
         state.signals.insert(key, sender);
-        state.tell();
+        state.dispatch();
         drop(state);
         self.changed.notify_one();
-        Ok(Place {
+        Ok(GateCall {
             admission: self.clone(),
             key,
             signals,
@@ -138,13 +139,13 @@
         })
     }
 
-    /// Tells the gate what has happened.
+    /// Reports an event to the gate.
     pub(crate) fn handle(&self, event: Event) {
         let now = self.timer.now();
         let mut state = self.lock();
         let State { gate, actions, .. } = &mut *state;
         gate.handle(now, event, actions);
-        state.tell();
+        state.dispatch();
         match event {
             Event::Ended { key, .. } | Event::Left(key) => {
                 state.signals.remove(key);
@@ -156,7 +157,7 @@
         self.changed.notify_one();
     }
 
-    /// Lets the gate see the time pass until the process ends.
+    /// Sends ticks to the gate until the process ends.
     pub(crate) async fn tick(self: Arc<Self>) {
         loop {
             self.timer.subscribe_in_ms(TICK_MS).await;
@@ -164,13 +165,13 @@
         }
     }
 
-    /// Returns how many batch items should be pulled now.
+    /// Returns the number of batch items to pull now.
     pub(crate) fn batch_wanted(&self) -> u32 {
         self.lock().gate.batch_wanted(self.timer.now())
     }
 
-    /// Resolves when something has changed at the gate.
-    pub(crate) async fn changed(&self) {
+    /// Resolves when the state of the gate has changed.
+    pub(crate) async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
@@ -178,7 +179,7 @@
         self.lock().gate.load(self.timer.now())
     }
 
-    /// Tells whether nothing runs or waits.
+    /// Returns whether no call runs or waits.
     pub(crate) fn is_idle(&self) -> bool {
         self.lock().gate.is_empty()
     }
@@ -188,17 +189,17 @@
     }
 }
 
-/// Why a batch item in hand does not start.
+/// Why a call at the gate does not start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NotStarted {
-    /// An online call that waited too long.
+    /// An online call waited too long.
     Refused(Refused),
-    /// An item that another companion may run.
+    /// A batch item is returned so that another companion may run it.
     Returned,
 }
 
-/// A call at the gate; dropping it ends it.
-pub(crate) struct Place {
+/// A call at the gate; dropping it ends the call.
+pub(crate) struct GateCall {
     admission: Arc<Admission>,
     key: CallKey,
     signals: mpsc::UnboundedReceiver<Signal>,
@@ -207,15 +208,15 @@
     last_event: Option<Instant>,
 }
 
-impl Place {
-    /// Waits for its turn.
-    pub(crate) async fn start(&mut self) -> Result<(), NotStarted> {
+impl GateCall {
+    /// Waits until the gate starts the call.
+    pub(crate) async fn wait_for_start(&mut self) -> Result<(), NotStarted> {
         match self.signals.recv().await {
             Some(Signal::Start) => {
                 self.started = true;
                 Ok(())
             }
-            Some(Signal::GiveUp(why)) => Err(NotStarted::Refused(why)),
+            Some(Signal::GiveUp(reason)) => Err(NotStarted::Refused(reason)),
             Some(Signal::Return | Signal::Stop(_)) | None => {
                 Err(NotStarted::Returned)
             }
@@ -223,23 +224,24 @@
     }
 
     /// Resolves when the gate stops the started call, if it ever does.
-    pub(crate) async fn stopped(&mut self) -> StopWhy {
+    pub(crate) async fn wait_for_stop(&mut self) -> StopWhy {
         loop {
             match self.signals.recv().await {
-                Some(Signal::Stop(why)) => return why,
+                Some(Signal::Stop(reason)) => return reason,
                 Some(_) => {}
                 None => std::future::pending().await,
             }
         }
     }
 
-    /// Tells the progress of the call and returns the time since the token
-    /// before, if there was one.
-    pub(crate) fn seen(&mut self, seen: Seen) -> Option<u32> {
+    /// Records progress of the call and returns the time since the previous
+    /// token, if there was one.
+    pub(crate) fn record(&mut self, seen: Seen) -> Option<u32> {
         let key = self.key;
         match seen {
             Seen::Stream => self.admission.handle(Event::Streams(key)),
-            // Blanks keep an answer alive while its engine stands still.
+            // Keep-alive bytes do not count as progress: they keep a response
+            // open while its engine is stalled.
             Seen::Bytes => {}
             Seen::Event => {
                 let now = Instant::now();
@@ -264,7 +266,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for GateCall {
     fn drop(&mut self) {
         if self.ended {
             return;
--- a/crates/companion/src/error.rs
+++ b/crates/companion/src/error.rs
@@ -1,9 +1,9 @@
 use std::fmt;
 
-/// Says why a companion cannot run.
+/// Why a companion cannot run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CompanionError {
-    /// The settings lack something that this role needs.
+    /// The settings lack a value that this role needs.
     Settings,
     /// A listener or a thread could not be started.
     Start,
@@ -12,7 +12,9 @@
 impl fmt::Display for CompanionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CompanionError::Settings => "the settings do not fit a companion",
+            CompanionError::Settings => {
+                "the settings are not valid for a companion"
+            }
             CompanionError::Start => "the companion cannot start",
         })
     }
--- a/crates/companion/src/grants.rs
+++ b/crates/companion/src/grants.rs
@@ -9,29 +9,29 @@
 use base::Millis;
 use tokio::task::AbortHandle;
 
-/// Part of its life after which a grant is renewed: two renewals may be lost
-/// before it ends.
-const RENEWALS_PER_LIFE: u64 = 3;
+/// A grant is renewed after this fraction of its TTL: one part in this many.
+/// Two renewals may be lost before the grant expires.
+const RENEWALS_PER_TTL: u64 = 3;
 
 struct Grant {
     task: AbortHandle,
     ttl_ms: u64,
-    renewed: Millis,
+    renewed_at: Millis,
 }
 
-/// Names a grant of an entry.
+/// Identifies a grant of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub(crate) struct GrantKey {
     pub(crate) entry: SocketAddr,
     pub(crate) grant: u64,
 }
 
-/// Grants by entry and number.
+/// Grants by entry and grant number.
 #[derive(Default)]
 pub(crate) struct Grants(Mutex<HashMap<GrantKey, Grant>>);
 
 impl Grants {
-    /// Starts the task of a grant and notes it.
+    /// Starts the task of a grant and records the grant.
     pub(crate) fn start(
         &self,
         key: GrantKey,
@@ -39,48 +39,49 @@
         now: Millis,
         task: impl FnOnce() -> AbortHandle,
     ) {
-        // The lock is held over the start, so that the task cannot end
-        // before it is noted and then stay noted for good.
+        // The lock is held while the task starts. Otherwise the task could end
+        // before the grant is recorded, and the record would never be removed.
         let mut grants = self.lock();
         let task = task();
         let grant = Grant {
             task,
             ttl_ms,
-            renewed: now,
+            renewed_at: now,
         };
         grants.insert(key, grant);
     }
 
-    /// Forgets a grant and returns when it ends without further renewal.
-    pub(crate) fn end(&self, key: GrantKey, now: Millis) -> Millis {
+    /// Removes a grant and returns when it expires without renewal.
+    pub(crate) fn remove(&self, key: GrantKey, now: Millis) -> Millis {
         let grant = self.lock().remove(&key);
-        grant
-            .map_or(now, |grant| grant.renewed.saturating_add_ms(grant.ttl_ms))
+        grant.map_or(now, |grant| {
+            grant.renewed_at.saturating_add_ms(grant.ttl_ms)
+        })
     }
 
-    /// Ends the task of a grant that the entry has revoked.
+    /// Aborts the task of a grant that the entry has revoked.
     pub(crate) fn revoke(&self, key: GrantKey) {
         if let Some(grant) = self.lock().remove(&key) {
             grant.task.abort();
         }
     }
 
-    /// Ends all tasks.
+    /// Aborts all tasks.
     pub(crate) fn abort_all(&self) {
         for (_, grant) in self.lock().drain() {
             grant.task.abort();
         }
     }
 
-    /// Returns the numbers of an entry's grants.
-    pub(crate) fn of(&self, entry: SocketAddr) -> Vec<u64> {
+    /// Returns the grant numbers of an entry.
+    pub(crate) fn numbers_of(&self, entry: SocketAddr) -> Vec<u64> {
         let grants = self.lock();
         let own = grants.keys().filter(|key| key.entry == entry);
         own.map(|key| key.grant).collect()
     }
 
-    /// Notes that an entry has heard of these grants.
-    pub(crate) fn renewed(
+    /// Records that an entry has renewed these grants.
+    pub(crate) fn mark_renewed(
         &self,
         entry: SocketAddr,
         numbers: &[u64],
@@ -89,17 +90,17 @@
         let mut grants = self.lock();
         for &grant in numbers {
             if let Some(grant) = grants.get_mut(&GrantKey { entry, grant }) {
-                grant.renewed = now;
+                grant.renewed_at = now;
             }
         }
     }
 
-    /// Returns the entries that have a grant to renew.
+    /// Returns the entries with a grant that is due for renewal.
     pub(crate) fn to_renew(&self, now: Millis) -> Vec<SocketAddr> {
         let grants = self.lock();
         let due = grants.iter().filter(|(_, grant)| {
-            let age_ms = now.saturating_ms_since(grant.renewed);
-            age_ms >= grant.ttl_ms / RENEWALS_PER_LIFE
+            let age_ms = now.saturating_ms_since(grant.renewed_at);
+            age_ms >= grant.ttl_ms / RENEWALS_PER_TTL
         });
         let mut entries: Vec<_> = due.map(|(key, _)| key.entry).collect();
         entries.sort_unstable();
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -17,9 +17,9 @@
     },
 };
 
-use crate::admission::{Admission, NotStarted, Place};
+use crate::admission::{Admission, GateCall, NotStarted};
 
-/// What the parts of a companion share.
+/// State that the tasks of a companion share.
 pub(crate) struct Shared {
     pub(crate) endpoint: EndpointSettings,
     pub(crate) incarnation: Incarnation,
@@ -27,14 +27,14 @@
     pub(crate) client: EndpointClient,
     pub(crate) metrics: Metrics,
     pub(crate) timer: Timer,
-    pub(crate) leaving: AtomicBool,
+    pub(crate) draining: AtomicBool,
     pub(crate) endpoint_up: AtomicBool,
     pub(crate) last_fence: Mutex<u64>,
 }
 
 impl Shared {
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 
     pub(crate) fn is_up(&self) -> bool {
@@ -49,33 +49,36 @@
             batch_running: gate.batch_running,
             first_token_ms: gate.first_token_ms,
             between_tokens_ms: gate.between_tokens_ms,
-            leaving: self.is_leaving(),
+            leaving: self.is_draining(),
             incarnation: self.incarnation,
             endpoint_up: self.is_up() && !gate.stalled,
         }
     }
 
     fn check(&self, request: &Request) -> Result<(), Refusal> {
-        let refuse = |kind, why: &str| Err(Refusal::new(kind, why));
-        if self.is_leaving() {
+        let refuse = |kind, reason: &str| Err(Refusal::new(kind, reason));
+        if self.is_draining() {
             return refuse(RefusalKind::Leaving, "the endpoint is leaving");
         }
-        // After a restart another endpoint may live at this address; a
-        // call that an entry meant for the old one must not run here.
+        // After a restart a different endpoint may use this address. A call
+        // that an entry sent to the old endpoint must not run here.
         if request.target != self.endpoint.name.as_str() {
-            let why = "another endpoint lives at this address now";
-            return refuse(RefusalKind::WrongTarget, why);
+            let reason = "another endpoint runs at this address now";
+            return refuse(RefusalKind::WrongTarget, reason);
         }
         if !self.is_up() {
-            return refuse(RefusalKind::EndpointDown, "no endpoint answers");
+            return refuse(
+                RefusalKind::EndpointDown,
+                "the endpoint does not respond",
+            );
         }
         Ok(())
     }
 
-    fn admit(&self, request: &Request) -> Result<Place, Refusal> {
+    fn admit(&self, request: &Request) -> Result<GateCall, Refusal> {
         self.check(request)?;
-        let place = self.admission.arrive(&request.customer);
-        place.map_err(refusal)
+        let gate_call = self.admission.admit_online(&request.customer);
+        gate_call.map_err(refusal)
     }
 }
 
@@ -89,7 +92,7 @@
         .retry_after_ms(refused.retry_after_ms)
 }
 
-/// Answers entries.
+/// Handles the calls of entries.
 pub(crate) struct Handler(pub(crate) Arc<Shared>);
 
 impl CompanionHandler for Handler {
@@ -100,8 +103,8 @@
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let shared = self.0.clone();
         async move {
-            let place = shared.admit(&request)?;
-            tokio::spawn(serve(shared, place, request, answer));
+            let gate_call = shared.admit(&request)?;
+            tokio::spawn(serve(shared, gate_call, request, answer));
             Ok(())
         }
         .boxed()
@@ -113,13 +116,13 @@
 
     fn order(&self, order: Order) -> BoxFuture<'static, Result<(), Refusal>> {
         let shared = self.0.clone();
-        async move { obey(&shared, order).await }.boxed()
+        async move { apply_order(&shared, order).await }.boxed()
     }
 }
 
 async fn serve(
     shared: Arc<Shared>,
-    mut place: Place,
+    mut gate_call: GateCall,
     request: Request,
     answer: Answer,
 ) {
@@ -128,15 +131,15 @@
     let class = request.class;
     customer.count(Counter::Arrived, class, 1);
     let started = tokio::select! {
-        started = place.start() => Some(started),
+        started = gate_call.wait_for_start() => Some(started),
         () = answer.closed() => None,
     };
     match started {
         Some(Ok(())) => {}
-        Some(Err(why)) => {
+        Some(Err(reason)) => {
             customer.count(Counter::Refused, class, 1);
-            // If the caller has left, nobody needs the end.
-            let _ = answer.send(given_up(why)).await;
+            // If the caller has disconnected, the end is not needed.
+            let _ = answer.send(not_sent_frame(reason)).await;
             return;
         }
         None => {
@@ -147,8 +150,8 @@
     let waited_ms = shared.timer.now().saturating_ms_since(arrived);
     customer.record(Series::QueueWaitUs, class, waited_ms * 1_000);
     let mut is_first = true;
-    let on_seen = |seen| {
-        let gap_us = place.seen(seen);
+    let record_seen = |seen| {
+        let gap_us = gate_call.record(seen);
         if let Some(gap_us) = gap_us {
             let gap_us = u64::from(gap_us);
             customer.record(Series::BetweenTokensUs, class, gap_us);
@@ -158,7 +161,7 @@
             customer.record(Series::FirstTokenMs, class, ms);
         }
     };
-    let outcome = shared.client.run_seen(request, &answer, on_seen).await;
+    let outcome = shared.client.run_seen(request, &answer, record_seen).await;
     let (counter, end) = match outcome.kind {
         OutcomeKind::Complete => {
             (Counter::Completed, End::Whole { tokens: 0 })
@@ -166,16 +169,16 @@
         OutcomeKind::Cancelled => (Counter::Cancelled, End::Failed),
         _ => (Counter::Failed, End::Failed),
     };
-    place.end(end);
+    gate_call.end(end);
     customer.count(counter, class, 1);
 }
 
-/// Makes the end of a call that was taken but never started. The entry
-/// hears at once that it did not run, and can send it elsewhere.
-fn given_up(why: NotStarted) -> Frame {
-    let detail = match why {
+/// Builds the end of a call that was accepted but never started. The entry
+/// learns immediately that the call did not run, and can retry it elsewhere.
+fn not_sent_frame(reason: NotStarted) -> Frame {
+    let detail = match reason {
         NotStarted::Refused(refused) => format!(
-            "{}; come back in {} ms",
+            "{}; retry after {} ms",
             refused.why, refused.retry_after_ms
         ),
         NotStarted::Returned => "the endpoint is leaving".to_owned(),
@@ -188,30 +191,31 @@
     })
 }
 
-/// Order that the endpoint take no new work and finish what runs.
+/// Order for the endpoint to accept no new work and finish running work.
 const DRAIN: &str = "drain";
 
-/// Passes an order on unless a newer one was obeyed.
+/// Forwards an order unless a newer one was already applied.
 ///
-/// Some endpoints ignore fencing numbers. An owner that was paused past its
-/// lease could then undo what its successor ordered; the companion is the
-/// one place that all orders for its endpoint pass.
-async fn obey(shared: &Shared, order: Order) -> Result<(), Refusal> {
+/// Some endpoints ignore fencing tokens. An owner that was paused past the end
+/// of its lease could then revert an order of its successor. All orders for an
+/// endpoint pass through its companion, which can reject stale ones.
+async fn apply_order(shared: &Shared, order: Order) -> Result<(), Refusal> {
     {
         let mut last = shared
             .last_fence
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if order.fence < *last {
-            let why = format!("fence {} is behind {}", order.fence, *last);
-            return Err(Refusal::new(RefusalKind::StaleFence, why));
+            let reason =
+                format!("fence {} is older than {}", order.fence, *last);
+            return Err(Refusal::new(RefusalKind::StaleFence, reason));
         }
         *last = order.fence;
     }
     if order.kind == DRAIN {
-        // Kept here and not passed on: an engine knows no such order.
-        shared.leaving.store(true, Ordering::Release);
-        log::info!(fence = order.fence; "ordered to drain");
+        // The companion handles this order itself: engines do not support it.
+        shared.draining.store(true, Ordering::Release);
+        log::info!(fence = order.fence; "received an order to drain");
         return Ok(());
     }
     shared.client.order(&order).await
--- a/crates/companion/src/item.rs
+++ b/crates/companion/src/item.rs
@@ -14,68 +14,71 @@
     },
 };
 
-use crate::{admission::Place, handler::Shared};
+use crate::{admission::GateCall, handler::Shared};
 
-/// Takes an item in hand, so that its order of arrival counts.
-pub(crate) fn offer(shared: &Shared, item: &Item) -> Place {
+/// Admits an item to the gate, which records its arrival order.
+pub(crate) fn admit(shared: &Shared, item: &Item) -> GateCall {
     let due = UnixMillis::new(item.due_unix_ms);
-    shared.admission.offer(&item.customer, due)
+    shared.admission.admit_batch(&item.customer, due)
 }
 
-/// Runs an item when it is its turn, and says what became of it.
+/// Runs an item when the gate starts it, and returns its result.
 pub(crate) async fn run(
     shared: &Shared,
     item: Item,
-    mut place: Place,
+    mut gate_call: GateCall,
 ) -> ItemResult {
-    let mut result = blank(&item);
+    let mut result = returned_result(&item);
     let Some(request) = request(&item, shared) else {
         return result;
     };
-    if place.start().await.is_err() {
+    if gate_call.wait_for_start().await.is_err() {
         return result;
     }
     let customer = shared.metrics.customer(&item.customer);
     let started = shared.timer.now();
     customer.count(Counter::Arrived, Class::Batch, 1);
-    let read = tokio::select! {
-        read = call(shared, request) => read,
-        why = place.stopped() => {
+    let response = tokio::select! {
+        response = call(shared, request) => response,
+        reason = gate_call.wait_for_stop() => {
             customer.count(Counter::Preempted, Class::Batch, 1);
-            if why == StopWhy::Stalled {
+            if reason == StopWhy::Stalled {
                 result.outcome = ItemOutcome::Lost;
             }
             return result;
         }
     };
-    let read = match read {
-        Ok(read) => read,
+    let response = match response {
+        Ok(response) => response,
         Err(outcome) => {
             result.outcome = outcome;
             customer.count(Counter::Failed, Class::Batch, 1);
             return result;
         }
     };
-    let tokens = tokens_of(&read.body);
-    place.end(End::Whole { tokens });
+    let tokens = tokens_of(&response.body);
+    gate_call.end(End::Whole { tokens });
     let ms = shared.timer.now().saturating_ms_since(started);
     customer.record(Series::BatchItemMs, Class::Batch, ms);
     customer.count(Counter::Completed, Class::Batch, 1);
     result.outcome = ItemOutcome::Answered;
-    result.status = read.status;
-    result.body = read.body;
+    result.status = response.status;
+    result.body = response.body;
     result
 }
 
-async fn call(shared: &Shared, request: Request) -> Result<Read, ItemOutcome> {
+async fn call(
+    shared: &Shared,
+    request: Request,
+) -> Result<CollectedResponse, ItemOutcome> {
     let (answer, mut frames) = Answer::channel();
     let call = shared.client.run(request, &answer, || {});
-    let (_, read) = tokio::join!(call, collect(&mut frames));
-    read
+    let (_, response) = tokio::join!(call, collect(&mut frames));
+    response
 }
 
-/// Makes a result that gives the item back untried.
-fn blank(item: &Item) -> ItemResult {
+/// Creates a result that returns the item without a run.
+fn returned_result(item: &Item) -> ItemResult {
     ItemResult {
         grant: item.grant,
         partition: item.partition,
@@ -111,10 +114,10 @@
     })
 }
 
-/// The part of an answer that tells its length.
+/// The part of a response that contains its token count.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Counted {
+struct CompletionBody {
     usage: Usage,
 }
 
@@ -124,21 +127,22 @@
     completion_tokens: u32,
 }
 
-/// Returns the tokens of an answer, 0 if it does not say.
+/// Returns the token count of a response, or 0 if the response has none.
 fn tokens_of(body: &[u8]) -> u32 {
-    let counted: Counted = serde_json::from_slice(body).unwrap_or_default();
-    counted.usage.completion_tokens
+    let completion: CompletionBody =
+        serde_json::from_slice(body).unwrap_or_default();
+    completion.usage.completion_tokens
 }
 
-struct Read {
+struct CollectedResponse {
     status: u16,
     body: Bytes,
 }
 
-/// Reads a whole answer, or finds out what became of it.
+/// Reads a complete response, or returns the outcome of a failed one.
 async fn collect(
     frames: &mut mpsc::Receiver<Frame>,
-) -> Result<Read, ItemOutcome> {
+) -> Result<CollectedResponse, ItemOutcome> {
     let mut status = 0;
     let mut body = BytesMut::new();
     loop {
@@ -155,7 +159,7 @@
             Frame::End(Outcome { kind, .. }) => kind,
         };
         return match kind {
-            OutcomeKind::Complete => Ok(Read {
+            OutcomeKind::Complete => Ok(CollectedResponse {
                 status,
                 body: body.freeze(),
             }),
--- a/crates/companion/src/lib.rs
+++ b/crates/companion/src/lib.rs
@@ -1,9 +1,9 @@
 //! The companion role: the admission gate beside one endpoint.
 //!
-//! Online calls are pushed to a companion by entries; batch items are pulled
-//! by it while its endpoint has room. Engines know no priorities and admit
-//! all that arrives, so the companion is where an online call goes before a
-//! batch item. The decisions are those of the `gate` crate.
+//! Entries push online calls to a companion. The companion pulls batch items
+//! while its endpoint has free capacity. Engines have no priorities and admit
+//! every request, so the companion is the component that gives online calls
+//! precedence over batch items. The `gate` crate makes the decisions.
 
 mod admission;
 mod error;
@@ -13,8 +13,8 @@
 mod node;
 mod probe;
 mod pull;
+mod pull_schedule;
 mod report;
-mod rota;
 mod status;
 
 pub use gate::Policy;
--- a/crates/companion/src/node.rs
+++ b/crates/companion/src/node.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// [`CompanionError::Settings`] without an `endpoint` section,
-    /// [`CompanionError::Start`] if an address cannot be listened on.
+    /// [`CompanionError::Start`] if a listener cannot bind to its address.
     pub async fn start(
         settings: &Settings,
         metrics: Metrics,
@@ -53,12 +53,12 @@
         Self::start_with(settings, metrics, Policy::Adaptive).await
     }
 
-    /// Starts a companion whose gate follows another policy, to measure
-    /// against.
+    /// Starts a companion whose gate uses another policy, for comparative
+    /// measurements.
     ///
     /// # Errors
     ///
-    /// Those of [`Companion::start`].
+    /// The same as [`Companion::start`].
     pub async fn start_with(
         settings: &Settings,
         metrics: Metrics,
@@ -86,7 +86,7 @@
             client,
             metrics,
             timer: timer.clone(),
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
             endpoint_up: AtomicBool::new(false),
             last_fence: Mutex::new(0),
         });
@@ -131,14 +131,14 @@
             tokio::spawn(timer.drive()),
             tokio::spawn(probe::watch(shared.clone())),
             tokio::spawn(shared.admission.clone().tick()),
-            tokio::spawn(puller.clone().work()),
+            tokio::spawn(puller.clone().run()),
             tokio::spawn(puller.clone().renew_forever()),
         ];
         state.set(Phase::Ready);
         log::info!(
             endpoint = shared.endpoint.name.as_str(),
             peer = peer.address().to_string().as_str();
-            "the companion is up"
+            "the companion has started"
         );
         Ok(Self {
             shared,
@@ -154,7 +154,7 @@
         })
     }
 
-    /// Returns the address for other processes.
+    /// Returns the address for calls of other processes.
     #[inline]
     pub fn peer_address(&self) -> SocketAddr {
         self.peer.address()
@@ -166,22 +166,22 @@
         self.http.address()
     }
 
-    /// Stops as planned: takes nothing new, tells the entries, lets what
-    /// runs end and then ends.
+    /// Shuts down gracefully: accepts no new work, notifies the entries,
+    /// waits for running work to finish and then stops.
     pub async fn drain(self) {
         self.state.set(Phase::Draining);
-        self.shared.leaving.store(true, Ordering::Release);
+        self.shared.draining.store(true, Ordering::Release);
         self.shared.admission.handle(Event::Drain);
-        self.tell_entries().await;
+        self.notify_entries().await;
         let timer = &self.shared.timer;
         let limit = timer.now().saturating_add_ms(self.drain_ms);
         while self.is_busy() && timer.now() < limit {
-            timer.subscribe_in_ms(DRAIN_LOOK_MS).await;
+            timer.subscribe_in_ms(DRAIN_POLL_MS).await;
         }
         self.stop().await;
     }
 
-    /// Stops at once; what runs is cut.
+    /// Stops immediately and aborts running work.
     pub async fn stop(self) {
         self.puller.abort_all();
         for task in &self.tasks {
@@ -197,29 +197,29 @@
             || self.peer.answers_open() > 0
     }
 
-    /// The platform's list lags by up to a minute, so the entries hear of
-    /// the leaving from the companion itself.
-    async fn tell_entries(&self) {
-        let told = self
+    /// Notifies the entries of the shutdown. The machine list of the platform
+    /// lags by up to a minute.
+    async fn notify_entries(&self) {
+        let notifications = self
             .entries
             .iter()
             .map(|entry| self.links.leaving(*entry, self.identity.clone()));
-        for told in futures::future::join_all(told).await {
-            if let Err(error) = told {
-                log::debug!(error:?; "cannot tell an entry of the leaving");
+        for result in futures::future::join_all(notifications).await {
+            if let Err(error) = result {
+                log::debug!(error:?; "cannot notify an entry of the shutdown");
             }
         }
     }
 }
 
-/// Pause between looks at what still runs, in milliseconds.
-const DRAIN_LOOK_MS: u64 = 20;
+/// Interval between checks for running work during a drain, in milliseconds.
+const DRAIN_POLL_MS: u64 = 20;
 
-/// Longest promised time that the gate works with, in milliseconds.
-const TARGET_MAX_MS: u64 = 3_600_000;
+/// Maximum latency target that the gate supports, in milliseconds.
+const MAX_TARGET_MS: u64 = 3_600_000;
 
 fn gate_options(endpoint: &EndpointSettings) -> GateOptions {
-    let ms = |ms: u64| ms.min(TARGET_MAX_MS) as u32;
+    let ms = |ms: u64| ms.min(MAX_TARGET_MS) as u32;
     let mut options =
         GateOptions::new(endpoint.max_running, endpoint.batch_max_running)
             .targets(
@@ -227,7 +227,7 @@
                 ms(endpoint.between_tokens_target_ms),
             );
     if endpoint.kind == EndpointKind::Service {
-        // A stream of a service may rightly be silent for long.
+        // Streams of a service may be silent for a long time without a fault.
         options.stall_after_ms = 0;
     }
     options
--- a/crates/companion/src/probe.rs
+++ b/crates/companion/src/probe.rs
@@ -1,4 +1,4 @@
-//! Watches whether the endpoint lives.
+//! Monitors the health of the endpoint.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -10,17 +10,17 @@
 
 use crate::handler::Shared;
 
-/// Pause between two questions, in milliseconds.
+/// Pause between two health probes, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 1_000;
 
-/// Longest wait for an answer.
+/// Timeout of a health probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Failures in a row after which the endpoint counts as down. One lost
-/// answer says little on a busy machine.
-const FAILURES_MAX: u32 = 3;
+/// Consecutive failures after which the endpoint counts as down. A single
+/// lost response is not conclusive on a busy machine.
+const MAX_FAILURES: u32 = 3;
 
-/// Asks the endpoint for its health until the process ends.
+/// Probes the health of the endpoint until the process ends.
 pub(crate) async fn watch(shared: Arc<Shared>) {
     let mut failures = 0;
     let mut last_life: Option<EndpointLife> = None;
@@ -29,32 +29,36 @@
             failures = 0;
             let last = last_life.replace(life.clone());
             if last.is_some_and(|last| last != life) {
-                restarted(&shared, &life);
+                handle_restart(&shared, &life);
             }
-            note(&shared, true);
+            set_endpoint_up(&shared, true);
         } else {
             failures += 1;
-            if failures >= FAILURES_MAX {
-                note(&shared, false);
+            if failures >= MAX_FAILURES {
+                set_endpoint_up(&shared, false);
             }
         }
         shared.timer.subscribe_in_ms(PROBE_INTERVAL_MS).await;
     }
 }
 
-/// What was measured at the old engine says nothing of the new one.
-fn restarted(shared: &Shared, life: &EndpointLife) {
+/// Resets the gate: measurements of the old engine do not apply to the new
+/// one.
+fn handle_restart(shared: &Shared, life: &EndpointLife) {
     log::info!(
         endpoint = shared.endpoint.name.as_str(),
         version = life.version.as_str(),
         incarnation = life.incarnation.as_str();
-        "the endpoint is another one than before"
+        "the endpoint was restarted or replaced"
     );
     shared.admission.handle(Event::Restarted);
 }
 
-fn note(shared: &Shared, up: bool) {
+fn set_endpoint_up(shared: &Shared, up: bool) {
     if shared.endpoint_up.swap(up, Ordering::AcqRel) != up {
-        log::info!(endpoint = shared.endpoint.name.as_str(), up; "endpoint");
+        log::info!(
+            endpoint = shared.endpoint.name.as_str(), up;
+            "endpoint health changed"
+        );
     }
 }
--- a/crates/companion/src/pull.rs
+++ b/crates/companion/src/pull.rs
@@ -1,4 +1,4 @@
-//! Pulls batch items while the endpoint has room.
+//! Pulls batch items while the endpoint has free capacity.
 
 use std::{
     net::SocketAddr,
@@ -14,15 +14,15 @@
     grants::{GrantKey, Grants},
     handler::Shared,
     item,
+    pull_schedule::PullSchedule,
     report::Reports,
-    rota::Rota,
 };
 
-/// Longest time without a look at what could be pulled, in milliseconds.
-const LOOK_MS: u64 = 50;
+/// Maximum interval between checks for work to pull, in milliseconds.
+const POLL_MS: u64 = 50;
 
-/// Time between looks for grants to renew, in milliseconds.
-const RENEW_LOOK_MS: u64 = 250;
+/// Interval between checks for grants to renew, in milliseconds.
+const RENEW_CHECK_MS: u64 = 250;
 
 /// Pulls, runs and reports batch items.
 pub(crate) struct Puller {
@@ -30,7 +30,7 @@
     links: Links,
     identity: Identity,
     has_entries: bool,
-    rota: Mutex<Rota>,
+    schedule: Mutex<PullSchedule>,
     grants: Grants,
     reports: Arc<Reports>,
 }
@@ -49,14 +49,14 @@
             links,
             identity,
             has_entries: !entries.is_empty(),
-            rota: Mutex::new(Rota::new(entries, first)),
+            schedule: Mutex::new(PullSchedule::new(entries, first)),
             grants: Grants::default(),
             reports,
         })
     }
 
-    /// Asks entries for work until the process ends.
-    pub(crate) async fn work(self: Arc<Self>) {
+    /// Pulls work from entries until the process ends.
+    pub(crate) async fn run(self: Arc<Self>) {
         if !self.has_entries {
             return;
         }
@@ -64,59 +64,62 @@
             let wanted = self.wanted();
             let now = self.shared.timer.now();
             let entry = if wanted > 0 {
-                self.rota().next(now)
+                self.schedule().next(now)
             } else {
                 None
             };
             if let Some(entry) = entry {
-                // A silent entry must not keep the others from being asked.
-                let pull = tokio::spawn(self.clone().ask(entry, wanted));
+                // An entry that does not respond must not block pulls from
+                // other entries.
+                let pull =
+                    tokio::spawn(self.clone().pull_items(entry, wanted));
                 tokio::select! {
                     _ = pull => {}
-                    () = self.shared.timer.subscribe_in_ms(LOOK_MS) => {}
+                    () = self.shared.timer.subscribe_in_ms(POLL_MS) => {}
                 }
                 continue;
             }
             tokio::select! {
-                () = self.shared.admission.changed(), if wanted == 0 => {}
-                () = self.shared.timer.subscribe_in_ms(LOOK_MS) => {}
+                () = self.shared.admission.wait_for_change(),
+                    if wanted == 0 => {}
+                () = self.shared.timer.subscribe_in_ms(POLL_MS) => {}
             }
         }
     }
 
-    /// Renews grants, whether or not there is room for more.
+    /// Renews grants, even without capacity for more items.
     pub(crate) async fn renew_forever(self: Arc<Self>) {
         loop {
-            self.shared.timer.subscribe_in_ms(RENEW_LOOK_MS).await;
+            self.shared.timer.subscribe_in_ms(RENEW_CHECK_MS).await;
             let entries = self.grants.to_renew(self.shared.timer.now());
             let renewals = entries.iter().map(|entry| self.pull(*entry, 0));
             futures::future::join_all(renewals).await;
         }
     }
 
-    /// Ends all items that run here.
+    /// Aborts all items that run here.
     pub(crate) fn abort_all(&self) {
         self.grants.abort_all();
         self.reports.close();
     }
 
-    /// Tells whether results are on their way to entries.
+    /// Returns whether results are being sent to entries.
     pub(crate) fn is_reporting(&self) -> bool {
         self.reports.is_busy()
     }
 
     fn wanted(&self) -> u32 {
-        if self.shared.is_leaving() || !self.shared.is_up() {
+        if self.shared.is_draining() || !self.shared.is_up() {
             return 0;
         }
         self.shared.admission.batch_wanted()
     }
 
-    async fn ask(self: Arc<Self>, entry: SocketAddr, room: u32) {
-        let reply = self.pull(entry, room).await;
+    async fn pull_items(self: Arc<Self>, entry: SocketAddr, capacity: u32) {
+        let reply = self.pull(entry, capacity).await;
         let now = self.shared.timer.now();
         let Some(reply) = reply else {
-            self.rota().silent(entry, now);
+            self.schedule().record_failure(entry, now);
             return;
         };
         let count = reply.items.len();
@@ -125,27 +128,32 @@
         }
         let next_in_ms = reply.next_in_ms;
         let jitter = rand::random();
-        self.rota().answered(entry, now, count, next_in_ms, jitter);
+        self.schedule()
+            .record_reply(entry, now, count, next_in_ms, jitter);
     }
 
-    async fn pull(&self, entry: SocketAddr, room: u32) -> Option<PullReply> {
-        let running = self.grants.of(entry);
+    async fn pull(
+        &self,
+        entry: SocketAddr,
+        capacity: u32,
+    ) -> Option<PullReply> {
+        let running = self.grants.numbers_of(entry);
         let now = self.shared.timer.now();
         let pull = Pull {
             vm: self.identity.vm.clone(),
             incarnation: self.shared.incarnation,
             models: self.models(),
-            room,
+            room: capacity,
             running: running.clone(),
         };
         let reply = match self.links.pull(entry, pull).await {
             Ok(reply) => reply,
             Err(error) => {
-                log::debug!(error:?, entry:%; "cannot pull");
+                log::debug!(error:?, entry:%; "cannot pull items");
                 return None;
             }
         };
-        self.grants.renewed(entry, &running, now);
+        self.grants.mark_renewed(entry, &running, now);
         for &grant in &reply.revoked {
             self.grants.revoke(GrantKey { entry, grant });
         }
@@ -165,22 +173,22 @@
             entry,
             grant: item.grant,
         };
-        let place = item::offer(&self.shared, &item);
+        let gate_call = item::admit(&self.shared, &item);
         let ttl_ms = u64::from(item.expires_in_ms);
         let puller = self.clone();
         let now = self.shared.timer.now();
         self.grants.start(key, ttl_ms, now, || {
             let task = tokio::spawn(async move {
-                let result = item::run(&puller.shared, item, place).await;
+                let result = item::run(&puller.shared, item, gate_call).await;
                 let now = puller.shared.timer.now();
-                let until = puller.grants.end(key, now);
-                puller.reports.send(entry, result, until);
+                let expires_at = puller.grants.remove(key, now);
+                puller.reports.send(entry, result, expires_at);
             });
             task.abort_handle()
         });
     }
 
-    fn rota(&self) -> MutexGuard<'_, Rota> {
-        self.rota.lock().unwrap_or_else(PoisonError::into_inner)
+    fn schedule(&self) -> MutexGuard<'_, PullSchedule> {
+        self.schedule.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/companion/src/report.rs
+++ b/crates/companion/src/report.rs
@@ -13,31 +13,33 @@
 use tokio::sync::mpsc;
 use wire::{Links, message::ItemResult};
 
-/// Time for which results are collected, in milliseconds. The entry commits
-/// in groups of four a second, so that this is not seen.
+/// Time for which results are batched, in milliseconds. The entry commits
+/// four groups a second, so this delay is negligible.
 const COLLECT_MS: u64 = 20;
 
-/// Most results and bytes of one message.
-const RESULTS_MAX: usize = 64;
-const BYTES_MAX: usize = 1 << 20;
+/// Maximum number and total bytes of the results in one message.
+const MAX_RESULTS: usize = 64;
+const MAX_BYTES: usize = 1 << 20;
 
-/// Pauses between attempts, in milliseconds.
-const PAUSE_MIN_MS: u64 = 200;
-const PAUSE_MAX_MS: u64 = 2_000;
+/// Limits of the backoff between attempts, in milliseconds.
+const MIN_PAUSE_MS: u64 = 200;
+const MAX_PAUSE_MS: u64 = 2_000;
 
-struct Due {
+struct PendingResult {
     result: ItemResult,
-    /// The item is granted to another companion from then on.
-    until: Millis,
+    /// Time at which the grant expires; after it, the item may be granted to
+    /// another companion.
+    expires_at: Millis,
 }
 
-/// Collects results per entry and sends them until each has arrived or its
-/// grant has ended.
+/// Batches results per entry and resends each until it is delivered or its
+/// grant has expired.
 pub(crate) struct Reports {
     links: Links,
     timer: Timer,
-    queues: Mutex<HashMap<SocketAddr, mpsc::UnboundedSender<Due>>>,
-    open: AtomicUsize,
+    queues: Mutex<HashMap<SocketAddr, mpsc::UnboundedSender<PendingResult>>>,
+    /// Results that are not delivered or dropped yet.
+    unsent: AtomicUsize,
 }
 
 impl Reports {
@@ -46,7 +48,7 @@
             links,
             timer,
             queues: Mutex::default(),
-            open: AtomicUsize::new(0),
+            unsent: AtomicUsize::new(0),
         })
     }
 
@@ -55,70 +57,73 @@
         self: &Arc<Self>,
         entry: SocketAddr,
         result: ItemResult,
-        until: Millis,
+        expires_at: Millis,
     ) {
-        self.open.fetch_add(1, Ordering::AcqRel);
+        self.unsent.fetch_add(1, Ordering::AcqRel);
         let queues = self.queues.lock();
         let mut queues = queues.unwrap_or_else(PoisonError::into_inner);
         let queue = queues.entry(entry).or_insert_with(|| {
             let (sender, receiver) = mpsc::unbounded_channel();
-            tokio::spawn(self.clone().work(entry, receiver));
+            tokio::spawn(self.clone().run_queue(entry, receiver));
             sender
         });
-        // Its task ends only with the queue.
-        let _ = queue.send(Due { result, until });
+        // The task ends only when its queue closes.
+        let _ = queue.send(PendingResult { result, expires_at });
     }
 
-    /// Tells whether results are on their way.
+    /// Returns whether results are still to be sent.
     pub(crate) fn is_busy(&self) -> bool {
-        self.open.load(Ordering::Acquire) > 0
+        self.unsent.load(Ordering::Acquire) > 0
     }
 
-    /// Ends the tasks once they have nothing left to send.
+    /// Ends the tasks once their queues are empty.
     pub(crate) fn close(&self) {
         let queues = self.queues.lock();
         queues.unwrap_or_else(PoisonError::into_inner).clear();
     }
 
-    async fn work(
+    async fn run_queue(
         self: Arc<Self>,
         entry: SocketAddr,
-        mut queue: mpsc::UnboundedReceiver<Due>,
+        mut queue: mpsc::UnboundedReceiver<PendingResult>,
     ) {
         while let Some(first) = queue.recv().await {
             self.timer.subscribe_in_ms(COLLECT_MS).await;
             let mut bytes = first.result.body.len();
             let mut group = vec![first];
-            while group.len() < RESULTS_MAX && bytes < BYTES_MAX {
+            while group.len() < MAX_RESULTS && bytes < MAX_BYTES {
                 let Ok(next) = queue.try_recv() else { break };
                 bytes += next.result.body.len();
                 group.push(next);
             }
             let count = group.len();
             self.deliver(entry, group).await;
-            self.open.fetch_sub(count, Ordering::AcqRel);
+            self.unsent.fetch_sub(count, Ordering::AcqRel);
         }
     }
 
-    /// Repeats until the entry has taken the group: an entry that restarts
-    /// or is cut off for a moment must not cost the work of its items.
-    async fn deliver(&self, entry: SocketAddr, mut group: Vec<Due>) {
-        let mut pause_ms = PAUSE_MIN_MS;
+    /// Retries until the entry has received the group: a restart or a short
+    /// network failure of an entry must not lose the results of its items.
+    async fn deliver(&self, entry: SocketAddr, mut group: Vec<PendingResult>) {
+        let mut pause_ms = MIN_PAUSE_MS;
         loop {
-            let results = group.iter().map(|due| due.result.clone());
+            let results = group.iter().map(|pending| pending.result.clone());
             match self.links.results(entry, results.collect()).await {
                 Ok(_) => return,
                 Err(error) => log::debug!(error:?, entry:%; "cannot report"),
             }
             self.timer.subscribe_in_ms(pause_ms).await;
-            pause_ms = (pause_ms * 2).min(PAUSE_MAX_MS);
+            pause_ms = (pause_ms * 2).min(MAX_PAUSE_MS);
             let now = self.timer.now();
             let before = group.len();
-            group.retain(|due| due.until > now);
+            group.retain(|pending| pending.expires_at > now);
             let dropped = before - group.len();
             if dropped > 0 {
-                // The entry is gone; the items are granted again.
-                log::warn!(entry:%, dropped; "results are dropped");
+                // The entry does not respond; the items are granted again.
+                log::warn!(
+                    entry:%, dropped;
+                    "dropped results of expired grants"
+                );
             }
             if group.is_empty() {
                 return;
--- a/crates/companion/src/status.rs
+++ b/crates/companion/src/status.rs
@@ -6,7 +6,7 @@
 
 use crate::handler::Shared;
 
-/// What `GET /status` of a companion says.
+/// The response to `GET /status` of a companion.
 #[derive(Debug, Serialize)]
 struct Status {
     role: &'static str,
--- a/crates/companion/tests/batch.rs
+++ b/crates/companion/tests/batch.rs
@@ -23,10 +23,10 @@
     },
 };
 
-/// Time in which what is to happen happens, on any machine.
-const SURELY: Duration = Duration::from_secs(60);
+/// Timeout for expected events, long enough for slow machines.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
 struct State {
@@ -35,7 +35,7 @@
     groups: Vec<Vec<ItemResult>>,
 }
 
-/// An entry that grants what is open and keeps what comes back.
+/// An entry that grants its open items and stores the results.
 #[derive(Clone, Default)]
 struct FakeEntry(Arc<Mutex<State>>);
 
@@ -88,18 +88,18 @@
         });
     }
 
-    fn results_so_far(&self) -> Vec<ItemResult> {
+    fn received_results(&self) -> Vec<ItemResult> {
         self.0.lock().unwrap().groups.concat()
     }
 }
 
-async fn until(mut holds: impl FnMut() -> bool) {
+async fn until(mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
-            tokio::time::sleep(LOOK).await;
+        while !condition() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(SURELY, wait).await.unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, wait).await.unwrap();
 }
 
 fn identity(role: &str) -> Identity {
@@ -111,7 +111,7 @@
     }
 }
 
-struct Stand {
+struct Fixture {
     entry: FakeEntry,
     engine: EngineHandle,
     companion: Companion,
@@ -119,7 +119,7 @@
     _server: Server,
 }
 
-async fn stand(engine: EngineSettings, max_running: u32) -> Stand {
+async fn fixture(engine: EngineSettings, max_running: u32) -> Fixture {
     let entry = FakeEntry::default();
     let handlers = Handlers {
         entry: Some(Arc::new(entry.clone())),
@@ -153,7 +153,7 @@
         .await
         .unwrap();
     let links = Links::start(LinkOptions::new(identity("entry"))).unwrap();
-    Stand {
+    Fixture {
         entry,
         engine,
         companion,
@@ -162,7 +162,7 @@
     }
 }
 
-impl Stand {
+impl Fixture {
     async fn call(&self, number: u32) -> RunReply {
         let body = json!({
             "model": "korv-lm",
@@ -196,12 +196,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn runs_every_item_once_and_reports_in_groups() {
-    let stand = stand(EngineSettings::instant(), 8).await;
+    let fixture = fixture(EngineSettings::instant(), 8).await;
     for grant in 1..=100 {
-        stand.entry.offer(grant, &format!("item {grant}"), 10_000);
+        fixture.entry.offer(grant, &format!("item {grant}"), 10_000);
     }
-    until(|| stand.entry.results_so_far().len() >= 100).await;
-    let mut results = stand.entry.results_so_far();
+    until(|| fixture.entry.received_results().len() >= 100).await;
+    let mut results = fixture.entry.received_results();
     results.sort_by_key(|result| result.grant);
     let grants: Vec<u64> = results.iter().map(|r| r.grant).collect();
     assert_eq!(grants, (1..=100).collect::<Vec<_>>());
@@ -210,67 +210,67 @@
             .iter()
             .all(|r| r.status == 200 && !r.body.is_empty())
     );
-    let groups = stand.entry.0.lock().unwrap().groups.len();
+    let groups = fixture.entry.0.lock().unwrap().groups.len();
     assert!(groups < 100, "{groups} messages");
-    stand.stop().await;
+    fixture.stop().await;
 }
 
-// Symptom: a job fails after a few rushes. Sequence: each rush cancels the
-// same item. Cause: what gave way was counted as a failed attempt.
+// Guards against a job that fails after a few load peaks: each peak preempts
+// the same item, and a preemption counts as a failed attempt.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_that_gives_way_is_returned() {
-    let stand = stand(EngineSettings::default(), 1).await;
-    stand.entry.offer(1, "[[slow 60000]]", 600_000);
-    until(|| stand.engine.counters().sequences.running == 1).await;
-    let RunReply::Accepted { mut run, .. } = stand.call(1).await else {
-        panic!("the call is taken");
+async fn a_preempted_item_is_returned() {
+    let fixture = fixture(EngineSettings::default(), 1).await;
+    fixture.entry.offer(1, "[[slow 60000]]", 600_000);
+    until(|| fixture.engine.counters().sequences.running == 1).await;
+    let RunReply::Accepted { mut run, .. } = fixture.call(1).await else {
+        panic!("the call was refused");
     };
-    until(|| !stand.entry.results_so_far().is_empty()).await;
-    let result = stand.entry.results_so_far().remove(0);
+    until(|| !fixture.entry.received_results().is_empty()).await;
+    let result = fixture.entry.received_results().remove(0);
     assert_eq!(result.outcome, ItemOutcome::Returned);
     let end = async {
         loop {
             match run.next().await {
                 Some(Frame::End(outcome)) => return outcome,
                 Some(_) => {}
-                None => panic!("the answer has an end"),
+                None => panic!("the response has no end frame"),
             }
         }
     };
-    let outcome = tokio::time::timeout(SURELY, end).await.unwrap();
+    let outcome = tokio::time::timeout(EVENT_TIMEOUT, end).await.unwrap();
     assert_eq!(outcome.kind, OutcomeKind::Complete);
-    stand.stop().await;
+    fixture.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn renews_grants_while_there_is_no_room() {
-    let stand = stand(EngineSettings::default(), 1).await;
-    stand.entry.offer(7, "[[slow 60000]]", 300);
+async fn renews_grants_while_there_is_no_capacity() {
+    let fixture = fixture(EngineSettings::default(), 1).await;
+    fixture.entry.offer(7, "[[slow 60000]]", 300);
     until(|| {
-        let state = stand.entry.0.lock().unwrap();
+        let state = fixture.entry.0.lock().unwrap();
         let renews = |pull: &&Pull| pull.room == 0 && pull.running == [7];
         state.pulls.iter().filter(renews).count() >= 3
     })
     .await;
-    stand.stop().await;
+    fixture.stop().await;
 }
 
-// Symptom: a caller waits until its deadline and then hears "full".
-// Sequence: more calls come than the endpoint can end in time. Cause: a
-// queue that is bounded in length only.
+// Guards against a call that waits until its deadline and is then refused as
+// "full": more calls arrive than the endpoint can finish in time, and only
+// the length of the queue is bounded.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_cannot_start_in_time_is_refused_at_once() {
-    let stand = stand(EngineSettings::default(), 1).await;
+    let fixture = fixture(EngineSettings::default(), 1).await;
     let mut runs = Vec::new();
     let refusal = loop {
-        match stand.call(runs.len() as u32).await {
+        match fixture.call(runs.len() as u32).await {
             RunReply::Accepted { run, .. } => runs.push(run),
             RunReply::Refused { refusal, .. } => break refusal,
         }
     };
     assert_eq!(refusal.kind, RefusalKind::Full);
     assert!(refusal.retry_after_ms > 0);
-    // One that was taken but waits too long hears so long before the end.
-    assert!(runs.len() >= 2, "{} were taken", runs.len());
-    stand.stop().await;
+    // A call that was accepted but waits too long is refused early as well.
+    assert!(runs.len() >= 2, "{} were accepted", runs.len());
+    fixture.stop().await;
 }
