--- a/crates/companion/src/item.rs
+++ b/crates/companion/src/item.rs
@@ -67,10 +67,7 @@
     result
 }
 
-async fn call(
-    shared: &Shared,
-    request: Request,
-) -> Result<CollectedResponse, ItemOutcome> {
+async fn call(shared: &Shared, request: Request) -> Result<Read, ItemOutcome> {
     let (answer, mut frames) = Answer::channel();
     let call = shared.client.run(request, &answer, || {});
     let (_, response) = tokio::join!(call, collect(&mut frames));
@@ -134,7 +131,8 @@
     completion.usage.completion_tokens
 }
 
-struct CollectedResponse {
+/// A complete response.
+struct Read {
     status: u16,
     body: Bytes,
 }
@@ -142,7 +140,7 @@
 /// Reads a complete response, or returns the outcome of a failed one.
 async fn collect(
     frames: &mut mpsc::Receiver<Frame>,
-) -> Result<CollectedResponse, ItemOutcome> {
+) -> Result<Read, ItemOutcome> {
     let mut status = 0;
     let mut body = BytesMut::new();
     loop {
@@ -159,7 +157,7 @@
             Frame::End(Outcome { kind, .. }) => kind,
         };
         return match kind {
-            OutcomeKind::Complete => Ok(CollectedResponse {
+            OutcomeKind::Complete => Ok(Read {
                 status,
                 body: body.freeze(),
             }),
--- a/crates/companion/src/lib.rs
+++ b/crates/companion/src/lib.rs
@@ -13,8 +13,8 @@
 mod node;
 mod probe;
 mod pull;
-mod pull_schedule;
 mod report;
+mod rota;
 mod status;
 
 pub use gate::Policy;
--- a/crates/companion/src/pull.rs
+++ b/crates/companion/src/pull.rs
@@ -14,8 +14,8 @@
     grants::{GrantKey, Grants},
     handler::Shared,
     item,
-    pull_schedule::PullSchedule,
     report::Reports,
+    rota::PullSchedule,
 };
 
 /// Maximum interval between checks for work to pull, in milliseconds.
--- a/crates/companion/tests/rota.rs
+++ b/crates/companion/tests/rota.rs
@@ -1,12 +1,12 @@
 //! Selection of the next entry to pull from, on a simulated clock.
 
-#[path = "../src/pull_schedule.rs"]
-mod pull_schedule;
+#[path = "../src/rota.rs"]
+mod rota;
 
 use std::net::SocketAddr;
 
 use base::Millis;
-use pull_schedule::PullSchedule;
+use rota::PullSchedule;
 
 fn entries(count: u16) -> Vec<SocketAddr> {
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -199,8 +199,8 @@
             Err(refusal) => {
                 request_log.record_head(refusal.status().as_u16());
                 request_log.set_outcome(match refusal.ran() {
-                    crate::Execution::NotRun => REFUSED,
-                    crate::Execution::Unknown => FAILED,
+                    crate::Ran::No => REFUSED,
+                    crate::Ran::Unknown => FAILED,
                 });
                 log::info!(
                     request_id = request.id(),
--- a/crates/pass/src/lib.rs
+++ b/crates/pass/src/lib.rs
@@ -33,7 +33,7 @@
 mod relay;
 mod request;
 mod resume;
-mod retry_after;
+mod returns;
 mod run;
 
 pub use crate::{
@@ -52,9 +52,9 @@
     names::HeaderNames,
     observe::{LoadObserver, NoopObserver},
     pool::{CallOutcome, Pool},
-    refusal::{Execution, Refusal},
+    refusal::{Ran, Refusal},
     relay::Relay,
     request::{Inbound, read_body},
-    retry_after::RetryAfterEstimator,
+    returns::RetryAfterEstimator,
     run::{Run, RunObserver},
 };
--- a/crates/pass/src/refusal.rs
+++ b/crates/pass/src/refusal.rs
@@ -7,9 +7,9 @@
 
 /// The knowledge of whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Execution {
+pub enum Ran {
     /// The request did not run and never will.
-    NotRun,
+    No,
     /// The request may have run.
     Unknown,
 }
@@ -20,12 +20,12 @@
 ///
 /// ```
 /// use http::StatusCode;
-/// use pomeloslip_pass::{Execution, Refusal};
+/// use pomeloslip_pass::{Ran, Refusal};
 ///
 /// let refusal = Refusal::not_run("all endpoints are full")
 ///     .with_retry_after_ms(250);
 /// assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
-/// assert_eq!(refusal.ran(), Execution::NotRun);
+/// assert_eq!(refusal.ran(), Ran::No);
 /// let response = refusal.into_response();
 /// assert_eq!(response.headers()["retry-after"], "0.25");
 /// ```
@@ -33,44 +33,40 @@
 pub struct Refusal {
     status: StatusCode,
     reason: &'static str,
-    ran: Execution,
+    ran: Ran,
     retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
     /// Refuses a request that did not and will not run.
     pub fn not_run(reason: &'static str) -> Self {
-        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Execution::NotRun)
+        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Ran::No)
     }
 
     /// Ends a request that may have run and has no response.
     pub fn unknown(reason: &'static str) -> Self {
-        Self::new(StatusCode::BAD_GATEWAY, reason, Execution::Unknown)
+        Self::new(StatusCode::BAD_GATEWAY, reason, Ran::Unknown)
     }
 
     /// Ends a request that may have run when its deadline passes.
     pub fn timed_out(reason: &'static str) -> Self {
-        Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Execution::Unknown)
+        Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Ran::Unknown)
     }
 
     /// Rejects a request that no route allows or that exceeds a limit.
     pub fn rejected(status: StatusCode, reason: &'static str) -> Self {
-        Self::new(status, reason, Execution::NotRun)
+        Self::new(status, reason, Ran::No)
     }
 
     pub(crate) const fn body_too_large() -> Self {
         Self::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body of the request is too large",
-            Execution::NotRun,
+            Ran::No,
         )
     }
 
-    const fn new(
-        status: StatusCode,
-        reason: &'static str,
-        ran: Execution,
-    ) -> Self {
+    const fn new(status: StatusCode, reason: &'static str, ran: Ran) -> Self {
         Self {
             status,
             reason,
@@ -94,7 +90,7 @@
 
     /// Returns whether the request ran.
     #[inline]
-    pub fn ran(&self) -> Execution {
+    pub fn ran(&self) -> Ran {
         self.ran
     }
 
@@ -130,11 +126,11 @@
     }
 }
 
-impl fmt::Display for Execution {
+impl fmt::Display for Ran {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Execution::NotRun => "no",
-            Execution::Unknown => "unknown",
+            Ran::No => "no",
+            Ran::Unknown => "unknown",
         })
     }
 }
