--- a/crates/companion/src/admission.rs
+++ b/crates/companion/src/admission.rs
@@ -8,7 +8,7 @@
 use base::{Customer, Millis, UnixMillis, timer::Timer};
 use gate::{
     Action, Arrival, BatchArrival, CallKey, End, Event, Gate, GateLoad,
-    GateOptions, Refused, StopWhy,
+    GateOptions, Rejection, StopReason,
 };
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, mpsc};
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Signal {
     Start,
-    GiveUp(Refused),
+    GiveUp(Rejection),
     Return,
-    Stop(StopWhy),
+    Stop(StopReason),
 }
 
 struct State {
@@ -42,7 +42,7 @@
         for action in self.actions.drain(..) {
             let (key, signal) = match action {
                 Action::Start(key) => (key, Signal::Start),
-                Action::GiveUp(key, why) => (key, Signal::GiveUp(why)),
+                Action::Reject(key, why) => (key, Signal::GiveUp(why)),
                 Action::Return(key) => (key, Signal::Return),
                 Action::Stop(key, why) => (key, Signal::Stop(why)),
             };
@@ -81,12 +81,14 @@
     pub(crate) fn arrive(
         self: &Arc<Self>,
         customer: &Customer,
-    ) -> Result<Place, Refused> {
+    ) -> Result<Place, Rejection> {
         let arrival = Arrival {
             customer: customer.clone(),
             weight: WEIGHT,
         };
-        self.enter(|gate, now, actions| gate.arrive(now, &arrival, actions))
+        self.enter(|gate, now, actions| {
+            gate.submit_online(now, &arrival, actions)
+        })
     }
 
     /// Takes a batch item in hand.
@@ -100,10 +102,12 @@
         let item = BatchArrival {
             customer: customer.clone(),
             weight: WEIGHT,
-            due: self.timer.now().saturating_add_ms(due_in_ms),
+            deadline: self.timer.now().saturating_add_ms(due_in_ms),
         };
         let entered = self.enter(|gate, now, actions| {
-            Ok::<_, std::convert::Infallible>(gate.offer(now, &item, actions))
+            Ok::<_, std::convert::Infallible>(
+                gate.submit_batch(now, &item, actions),
+            )
         });
         match entered {
             Ok(place) => place,
@@ -146,7 +150,7 @@
         gate.handle(now, event, actions);
         state.tell();
         match event {
-            Event::Ended { key, .. } | Event::Left(key) => {
+            Event::Ended { key, .. } | Event::CallerLeft(key) => {
                 state.signals.remove(key);
             }
             Event::Token { .. } => return,
@@ -192,7 +196,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NotStarted {
     /// An online call that waited too long.
-    Refused(Refused),
+    Refused(Rejection),
     /// An item that another companion may run.
     Returned,
 }
@@ -223,7 +227,7 @@
     }
 
     /// Resolves when the gate stops the started call, if it ever does.
-    pub(crate) async fn stopped(&mut self) -> StopWhy {
+    pub(crate) async fn stopped(&mut self) -> StopReason {
         loop {
             match self.signals.recv().await {
                 Some(Signal::Stop(why)) => return why,
@@ -238,7 +242,7 @@
     pub(crate) fn seen(&mut self, seen: Seen) -> Option<u32> {
         let key = self.key;
         match seen {
-            Seen::Stream => self.admission.handle(Event::Streams(key)),
+            Seen::Stream => self.admission.handle(Event::StreamStarted(key)),
             // Blanks keep an answer alive while its engine stands still.
             Seen::Bytes => {}
             Seen::Event => {
@@ -274,7 +278,7 @@
             let end = End::Failed;
             Event::Ended { key, end }
         } else {
-            Event::Left(key)
+            Event::CallerLeft(key)
         });
     }
 }
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -6,7 +6,7 @@
 use base::{Incarnation, timer::Timer};
 use conf::settings::EndpointSettings;
 use futures::future::{BoxFuture, FutureExt};
-use gate::{End, Refused, RefusedWhy};
+use gate::{End, RejectReason, Rejection};
 use obs::{Counter, Metrics, Series};
 use upstream::{EndpointClient, Seen};
 use wire::{
@@ -79,13 +79,13 @@
     }
 }
 
-fn refusal(refused: Refused) -> Refusal {
-    let kind = match refused.why {
-        RefusedWhy::Full => RefusalKind::Full,
-        RefusedWhy::Stalled => RefusalKind::EndpointDown,
-        RefusedWhy::Leaving => RefusalKind::Leaving,
+fn refusal(refused: Rejection) -> Refusal {
+    let kind = match refused.reason {
+        RejectReason::Full => RefusalKind::Full,
+        RejectReason::Stalled => RefusalKind::EndpointDown,
+        RejectReason::Leaving => RefusalKind::Leaving,
     };
-    Refusal::new(kind, refused.why.as_str())
+    Refusal::new(kind, refused.reason.as_str())
         .retry_after_ms(refused.retry_after_ms)
 }
 
@@ -160,9 +160,7 @@
     };
     let outcome = shared.client.run_seen(request, &answer, on_seen).await;
     let (counter, end) = match outcome.kind {
-        OutcomeKind::Complete => {
-            (Counter::Completed, End::Whole { tokens: 0 })
-        }
+        OutcomeKind::Complete => (Counter::Completed, End::Done { tokens: 0 }),
         OutcomeKind::Cancelled => (Counter::Cancelled, End::Failed),
         _ => (Counter::Failed, End::Failed),
     };
@@ -176,7 +174,7 @@
     let detail = match why {
         NotStarted::Refused(refused) => format!(
             "{}; come back in {} ms",
-            refused.why, refused.retry_after_ms
+            refused.reason, refused.retry_after_ms
         ),
         NotStarted::Returned => "the endpoint is leaving".to_owned(),
     };
--- a/crates/companion/src/item.rs
+++ b/crates/companion/src/item.rs
@@ -2,7 +2,7 @@
 
 use base::{Class, RequestId, UnixMillis};
 use bytes::{Bytes, BytesMut};
-use gate::{End, StopWhy};
+use gate::{End, StopReason};
 use obs::{Counter, Series};
 use serde::Deserialize;
 use tokio::sync::mpsc;
@@ -42,7 +42,7 @@
         read = call(shared, request) => read,
         why = place.stopped() => {
             customer.count(Counter::Preempted, Class::Batch, 1);
-            if why == StopWhy::Stalled {
+            if why == StopReason::Stalled {
                 result.outcome = ItemOutcome::Lost;
             }
             return result;
@@ -57,7 +57,7 @@
         }
     };
     let tokens = tokens_of(&read.body);
-    place.end(End::Whole { tokens });
+    place.end(End::Done { tokens });
     let ms = shared.timer.now().saturating_ms_since(started);
     customer.record(Series::BatchItemMs, Class::Batch, ms);
     customer.count(Counter::Completed, Class::Batch, 1);
--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -25,15 +25,15 @@
     pub customer: Customer,
     /// Turns that the customer gets for each turn of one of weight 1.
     pub weight: u32,
-    /// When the job is due.
-    pub due: Millis,
+    /// When the job is deadline.
+    pub deadline: Millis,
 }
 
 /// Something that happened to a call or to the endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
     /// The answer is a stream, so that it shows its progress.
-    Streams(CallKey),
+    StreamStarted(CallKey),
     /// The first token came.
     FirstToken(CallKey),
     /// A further token came.
@@ -51,7 +51,7 @@
         end: End,
     },
     /// Nobody wants a waiting call any more.
-    Left(CallKey),
+    CallerLeft(CallKey),
     /// The engine is another one than before.
     Restarted,
     /// The endpoint is leaving: nothing new is taken.
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
     /// With a whole answer of so many tokens, if that is known.
-    Whole {
+    Done {
         /// Tokens of the answer, 0 if unknown.
         tokens: u32,
     },
@@ -78,19 +78,19 @@
     /// Start the call at the endpoint.
     Start(CallKey),
     /// Give a waiting online call its refusal; the gate has forgotten it.
-    GiveUp(CallKey, Refused),
+    Reject(CallKey, Rejection),
     /// Give a waiting batch item back; the gate has forgotten it.
     Return(CallKey),
     /// Cancel a running batch item. Its place is free at once; it still
     /// has to be reported as ended.
-    Stop(CallKey, StopWhy),
+    Stop(CallKey, StopReason),
 }
 
 /// Why a running batch item is cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum StopWhy {
+pub enum StopReason {
     /// An online call needs its place; this is no failed attempt.
-    GiveWay,
+    Preempted,
     /// The engine stands still. This counts as an attempt, else an item
     /// that brings engines to a halt would go round for ever.
     Stalled,
@@ -98,9 +98,9 @@
 
 /// A refusal; the call did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Refused {
+pub struct Rejection {
     /// Reason.
-    pub why: RefusedWhy,
+    pub reason: RejectReason,
     /// When a place can be expected, in milliseconds.
     pub retry_after_ms: u32,
 }
@@ -108,7 +108,7 @@
 /// Reason of a refusal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RefusedWhy {
+pub enum RejectReason {
     /// The queue is full, or too long for the promise.
     Full,
     /// The endpoint makes no progress.
@@ -117,18 +117,18 @@
     Leaving,
 }
 
-impl RefusedWhy {
+impl RejectReason {
     /// Returns the reason for people.
     pub fn as_str(self) -> &'static str {
         match self {
-            RefusedWhy::Full => "the endpoint is full",
-            RefusedWhy::Stalled => "the endpoint makes no progress",
-            RefusedWhy::Leaving => "the endpoint is leaving",
+            RejectReason::Full => "the endpoint is full",
+            RejectReason::Stalled => "the endpoint makes no progress",
+            RejectReason::Leaving => "the endpoint is leaving",
         }
     }
 }
 
-impl fmt::Display for RefusedWhy {
+impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -3,8 +3,8 @@
 use base::{Class, Millis};
 
 use crate::{
-    Action, CallKey, Gate, Policy, Refused, RefusedWhy, StopWhy, gate::Phase,
-    measure::ago,
+    Action, CallKey, Gate, Policy, RejectReason, Rejection, StopReason,
+    gate::Phase, measure::ago,
 };
 
 /// Span that the items in hand last for, in milliseconds: a pull is
@@ -25,7 +25,7 @@
         }
         let room = self.batch_room(now);
         if room == 0 {
-            // One item in hand tells when the earliest job is due; without
+            // One item in hand tells when the earliest job is deadline; without
             // it the floor could not rise during an endless rush.
             return u32::from(self.batch_waiting + self.batch_running == 0);
         }
@@ -79,7 +79,7 @@
             let full = self.running() >= self.options.max_running;
             if full
                 && gives_way
-                && !self.stop_youngest(StopWhy::GiveWay, actions)
+                && !self.stop_youngest(StopReason::Preempted, actions)
             {
                 return;
             }
@@ -107,7 +107,7 @@
         let floor = self.floor(now);
         while free(self) < reserve
             && self.batch_running > floor
-            && self.stop_youngest(StopWhy::GiveWay, actions)
+            && self.stop_youngest(StopReason::Preempted, actions)
         {}
     }
 
@@ -140,16 +140,16 @@
         part.min(1.0)
     }
 
-    /// Returns the places that batch keeps because it is due.
+    /// Returns the places that batch keeps because it is deadline.
     pub(crate) fn floor(&self, now: Millis) -> u32 {
         let options = &self.options;
-        let dues = self
+        let times = self
             .calls
             .values()
             .filter(|call| call.class == Class::Batch)
-            .map(|call| call.due);
-        let Some(due) = dues.min() else { return 0 };
-        let left_ms = due.saturating_ms_since(now);
+            .map(|call| call.deadline);
+        let Some(first) = times.min() else { return 0 };
+        let left_ms = first.saturating_ms_since(now);
         if left_ms >= options.floor_age_ms {
             return 0;
         }
@@ -176,7 +176,7 @@
     }
 
     /// Tells whether the next batch item may start by its pace. Baselines
-    /// know no pace, nor do items that are due or an engine without any.
+    /// know no pace, nor do items that are deadline or an engine without any.
     fn may_start(&mut self, floor: u32) -> bool {
         self.options.policy != Policy::Adaptive
             || self.batch_running < floor.max(1)
@@ -227,7 +227,7 @@
     /// Stops the batch item that loses least, and tells whether one ran.
     pub(crate) fn stop_youngest(
         &mut self,
-        why: StopWhy,
+        reason: StopReason,
         actions: &mut Vec<Action>,
     ) -> bool {
         let running = self.calls.iter_mut().filter(|(_, call)| {
@@ -239,7 +239,7 @@
         };
         call.phase = Phase::Stopping;
         self.batch_running = self.batch_running.saturating_sub(1);
-        actions.push(Action::Stop(key, why));
+        actions.push(Action::Stop(key, reason));
         true
     }
 
@@ -275,31 +275,31 @@
     ) {
         if self.online_waiting > 0 && self.options.policy != Policy::Open {
             let before = ago(now, self.wait_max_ms());
-            self.give_up_waiting(RefusedWhy::Full, Some(before), actions);
+            self.give_up_waiting(RejectReason::Full, Some(before), actions);
         }
     }
 
     pub(crate) fn give_up_waiting(
         &mut self,
-        why: RefusedWhy,
+        reason: RejectReason,
         arrived_before: Option<Millis>,
         actions: &mut Vec<Action>,
     ) {
-        let retry_after_ms = self.retry_after_ms(why);
-        let refused = Refused {
-            why,
+        let retry_after_ms = self.retry_after_ms(reason);
+        let refused = Rejection {
+            reason,
             retry_after_ms,
         };
         let late = |at| arrived_before.is_none_or(|before| at < before);
         for key in self.waiting_of(Class::Online, late) {
             self.forget(key);
-            actions.push(Action::GiveUp(key, refused));
+            actions.push(Action::Reject(key, refused));
         }
     }
 
     /// Gives back batch items that have waited in hand since before a time.
     ///
-    /// Another companion may have room for them. Those that are due do not
+    /// Another companion may have room for them. Those that are deadline do not
     /// wait so long, since the floor lets them start.
     pub(crate) fn return_waiting(
         &mut self,
--- a/crates/gate/src/gate.rs
+++ b/crates/gate/src/gate.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Action, Arrival, BatchArrival, CallKey, End, Event, GateOptions, Policy,
-    Refused, RefusedWhy, StopWhy,
+    RejectReason, Rejection, StopReason,
     arrivals::Arrivals,
     limit::BatchLimit,
     measure::{Measure, ago},
@@ -44,7 +44,7 @@
     pub(crate) phase: Phase,
     pub(crate) arrived: Millis,
     pub(crate) started: Millis,
-    pub(crate) due: Millis,
+    pub(crate) deadline: Millis,
     pub(crate) streams: bool,
     pub(crate) has_first: bool,
 }
@@ -77,23 +77,23 @@
 /// ```
 /// use base::{Millis, Customer};
 /// use pomeloslip_gate::{
-///     Action, Arrival, BatchArrival, Gate, GateOptions, StopWhy,
+///     Action, Arrival, BatchArrival, Gate, GateOptions, StopReason,
 /// };
 ///
 /// let now = Millis::new(0);
 /// let customer: Customer = "alama".parse()?;
 /// let mut gate = Gate::new(GateOptions::new(1, 1), now);
 /// let mut actions = Vec::new();
-/// let due = Millis::new(86_400_000);
-/// let item = BatchArrival { customer: customer.clone(), weight: 1, due };
-/// let item = gate.offer(now, &item, &mut actions);
+/// let deadline = Millis::new(86_400_000);
+/// let item = BatchArrival { customer: customer.clone(), weight: 1, deadline };
+/// let item = gate.submit_batch(now, &item, &mut actions);
 /// assert_eq!(actions, [Action::Start(item)]);
 ///
 /// // An online call takes the only place.
 /// actions.clear();
 /// let chat = Arrival { customer, weight: 1 };
-/// let chat = gate.arrive(now, &chat, &mut actions).expect("a place");
-/// let stop = Action::Stop(item, StopWhy::GiveWay);
+/// let chat = gate.submit_online(now, &chat, &mut actions).expect("a place");
+/// let stop = Action::Stop(item, StopReason::Preempted);
 /// assert_eq!(actions, [stop, Action::Start(chat)]);
 /// # Ok::<(), base::IdError>(())
 /// ```
@@ -145,13 +145,13 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`] if it would not start in time; nothing of it is kept.
-    pub fn arrive(
+    /// [`Rejection`] if it would not start in time; nothing of it is kept.
+    pub fn submit_online(
         &mut self,
         now: Millis,
         arrival: &Arrival,
         actions: &mut Vec<Action>,
-    ) -> Result<CallKey, Refused> {
+    ) -> Result<CallKey, Rejection> {
         self.check(arrival)?;
         self.arrivals.push(now);
         let key = self.insert(Class::Online, now, now);
@@ -162,13 +162,13 @@
     }
 
     /// Takes a batch item in hand; it runs when there is room.
-    pub fn offer(
+    pub fn submit_batch(
         &mut self,
         now: Millis,
         item: &BatchArrival,
         actions: &mut Vec<Action>,
     ) -> CallKey {
-        let key = self.insert(Class::Batch, now, item.due);
+        let key = self.insert(Class::Batch, now, item.deadline);
         self.batch.push(&item.customer, item.weight, key);
         self.batch_waiting += 1;
         if self.draining {
@@ -188,14 +188,14 @@
         actions: &mut Vec<Action>,
     ) {
         match event {
-            Event::Streams(key) => self.on_streams(now, key),
+            Event::StreamStarted(key) => self.on_streams(now, key),
             Event::FirstToken(key) => self.on_first(now, key),
             Event::Token { key, gap_us } => {
                 self.on_token(now, key, gap_us);
                 return;
             }
             Event::Ended { key, end } => self.on_ended(now, key, end),
-            Event::Left(key) => self.on_left(key),
+            Event::CallerLeft(key) => self.on_left(key),
             Event::Restarted => self.on_restarted(now),
             Event::Drain => {
                 self.draining = true;
@@ -238,19 +238,19 @@
         self.online_running + self.batch_running
     }
 
-    fn check(&self, arrival: &Arrival) -> Result<(), Refused> {
-        let refuse = |why| {
-            let retry_after_ms = self.retry_after_ms(why);
-            Err(Refused {
-                why,
+    fn check(&self, arrival: &Arrival) -> Result<(), Rejection> {
+        let refuse = |reason| {
+            let retry_after_ms = self.retry_after_ms(reason);
+            Err(Rejection {
+                reason,
                 retry_after_ms,
             })
         };
         if self.draining {
-            return refuse(RefusedWhy::Leaving);
+            return refuse(RejectReason::Leaving);
         }
         if self.stall.is_stalled() && self.running() > 0 {
-            return refuse(RefusedWhy::Stalled);
+            return refuse(RejectReason::Stalled);
         }
         if self.options.policy == Policy::Open {
             return Ok(());
@@ -265,7 +265,7 @@
             || of_customer >= customer_max.max(1)
             || self.expected_wait_ms() > self.wait_max_ms()
         {
-            return refuse(RefusedWhy::Full);
+            return refuse(RejectReason::Full);
         }
         Ok(())
     }
@@ -282,24 +282,29 @@
         target * WAIT_MAX_TARGETS
     }
 
-    pub(crate) fn retry_after_ms(&self, why: RefusedWhy) -> u32 {
-        let ms = match why {
-            RefusedWhy::Full => self.expected_wait_ms(),
-            RefusedWhy::Stalled => self.options.stall_after_ms,
+    pub(crate) fn retry_after_ms(&self, reason: RejectReason) -> u32 {
+        let ms = match reason {
+            RejectReason::Full => self.expected_wait_ms(),
+            RejectReason::Stalled => self.options.stall_after_ms,
             // Another endpoint takes it at once.
-            RefusedWhy::Leaving => 0,
+            RejectReason::Leaving => 0,
         };
         let ms = u32::try_from(ms).unwrap_or(u32::MAX);
         ms.clamp(*RETRY_AFTER_MS.start(), *RETRY_AFTER_MS.end())
     }
 
-    fn insert(&mut self, class: Class, now: Millis, due: Millis) -> CallKey {
+    fn insert(
+        &mut self,
+        class: Class,
+        now: Millis,
+        deadline: Millis,
+    ) -> CallKey {
         self.calls.insert(Call {
             class,
             phase: Phase::Waiting,
             arrived: now,
             started: now,
-            due,
+            deadline,
             streams: false,
             has_first: false,
         })
@@ -343,7 +348,7 @@
             self.stall.stream_ended();
         }
         self.uncount(&call);
-        let End::Whole { tokens } = end else { return };
+        let End::Done { tokens } = end else { return };
         self.stall.moved(now);
         let ms = now.saturating_ms_since(call.started);
         if call.class == Class::Online {
@@ -395,8 +400,8 @@
     }
 
     fn on_stall(&mut self, actions: &mut Vec<Action>) {
-        self.give_up_waiting(RefusedWhy::Stalled, None, actions);
-        while self.stop_youngest(StopWhy::Stalled, actions) {}
+        self.give_up_waiting(RejectReason::Stalled, None, actions);
+        while self.stop_youngest(StopReason::Stalled, actions) {}
     }
 
     fn adapt(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -420,8 +425,9 @@
         if fell && (late || self.measure.is_first_late(since, &self.options)) {
             let keep = self.limit.get().max(self.floor(now));
             while self.batch_running > keep
-                && self.stop_youngest(StopWhy::GiveWay, actions)
-            {}
+                && self.stop_youngest(StopReason::Preempted, actions)
+            {
+            }
         }
     }
 
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -20,8 +20,8 @@
 
 pub use crate::{
     call::{
-        Action, Arrival, BatchArrival, CallKey, End, Event, Refused,
-        RefusedWhy, StopWhy,
+        Action, Arrival, BatchArrival, CallKey, End, Event, RejectReason,
+        Rejection, StopReason,
     },
     gate::{Gate, GateLoad},
     options::{GateOptions, Policy},
--- a/crates/gate/src/options.rs
+++ b/crates/gate/src/options.rs
@@ -56,9 +56,9 @@
     pub hold_ms: u64,
     /// Time over which the batch comes back after it.
     pub ramp_ms: u64,
-    /// Most places that due batch items keep.
+    /// Most places that deadline batch items keep.
     pub floor_max: u32,
-    /// Time before the due time at which they begin to keep some.
+    /// Time before the deadline time at which they begin to keep some.
     pub floor_age_ms: u64,
     /// Silence of streams after which the engine counts as stalled; 0 never.
     pub stall_after_ms: u64,
--- a/crates/gate/tests/batch.rs
+++ b/crates/gate/tests/batch.rs
@@ -84,7 +84,7 @@
 fn falls_while_tokens_come_too_slowly_and_rises_again() {
     let mut stand = stand();
     let call = stand.arrive().unwrap();
-    stand.handle(Event::Streams(call));
+    stand.handle(Event::StreamStarted(call));
     stand.handle(Event::FirstToken(call));
     stand.fill();
     stream(&mut stand, call, 60_000, 2_000);
@@ -103,7 +103,7 @@
         stand.now = stand.now.saturating_add_ms(500);
         // 8 tokens in 500 ms are 62 ms apart, and 30 are promised.
         for key in running {
-            let end = End::Whole { tokens: 8 };
+            let end = End::Done { tokens: 8 };
             stand.handle(Event::Ended { key, end });
         }
         stand.handle(Event::Tick);
@@ -118,7 +118,7 @@
     let mut stand = stand();
     stand.settle(24);
     let call = stand.arrive().unwrap();
-    stand.handle(Event::Streams(call));
+    stand.handle(Event::StreamStarted(call));
     stand.take();
     stand.pass_ms(1_000);
     assert!(stand.batch_running() <= 12, "{}", stand.batch_running());
@@ -192,18 +192,18 @@
 fn the_floor_rises_with_time() {
     let mut stand = stand();
     let calls: Vec<_> = (0..40).filter_map(|_| stand.arrive().ok()).collect();
-    // Nothing runs, yet one item is asked for, to know when it is due.
+    // Nothing runs, yet one item is asked for, to know when it is deadline.
     assert_eq!(stand.gate.batch_wanted(stand.now), 1);
     let item = stand.offer(4_000_000);
     stand.take();
     stand.pass_ms(5_050);
     assert_eq!(stand.take().last(), Some(&Action::Return(item)));
     // A place that a call leaves goes to the floor before waiting calls.
-    let due = stand.offer(1_000_000);
+    let urgent = stand.offer(1_000_000);
     stand.arrive().unwrap();
     assert!(stand.starts().is_empty());
     stand.end(calls[0]);
-    assert_eq!(stand.starts(), [due]);
+    assert_eq!(stand.starts(), [urgent]);
 }
 
 #[test]
--- a/crates/gate/tests/common/mod.rs
+++ b/crates/gate/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use base::{Customer, Millis};
 use pomeloslip_gate::{
     Action, Arrival, BatchArrival, CallKey, End, Event, Gate, GateOptions,
-    Refused,
+    Rejection,
 };
 
 /// Due so late that it does not matter.
@@ -25,7 +25,7 @@
         Self { gate, now, actions }
     }
 
-    pub(crate) fn arrive(&mut self) -> Result<CallKey, Refused> {
+    pub(crate) fn arrive(&mut self) -> Result<CallKey, Rejection> {
         self.arrive_of("alama", 1)
     }
 
@@ -33,21 +33,22 @@
         &mut self,
         customer: &str,
         weight: u32,
-    ) -> Result<CallKey, Refused> {
+    ) -> Result<CallKey, Rejection> {
         let customer = customer.parse().expect("a valid name");
         let arrival = Arrival { customer, weight };
-        self.gate.arrive(self.now, &arrival, &mut self.actions)
+        self.gate
+            .submit_online(self.now, &arrival, &mut self.actions)
     }
 
     pub(crate) fn offer(&mut self, due_in_ms: u64) -> CallKey {
         let customer: Customer = "taevakorv".parse().expect("a valid name");
-        let due = self.now.saturating_add_ms(due_in_ms);
+        let deadline = self.now.saturating_add_ms(due_in_ms);
         let item = BatchArrival {
             customer,
             weight: 1,
-            due,
+            deadline,
         };
-        self.gate.offer(self.now, &item, &mut self.actions)
+        self.gate.submit_batch(self.now, &item, &mut self.actions)
     }
 
     /// Offers items as a companion does, for as long as they are wanted.
@@ -75,7 +76,7 @@
     }
 
     pub(crate) fn end(&mut self, key: CallKey) {
-        let end = End::Whole { tokens: 0 };
+        let end = End::Done { tokens: 0 };
         self.handle(Event::Ended { key, end });
     }
 
--- a/crates/gate/tests/engine.rs
+++ b/crates/gate/tests/engine.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{FAR_MS, Stand};
-use pomeloslip_gate::{Action, End, Event, GateOptions, RefusedWhy, StopWhy};
+use pomeloslip_gate::{
+    Action, End, Event, GateOptions, RejectReason, StopReason,
+};
 
 fn stand() -> Stand {
     Stand::new(GateOptions::new(4, 2))
@@ -12,7 +14,7 @@
 /// Starts a stream that has given a token.
 fn stream(stand: &mut Stand) -> pomeloslip_gate::CallKey {
     let key = stand.arrive().expect("a place");
-    stand.handle(Event::Streams(key));
+    stand.handle(Event::StreamStarted(key));
     stand.handle(Event::FirstToken(key));
     key
 }
@@ -37,10 +39,10 @@
     assert!(stand.gate.load(stand.now).stalled);
     assert_eq!(stand.gate.batch_wanted(stand.now), 0);
     let refused = stand.arrive().unwrap_err();
-    assert_eq!(refused.why, RefusedWhy::Stalled);
+    assert_eq!(refused.reason, RejectReason::Stalled);
     assert_eq!(refused.retry_after_ms, 5_000);
     // It gave way to the fourth call before that.
-    assert!(!actions.contains(&Action::Stop(item, StopWhy::Stalled)));
+    assert!(!actions.contains(&Action::Stop(item, StopReason::Stalled)));
 
     stand.handle(Event::Token { key, gap_us: 1 });
     assert!(!stand.gate.load(stand.now).stalled);
@@ -53,7 +55,7 @@
     stream(&mut stand);
     stand.take();
     stand.pass_ms(5_000);
-    let stop = Action::Stop(item, StopWhy::Stalled);
+    let stop = Action::Stop(item, StopReason::Stalled);
     assert_eq!(stand.take(), [stop]);
 }
 
@@ -108,7 +110,7 @@
     stand.handle(Event::Drain);
     assert_eq!(stand.take(), [Action::Return(item)]);
     let refused = stand.arrive().unwrap_err();
-    assert_eq!(refused.why, RefusedWhy::Leaving);
+    assert_eq!(refused.reason, RejectReason::Leaving);
     // A pull that was under way brings one more.
     let late = stand.offer(FAR_MS);
     assert_eq!(stand.take(), [Action::Return(late)]);
--- a/crates/gate/tests/online.rs
+++ b/crates/gate/tests/online.rs
@@ -4,7 +4,7 @@
 
 use common::{FAR_MS, Stand};
 use pomeloslip_gate::{
-    Action, CallKey, Event, GateOptions, Policy, RefusedWhy, StopWhy,
+    Action, CallKey, Event, GateOptions, Policy, RejectReason, StopReason,
 };
 use yare::parameterized;
 
@@ -56,7 +56,7 @@
     stand.arrive().unwrap();
     stand.arrive().unwrap();
     let refused = stand.arrive().unwrap_err();
-    assert_eq!(refused.why, RefusedWhy::Full);
+    assert_eq!(refused.reason, RejectReason::Full);
     // Two calls ahead of it, each of 2 s, but for what has passed.
     assert_eq!(refused.retry_after_ms, 4_000);
 }
@@ -70,7 +70,7 @@
         stand.arrive().unwrap();
     }
     // Three wait, which is what one customer may; others have one left.
-    assert_eq!(stand.arrive().unwrap_err().why, RefusedWhy::Full);
+    assert_eq!(stand.arrive().unwrap_err().reason, RejectReason::Full);
     stand.arrive_of("other", 1).unwrap();
     assert!(stand.arrive_of("third", 1).is_err());
     assert_eq!(stand.gate.load(stand.now).waiting, 4);
@@ -83,10 +83,10 @@
     let waiting = stand.arrive().unwrap();
     stand.take();
     stand.pass_ms(3_000);
-    let [Action::GiveUp(key, refused)] = stand.take()[..] else {
+    let [Action::Reject(key, refused)] = stand.take()[..] else {
         panic!("one call is given up");
     };
-    assert_eq!((key, refused.why), (waiting, RefusedWhy::Full));
+    assert_eq!((key, refused.reason), (waiting, RejectReason::Full));
     assert!(refused.retry_after_ms >= 1_000);
     assert_eq!(stand.gate.len(), 1);
 }
@@ -97,7 +97,7 @@
     let running = stand.arrive().unwrap();
     let left = stand.arrive().unwrap();
     let next = stand.arrive().unwrap();
-    stand.handle(Event::Left(left));
+    stand.handle(Event::CallerLeft(left));
     stand.take();
     stand.end(running);
     assert_eq!(stand.starts(), [next]);
@@ -160,7 +160,7 @@
     let mut stand = stand(1, 1);
     let item = stand.offer(FAR_MS);
     let chat = stand.arrive().unwrap();
-    let stop = Action::Stop(item, StopWhy::GiveWay);
+    let stop = Action::Stop(item, StopReason::Preempted);
     let start = [Action::Start(item), stop, Action::Start(chat)];
     assert_eq!(stand.take(), start);
 }
