--- a/crates/access/src/customers.rs
+++ b/crates/access/src/customers.rs
@@ -2,7 +2,7 @@
 
 use base::{Customer, KeyDigest};
 use indexmap::IndexMap;
-use limits::Cap;
+use limits::RateLimit;
 
 use crate::ApiKey;
 
@@ -20,7 +20,7 @@
     /// Rank of its requests, in place of the route's; 0 is the highest.
     pub priority: Option<u32>,
     /// Requests that it may send over the whole fleet; none if unlimited.
-    pub cap: Option<Cap>,
+    pub cap: Option<RateLimit>,
 }
 
 impl CustomerSpec {
@@ -41,7 +41,7 @@
     key: CustomerKey,
     customer: Customer,
     priority: Option<u32>,
-    cap: Option<Cap>,
+    cap: Option<RateLimit>,
 }
 
 impl Caller {
@@ -65,7 +65,7 @@
 
     /// Returns the limit over the whole fleet, if there is one.
     #[inline]
-    pub fn cap(&self) -> Option<Cap> {
+    pub fn cap(&self) -> Option<RateLimit> {
         self.cap
     }
 }
--- a/crates/access/src/request.rs
+++ b/crates/access/src/request.rs
@@ -1,6 +1,6 @@
 use base::Customer;
 use http::{HeaderMap, HeaderName, HeaderValue};
-use limits::Counted;
+use limits::QuotaPermit;
 
 use crate::{ApiKey, Caller, Customers, KeyFault};
 
@@ -132,7 +132,7 @@
     }
 
     /// Admits the request, which is counted against its customer's limit.
-    pub fn admit(self, _: Counted) -> Admitted {
+    pub fn admit(self, _: QuotaPermit) -> Admitted {
         Admitted {
             customer: self.caller.map(|caller| caller.customer().clone()),
         }
--- a/crates/entry/src/filter/limit.rs
+++ b/crates/entry/src/filter/limit.rs
@@ -174,7 +174,7 @@
     fn give_back(&mut self, rule: &RuleLimits) {
         let row = self.rules.get_mut(&rule.rule);
         if let Some(bucket) = row.and_then(|row| row.bucket.as_mut()) {
-            bucket.give_back();
+            bucket.refund();
         }
     }
 }
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -89,7 +89,7 @@
 
     /// Gives one token back that was taken for a request which then did not
     /// run for another reason.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.parts = (self.parts + PARTS).min(self.capacity);
     }
 
--- a/crates/limits/src/cap.rs
+++ b/crates/limits/src/cap.rs
@@ -14,35 +14,35 @@
 /// # Example
 ///
 /// ```
-/// use pomeloslip_limits::{Cap, CapError};
+/// use pomeloslip_limits::{RateLimit, RateLimitError};
 ///
-/// let cap = Cap::try_new(100.0, 50)?.with_version(7);
-/// assert_eq!((cap.per_s(), cap.burst(), cap.version()), (100.0, 50, 7));
-/// assert_eq!(Cap::try_new(-1.0, 0), Err(CapError::Rate));
-/// # Ok::<(), CapError>(())
+/// let limit = RateLimit::try_new(100.0, 50)?.with_version(7);
+/// assert_eq!((limit.per_s(), limit.burst(), limit.version()), (100.0, 50, 7));
+/// assert_eq!(RateLimit::try_new(-1.0, 0), Err(RateLimitError::Rate));
+/// # Ok::<(), RateLimitError>(())
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cap {
+pub struct RateLimit {
     per_s: f64,
     burst: u32,
     version: u64,
 }
 
-impl Cap {
+impl RateLimit {
     /// Makes the limit of a rate in requests a second and a burst.
     ///
     /// # Errors
     ///
-    /// [`CapError`] if one of them is nothing that can be held.
-    pub fn try_new(per_s: f64, burst: u32) -> Result<Self, CapError> {
+    /// [`RateLimitError`] if one of them is nothing that can be held.
+    pub fn try_new(per_s: f64, burst: u32) -> Result<Self, RateLimitError> {
         // A comparison that a value which is no number does not pass either.
         let holds = per_s > 0.0 && per_s <= RATE_MOST;
         if !holds {
-            return Err(CapError::Rate);
+            return Err(RateLimitError::Rate);
         }
         if burst > BURST_MOST {
-            return Err(CapError::Burst);
+            return Err(RateLimitError::Burst);
         }
         let version = 0;
         Ok(Self {
@@ -84,41 +84,41 @@
     }
 }
 
-/// What of a cap cannot be held.
+/// What of a limit cannot be held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CapError {
+pub enum RateLimitError {
     /// The rate is not above 0, too high, or no number.
     Rate,
     /// The burst is too large.
     Burst,
 }
 
-impl fmt::Display for CapError {
+impl fmt::Display for RateLimitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CapError::Rate => "the rate is not above 0 or too high",
-            CapError::Burst => "the burst is too large",
+            RateLimitError::Rate => "the rate is not above 0 or too high",
+            RateLimitError::Burst => "the burst is too large",
         })
     }
 }
 
-impl error::Error for CapError {}
+impl error::Error for RateLimitError {}
 
-/// How exactly a cap has to be held: in each window, a customer may be
+/// How exactly a limit has to be held: in each window, a customer may be
 /// served `(rate x window + burst) x (1 + excess) + slack` requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Allowance {
+pub struct Tolerance {
     /// Length of the window, in milliseconds.
     pub window_ms: u64,
-    /// Part of the cap that may be served beyond it.
+    /// Part of the limit that may be served beyond it.
     pub excess: f64,
     /// Requests that may be served beyond it.
     pub slack: u32,
 }
 
-impl Default for Allowance {
-    /// Nothing beyond the cap, in windows of five seconds.
+impl Default for Tolerance {
+    /// Nothing beyond the limit, in windows of five seconds.
     fn default() -> Self {
         Self {
             window_ms: 5_000,
@@ -140,15 +140,15 @@
 /// may be lost twice in a window.
 const FIRST_PART: f64 = 0.2;
 
-/// Least stock, in requests: half of it is at each of two counters, and with
+/// Least burst_tokens, in requests: half of it is at each of two counters, and with
 /// less than one none would ever be counted.
 const STOCK_LEAST: f64 = 2.0;
 
-impl Allowance {
+impl Tolerance {
     /// Returns the most requests in one window.
-    pub fn in_window(self, cap: Cap) -> f64 {
+    pub fn max_in_window(self, limit: RateLimit) -> f64 {
         let window_s = self.window_ms as f64 / 1_000.0;
-        let exact = cap.per_s * window_s + f64::from(cap.burst);
+        let exact = limit.per_s * window_s + f64::from(limit.burst);
         exact * (1.0 + self.excess) + f64::from(self.slack)
     }
 
@@ -158,8 +158,8 @@
     /// That is more than the burst where windows are measured with a slack.
     /// A customer with a few requests a second has a burst of a few, and
     /// chance alone would refuse one in ten of it.
-    pub fn stock(self, cap: Cap) -> f64 {
-        (self.beyond_rate(cap) * STOCK_PART).max(STOCK_LEAST)
+    pub fn burst_tokens(self, limit: RateLimit) -> f64 {
+        (self.beyond_rate(limit) * STOCK_PART).max(STOCK_LEAST)
     }
 
     /// Returns what counters begin with that know nothing of the past, all
@@ -167,28 +167,28 @@
     ///
     /// Without it, customers are refused for seconds after all counters were
     /// lost at once, though they are far below their caps.
-    pub fn first_tokens(self, cap: Cap) -> f64 {
-        self.beyond_rate(cap) * FIRST_PART
+    pub fn initial_tokens(self, limit: RateLimit) -> f64 {
+        self.beyond_rate(limit) * FIRST_PART
     }
 
     /// Returns what a window may hold beyond what the rate brings.
-    fn beyond_rate(self, cap: Cap) -> f64 {
+    fn beyond_rate(self, limit: RateLimit) -> f64 {
         let rate_ms = self.window_ms as f64 + ON_THE_WAY_MS;
-        let by_rate = cap.per_s * rate_ms / 1_000.0;
-        (self.in_window(cap) - by_rate).max(0.0)
+        let by_rate = limit.per_s * rate_ms / 1_000.0;
+        (self.max_in_window(limit) - by_rate).max(0.0)
     }
 }
 
 /// Proof that a request is counted, or that nothing limits it.
 ///
-/// Only a limiter makes one for a customer with a cap.
+/// Only a limiter makes one for a customer with a limit.
 #[derive(Debug)]
 #[must_use = "a request that is counted and not sent is lost to its customer"]
-pub struct Counted(());
+pub struct QuotaPermit(());
 
-impl Counted {
-    /// Returns the proof for a request that no cap applies to.
-    pub fn without_cap() -> Self {
+impl QuotaPermit {
+    /// Returns the proof for a request that no limit applies to.
+    pub fn unlimited() -> Self {
         Self(())
     }
 
--- a/crates/limits/src/even.rs
+++ b/crates/limits/src/even.rs
@@ -2,11 +2,12 @@
 use indexmap::IndexMap;
 
 use crate::{
-    Allowance, Cap, Counted, FleetLimiter, LimitAction, LimitNodes, OverLimit,
-    PoolReply, Ticket, TokenBucket, Verdict, front_count::FrontCount,
+    FleetLimiter, LimitAction, LimitDecision, LimitNodes, OverLimit,
+    QuotaPermit, RateLimit, Ticket, TokenBucket, TokenResponse, Tolerance,
+    front_count::FrontCount,
 };
 
-/// Gives each front an even part of each cap, without a message.
+/// Gives each front an even part of each limit, without a message.
 ///
 /// The simplest way, and the measure for others: callers come unevenly, and
 /// a customer with a few requests a second over many fronts has less than
@@ -17,42 +18,42 @@
 /// ```
 /// use base::{Customer, Millis};
 /// use pomeloslip_limits::{
-///     Allowance, Cap, EvenParts, FleetLimiter, LimitAction, LimitNodes,
-///     Ticket, Verdict,
+///     Tolerance, RateLimit, EvenSplit, FleetLimiter, LimitAction, LimitNodes,
+///     Ticket, LimitDecision,
 /// };
 ///
 /// let now = Millis::new(0);
-/// let mut way = EvenParts::new("f1", Allowance::default());
+/// let mut way = EvenSplit::new("f1", Tolerance::default());
 /// let fronts = vec!["f1".to_owned(), "f2".to_owned()];
 /// way.set_nodes(&LimitNodes { fronts, ..LimitNodes::default() }, now);
 /// let customer: Customer = "alama".parse().expect("a name");
-/// let cap = Cap::try_new(2.0, 2).expect("a cap");
-/// way.request(Ticket(1), &customer, cap, now);
+/// let limit = RateLimit::try_new(2.0, 2).expect("a limit");
+/// way.request(Ticket(1), &customer, limit, now);
 /// let actions = way.take_actions();
 /// assert!(matches!(
 ///     actions[..],
-///     [LimitAction::Decide { verdict: Verdict::Over(_), .. }]
+///     [LimitAction::Decide { decision: LimitDecision::OverLimit(_), .. }]
 /// ));
 /// ```
 #[derive(Debug)]
-pub struct EvenParts {
+pub struct EvenSplit {
     /// Hash of the name of this front.
     node: u64,
     is_listed: bool,
-    allowance: Allowance,
+    tolerance: Tolerance,
     fronts: FrontCount,
-    buckets: IndexMap<Customer, (Cap, u32, TokenBucket)>,
+    buckets: IndexMap<Customer, (RateLimit, u32, TokenBucket)>,
     actions: Vec<LimitAction>,
 }
 
-impl EvenParts {
+impl EvenSplit {
     /// Starts with empty buckets: what an earlier process of this front let
     /// through is not known.
-    pub fn new(node: &str, allowance: Allowance) -> Self {
+    pub fn new(node: &str, tolerance: Tolerance) -> Self {
         Self {
             node: stable_hash(&[node]),
             is_listed: false,
-            allowance,
+            tolerance,
             fronts: FrontCount::default(),
             buckets: IndexMap::new(),
             actions: Vec::new(),
@@ -64,18 +65,23 @@
 /// the next try reaches another one.
 const NEVER_MS: u64 = 1_000;
 
-impl EvenParts {
+impl EvenSplit {
     /// Returns the whole requests of this front's part of a burst. Parts are
     /// rounded by chance, so that they add up over the fronts.
-    fn stock(&self, customer: &Customer, cap: Cap, fronts: u32) -> u32 {
-        let part = self.allowance.stock(cap) / f64::from(fronts);
+    fn burst_tokens(
+        &self,
+        customer: &Customer,
+        limit: RateLimit,
+        fronts: u32,
+    ) -> u32 {
+        let part = self.tolerance.burst_tokens(limit) / f64::from(fronts);
         let name = stable_hash(&[customer.as_str()]);
         let chance = mix(name ^ self.node) as f64 / u64::MAX as f64;
         (part + chance).floor() as u32
     }
 }
 
-impl FleetLimiter for EvenParts {
+impl FleetLimiter for EvenSplit {
     fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis) {
         self.fronts.observe(&nodes.fronts, now);
         let own = |front: &String| stable_hash(&[front]) == self.node;
@@ -86,31 +92,31 @@
         &mut self,
         ticket: Ticket,
         customer: &Customer,
-        cap: Cap,
+        limit: RateLimit,
         now: Millis,
     ) {
         let fronts = self.fronts.get();
-        let rate = cap.per_s() / f64::from(fronts);
-        let stock = self.stock(customer, cap, fronts);
+        let rate = limit.per_s() / f64::from(fronts);
+        let burst_tokens = self.burst_tokens(customer, limit, fronts);
         let entry = self.buckets.entry(customer.clone());
         let (known, parts, bucket) = entry.or_insert_with(|| {
-            (cap, fronts, TokenBucket::empty(rate, stock, now))
+            (limit, fronts, TokenBucket::empty(rate, burst_tokens, now))
         });
-        if *known != cap || *parts != fronts {
-            (*known, *parts) = (cap, fronts);
-            bucket.set(rate, stock, now);
+        if *known != limit || *parts != fronts {
+            (*known, *parts) = (limit, fronts);
+            bucket.set(rate, burst_tokens, now);
         }
-        let verdict = match bucket.try_take(now) {
-            _ if stock == 0 || !self.is_listed => {
-                Verdict::Over(OverLimit::new(NEVER_MS))
+        let decision = match bucket.try_take(now) {
+            _ if burst_tokens == 0 || !self.is_listed => {
+                LimitDecision::OverLimit(OverLimit::new(NEVER_MS))
             }
-            Ok(()) => Verdict::Counted(Counted::new()),
-            Err(over) => Verdict::Over(over),
+            Ok(()) => LimitDecision::Admitted(QuotaPermit::new()),
+            Err(over) => LimitDecision::OverLimit(over),
         };
-        self.actions.push(LimitAction::Decide { ticket, verdict });
+        self.actions.push(LimitAction::Decide { ticket, decision });
     }
 
-    fn receive(&mut self, _: &str, _: &PoolReply, _: Millis) {}
+    fn receive(&mut self, _: &str, _: &TokenResponse, _: Millis) {}
 
     fn tick(&mut self, now: Millis) {
         self.fronts.tick(now);
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -6,9 +6,9 @@
 //! ([`LimitShare`]), retries ([`RetryBudget`]) and fair turns of customers
 //! ([`FairQueue`]).
 //!
-//! A cap over all fronts is held by a [`FleetLimiter`]: [`EvenParts`] gives
-//! each front a fixed part, [`PoolMember`] lends its parts to a few nodes
-//! ([`PoolHolder`]) that count for many fronts.
+//! A cap over all fronts is held by a [`FleetLimiter`]: [`EvenSplit`] gives
+//! each front a fixed part, [`TokenClient`] lends its parts to a few nodes
+//! ([`TokenServer`]) that count for many fronts.
 //!
 //! A refusal always says when to come back ([`OverLimit`]); nothing waits
 //! inside a limit.
@@ -27,14 +27,15 @@
 
 pub use crate::{
     bucket::{OverLimit, TokenBucket},
-    cap::{Allowance, Cap, CapError, Counted},
+    cap::{QuotaPermit, RateLimit, RateLimitError, Tolerance},
     concurrency::{ConcurrencyLimit, Permit},
-    even::EvenParts,
+    even::EvenSplit,
     fair::{FairQueue, FlowKey, PushError},
-    limiter::{FleetLimiter, LimitAction, LimitNodes, Ticket, Verdict},
+    limiter::{FleetLimiter, LimitAction, LimitDecision, LimitNodes, Ticket},
     pool::{
-        PoolAsk, PoolGrant, PoolHolder, PoolMember, PoolOptions, PoolReply,
-        PoolStamp, PoolWant, Refused, SLOTS,
+        Demand, SLOT_COUNT, ServerTimestamp, TokenClient, TokenGrant,
+        TokenRefusal, TokenRequest, TokenResponse, TokenServer,
+        TokenServerOptions,
     },
     retry::RetryBudget,
     share::{EntryCount, LimitShare},
--- a/crates/limits/src/limiter.rs
+++ b/crates/limits/src/limiter.rs
@@ -1,23 +1,23 @@
 use base::{Customer, Millis};
 
-use crate::{Cap, Counted, OverLimit, PoolAsk, PoolReply};
+use crate::{OverLimit, QuotaPermit, RateLimit, TokenRequest, TokenResponse};
 
-/// Names a request that waits for a verdict.
+/// Names a request that waits for a decision.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
 /// Whether a request is within its customer's limit.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum LimitDecision {
     /// It is, and is counted.
-    Counted(Counted),
+    Admitted(QuotaPermit),
     /// It is not.
-    Over(OverLimit),
+    OverLimit(OverLimit),
     /// Nobody who could count it answers.
     Unavailable,
 }
 
-/// What a limiter wants done.
+/// What a limiter demands done.
 #[derive(Debug)]
 pub enum LimitAction {
     /// Send a message to a node.
@@ -25,14 +25,14 @@
         /// Name of the node.
         to: String,
         /// The message.
-        ask: PoolAsk,
+        request: TokenRequest,
     },
     /// Go on with a request.
     Decide {
         /// The request.
         ticket: Ticket,
         /// What became of it.
-        verdict: Verdict,
+        decision: LimitDecision,
     },
 }
 
@@ -53,17 +53,17 @@
     /// Takes the nodes that are listed now.
     fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis);
 
-    /// Asks for one request; the verdict comes as an action.
+    /// Asks for one request; the decision comes as an action.
     fn request(
         &mut self,
         ticket: Ticket,
         customer: &Customer,
-        cap: Cap,
+        limit: RateLimit,
         now: Millis,
     );
 
     /// Takes the answer of another node.
-    fn receive(&mut self, from: &str, reply: &PoolReply, now: Millis);
+    fn receive(&mut self, from: &str, reply: &TokenResponse, now: Millis);
 
     /// Does what is due.
     fn tick(&mut self, now: Millis);
--- a/crates/limits/src/pool/holder.rs
+++ b/crates/limits/src/pool/holder.rs
@@ -4,12 +4,12 @@
 use indexmap::IndexMap;
 
 use super::{
-    PoolAsk, PoolGrant, PoolOptions, PoolReply, PoolStamp, PoolWant, Refused,
-    SEATS, SLOTS,
+    Demand, SEATS, SLOT_COUNT, ServerTimestamp, TokenGrant, TokenRefusal,
+    TokenRequest, TokenResponse, TokenServerOptions,
     fraction::{Fraction, Mark},
     slot_of,
 };
-use crate::{Allowance, Cap, front_count::FrontCount};
+use crate::{RateLimit, Tolerance, front_count::FrontCount};
 
 /// Counts requests against the parts that fronts lend to this node.
 ///
@@ -17,34 +17,34 @@
 ///
 /// ```
 /// use base::Millis;
-/// use pomeloslip_limits::{Allowance, PoolAsk, PoolHolder, PoolOptions};
+/// use pomeloslip_limits::{Tolerance, TokenRequest, TokenServer, TokenServerOptions};
 ///
-/// let allowance = Allowance::default();
-/// let options = PoolOptions::default();
-/// let mut holder = PoolHolder::new("w1", 9, allowance, options);
-/// let ask = PoolAsk {
+/// let tolerance = Tolerance::default();
+/// let options = TokenServerOptions::default();
+/// let mut holder = TokenServer::new("w1", 9, tolerance, options);
+/// let request = TokenRequest {
 ///     front: "f1".to_owned(),
 ///     incarnation: 1,
-///     number: 1,
-///     lent_from: None,
+///     sequence: 1,
+///     lease_start: None,
 ///     slots: 0,
 ///     fronts: 1,
-///     wants: Vec::new(),
+///     demands: Vec::new(),
 /// };
-/// let reply = holder.answer(&ask, Millis::new(5)).expect("valid");
-/// assert_eq!((reply.number, reply.stamp.at_ms), (1, 5));
-/// assert!(holder.answer(&ask, Millis::new(6)).is_none(), "a replay");
+/// let reply = holder.handle(&request, Millis::new(5)).expect("valid");
+/// assert_eq!((reply.sequence, reply.timestamp.at_ms), (1, 5));
+/// assert!(holder.handle(&request, Millis::new(6)).is_none(), "a replay");
 /// ```
 #[derive(Debug)]
-pub struct PoolHolder {
+pub struct TokenServer {
     node: String,
     incarnation: u64,
-    allowance: Allowance,
-    options: PoolOptions,
+    tolerance: Tolerance,
+    options: TokenServerOptions,
     lenders: IndexMap<String, Lender>,
     /// Ends of the leases, the next one first.
     ends: BTreeSet<(Millis, String)>,
-    pools: [Fraction; SLOTS],
+    pools: [Fraction; SLOT_COUNT],
     buckets: IndexMap<(Customer, u8), Bucket>,
     fronts: FrontCount,
 }
@@ -62,21 +62,21 @@
 #[derive(Debug, Default)]
 struct Lender {
     incarnation: u64,
-    number: u64,
+    sequence: u64,
     slots: u16,
-    /// Its part of each cap in each seat.
+    /// Its part of each limit in each replica.
     part: f64,
     until: Millis,
     heard: Millis,
 }
 
-/// What is left of one seat of a customer's cap.
+/// What is left of one replica of a customer's limit.
 #[derive(Debug)]
 struct Bucket {
-    cap: Cap,
+    limit: RateLimit,
     tokens: f64,
     /// Left of what a counter begins with; never filled up again.
-    first_tokens: u32,
+    initial_tokens: u32,
     refilled: Mark,
     /// When there is room for all that were refused so far.
     room_for_all_at_us: u64,
@@ -98,19 +98,19 @@
 
 const US_PER_MS: f64 = 1_000.0;
 
-impl PoolHolder {
+impl TokenServer {
     /// Starts with nothing lent and empty buckets. `incarnation` differs
     /// between the processes of a node.
     pub fn new(
         node: &str,
         incarnation: u64,
-        allowance: Allowance,
-        options: PoolOptions,
+        tolerance: Tolerance,
+        options: TokenServerOptions,
     ) -> Self {
         Self {
             node: node.to_owned(),
             incarnation,
-            allowance,
+            tolerance,
             options,
             lenders: IndexMap::new(),
             ends: BTreeSet::new(),
@@ -122,57 +122,61 @@
 
     /// Answers a front; none if the message is malformed, or older than one
     /// of the same process that was answered.
-    pub fn answer(&mut self, ask: &PoolAsk, now: Millis) -> Option<PoolReply> {
-        if !ask.is_valid() {
+    pub fn handle(
+        &mut self,
+        request: &TokenRequest,
+        now: Millis,
+    ) -> Option<TokenResponse> {
+        if !request.is_valid() {
             return None;
         }
         self.end_leases(now);
-        let heeded = match self.age_of(ask, now) {
+        let accepted = match self.age_of(request, now) {
             Age::News => true,
             Age::FormerProcess => false,
             Age::Answered => return None,
         };
-        if heeded {
-            self.lend(ask, now);
+        if accepted {
+            self.lend(request, now);
         }
         self.fronts.tick(now);
-        self.fronts.hear(ask.fronts, now);
-        let wants = ask.wants.iter();
-        let grants = wants.map(|want| self.grant(want, now)).collect();
-        Some(PoolReply {
-            holder: self.node.clone(),
-            to_incarnation: ask.incarnation,
-            number: ask.number,
-            stamp: PoolStamp {
+        self.fronts.hear(request.fronts, now);
+        let demands = request.demands.iter();
+        let grants = demands.map(|demand| self.grant(demand, now)).collect();
+        Some(TokenResponse {
+            server: self.node.clone(),
+            to_incarnation: request.incarnation,
+            sequence: request.sequence,
+            timestamp: ServerTimestamp {
                 incarnation: self.incarnation,
                 at_ms: now.as_ms(),
             },
-            heeded,
+            accepted,
             fronts: self.fronts.get(),
             grants,
         })
     }
 
     /// Returns the part of the caps that is lent here for a slot.
-    pub fn lent(&self, slot: usize) -> f64 {
+    pub fn allotted(&self, slot: usize) -> f64 {
         self.pools.get(slot).map_or(0.0, Fraction::get)
     }
 
-    fn age_of(&self, ask: &PoolAsk, now: Millis) -> Age {
-        let Some(known) = self.lenders.get(&ask.front) else {
+    fn age_of(&self, request: &TokenRequest, now: Millis) -> Age {
+        let Some(known) = self.lenders.get(&request.front) else {
             return Age::News;
         };
-        if ask.incarnation == known.incarnation {
-            return match ask.number > known.number {
+        if request.incarnation == known.incarnation {
+            return match request.sequence > known.sequence {
                 true => Age::News,
                 false => Age::Answered,
             };
         }
         // The clock that tells processes apart may have been set back, so
-        // that an earlier one is heeded once the other has fallen silent.
+        // that an earlier one is accepted once the other has fallen silent.
         let silent_ms = now.saturating_ms_since(known.heard);
-        match ask.incarnation > known.incarnation
-            || silent_ms >= self.options.lease_most_ms
+        match request.incarnation > known.incarnation
+            || silent_ms >= self.options.max_lease_ms
         {
             true => Age::News,
             false => Age::FormerProcess,
@@ -181,32 +185,32 @@
 
     /// Takes over what the front lends from now on, in place of what it lent
     /// before.
-    fn lend(&mut self, ask: &PoolAsk, now: Millis) {
-        let until = match ask.lent_from {
-            // A stamp of an earlier process, or of the future, lends nothing.
+    fn lend(&mut self, request: &TokenRequest, now: Millis) {
+        let until = match request.lease_start {
+            // A timestamp of an earlier process, or of the future, lends nothing.
             Some(from)
                 if from.incarnation == self.incarnation
                     && from.at_ms <= now.as_ms() =>
             {
-                let lease_ms = self.options.lease_ms(ask.fronts);
+                let lease_ms = self.options.lease_ms(request.fronts);
                 Millis::new(from.at_ms).saturating_add_ms(lease_ms)
             }
             _ => Millis::new(0),
         };
         let slots = match until > now {
-            true => ask.slots,
+            true => request.slots,
             false => 0,
         };
-        let part = 1.0 / f64::from(ask.fronts) / SEATS as f64;
-        let lender = self.lenders.entry(ask.front.clone()).or_default();
+        let part = 1.0 / f64::from(request.fronts) / SEATS as f64;
+        let lender = self.lenders.entry(request.front.clone()).or_default();
         let before = (lender.slots, lender.part, lender.until);
-        lender.incarnation = ask.incarnation;
-        lender.number = ask.number;
+        lender.incarnation = request.incarnation;
+        lender.sequence = request.sequence;
         lender.heard = now;
         (lender.slots, lender.part, lender.until) = (slots, part, until);
-        self.ends.remove(&(before.2, ask.front.clone()));
+        self.ends.remove(&(before.2, request.front.clone()));
         if slots != 0 {
-            self.ends.insert((until, ask.front.clone()));
+            self.ends.insert((until, request.front.clone()));
         }
         self.change((before.0, before.1), (slots, part), now);
     }
@@ -245,47 +249,47 @@
         }
     }
 
-    fn grant(&mut self, want: &PoolWant, now: Millis) -> PoolGrant {
-        let key = (want.customer.clone(), want.seat);
+    fn grant(&mut self, demand: &Demand, now: Millis) -> TokenGrant {
+        let key = (demand.customer.clone(), demand.replica);
         let is_known = self.buckets.contains_key(&key);
         if !is_known && self.buckets.len() >= BUCKETS_MOST {
-            return PoolGrant {
+            return TokenGrant {
                 granted: 0,
-                refused: Some(Refused::after(BACK_MOST_MS)),
+                refused: Some(TokenRefusal::after(BACK_MOST_MS)),
             };
         }
-        let slot = slot_of(&want.customer, usize::from(want.seat));
+        let slot = slot_of(&demand.customer, usize::from(demand.replica));
         let pool = &mut self.pools[slot];
         // The clock counts from the start of the process.
         let first = match now.as_ms() < FIRST_TOKENS_MS {
-            true => self.allowance.first_tokens(want.cap) / SEATS as f64,
+            true => self.tolerance.initial_tokens(demand.limit) / SEATS as f64,
             false => 0.0,
         };
         let entry = self.buckets.entry(key);
         let bucket =
-            entry.or_insert_with(|| Bucket::new(want.cap, first as u32));
-        bucket.refill(pool, self.allowance, now);
-        bucket.set_cap(want.cap, pool, self.allowance);
-        bucket.take(want.count, pool.get(), now)
+            entry.or_insert_with(|| Bucket::new(demand.limit, first as u32));
+        bucket.refill(pool, self.tolerance, now);
+        bucket.set_cap(demand.limit, pool, self.tolerance);
+        bucket.take(demand.count, pool.get(), now)
     }
 }
 
-impl Refused {
+impl TokenRefusal {
     fn after(ms: u64) -> Self {
         Self {
-            room_in_ms: ms,
-            back_in_ms: ms,
-            apart_us: 0,
+            token_in_ms: ms,
+            retry_after_ms: ms,
+            spacing_us: 0,
         }
     }
 }
 
 impl Bucket {
-    fn new(cap: Cap, first_tokens: u32) -> Self {
+    fn new(limit: RateLimit, initial_tokens: u32) -> Self {
         Self {
-            cap,
+            limit,
             tokens: 0.0,
-            first_tokens,
+            initial_tokens,
             // Since the start of the process: nobody used it meanwhile.
             refilled: Mark::default(),
             room_for_all_at_us: 0,
@@ -295,61 +299,68 @@
     fn refill(
         &mut self,
         pool: &mut Fraction,
-        allowance: Allowance,
+        tolerance: Tolerance,
         now: Millis,
     ) {
-        let stock = allowance.stock(self.cap);
+        let burst_tokens = tolerance.burst_tokens(self.limit);
         // A part that was away was perhaps used elsewhere, so that its burst
         // is not here any more when it comes back.
-        let kept = self.tokens.min(stock * pool.low_since(self.refilled));
+        let kept = self
+            .tokens
+            .min(burst_tokens * pool.low_since(self.refilled));
         let lent_ms = pool.sum_since(self.refilled, now);
-        let tokens = kept + self.cap.per_s() * lent_ms / 1_000.0;
-        self.tokens = tokens.min(stock * pool.get());
+        let tokens = kept + self.limit.per_s() * lent_ms / 1_000.0;
+        self.tokens = tokens.min(burst_tokens * pool.get());
         self.refilled = pool.mark(now);
     }
 
-    /// Takes a cap of a later version; an older one must not raise what
+    /// Takes a limit of a later version; an older one must not raise what
     /// operators have lowered.
-    fn set_cap(&mut self, cap: Cap, pool: &Fraction, allowance: Allowance) {
-        if cap.version() > self.cap.version() {
-            self.cap = cap;
-            let most = allowance.stock(cap) * pool.get();
+    fn set_cap(
+        &mut self,
+        limit: RateLimit,
+        pool: &Fraction,
+        tolerance: Tolerance,
+    ) {
+        if limit.version() > self.limit.version() {
+            self.limit = limit;
+            let most = tolerance.burst_tokens(limit) * pool.get();
             self.tokens = self.tokens.min(most);
         }
     }
 
-    fn take(&mut self, count: u32, lent: f64, now: Millis) -> PoolGrant {
+    fn take(&mut self, count: u32, lent: f64, now: Millis) -> TokenGrant {
         let whole = (self.tokens.floor() as u32).min(count);
         self.tokens -= f64::from(whole);
-        let first = self.first_tokens.min(count - whole);
-        self.first_tokens -= first;
+        let first = self.initial_tokens.min(count - whole);
+        self.initial_tokens -= first;
         let granted = whole + first;
         let refused = count - granted;
         let refused = (refused > 0).then(|| self.refuse(refused, lent, now));
-        PoolGrant { granted, refused }
+        TokenGrant { granted, refused }
     }
 
     /// Finds when refused requests have room: one after the other at the
     /// rate of this pool, behind all that were refused before.
-    fn refuse(&mut self, count: u32, lent: f64, now: Millis) -> Refused {
-        let per_ms = self.cap.per_s() * lent / 1_000.0;
+    fn refuse(&mut self, count: u32, lent: f64, now: Millis) -> TokenRefusal {
+        let per_ms = self.limit.per_s() * lent / 1_000.0;
         if per_ms <= 0.0 {
-            return Refused::after(BACK_MOST_MS);
+            return TokenRefusal::after(BACK_MOST_MS);
         }
         let most_us = BACK_MOST_MS * US_PER_MS as u64;
         let now_us = now.as_ms() * US_PER_MS as u64;
-        let apart_us = (US_PER_MS / per_ms) as u64;
+        let spacing_us = (US_PER_MS / per_ms) as u64;
         let room_ms = (1.0 - self.tokens) / per_ms;
         let room_us = (room_ms * US_PER_MS) as u64;
         let first = now_us.saturating_add(room_us);
         let first = first.max(self.room_for_all_at_us);
         let back_us = (first - now_us).min(most_us);
-        let all = first.saturating_add(apart_us * u64::from(count));
+        let all = first.saturating_add(spacing_us * u64::from(count));
         self.room_for_all_at_us = all.min(now_us + most_us);
-        Refused {
-            room_in_ms: room_us / US_PER_MS as u64,
-            back_in_ms: back_us / US_PER_MS as u64,
-            apart_us: apart_us.min(most_us),
+        TokenRefusal {
+            token_in_ms: room_us / US_PER_MS as u64,
+            retry_after_ms: back_us / US_PER_MS as u64,
+            spacing_us: spacing_us.min(most_us),
         }
     }
 }
--- a/crates/limits/src/pool/lending.rs
+++ b/crates/limits/src/pool/lending.rs
@@ -1,30 +1,32 @@
 use base::{Millis, mix, stable_hash};
 use indexmap::IndexMap;
 
-use super::{PoolOptions, PoolReply, PoolStamp, SEATS, SLOTS};
+use super::{
+    SEATS, SLOT_COUNT, ServerTimestamp, TokenResponse, TokenServerOptions,
+};
 use crate::{LimitNodes, front_count::FrontCount};
 
 /// Whom the parts of one front are lent to, and whom they can be lent to.
 #[derive(Debug)]
 pub(super) struct Lending {
     node: String,
-    options: PoolOptions,
-    /// When the number of fronts can be relied on.
+    options: TokenServerOptions,
+    /// When the sequence of fronts can be relied on.
     settles_at: Option<Millis>,
     /// Whether the list of nodes names this front. Without that it does not
     /// know how many share the caps, and has no part of its own.
     is_listed: bool,
     fronts: FrontCount,
     /// Nodes that may hold pools, from the first choice on, by group.
-    candidates: [Vec<String>; SLOTS / SEATS],
+    candidates: [Vec<String>; SLOT_COUNT / SEATS],
     holders: IndexMap<String, Holder>,
-    slots: [Slot; SLOTS],
+    slots: [Slot; SLOT_COUNT],
 }
 
 /// What is known of a node that parts are lent to.
 #[derive(Debug, Default)]
 struct Holder {
-    stamp: Option<(PoolStamp, Millis)>,
+    stamp: Option<(ServerTimestamp, Millis)>,
     last_sent: Option<Millis>,
     /// Since when a message waits for an answer.
     unanswered: Option<Millis>,
@@ -47,7 +49,7 @@
 #[derive(Debug)]
 pub(super) struct Lent {
     /// The holder's newest stamp; the lease runs from it.
-    pub(super) from: Option<PoolStamp>,
+    pub(super) from: Option<ServerTimestamp>,
     /// The slots that are lent, a bit each.
     pub(super) slots: u16,
     /// Those of them that were not lent just before.
@@ -66,7 +68,7 @@
 /// milliseconds.
 const PROBE_MS: u64 = 1_000;
 
-/// Time after a start in which the number of fronts is not relied on, in
+/// Time after a start in which the sequence of fronts is not relied on, in
 /// milliseconds: until all that started at the same moment are listed.
 const SETTLE_MS: u64 = 500;
 
@@ -84,7 +86,7 @@
 
 impl Lending {
     /// Starts with nothing lent.
-    pub(super) fn new(node: &str, options: PoolOptions) -> Self {
+    pub(super) fn new(node: &str, options: TokenServerOptions) -> Self {
         Self {
             node: node.to_owned(),
             options,
@@ -138,12 +140,14 @@
 
     /// Tells whether the node of a slot answers in time.
     pub(super) fn is_good(&self, slot: usize, now: Millis) -> bool {
-        let answer_ms = self.options.answer_ms;
+        let response_timeout_ms = self.options.response_timeout_ms;
         let holder = self.holder_of(slot);
-        holder.is_some_and(|node| !self.is_silent(node, answer_ms, now))
+        holder.is_some_and(|node| {
+            !self.is_silent(node, response_timeout_ms, now)
+        })
     }
 
-    /// Returns this front's part of one seat of each cap, and since when it
+    /// Returns this front's part of one replica of each limit, and since when it
     /// has been lent to nobody.
     pub(super) fn own_part(&self, slot: usize) -> (f64, Millis) {
         let part = match self.is_listed {
@@ -176,7 +180,12 @@
     }
 
     /// Says in a message to a node what is lent to it from now on.
-    pub(super) fn lend(&mut self, to: &str, number: u64, now: Millis) -> Lent {
+    pub(super) fn lend(
+        &mut self,
+        to: &str,
+        sequence: u64,
+        now: Millis,
+    ) -> Lent {
         let lease_ms = self.lease_ms();
         let holder = self.holders.entry(to.to_owned()).or_default();
         holder.last_sent = Some(now);
@@ -186,7 +195,7 @@
             Some((_, heard_at)) if self.is_listed => {
                 let until =
                     heard_at.saturating_add_ms(lease_ms + LEASE_MARGIN_MS);
-                self.lend_slots(to, until, number, now)
+                self.lend_slots(to, until, sequence, now)
             }
             _ => (0, Vec::new()),
         };
@@ -202,7 +211,7 @@
     pub(super) fn heard(
         &mut self,
         from: &str,
-        reply: &PoolReply,
+        reply: &TokenResponse,
         now: Millis,
     ) {
         self.fronts.hear(reply.fronts, now);
@@ -210,26 +219,26 @@
             return;
         };
         holder.unanswered = None;
-        if !reply.heeded {
+        if !reply.accepted {
             return;
         }
         let before = holder.stamp.map(|(stamp, _)| stamp);
         let has_restarted = before.is_some_and(|before| {
-            before.incarnation < reply.stamp.incarnation
+            before.incarnation < reply.timestamp.incarnation
         });
         let is_newer = before.is_none_or(|before| {
-            before.incarnation != reply.stamp.incarnation
-                || before.at_ms < reply.stamp.at_ms
+            before.incarnation != reply.timestamp.incarnation
+                || before.at_ms < reply.timestamp.at_ms
         });
         if is_newer {
-            holder.stamp = Some((reply.stamp, now));
+            holder.stamp = Some((reply.timestamp, now));
         }
         for slot in &mut self.slots {
             // The holder has taken the release in before it answered; a
             // process that has just started counts nothing of before.
             let released = slot
                 .released_by
-                .is_some_and(|number| reply.number >= number);
+                .is_some_and(|sequence| reply.sequence >= sequence);
             let is_over = released || has_restarted;
             if is_over && slot.lent_to.as_deref() == Some(from) {
                 slot.lent_until = slot.lent_until.min(now);
@@ -250,7 +259,7 @@
     /// Tells whether a node has been silent for so long that its parts are
     /// lent to another one.
     fn is_lost(&self, node: &str, now: Millis) -> bool {
-        self.is_silent(node, self.options.silence_ms, now)
+        self.is_silent(node, self.options.unresponsive_after_ms, now)
     }
 
     fn has_answered(&self, node: &str) -> bool {
@@ -285,9 +294,9 @@
     }
 
     /// Chooses the holder of each slot: the first candidate that answers,
-    /// and for the second seat another one if there is one.
+    /// and for the second replica another one if there is one.
     fn place(&mut self, now: Millis) {
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let choice = self.choice(slot, now);
             if self.slots[slot].holder.as_deref() != choice {
                 self.slots[slot].holder = choice.map(str::to_owned);
@@ -334,19 +343,19 @@
         &mut self,
         to: &str,
         until: Millis,
-        number: u64,
+        sequence: u64,
         now: Millis,
     ) -> (u16, Vec<usize>) {
         let (mut slots, mut newly) = (0, Vec::new());
         // Asked for only until each slot has been lent once.
         let is_new = self.slots.iter().any(|slot| slot.lent_to.is_none());
-        let cleared: [bool; SLOTS / SEATS] =
+        let cleared: [bool; SLOT_COUNT / SEATS] =
             std::array::from_fn(|group| is_new && self.is_cleared(group, now));
         for (at, slot) in self.slots.iter_mut().enumerate() {
             let was_lent = slot.lent_to.as_deref() == Some(to);
             if slot.holder.as_deref() != Some(to) {
                 if was_lent && slot.lent_until > now {
-                    slot.released_by.get_or_insert(number);
+                    slot.released_by.get_or_insert(sequence);
                 }
                 continue;
             }
--- a/crates/limits/src/pool/mod.rs
+++ b/crates/limits/src/pool/mod.rs
@@ -1,7 +1,7 @@
 //! Parts of caps, lent to nodes that count for many fronts.
 //!
-//! Each front owns an even part of every cap, in two halves (seats). It
-//! lends each half for a short time, the lease, to a [`PoolHolder`], which
+//! Each front owns an even part of every limit, in two halves (seats). It
+//! lends each half for a short time, the lease, to a [`TokenServer`], which
 //! adds up the parts of all fronts that lend to it and counts requests
 //! against the sum. A front asks for each request; a few of them in one
 //! message where many come at once.
@@ -17,7 +17,7 @@
 //! front that reaches no holder has its own part.
 //!
 //! Rejected: one counter for each customer, named by the list of nodes. Two
-//! nodes whose lists differ then count the whole cap each, for as long as
+//! nodes whose lists differ then count the whole limit each, for as long as
 //! one of them is cut off. And counters in the key-value service: they cost
 //! a call for each request and are gone with it.
 
@@ -28,9 +28,12 @@
 mod message;
 
 pub use self::{
-    holder::PoolHolder,
-    member::PoolMember,
-    message::{PoolAsk, PoolGrant, PoolReply, PoolStamp, PoolWant, Refused},
+    holder::TokenServer,
+    member::TokenClient,
+    message::{
+        Demand, ServerTimestamp, TokenGrant, TokenRefusal, TokenRequest,
+        TokenResponse,
+    },
 };
 
 use base::{Customer, mix, stable_hash};
@@ -41,12 +44,12 @@
 /// Halves of a part.
 const SEATS: usize = 2;
 
-/// All that a front lends: each seat of each group of customers.
-pub const SLOTS: usize = SHARDS as usize * SEATS;
+/// All that a front lends: each replica of each group of customers.
+pub const SLOT_COUNT: usize = SHARDS as usize * SEATS;
 
-/// Returns the slot of a customer's seat.
-fn slot_of(customer: &Customer, seat: usize) -> usize {
-    shard_of(customer) * SEATS + seat
+/// Returns the slot of a customer's replica.
+fn slot_of(customer: &Customer, replica: usize) -> usize {
+    shard_of(customer) * SEATS + replica
 }
 
 fn shard_of(customer: &Customer) -> usize {
@@ -55,39 +58,39 @@
 
 /// Times of the pools; all nodes of a fleet have the same.
 #[derive(Clone, Copy, Debug)]
-pub struct PoolOptions {
+pub struct TokenServerOptions {
     /// Shortest lease of a part, in milliseconds.
-    pub lease_least_ms: u64,
+    pub min_lease_ms: u64,
     /// Lease for each front of the fleet, in milliseconds: leases grow with
-    /// the fleet, so that a holder hears a bounded number of them a second.
+    /// the fleet, so that a holder hears a bounded sequence of them a second.
     pub lease_per_front_ms: u64,
     /// Longest lease, in milliseconds.
-    pub lease_most_ms: u64,
+    pub max_lease_ms: u64,
     /// How long one holder may take to answer, in milliseconds.
-    pub answer_ms: u64,
+    pub response_timeout_ms: u64,
     /// Silence after which parts are lent to another holder, in
     /// milliseconds.
-    pub silence_ms: u64,
+    pub unresponsive_after_ms: u64,
 }
 
-impl Default for PoolOptions {
+impl Default for TokenServerOptions {
     /// A caller waits for two answers at the most, which leaves two thirds
     /// of the shortest latency objectives.
     fn default() -> Self {
         Self {
-            lease_least_ms: 1_500,
+            min_lease_ms: 1_500,
             lease_per_front_ms: 30,
-            lease_most_ms: 10_000,
-            answer_ms: 40,
-            silence_ms: 300,
+            max_lease_ms: 10_000,
+            response_timeout_ms: 40,
+            unresponsive_after_ms: 300,
         }
     }
 }
 
-impl PoolOptions {
+impl TokenServerOptions {
     /// Returns the lease in a fleet of so many fronts.
     pub(crate) fn lease_ms(&self, fronts: u32) -> u64 {
         let grown = self.lease_per_front_ms * u64::from(fronts);
-        grown.clamp(self.lease_least_ms, self.lease_most_ms)
+        grown.clamp(self.min_lease_ms, self.max_lease_ms)
     }
 }
--- a/crates/limits/src/share.rs
+++ b/crates/limits/src/share.rs
@@ -6,8 +6,8 @@
 /// request: 1,900 requests a second over 340 entries would make a shared
 /// counter the busiest part of the system, and its outage everybody's. The
 /// balancer spreads callers evenly, but not exactly, so each entry may
-/// *borrow*: its part is raised by a fixed share, which bounds the whole at
-/// `1 + borrow` times the limit while every entry is at its part. An entry
+/// *overcommit*: its part is raised by a fixed share, which bounds the whole at
+/// `1 + overcommit` times the limit while every entry is at its part. An entry
 /// that sees too few others, for example after a partition, gives out more
 /// than its part; the count should therefore fall slowly and rise at once,
 /// which [`EntryCount`] does.
@@ -25,7 +25,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitShare {
     entries: u32,
-    borrow: f64,
+    #[serde(rename = "borrow")]
+    overcommit: f64,
 }
 
 impl LimitShare {
@@ -34,19 +35,22 @@
     /// With n callers spread over the entries at random, an entry sees its
     /// mean ± 1/sqrt(mean); a fifth covers one standard deviation from 25
     /// requests on.
-    pub const DEFAULT_BORROW: f64 = 0.2;
+    pub const DEFAULT_OVERCOMMIT: f64 = 0.2;
 
     /// Makes the share of one among live entries; 0 is taken as 1.
     pub fn new(entries: u32) -> Self {
         let entries = entries.max(1);
-        let borrow = Self::DEFAULT_BORROW;
-        Self { entries, borrow }
+        let overcommit = Self::DEFAULT_OVERCOMMIT;
+        Self {
+            entries,
+            overcommit,
+        }
     }
 
     /// Changes what is borrowed; below 0 is taken as 0.
-    pub fn with_borrow(self, borrow: f64) -> Self {
-        let borrow = borrow.max(0.0);
-        Self { borrow, ..self }
+    pub fn with_overcommit(self, overcommit: f64) -> Self {
+        let overcommit = overcommit.max(0.0);
+        Self { overcommit, ..self }
     }
 
     /// Returns this entry's part of a rate.
@@ -55,7 +59,7 @@
             return whole;
         }
         let part = whole / f64::from(self.entries);
-        (part * (1.0 + self.borrow)).min(whole)
+        (part * (1.0 + self.overcommit)).min(whole)
     }
 
     /// Returns this entry's part of a count: rounded up and at least 1, else
--- a/crates/limits/tests/fleet/event.rs
+++ b/crates/limits/tests/fleet/event.rs
@@ -2,12 +2,12 @@
 
 use std::cmp::Ordering;
 
-use pomeloslip_limits::{PoolAsk, PoolReply};
+use pomeloslip_limits::{TokenRequest, TokenResponse};
 
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    Ask(PoolAsk),
-    Reply(PoolReply),
+    Ask(TokenRequest),
+    Reply(TokenResponse),
 }
 
 #[derive(Clone, Debug)]
--- a/crates/limits/tests/fleet/main.rs
+++ b/crates/limits/tests/fleet/main.rs
@@ -3,7 +3,7 @@
 //! The shipped state machines run on a stepped clock: fronts and workers
 //! with clocks of their own, messages that are late, lost, doubled or out of
 //! order, nodes that are killed, frozen and cut off, lists of nodes that lag.
-//! However that goes, no customer is served more in any window than its cap
+//! However that goes, no customer is served more in any window than its limit
 //! allows.
 
 mod event;
@@ -12,14 +12,14 @@
 
 use std::time::Instant;
 
-use limits::Allowance;
+use limits::Tolerance;
 use pomeloslip_limits as limits;
 
 use yare::parameterized;
 
 use scenario::{Demand, Faults, Outcome, Plant, Scenario, Way};
 
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: Tolerance = Tolerance {
     window_ms: 5_000,
     excess: 0.1,
     slack: 20,
@@ -36,7 +36,7 @@
         faults: Faults::None,
         plant: Plant::None,
         length_ms: 30_000,
-        allowance: ALLOWANCE,
+        tolerance: ALLOWANCE,
     }
 }
 
@@ -46,7 +46,7 @@
         faults,
         plant,
         fronts: 4 + (seed % 22) as usize,
-        // With workers that nothing cuts off, one cap holds for all fronts.
+        // With workers that nothing cuts off, one limit holds for all fronts.
         workers: match faults {
             Faults::StaleCaps => 2 + (seed % 7) as usize,
             _ => (seed % 9) as usize,
@@ -62,14 +62,14 @@
         .unwrap_or(most)
 }
 
-/// Runs seeds and returns the first that broke a cap.
+/// Runs seeds and returns the first that broke a limit.
 fn first_broken(seeds: u64, make: impl Fn(u64) -> Scenario) -> Option<u64> {
     (0..seeds).find(|seed| make(*seed).run().worst_excess > 0.0)
 }
 
-/// Symptom: a customer is served beyond its cap. Events: fronts and workers
+/// Symptom: a customer is served beyond its limit. Events: fronts and workers
 /// are killed, twice in a row, frozen and cut off, and caps fall, while
-/// customers send many times what they may. Cause: a part of the cap that two
+/// customers send many times what they may. Cause: a part of the limit that two
 /// nodes count, or a counter that forgets.
 #[parameterized(
     kills_cuts_and_freezes = { Faults::Mixed },
@@ -110,8 +110,8 @@
 }
 
 /// Symptom: a customer with a few requests a second is refused though it is
-/// far below its cap. Events: its requests come to other fronts each time.
-/// Cause: a front's even part of its cap is less than one request.
+/// far below its limit. Events: its requests come to other fronts each time.
+/// Cause: a front's even part of its limit is less than one request.
 #[test]
 fn a_small_customer_below_its_cap_is_hardly_refused() {
     let pools = calm(Way::Pools, Demand::Usual);
@@ -121,7 +121,7 @@
     assert!(even.refused_small() > 0.2, "the simplest way: {even:?}");
 }
 
-/// What a customer that sends far too much gets of its cap.
+/// What a customer that sends far too much gets of its limit.
 #[test]
 fn a_cap_can_be_used_whole() {
     let pools = calm(Way::Pools, Demand::Over);
--- a/crates/limits/tests/fleet/scenario.rs
+++ b/crates/limits/tests/fleet/scenario.rs
@@ -1,7 +1,7 @@
 //! What is played, and what became of it.
 
 use base::Customer;
-use pomeloslip_limits::{Allowance, Cap, PoolOptions};
+use pomeloslip_limits::{RateLimit, TokenServerOptions, Tolerance};
 
 /// How limits are held.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Demand {
     None,
-    /// In gusts, as on a usual day: below every cap.
+    /// In gusts, as on a usual day: below every limit.
     Usual,
-    /// Many times the cap.
+    /// Many times the limit.
     Over,
 }
 
@@ -39,7 +39,7 @@
     LentTooEarly,
     /// A holder that starts anew has the whole burst.
     StartsFull,
-    /// Nodes take the cap that was heard last for the newest.
+    /// Nodes take the limit that was heard last for the newest.
     OldCapWins,
 }
 
@@ -54,18 +54,18 @@
     pub(crate) faults: Faults,
     pub(crate) plant: Plant,
     pub(crate) length_ms: u64,
-    pub(crate) allowance: Allowance,
+    pub(crate) tolerance: Tolerance,
 }
 
 /// What became of a scenario.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) steps: u64,
-    /// Requests beyond the cap in the worst window of any customer.
+    /// Requests beyond the limit in the worst window of any customer.
     pub(crate) worst_excess: f64,
     /// The customer of that window, and when it ended.
     pub(crate) worst: Option<(usize, u64)>,
-    /// Part of each cap that was used after the first seconds.
+    /// Part of each limit that was used after the first seconds.
     pub(crate) used: Vec<f64>,
     /// Asked and refused requests by customer.
     pub(crate) asked: Vec<u32>,
@@ -86,38 +86,38 @@
 }
 
 impl Scenario {
-    pub(crate) fn member_options(self) -> PoolOptions {
+    pub(crate) fn member_options(self) -> TokenServerOptions {
         match self.plant {
             // The front believes in a shorter lease than the holder does.
-            Plant::LentTooEarly => PoolOptions {
-                lease_least_ms: 100,
+            Plant::LentTooEarly => TokenServerOptions {
+                min_lease_ms: 100,
                 lease_per_front_ms: 0,
-                ..PoolOptions::default()
+                ..TokenServerOptions::default()
             },
-            _ => PoolOptions::default(),
+            _ => TokenServerOptions::default(),
         }
     }
 
-    pub(crate) fn holder_allowance(self) -> Allowance {
+    pub(crate) fn holder_allowance(self) -> Tolerance {
         match self.plant {
-            Plant::StartsFull => Allowance {
+            Plant::StartsFull => Tolerance {
                 slack: 400,
-                ..self.allowance
+                ..self.tolerance
             },
-            _ => self.allowance,
+            _ => self.tolerance,
         }
     }
 
     /// Returns the customers with their caps, the large one first.
-    pub(crate) fn customers(self) -> Vec<(Customer, Cap)> {
+    pub(crate) fn customers(self) -> Vec<(Customer, RateLimit)> {
         let large = ("large", 117.0, 117);
         let mut customers = vec![large];
         let small = [("small-1", 2.0, 2), ("small-2", 0.5, 1)];
         let small = small.into_iter().chain([("small-3", 6.0, 6)]);
         customers.extend(small.take(self.small_customers));
         let customers = customers.into_iter().map(|(name, rate, burst)| {
-            let cap = Cap::try_new(rate, burst).expect("a cap");
-            (name.parse().expect("a name"), cap.with_version(1))
+            let limit = RateLimit::try_new(rate, burst).expect("a cap");
+            (name.parse().expect("a name"), limit.with_version(1))
         });
         customers.collect()
     }
--- a/crates/limits/tests/fleet/sim.rs
+++ b/crates/limits/tests/fleet/sim.rs
@@ -7,8 +7,8 @@
 
 use base::{Customer, Millis, mix};
 use pomeloslip_limits::{
-    Cap, EvenParts, FleetLimiter, LimitAction, LimitNodes, PoolHolder,
-    PoolMember, PoolOptions, Ticket, Verdict,
+    EvenSplit, FleetLimiter, LimitAction, LimitDecision, LimitNodes,
+    RateLimit, Ticket, TokenClient, TokenServer, TokenServerOptions,
 };
 
 use crate::{
@@ -30,7 +30,7 @@
     half: bool,
     listed_until_ms: u64,
     limiter: Option<Box<dyn FleetLimiter>>,
-    holder: PoolHolder,
+    holder: TokenServer,
     seen: BTreeMap<String, (bool, u64)>,
     known: LimitNodes,
     wake_at_ms: u64,
@@ -54,9 +54,9 @@
     events: BinaryHeap<Reverse<(u64, u64, EventBox)>>,
     nodes: Vec<Node>,
     by_name: BTreeMap<String, usize>,
-    customers: Vec<(Customer, Cap)>,
+    customers: Vec<(Customer, RateLimit)>,
     /// Caps before a change, and when that was.
-    before: Option<(u64, Vec<Cap>)>,
+    before: Option<(u64, Vec<RateLimit>)>,
     tickets: BTreeMap<(usize, u64), usize>,
     last_ticket: u64,
     counted: Vec<Vec<u64>>,
@@ -227,9 +227,14 @@
         }
     }
 
-    fn holder(&self, name: &str, process: u64) -> PoolHolder {
-        let allowance = self.scenario.holder_allowance();
-        PoolHolder::new(name, process, allowance, PoolOptions::default())
+    fn holder(&self, name: &str, process: u64) -> TokenServer {
+        let tolerance = self.scenario.holder_allowance();
+        TokenServer::new(
+            name,
+            process,
+            tolerance,
+            TokenServerOptions::default(),
+        )
     }
 
     fn play(&mut self) {
@@ -308,7 +313,7 @@
         let process = self.nodes[at].process + 1;
         let holder = self.holder(&self.nodes[at].name, process);
         let options = self.scenario.member_options();
-        let allowance = self.scenario.allowance;
+        let tolerance = self.scenario.tolerance;
         let node = &mut self.nodes[at];
         node.process = process;
         node.started_ms = self.now_ms;
@@ -319,9 +324,9 @@
         node.known = LimitNodes::default();
         node.holder = holder;
         let limiter: Box<dyn FleetLimiter> = match self.scenario.way {
-            Way::Even => Box::new(EvenParts::new(&node.name, allowance)),
-            Way::Pools => Box::new(PoolMember::new(
-                &node.name, process, allowance, options,
+            Way::Even => Box::new(EvenSplit::new(&node.name, tolerance)),
+            Way::Pools => Box::new(TokenClient::new(
+                &node.name, process, tolerance, options,
             )),
         };
         node.limiter = node.is_front.then_some(limiter);
@@ -377,21 +382,21 @@
     }
 
     fn lower_caps(&mut self) {
-        let before = self.customers.iter().map(|(_, cap)| *cap).collect();
+        let before = self.customers.iter().map(|(_, limit)| *limit).collect();
         self.before = Some((self.now_ms, before));
-        for (_, cap) in &mut self.customers {
-            let rate = cap.per_s() / 4.0;
-            let burst = cap.burst() / 4;
-            let lower = Cap::try_new(rate, burst).expect("a cap");
-            *cap = lower.with_version(2);
+        for (_, limit) in &mut self.customers {
+            let rate = limit.per_s() / 4.0;
+            let burst = limit.burst() / 4;
+            let lower = RateLimit::try_new(rate, burst).expect("a cap");
+            *limit = lower.with_version(2);
         }
     }
 
-    /// Returns the cap as a front knows it: news take a while.
-    fn cap_at(&self, node: usize, customer: usize) -> Cap {
-        let cap = self.customers[customer].1;
+    /// Returns the limit as a front knows it: news take a while.
+    fn cap_at(&self, node: usize, customer: usize) -> RateLimit {
+        let limit = self.customers[customer].1;
         let Some((changed_ms, before)) = &self.before else {
-            return cap;
+            return limit;
         };
         let lag_ms = match self.nodes[node].cut_from_service {
             true => u64::MAX / 2,
@@ -399,7 +404,7 @@
         };
         match self.now_ms < changed_ms + lag_ms {
             true => before[customer],
-            false => cap,
+            false => limit,
         }
     }
 
@@ -409,7 +414,7 @@
         let factor = match self.scenario.demand {
             Demand::None => return,
             // Gusts of 2.8 s each 6.6 s, as high as nearly five times the
-            // time between; the mean is at five eighths of the cap.
+            // time between; the mean is at five eighths of the limit.
             Demand::Usual => match now_ms % 6_600 {
                 0..3_800 => 0.377 / 1.6,
                 _ => 1.84 / 1.6,
@@ -434,10 +439,10 @@
         let ticket = self.last_ticket;
         self.tickets.insert((node, ticket), customer);
         let now = self.local(node);
-        let cap = self.cap_at(node, customer);
+        let limit = self.cap_at(node, customer);
         let name = self.customers[customer].0.clone();
         if let Some(limiter) = &mut self.nodes[node].limiter {
-            limiter.request(Ticket(ticket), &name, cap, now);
+            limiter.request(Ticket(ticket), &name, limit, now);
         }
         self.act(node);
     }
@@ -463,17 +468,17 @@
         let due = limiter.next_tick();
         for action in actions {
             match action {
-                LimitAction::Send { to, ask } => {
+                LimitAction::Send { to, request } => {
                     self.nodes[at].sent += 1;
                     let to = self.by_name[&to];
-                    self.send(at, to, Message::Ask(ask));
+                    self.send(at, to, Message::Ask(request));
                 }
-                LimitAction::Decide { ticket, verdict } => {
+                LimitAction::Decide { ticket, decision } => {
                     let key = (at, ticket.0);
                     let customer = self.tickets.remove(&key);
                     let customer = customer.expect("one verdict a request");
-                    match verdict {
-                        Verdict::Counted(_) => {
+                    match decision {
+                        LimitDecision::Admitted(_) => {
                             self.counted[customer].push(self.now_ms);
                         }
                         _ => self.outcome.refused[customer] += 1,
@@ -524,13 +529,15 @@
         self.nodes[to].heard += 1;
         let now = self.local(to);
         match message {
-            Message::Ask(mut ask) => {
+            Message::Ask(mut request) => {
                 if self.scenario.plant == Plant::OldCapWins {
-                    for want in &mut ask.wants {
-                        want.cap = want.cap.with_version(self.number);
+                    for demand in &mut request.demands {
+                        demand.limit = demand.limit.with_version(self.number);
                     }
                 }
-                if let Some(reply) = self.nodes[to].holder.answer(&ask, now) {
+                if let Some(reply) =
+                    self.nodes[to].holder.handle(&request, now)
+                {
                     self.send(to, from, Message::Reply(reply));
                 }
             }
@@ -545,8 +552,8 @@
     }
 
     fn finish(mut self) -> Outcome {
-        let allowance = self.scenario.allowance;
-        let window_ms = allowance.window_ms;
+        let tolerance = self.scenario.tolerance;
+        let window_ms = tolerance.window_ms;
         for (customer, times) in self.counted.iter().enumerate() {
             let mut first = 0;
             for (last, at_ms) in times.iter().enumerate() {
@@ -560,12 +567,12 @@
                     self.outcome.worst = Some((customer, *at_ms));
                 }
             }
-            let cap = self.customers[customer].1;
+            let limit = self.customers[customer].1;
             let from_ms = START_MS + 3_000;
             let late = times.iter().filter(|at| **at >= from_ms).count();
             let whole = self.scenario.length_ms.saturating_sub(from_ms);
             let whole = whole as f64 / 1_000.0;
-            let used = late as f64 / (whole * cap.per_s());
+            let used = late as f64 / (whole * limit.per_s());
             self.outcome.used.push(used);
         }
         let seconds = self.scenario.length_ms as f64 / 1_000.0;
@@ -579,21 +586,21 @@
     }
 
     /// Returns the most that a window which ends at a moment may hold. A
-    /// lower cap binds a window after all know of it.
+    /// lower limit binds a window after all know of it.
     fn most_in_window(&self, customer: usize, at_ms: u64) -> f64 {
-        let allowance = self.scenario.allowance;
-        let now = allowance.in_window(self.customers[customer].1);
+        let tolerance = self.scenario.tolerance;
+        let now = tolerance.max_in_window(self.customers[customer].1);
         let Some((changed_ms, before)) = &self.before else {
             return now;
         };
         if self.scenario.faults == Faults::Mixed {
-            // Fronts may be out of touch at any moment, and a lower cap
+            // Fronts may be out of touch at any moment, and a lower limit
             // binds only those that have heard of it.
-            return allowance.in_window(before[customer]).max(now);
+            return tolerance.max_in_window(before[customer]).max(now);
         }
-        let binds_ms = changed_ms + CONFIG_MS + 2 * allowance.window_ms;
+        let binds_ms = changed_ms + CONFIG_MS + 2 * tolerance.window_ms;
         match at_ms < binds_ms {
-            true => allowance.in_window(before[customer]).max(now),
+            true => tolerance.max_in_window(before[customer]).max(now),
             false => now,
         }
     }
--- a/crates/limits/tests/limits.rs
+++ b/crates/limits/tests/limits.rs
@@ -74,7 +74,7 @@
     bucket.set(5.0, 20, at(0));
     assert_eq!(taken(&mut bucket, at(0), 20), 0);
     assert_eq!(taken(&mut bucket, at(1_000), 20), 5);
-    bucket.give_back();
+    bucket.refund();
     assert_eq!(taken(&mut bucket, at(1_000), 20), 1);
 }
 
@@ -126,7 +126,7 @@
     let share = LimitShare::new(8);
     let whole = 8.0 * share.rate(1_000.0);
     assert!((whole - 1_200.0).abs() < 1e-6, "{whole}");
-    let exact = share.with_borrow(0.0);
+    let exact = share.with_overcommit(0.0);
     assert!((8.0 * exact.rate(1_000.0) - 1_000.0).abs() < 1e-6);
 }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -19,7 +19,7 @@
     Heads, JobError, JobKey, JobView, Ledger, NewJob, PageReader,
     ReportedBacklogs,
 };
-use limits::Verdict;
+use limits::LimitDecision;
 use pass::{
     AnswerBody, Counters, CustomerOutcome, Forwarder, Handler, HandlerFuture,
     Inbound, Listener, ListenerOptions, Refusal, Stopping, read_body,
@@ -254,11 +254,11 @@
             }
         };
         match self.quota.count(identified.caller()).await {
-            Verdict::Counted(counted) => {
+            LimitDecision::Admitted(counted) => {
                 note(CustomerOutcome::Admitted);
                 Ok(identified.admit(counted))
             }
-            Verdict::Over(over) => {
+            LimitDecision::OverLimit(over) => {
                 note(CustomerOutcome::OverLimit);
                 Counters::add(&self.counters.over_limit);
                 let status = StatusCode::TOO_MANY_REQUESTS;
@@ -266,7 +266,7 @@
                 let refusal = Refusal::improper(status, why);
                 Err(refusal.with_retry_after_ms(over.retry_after_ms()))
             }
-            Verdict::Unavailable => {
+            LimitDecision::Unavailable => {
                 Counters::add(&self.counters.limits_unavailable);
                 let why = "the request cannot be counted here now";
                 let refusal = Refusal::not_run(why);
--- a/crates/node/src/quota.rs
+++ b/crates/node/src/quota.rs
@@ -18,8 +18,8 @@
 use indexmap::IndexMap;
 use jobs::JobView;
 use limits::{
-    Cap, Counted, FleetLimiter, LimitAction, PoolHolder, PoolMember,
-    PoolOptions, Ticket, Verdict,
+    FleetLimiter, LimitAction, LimitDecision, QuotaPermit, RateLimit, Ticket,
+    TokenClient, TokenServer, TokenServerOptions,
 };
 use pass::Counters;
 use tokio::{
@@ -37,8 +37,8 @@
 /// A request that is to be counted.
 struct Request {
     customer: Customer,
-    cap: Cap,
-    verdict: oneshot::Sender<Verdict>,
+    cap: RateLimit,
+    verdict: oneshot::Sender<LimitDecision>,
 }
 
 /// Asks for requests of one front.
@@ -47,10 +47,13 @@
 
 impl QuotaClient {
     /// Counts a request against its customer's limit.
-    pub(crate) async fn count(&self, caller: Option<&Caller>) -> Verdict {
+    pub(crate) async fn count(
+        &self,
+        caller: Option<&Caller>,
+    ) -> LimitDecision {
         let cap = caller.and_then(|caller| Some((caller, caller.cap()?)));
         let Some((caller, cap)) = cap else {
-            return Verdict::Counted(Counted::without_cap());
+            return LimitDecision::Admitted(QuotaPermit::unlimited());
         };
         let (verdict, decided) = oneshot::channel();
         let request = Request {
@@ -59,9 +62,9 @@
             verdict,
         };
         if self.0.send(request).is_err() {
-            return Verdict::Unavailable;
+            return LimitDecision::Unavailable;
         }
-        decided.await.unwrap_or(Verdict::Unavailable)
+        decided.await.unwrap_or(LimitDecision::Unavailable)
     }
 }
 
@@ -75,11 +78,11 @@
     view: JobView,
     cluster: ClusterState,
     counters: Arc<Counters>,
-    holder: PoolHolder,
-    member: PoolMember,
+    holder: TokenServer,
+    member: TokenClient,
     neighbours: Neighbours,
     requests: mpsc::UnboundedReceiver<Request>,
-    waiting: IndexMap<u64, oneshot::Sender<Verdict>>,
+    waiting: IndexMap<u64, oneshot::Sender<LimitDecision>>,
     last_ticket: u64,
     next_look: Millis,
     refusals: RefusalLog,
@@ -102,15 +105,15 @@
         let incarnation = cluster.clock().unix().as_ms();
         let node = settings.node.as_str();
         let allowance = settings.allowance;
-        let options = PoolOptions::default();
+        let options = TokenServerOptions::default();
         let service = Self {
             node: node.to_owned(),
             socket,
             view,
             cluster,
             counters,
-            holder: PoolHolder::new(node, incarnation, allowance, options),
-            member: PoolMember::new(node, incarnation, allowance, options),
+            holder: TokenServer::new(node, incarnation, allowance, options),
+            member: TokenClient::new(node, incarnation, allowance, options),
             neighbours: Neighbours::default(),
             requests,
             waiting: IndexMap::new(),
@@ -229,14 +232,14 @@
             _ => return self.refuse(from, &WireError::Sender),
         };
         match message {
-            QuotaMessage::Ask(ask) => match self.holder.answer(&ask, now) {
+            QuotaMessage::Ask(ask) => match self.holder.handle(&ask, now) {
                 Some(reply) => {
                     self.send(from, &QuotaMessage::Reply(reply)).await;
                 }
                 None => self.refuse(from, &WireError::Invalid),
             },
             QuotaMessage::Reply(reply) => {
-                self.member.receive(&reply.holder, &reply, now);
+                self.member.receive(&reply.server, &reply, now);
             }
         }
     }
@@ -245,22 +248,22 @@
         let mut actions = VecDeque::from(self.member.take_actions());
         while let Some(action) = actions.pop_front() {
             match action {
-                LimitAction::Decide { ticket, verdict } => {
+                LimitAction::Decide { ticket, decision } => {
                     if let Some(asker) = self.waiting.swap_remove(&ticket.0) {
                         // A caller that has left needs no verdict.
-                        let _ = asker.send(verdict);
+                        let _ = asker.send(decision);
                     }
                 }
-                LimitAction::Send { to, ask } if to == self.node => {
+                LimitAction::Send { to, request } if to == self.node => {
                     let now = self.now();
-                    if let Some(reply) = self.holder.answer(&ask, now) {
+                    if let Some(reply) = self.holder.handle(&request, now) {
                         self.member.receive(&to, &reply, now);
                         actions.extend(self.member.take_actions());
                     }
                 }
-                LimitAction::Send { to, ask } => {
+                LimitAction::Send { to, request } => {
                     if let Some(address) = self.neighbours.address(&to) {
-                        self.send(address, &QuotaMessage::Ask(ask)).await;
+                        self.send(address, &QuotaMessage::Ask(request)).await;
                     }
                 }
             }
--- a/crates/node/src/quota/wire.rs
+++ b/crates/node/src/quota/wire.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-use limits::{PoolAsk, PoolReply};
+use limits::{TokenRequest, TokenResponse};
 use serde::{Deserialize, Serialize};
 
 /// Largest datagram that is read.
@@ -15,9 +15,9 @@
 #[serde(rename_all = "snake_case")]
 pub(super) enum QuotaMessage {
     /// A front asks.
-    Ask(PoolAsk),
+    Ask(TokenRequest),
     /// A node answers it.
-    Reply(PoolReply),
+    Reply(TokenResponse),
 }
 
 #[derive(Deserialize, Serialize)]
@@ -73,7 +73,7 @@
     /// Takes out what a front lends.
     pub(super) fn without_parts(self) -> Self {
         match self {
-            Self::Ask(ask) => Self::Ask(PoolAsk { slots: 0, ..ask }),
+            Self::Ask(ask) => Self::Ask(TokenRequest { slots: 0, ..ask }),
             Self::Reply(reply) => Self::Reply(reply),
         }
     }
@@ -82,7 +82,7 @@
     pub(super) fn sender(&self) -> &str {
         match self {
             Self::Ask(ask) => &ask.front,
-            Self::Reply(reply) => &reply.holder,
+            Self::Reply(reply) => &reply.server,
         }
     }
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,6 +1,6 @@
 use std::{net::SocketAddr, path::PathBuf};
 
-use limits::Allowance;
+use limits::Tolerance;
 use tokio::sync::watch;
 
 use crate::ConfigBounds;
@@ -39,7 +39,7 @@
     /// Where fronts have requests counted against limits, in datagrams.
     pub limits: SocketAddr,
     /// How exactly limits of customers are to be held.
-    pub allowance: Allowance,
+    pub allowance: Tolerance,
     /// Shortest lease of the key-value service.
     pub lease_least_ms: u64,
     /// Folder on the machine's disk, where it has one.
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -28,7 +28,7 @@
 use http::{HeaderMap, HeaderName, Method, Uri};
 use jobs::{ItemInput, ItemState, Page};
 use kv::{KeyValue, Kv, Memory, Op, Txn, paths::Paths};
-use limits::{Allowance, Cap};
+use limits::{RateLimit, Tolerance};
 use pass::{Counters, HeaderNames};
 use pomeloslip_node::{
     ClusterState, Dialect, DialectError, Front, JobCall, NodeSettings,
@@ -203,7 +203,7 @@
         let keys = self.keys.iter();
         let keys = keys.map(|k| ApiKey::parse(k.as_bytes()).expect("a key"));
         let cap = self.cap.map(|(per_s, burst)| {
-            let cap = Cap::try_new(per_s, burst).expect("a cap");
+            let cap = RateLimit::try_new(per_s, burst).expect("a cap");
             cap.with_version(version)
         });
         let name = self.name.parse().expect("a name");
@@ -272,7 +272,7 @@
         config_ms: 2_000,
         revoke_ms: None,
         limits: free(),
-        allowance: Allowance {
+        allowance: Tolerance {
             window_ms: 5_000,
             excess: 0.1,
             slack: 20,
--- a/crates/node/tests/unit/quota_wire.rs
+++ b/crates/node/tests/unit/quota_wire.rs
@@ -1,19 +1,19 @@
 //! Which datagrams about limits are heeded.
 
-use limits::PoolAsk;
+use limits::TokenRequest;
 use yare::parameterized;
 
 use super::{QuotaMessage, VERSION};
 
 fn ask() -> QuotaMessage {
-    QuotaMessage::Ask(PoolAsk {
+    QuotaMessage::Ask(TokenRequest {
         front: "front-1".to_owned(),
         incarnation: 1,
-        number: 2,
-        lent_from: None,
+        sequence: 2,
+        lease_start: None,
         slots: 3,
         fronts: 4,
-        wants: Vec::new(),
+        demands: Vec::new(),
     })
 }
 
@@ -29,7 +29,7 @@
     let QuotaMessage::Ask(ask) = ask().without_parts() else {
         panic!("another message");
     };
-    assert_eq!((ask.slots, ask.number), (0, 2));
+    assert_eq!((ask.slots, ask.sequence), (0, 2));
 }
 
 #[parameterized(
