--- a/crates/gate/src/call.rs
+++ b/crates/gate/src/call.rs
@@ -5,120 +5,120 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// Names one call or batch item at the gate.
+    /// Identifies a call or a batch item at the gate.
     pub struct CallKey;
 }
 
-/// An online call that wants to run.
+/// An online call that asks for admission.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Customer.
+    /// Customer that sent the call.
     pub customer: Customer,
-    /// Turns that the customer gets for each turn of one of weight 1.
+    /// Weight of the customer in the fair queue.
     pub weight: u32,
 }
 
-/// A batch item that is in hand and may run.
+/// A buffered batch item that is ready to run.
 #[derive(Clone, Debug)]
 pub struct BatchArrival {
-    /// Customer.
+    /// Customer that owns the item.
     pub customer: Customer,
-    /// Turns that the customer gets for each turn of one of weight 1.
+    /// Weight of the customer in the fair queue.
     pub weight: u32,
-    /// When the job is deadline.
+    /// Deadline of the job.
     pub deadline: Millis,
 }
 
-/// Something that happened to a call or to the endpoint.
+/// An event of a call or of the endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The answer is a stream, so that it shows its progress.
+    /// The response is a stream, so its progress can be observed.
     StreamStarted(CallKey),
-    /// The first token came.
+    /// The first token arrived.
     FirstToken(CallKey),
-    /// A further token came.
+    /// A further token arrived.
     Token {
-        /// Call.
+        /// Call that the token belongs to.
         key: CallKey,
-        /// Time since the token before it.
+        /// Time since the previous token.
         gap_us: u32,
     },
     /// The call ended and has left the endpoint.
     Ended {
-        /// Call.
+        /// Call that ended.
         key: CallKey,
-        /// How.
+        /// How the call ended.
         end: End,
     },
-    /// Nobody wants a waiting call any more.
+    /// The caller of a waiting call disconnected.
     CallerLeft(CallKey),
-    /// The engine is another one than before.
+    /// The engine was restarted or replaced.
     Restarted,
-    /// The endpoint is leaving: nothing new is taken.
+    /// The endpoint is shutting down and accepts no new calls.
     Drain,
-    /// Time has passed.
+    /// Time passed.
     Tick,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
-    /// With a whole answer of so many tokens, if that is known.
+    /// The response is complete.
     Done {
-        /// Tokens of the answer, 0 if unknown.
+        /// Number of tokens in the response, 0 if unknown.
         tokens: u32,
     },
-    /// In any other way.
+    /// The call ended in any other way.
     Failed,
 }
 
-/// What the owner of the gate has to do.
+/// An action that the owner of the gate has to carry out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Start the call at the endpoint.
     Start(CallKey),
-    /// Give a waiting online call its refusal; the gate has forgotten it.
+    /// Reject a waiting online call; the gate has removed it.
     Reject(CallKey, Rejection),
-    /// Give a waiting batch item back; the gate has forgotten it.
+    /// Return a waiting batch item; the gate has removed it.
     Return(CallKey),
-    /// Cancel a running batch item. Its place is free at once; it still
-    /// has to be reported as ended.
+    /// Cancel a running batch item. Its slot is free at once, but the owner
+    /// still has to report its end.
     Stop(CallKey, StopReason),
 }
 
 /// Why a running batch item is cancelled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopReason {
-    /// An online call needs its place; this is no failed attempt.
+    /// An online call needs the slot. This does not count as a failed attempt.
     Preempted,
-    /// The engine stands still. This counts as an attempt, else an item
-    /// that brings engines to a halt would go round for ever.
+    /// The engine is stalled. This counts as a failed attempt; otherwise an
+    /// item that stalls engines would be retried forever.
     Stalled,
 }
 
-/// A refusal; the call did not run.
+/// A rejection of a call that did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rejection {
-    /// Reason.
+    /// Reason for the rejection.
     pub reason: RejectReason,
-    /// When a place can be expected, in milliseconds.
+    /// Time until a slot is expected to be free, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// Reason of a refusal.
+/// Reason for a rejection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RejectReason {
-    /// The queue is full, or too long for the promise.
+    /// The queue is full, or the expected wait exceeds the latency target.
     Full,
     /// The endpoint makes no progress.
     Stalled,
-    /// The endpoint is leaving.
+    /// The endpoint is shutting down.
     Leaving,
 }
 
 impl RejectReason {
-    /// Returns the reason for people.
+    /// Returns the reason as human-readable text.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectReason::Full => "the endpoint is full",
--- a/crates/gate/src/waiting.rs
+++ b/crates/gate/src/class_queue.rs
@@ -4,17 +4,17 @@
 
 use crate::CallKey;
 
-/// Customers of whom a turn is kept; idle ones are dropped beyond it.
-const CUSTOMERS_MAX: usize = 1_024;
+/// Maximum number of flows before those of idle customers are removed.
+const MAX_FLOWS: usize = 1_024;
 
-/// Calls of one class that wait, in fair turns of their customers.
+/// Waiting calls of one class, with a fair queue over their customers.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct ClassQueue {
     queue: FairQueue<CallKey>,
     flows: IndexMap<Customer, FlowKey>,
 }
 
-impl Default for Waiting {
+impl Default for ClassQueue {
     fn default() -> Self {
         Self {
             queue: FairQueue::new(usize::MAX),
@@ -23,14 +23,14 @@
     }
 }
 
-impl Waiting {
+impl ClassQueue {
     pub(crate) fn push(
         &mut self,
         customer: &Customer,
         weight: u32,
         key: CallKey,
     ) {
-        if self.flows.len() >= CUSTOMERS_MAX {
+        if self.flows.len() >= MAX_FLOWS {
             self.drop_idle();
         }
         let queue = &mut self.queue;
@@ -39,22 +39,23 @@
             .entry(customer.clone())
             .or_insert_with(|| queue.add_flow(weight));
         queue.set_weight(flow, weight);
-        // The flow exists and takes any number.
+        // The flow exists and its length is not limited.
         let _ = queue.push(flow, 1, key);
     }
 
-    /// Takes the next call; it may have left meanwhile.
+    /// Removes and returns the next call, which may have left in the meantime.
     pub(crate) fn pop(&mut self) -> Option<CallKey> {
         self.queue.pop()
     }
 
-    /// Returns how many a customer has queued, those that have left included.
+    /// Returns how many calls a customer has queued, including those that have
+    /// left.
     pub(crate) fn len_of(&self, customer: &Customer) -> usize {
         let flow = self.flows.get(customer);
         flow.map_or(0, |flow| self.queue.flow_len(*flow))
     }
 
-    /// Drops all, which is right once none of them waits any more.
+    /// Removes all entries; to be called once no call of the class is waiting.
     pub(crate) fn clear(&mut self) {
         *self = Self::default();
     }
@@ -62,11 +63,11 @@
     fn drop_idle(&mut self) {
         let queue = &mut self.queue;
         self.flows.retain(|_, flow| {
-            let busy = queue.flow_len(*flow) > 0;
-            if !busy {
+            let is_busy = queue.flow_len(*flow) > 0;
+            if !is_busy {
                 queue.remove_flow(*flow);
             }
-            busy
+            is_busy
         });
     }
 }
--- a/crates/gate/src/dispatch.rs
+++ b/crates/gate/src/dispatch.rs
@@ -1,44 +1,45 @@
-//! What starts, stops and goes back.
+//! Starts and stops calls, and returns buffered batch items.
 
 use base::{Class, Millis};
 
 use crate::{
     Action, CallKey, Gate, Policy, RejectReason, Rejection, StopReason,
-    gate::Phase, measure::ago,
+    gate::Phase, measurements::ago,
 };
 
-/// Span that the items in hand last for, in milliseconds: a pull is
-/// answered within it.
-const HAND_MS: f64 = 100.0;
+/// Time for which the buffered items last, in milliseconds. A pull is answered
+/// within this time.
+const BUFFER_MS: f64 = 100.0;
 
-/// Fewest and most items in hand.
-const HAND_ITEMS: std::ops::RangeInclusive<u32> = 2..=8;
+/// Minimum and maximum number of buffered items.
+const BUFFER_ITEMS: std::ops::RangeInclusive<u32> = 2..=8;
 
-/// Part of the places that a burst needs to count as one.
-const BURST_PLACES: f64 = 0.25;
+/// Fraction of the slots that a burst has to need to count as one.
+const BURST_CAPACITY: f64 = 0.25;
 
 impl Gate {
-    /// Returns how many more batch items should be pulled now.
+    /// Returns how many more batch items to pull now.
     pub fn batch_wanted(&self, now: Millis) -> u32 {
-        if self.draining || self.stall.is_stalled() {
+        if self.is_draining || self.stall.is_stalled() {
             return 0;
         }
-        let room = self.batch_room(now);
-        if room == 0 {
-            // One item in hand tells when the earliest job is deadline; without
-            // it the floor could not rise during an endless rush.
+        let capacity = self.batch_capacity(now);
+        if capacity == 0 {
+            // One buffered item shows when the earliest job is due. Without it
+            // the floor could not rise during an endless burst.
             return u32::from(self.batch_waiting + self.batch_running == 0);
         }
-        let ends = f64::from(room) * HAND_MS / self.measure.item_ms().max(1.0);
-        let hand =
-            (ends.ceil() as u32).clamp(*HAND_ITEMS.start(), *HAND_ITEMS.end());
-        let have = self.batch_running + self.batch_waiting;
-        // Half of the hand lasts for a pull; asking at each item's end would
-        // make a message for each.
-        if have > room + hand / 2 {
+        let completions = f64::from(capacity) * BUFFER_MS
+            / self.measurements.item_ms().max(1.0);
+        let buffer = (completions.ceil() as u32)
+            .clamp(*BUFFER_ITEMS.start(), *BUFFER_ITEMS.end());
+        let pulled = self.batch_running + self.batch_waiting;
+        // Half of the buffer lasts for the duration of a pull. Pulling
+        // whenever an item ends would send one message per item.
+        if pulled > capacity + buffer / 2 {
             return 0;
         }
-        room + hand - have
+        capacity + buffer - pulled
     }
 
     pub(crate) fn dispatch(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -56,8 +57,8 @@
         self.start_batch(now, actions);
     }
 
-    /// Returns the places that online calls may take.
-    pub(crate) fn online_places(&self, now: Option<Millis>) -> u32 {
+    /// Returns the number of slots that online calls may use.
+    pub(crate) fn online_slots(&self, now: Option<Millis>) -> u32 {
         let options = &self.options;
         match options.policy {
             Policy::Open => u32::MAX,
@@ -73,13 +74,13 @@
     }
 
     fn start_online(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let places = self.online_places(Some(now));
-        let gives_way = self.options.policy == Policy::Adaptive;
-        while self.online_running < places && self.online_waiting > 0 {
-            let full = self.running() >= self.options.max_running;
-            if full
-                && gives_way
-                && !self.stop_youngest(StopReason::Preempted, actions)
+        let slots = self.online_slots(Some(now));
+        let preempts = self.options.policy == Policy::Adaptive;
+        while self.online_running < slots && self.online_waiting > 0 {
+            let is_full = self.running() >= self.options.max_running;
+            if is_full
+                && preempts
+                && !self.stop_newest(StopReason::Preempted, actions)
             {
                 return;
             }
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Stops batch items until a burst finds free places.
+    /// Stops batch items until enough slots are free for a burst.
     ///
-    /// An engine notices a cancelled call only when it next writes. A call
-    /// that takes the place of one at the same moment would wait for that
-    /// inside the engine. The reserve is refilled at half, so that single
-    /// calls do not stop an item each.
+    /// An engine notices a cancelled call only at its next write, so a call
+    /// that takes over a slot at the same moment would wait inside the engine.
+    /// The reserve is refilled once it is below one half, so that single calls
+    /// do not stop an item each.
     fn keep_reserve(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let reserve = self.reserve(now);
         let free = |gate: &Gate| {
@@ -107,40 +108,40 @@
         let floor = self.floor(now);
         while free(self) < reserve
             && self.batch_running > floor
-            && self.stop_youngest(StopReason::Preempted, actions)
+            && self.stop_newest(StopReason::Preempted, actions)
         {}
     }
 
     fn reserve(&self, now: Millis) -> u32 {
-        let arrived = self.arrivals.recent(now);
-        arrived.max(self.options.reserve_min)
+        let recent = self.arrivals.recent(now);
+        recent.max(self.options.reserve_min)
     }
 
     /// Returns how many batch items may run now.
-    pub(crate) fn batch_room(&self, now: Millis) -> u32 {
+    pub(crate) fn batch_capacity(&self, now: Millis) -> u32 {
         let options = &self.options;
         match options.policy {
             Policy::Open => return options.max_running,
             Policy::FixedShare => return options.batch_max_running,
             Policy::Adaptive => {}
         }
-        let taken = self.online_running + self.reserve(now);
-        let left = options.max_running.saturating_sub(taken);
-        let room = left.min(self.limit.get());
-        let back = f64::from(room) * self.return_part(now);
-        (back as u32).max(self.floor(now))
+        let reserved = self.online_running + self.reserve(now);
+        let remaining = options.max_running.saturating_sub(reserved);
+        let capacity = remaining.min(self.limit.get());
+        let ramped_capacity = f64::from(capacity) * self.ramp_fraction(now);
+        (ramped_capacity as u32).max(self.floor(now))
     }
 
-    /// Returns the part of its room that batch may use after a burst.
-    fn return_part(&self, now: Millis) -> f64 {
+    /// Returns the fraction of its capacity that batch may use after a burst.
+    fn ramp_fraction(&self, now: Millis) -> f64 {
         let Some(at) = self.burst_at else { return 1.0 };
-        let since = now.saturating_ms_since(at);
-        let ramped = since.saturating_sub(self.options.hold_ms);
-        let part = ramped as f64 / self.options.ramp_ms.max(1) as f64;
-        part.min(1.0)
+        let elapsed_ms = now.saturating_ms_since(at);
+        let ramped_ms = elapsed_ms.saturating_sub(self.options.hold_ms);
+        let fraction = ramped_ms as f64 / self.options.ramp_ms.max(1) as f64;
+        fraction.min(1.0)
     }
 
-    /// Returns the places that batch keeps because it is deadline.
+    /// Returns the number of slots that batch keeps because of its deadlines.
     pub(crate) fn floor(&self, now: Millis) -> u32 {
         let options = &self.options;
         let times = self
@@ -149,24 +150,25 @@
             .filter(|call| call.class == Class::Batch)
             .map(|call| call.deadline);
         let Some(first) = times.min() else { return 0 };
-        let left_ms = first.saturating_ms_since(now);
-        if left_ms >= options.floor_age_ms {
+        let remaining_ms = first.saturating_ms_since(now);
+        if remaining_ms >= options.floor_age_ms {
             return 0;
         }
-        let aged = 1.0 - left_ms as f64 / options.floor_age_ms as f64;
-        (f64::from(options.floor_max) * aged).ceil() as u32
+        let urgency = 1.0 - remaining_ms as f64 / options.floor_age_ms as f64;
+        (f64::from(options.floor_max) * urgency).ceil() as u32
     }
 
     fn start_batch(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.draining || self.batch_waiting == 0 {
+        if self.is_draining || self.batch_waiting == 0 {
             return;
         }
-        let room = self.batch_room(now);
+        let capacity = self.batch_capacity(now);
         let open = self.options.policy == Policy::Open;
         let floor = self.floor(now);
-        let rate = 2.0 * f64::from(room) / self.measure.item_ms().max(1.0);
-        self.pace.refill(now, rate);
-        while self.batch_running < room
+        let rate =
+            2.0 * f64::from(capacity) / self.measurements.item_ms().max(1.0);
+        self.pacer.refill(now, rate);
+        while self.batch_running < capacity
             && (open || self.running() < self.options.max_running)
             && self.may_start(floor)
         {
@@ -175,26 +177,27 @@
         }
     }
 
-    /// Tells whether the next batch item may start by its pace. Baselines
-    /// know no pace, nor do items that are deadline or an engine without any.
+    /// Reports whether the pacer permits the next batch item to start. The
+    /// baseline policies do not pace; nor are items below the floor or the
+    /// first running batch item paced.
     fn may_start(&mut self, floor: u32) -> bool {
         self.options.policy != Policy::Adaptive
             || self.batch_running < floor.max(1)
-            || self.pace.take()
+            || self.pacer.try_take()
     }
 
-    /// Tells whether many more online calls come than usual, and enough of
-    /// them to need a good part of the places.
+    /// Reports whether the arrival rate is far above its baseline and the
+    /// calls need a considerable fraction of the slots.
     fn is_burst(&mut self, now: Millis) -> bool {
         let Some(per_s) = self.arrivals.burst(now) else {
             return false;
         };
-        let places = f64::from(per_s) * self.measure.call_ms() / 1_000.0;
-        places > f64::from(self.options.max_running) * BURST_PLACES
+        let slots = f64::from(per_s) * self.measurements.call_ms() / 1_000.0;
+        slots > f64::from(self.options.max_running) * BURST_CAPACITY
     }
 
-    /// Lets one call at a time through to a stalled engine, which shows
-    /// whether it moves again.
+    /// Starts one call at a time on a stalled engine, to detect whether it
+    /// makes progress again.
     fn probe(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.running() > 0 {
             return;
@@ -209,7 +212,7 @@
             return;
         };
         call.phase = Phase::Running;
-        call.started = now;
+        call.started_at = now;
         match call.class {
             Class::Online => {
                 self.online_waiting = self.online_waiting.saturating_sub(1);
@@ -224,8 +227,9 @@
         actions.push(Action::Start(key));
     }
 
-    /// Stops the batch item that loses least, and tells whether one ran.
-    pub(crate) fn stop_youngest(
+    /// Stops the batch item that started last, which loses the least work.
+    /// Returns whether one was running.
+    pub(crate) fn stop_newest(
         &mut self,
         reason: StopReason,
         actions: &mut Vec<Action>,
@@ -233,8 +237,8 @@
         let running = self.calls.iter_mut().filter(|(_, call)| {
             call.class == Class::Batch && call.phase == Phase::Running
         });
-        let youngest = running.max_by_key(|(key, call)| (call.started, *key));
-        let Some((key, call)) = youngest else {
+        let newest = running.max_by_key(|(key, call)| (call.started_at, *key));
+        let Some((key, call)) = newest else {
             return false;
         };
         call.phase = Phase::Stopping;
@@ -245,8 +249,8 @@
 
     fn next_online(&mut self) -> Option<CallKey> {
         loop {
-            let key = self.online.pop()?;
-            if self.waits(key) {
+            let key = self.online_queue.pop()?;
+            if self.is_waiting(key) {
                 return Some(key);
             }
         }
@@ -254,32 +258,32 @@
 
     fn next_batch(&mut self) -> Option<CallKey> {
         loop {
-            let key = self.batch.pop()?;
-            if self.waits(key) {
+            let key = self.batch_queue.pop()?;
+            if self.is_waiting(key) {
                 return Some(key);
             }
         }
     }
 
-    fn waits(&self, key: CallKey) -> bool {
+    fn is_waiting(&self, key: CallKey) -> bool {
         let call = self.calls.get(key);
         call.is_some_and(|call| call.phase == Phase::Waiting)
     }
 
-    /// Gives up waiting online calls whose wait is over the bound: the
-    /// engine has become slower than was expected when they came.
-    pub(crate) fn give_up_late(
+    /// Rejects online calls that have waited beyond the limit, because the
+    /// engine became slower than expected when they arrived.
+    pub(crate) fn reject_late(
         &mut self,
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
         if self.online_waiting > 0 && self.options.policy != Policy::Open {
-            let before = ago(now, self.wait_max_ms());
-            self.give_up_waiting(RejectReason::Full, Some(before), actions);
+            let before = ago(now, self.max_wait_ms());
+            self.reject_waiting(RejectReason::Full, Some(before), actions);
         }
     }
 
-    pub(crate) fn give_up_waiting(
+    pub(crate) fn reject_waiting(
         &mut self,
         reason: RejectReason,
         arrived_before: Option<Millis>,
@@ -290,17 +294,18 @@
             reason,
             retry_after_ms,
         };
-        let late = |at| arrived_before.is_none_or(|before| at < before);
-        for key in self.waiting_of(Class::Online, late) {
+        let is_late = |at| arrived_before.is_none_or(|before| at < before);
+        for key in self.waiting_calls(Class::Online, is_late) {
             self.forget(key);
             actions.push(Action::Reject(key, refused));
         }
     }
 
-    /// Gives back batch items that have waited in hand since before a time.
+    /// Returns batch items that have been buffered since before the given
+    /// time.
     ///
-    /// Another companion may have room for them. Those that are deadline do not
-    /// wait so long, since the floor lets them start.
+    /// Another companion may have capacity for them. Items close to their
+    /// deadline do not wait that long, since the floor lets them start.
     pub(crate) fn return_waiting(
         &mut self,
         arrived_before: Millis,
@@ -309,35 +314,35 @@
         if self.batch_waiting == 0 {
             return;
         }
-        for key in self.waiting_of(Class::Batch, |at| at < arrived_before) {
+        for key in self.waiting_calls(Class::Batch, |at| at < arrived_before) {
             self.forget(key);
             actions.push(Action::Return(key));
         }
     }
 
-    fn waiting_of(
+    fn waiting_calls(
         &self,
         class: Class,
-        wanted: impl Fn(Millis) -> bool,
+        matches: impl Fn(Millis) -> bool,
     ) -> Vec<CallKey> {
         let calls = self.calls.iter().filter(|(_, call)| {
             call.class == class
                 && call.phase == Phase::Waiting
-                && wanted(call.arrived)
+                && matches(call.arrived_at)
         });
         calls.map(|(key, _)| key).collect()
     }
 
-    /// Forgets a waiting call; its place in the queue is passed over later.
+    /// Removes a waiting call. Its queue entry is skipped later.
     pub(crate) fn forget(&mut self, key: CallKey) {
         if let Some(call) = self.calls.remove(key) {
             self.uncount(&call);
         }
         if self.online_waiting == 0 {
-            self.online.clear();
+            self.online_queue.clear();
         }
         if self.batch_waiting == 0 {
-            self.batch.clear();
+            self.batch_queue.clear();
         }
     }
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,22 +1,22 @@
-//! Companion admission as a state machine without I/O.
+//! Admission control of an endpoint as a state machine without I/O.
 //!
-//! Engines know no priorities and admit all that arrives; the [`Gate`] beside
-//! an engine decides what it runs next. Online calls start at once while
-//! there is a place and take the places of batch items when there is none;
-//! batch items use what is left for as long as the measured latencies keep
-//! the promises. `docs/design/gate.md` weighs the alternatives.
+//! Engines know no priorities and admit every request; the [`Gate`] beside an
+//! engine decides which call runs next. Online calls start at once while a
+//! slot is free and preempt batch items when none is. Batch items use the
+//! remaining slots as long as the measured latencies meet their targets.
+//! `docs/design/gate.md` discusses the alternatives.
 
 mod arrivals;
 mod call;
+mod class_queue;
 mod dispatch;
 mod gate;
 mod limit;
-mod measure;
+mod measurements;
 mod options;
 mod pace;
-mod recent;
+mod samples;
 mod stall;
-mod waiting;
 
 pub use crate::{
     call::{
--- a/crates/gate/src/limit.rs
+++ b/crates/gate/src/limit.rs
@@ -1,29 +1,31 @@
 use base::Millis;
 
-/// Pressure above which the limit falls: a promise is broken.
+/// Pressure above which the limit decreases, because a latency target is
+/// missed.
 const PRESSURE_HIGH: f64 = 1.0;
 
-/// Pressure below which it rises.
+/// Pressure below which the limit increases.
 const PRESSURE_LOW: f64 = 0.9;
 
-/// Least factor of one fall.
-const FALL_MIN: f64 = 0.5;
+/// Lower bound of the factor of one decrease.
+const MIN_DECREASE: f64 = 0.5;
 
-/// What a fall aims at, in parts of the promise.
-const FALL_AIM: f64 = 0.95;
+/// Pressure that a decrease aims at.
+const DECREASE_TARGET: f64 = 0.95;
 
-/// Part of what is missing that one rise adds.
-const RISE_PART: f64 = 0.25;
+/// Fraction of the headroom that one increase adds.
+const INCREASE_FRACTION: f64 = 0.25;
 
-/// The number of batch items that the latencies allow.
+/// The maximum number of batch items that the latencies permit.
 ///
-/// It falls in proportion and rises in steps (AIMD), since the way from
-/// concurrency to latency differs between engines, models and prompts.
+/// It adapts by multiplicative decrease and additive increase (AIMD), since
+/// the relation between concurrency and latency differs between engines,
+/// models and prompts.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchLimit {
     value: f64,
     max: f64,
-    adapted: Millis,
+    adapted_at: Millis,
 }
 
 impl BatchLimit {
@@ -32,7 +34,7 @@
         Self {
             value: max,
             max,
-            adapted: now,
+            adapted_at: now,
         }
     }
 
@@ -40,36 +42,37 @@
         self.value as u32
     }
 
-    pub(crate) fn adapted(&self) -> Millis {
-        self.adapted
+    pub(crate) fn adapted_at(&self) -> Millis {
+        self.adapted_at
     }
 
     pub(crate) fn reset(&mut self, now: Millis) {
         self.value = self.max;
-        self.adapted = now;
+        self.adapted_at = now;
     }
 
-    /// Takes the latencies over the promises, and how many items ran at most
-    /// meanwhile; returns whether the limit fell.
+    /// Adapts the limit to the ratio of latencies to their targets and to the
+    /// peak number of running items since the last call. Returns whether the
+    /// limit decreased.
     pub(crate) fn adapt(
         &mut self,
         now: Millis,
         pressure: Option<f64>,
         batch_peak: u32,
     ) -> bool {
-        self.adapted = now;
+        self.adapted_at = now;
         let pressure = pressure.unwrap_or(0.0);
         if pressure > PRESSURE_HIGH {
-            // The limit may be far above what runs; falling from there would
-            // take several rounds without any effect.
+            // The limit may be far above the number of running items;
+            // decreasing from there would have no effect for several rounds.
             let from = self.value.min(f64::from(batch_peak));
-            self.value = from * (FALL_AIM / pressure).max(FALL_MIN);
+            self.value = from * (DECREASE_TARGET / pressure).max(MIN_DECREASE);
             return true;
         }
         if pressure < PRESSURE_LOW {
-            let missing = self.max - self.value;
-            let rise = (missing * RISE_PART).max(1.0);
-            self.value = (self.value + rise).min(self.max);
+            let headroom = self.max - self.value;
+            let increase = (headroom * INCREASE_FRACTION).max(1.0);
+            self.value = (self.value + increase).min(self.max);
         }
         false
     }
--- a/crates/gate/src/options.rs
+++ b/crates/gate/src/options.rs
@@ -2,24 +2,25 @@
 
 /// How batch items share an endpoint with online calls.
 ///
-/// All but [`Policy::Adaptive`] exist to be measured against.
+/// All policies except [`Policy::Adaptive`] exist as baselines for
+/// measurements.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// Batch uses what is left while the latencies keep the promises, and
-    /// gives way to online calls.
+    /// Batch uses the remaining slots while the latencies meet their targets,
+    /// and is preempted by online calls.
     #[default]
     Adaptive,
-    /// Batch and online each have a fixed part of the places.
+    /// Batch and online calls each have a fixed share of the slots.
     FixedShare,
     /// Everything starts at once, as if there were no gate; batch fills all
-    /// places.
+    /// slots.
     Open,
 }
 
-/// Sizes, promises and times of a gate.
+/// Capacity, latency targets and intervals of a gate.
 ///
 /// # Example
 ///
@@ -34,41 +35,42 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GateOptions {
-    /// How classes share the endpoint.
+    /// How batch and online calls share the endpoint.
     pub policy: Policy,
-    /// Calls that may run at once.
+    /// Maximum number of running calls.
     pub max_running: u32,
-    /// Batch items among them.
+    /// Maximum number of batch items among them.
     pub batch_max_running: u32,
-    /// Online calls that may wait.
+    /// Maximum number of waiting online calls.
     pub queue_max: u32,
-    /// Promised time to the first token.
+    /// Target of the time to the first token.
     pub first_token_target_ms: u32,
-    /// Promised gap between tokens.
+    /// Target of the time between tokens.
     pub between_tokens_target_ms: u32,
-    /// Places that stay free of batch at least.
+    /// Minimum number of slots that are kept free of batch items.
     pub reserve_min: u32,
-    /// Span over which arrivals are counted for the reserve.
+    /// Window over which arrivals are counted for the reserve.
     pub reserve_window_ms: u64,
-    /// Time between two changes of the batch limit.
+    /// Interval between two changes of the batch limit.
     pub adapt_ms: u64,
-    /// Pause of the batch after the last sign of a burst.
+    /// Time for which batch pauses after the last sign of a burst.
     pub hold_ms: u64,
-    /// Time over which the batch comes back after it.
+    /// Time over which batch ramps up again after that pause.
     pub ramp_ms: u64,
-    /// Most places that deadline batch items keep.
+    /// Maximum number of slots that batch keeps as its deadlines approach.
     pub floor_max: u32,
-    /// Time before the deadline time at which they begin to keep some.
+    /// Time before the deadline at which batch starts to keep slots.
     pub floor_age_ms: u64,
-    /// Silence of streams after which the engine counts as stalled; 0 never.
+    /// Time without progress of any stream after which the engine counts as
+    /// stalled; 0 disables the check.
     pub stall_after_ms: u64,
 }
 
-/// Online calls that may wait for each one that may run.
+/// Number of online calls that may wait for each one that may run.
 const WAITING_PER_RUNNING: u32 = 4;
 
 impl GateOptions {
-    /// Makes options for so many places, with defaults else.
+    /// Creates options for the given number of slots, with defaults otherwise.
     pub fn new(max_running: u32, batch_max_running: u32) -> Self {
         let max_running = max_running.max(1);
         Self {
@@ -89,13 +91,13 @@
         }
     }
 
-    /// Sets how classes share the endpoint.
+    /// Sets how batch and online calls share the endpoint.
     pub fn policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// Sets the promised time to the first token and gap between tokens.
+    /// Sets the targets of the time to the first token and between tokens.
     pub fn targets(mut self, first_ms: u32, between_ms: u32) -> Self {
         self.first_token_target_ms = first_ms.max(1);
         self.between_tokens_target_ms = between_ms.max(1);
--- a/crates/gate/src/stall.rs
+++ b/crates/gate/src/stall.rs
@@ -1,25 +1,26 @@
 use base::Millis;
 
-/// Notices that an engine stands still.
+/// Detects an engine that makes no progress.
 ///
-/// Its port and its health page may answer all the while, and calls would
-/// be sent to it until each has timed out. What shows it is that none of the
-/// calls that should move does. Only streams count: a whole answer comes
-/// at its end, and a long one looks like a stall until then.
+/// The port and the health endpoint of a stalled engine may still respond, and
+/// calls would be sent to it until each of them times out. The stall shows
+/// only in calls that make no progress. Only streams count: a response that is
+/// not streamed arrives at its end, and a long one looks like a stall until
+/// then.
 #[derive(Clone, Debug)]
-pub(crate) struct Stall {
-    after_ms: u64,
-    streams: u32,
-    quiet_since: Millis,
+pub(crate) struct StallDetector {
+    timeout_ms: u64,
+    active_streams: u32,
+    silent_since: Millis,
     stalled: bool,
 }
 
-impl Stall {
-    pub(crate) fn new(after_ms: u64) -> Self {
+impl StallDetector {
+    pub(crate) fn new(timeout_ms: u64) -> Self {
         Self {
-            after_ms,
-            streams: 0,
-            quiet_since: Millis::new(0),
+            timeout_ms,
+            active_streams: 0,
+            silent_since: Millis::new(0),
             stalled: false,
         }
     }
@@ -28,29 +29,30 @@
         self.stalled
     }
 
-    pub(crate) fn stream_began(&mut self, now: Millis) {
-        if self.streams == 0 {
-            self.quiet_since = now;
+    pub(crate) fn stream_started(&mut self, now: Millis) {
+        if self.active_streams == 0 {
+            self.silent_since = now;
         }
-        self.streams += 1;
+        self.active_streams += 1;
     }
 
     pub(crate) fn stream_ended(&mut self) {
-        self.streams = self.streams.saturating_sub(1);
+        self.active_streams = self.active_streams.saturating_sub(1);
     }
 
-    pub(crate) fn moved(&mut self, now: Millis) {
-        self.quiet_since = now;
+    pub(crate) fn on_progress(&mut self, now: Millis) {
+        self.silent_since = now;
         self.stalled = false;
     }
 
-    /// Returns whether a stall has just been noticed.
+    /// Updates the state and returns whether a stall was detected just now.
     pub(crate) fn check(&mut self, now: Millis) -> bool {
-        let quiet_ms = now.saturating_ms_since(self.quiet_since);
-        let silent =
-            self.after_ms > 0 && self.streams > 0 && quiet_ms >= self.after_ms;
-        let noticed = silent && !self.stalled;
-        self.stalled |= silent;
-        noticed
+        let silent_ms = now.saturating_ms_since(self.silent_since);
+        let is_silent = self.timeout_ms > 0
+            && self.active_streams > 0
+            && silent_ms >= self.timeout_ms;
+        let is_new = is_silent && !self.stalled;
+        self.stalled |= is_silent;
+        is_new
     }
 }
