--- a/crates/gate/tests/batch.rs
+++ b/crates/gate/tests/batch.rs
@@ -1,72 +1,73 @@
-//! Batch items: limit by latency, bursts, return, floor.
+//! Batch items: latency limit, bursts, buffering and the floor.
 
 mod common;
 
-use common::{FAR_MS, Stand};
+use common::{FAR_DEADLINE_MS, Harness};
 use pomeloslip_gate::{Action, CallKey, End, Event, GateOptions};
 
-fn stand() -> Stand {
-    Stand::new(GateOptions::new(32, 24))
+fn harness() -> Harness {
+    Harness::new(GateOptions::new(32, 24))
 }
 
-/// Runs a stream whose tokens come this far apart, for a while.
-fn stream(stand: &mut Stand, key: CallKey, gap_us: u32, ms: u64) {
+/// Runs a stream with the given gap between tokens for some time.
+fn stream(harness: &mut Harness, key: CallKey, gap_us: u32, ms: u64) {
     for _ in 0..ms / 50 {
         for _ in 0..4 {
-            stand.handle(Event::Token { key, gap_us });
+            harness.handle(Event::Token { key, gap_us });
         }
-        stand.pass_ms(50);
-        stand.fill();
+        harness.advance_ms(50);
+        harness.offer_wanted();
     }
 }
 
 #[test]
 fn fills_what_is_left_and_keeps_some_in_hand() {
-    let mut stand = stand();
-    stand.settle(24);
-    let load = stand.gate.load(stand.now);
+    let mut harness = harness();
+    harness.settle(24);
+    let load = harness.gate.load(harness.now);
     assert_eq!((load.batch_running, load.batch_waiting), (24, 3));
-    assert_eq!(stand.gate.batch_wanted(stand.now), 0);
-    // The next item starts as one ends, without a pull in between.
-    let ended = stand.starts()[0];
-    stand.pass_ms(50);
-    stand.end(ended);
-    assert_eq!(stand.starts().len(), 1);
+    assert_eq!(harness.gate.batch_wanted(harness.now), 0);
+    // The next item starts when one ends, without a pull in between.
+    let ended = harness.starts()[0];
+    harness.advance_ms(50);
+    harness.end(ended);
+    assert_eq!(harness.starts().len(), 1);
 }
 
-// Symptom: gaps of 150 ms between the tokens of a chat every second.
-// Sequence: items of like length start together, end together and are
-// prefilled together. Cause: starts were not spread.
+// Guards against gaps of 150 ms every second between the tokens of a chat.
+// Items of similar length that start together also end together, and are then
+// prefilled together.
 #[test]
 fn starts_are_spread() {
-    let mut stand = stand();
-    let mut most = 0;
+    let mut harness = harness();
+    let mut max = 0;
     for _ in 0..20 {
-        stand.fill();
-        stand.pass_ms(50);
-        most = most.max(stand.starts().len());
+        harness.offer_wanted();
+        harness.advance_ms(50);
+        max = max.max(harness.starts().len());
     }
-    assert_eq!(stand.batch_running(), 24);
-    assert!(most <= 4, "{most} in 50 ms");
+    assert_eq!(harness.batch_running(), 24);
+    assert!(max <= 4, "{max} in 50 ms");
 }
 
-// A rush that has not used up the places yet stops the batch from growing.
+// A burst prevents further items from starting even before it has used up the
+// free slots.
 #[test]
 fn no_item_starts_in_a_burst() {
-    let mut stand = stand();
-    stand.settle(24);
-    stand.pass_ms(10_000);
-    let items = stand.starts();
+    let mut harness = harness();
+    harness.settle(24);
+    harness.advance_ms(10_000);
+    let items = harness.starts();
     for _ in 0..12 {
-        stand.arrive().unwrap();
-        stand.pass_ms(50);
+        harness.arrive().unwrap();
+        harness.advance_ms(50);
     }
-    let mut stopped = stand.stops();
+    let mut stopped = harness.stops();
     for key in items.into_iter().take(6) {
-        let call = stand.arrive().unwrap();
-        stand.end(key);
-        stand.pass_ms(50);
-        let actions = stand.take();
+        let call = harness.arrive().unwrap();
+        harness.end(key);
+        harness.advance_ms(50);
+        let actions = harness.take_actions();
         let starts = actions
             .iter()
             .filter(|action| matches!(action, Action::Start(_)));
@@ -76,143 +77,145 @@
             _ => None,
         }));
     }
-    // Those that ran go on for as long as places are free.
+    // Items that are already running continue as long as slots are free.
     assert!(stopped.len() < 12, "{}", stopped.len());
 }
 
 #[test]
 fn falls_while_tokens_come_too_slowly_and_rises_again() {
-    let mut stand = stand();
-    let call = stand.arrive().unwrap();
-    stand.handle(Event::StreamStarted(call));
-    stand.handle(Event::FirstToken(call));
-    stand.fill();
-    stream(&mut stand, call, 60_000, 2_000);
-    let low = stand.gate.load(stand.now).batch_limit;
+    let mut harness = harness();
+    let call = harness.arrive().unwrap();
+    harness.handle(Event::StreamStarted(call));
+    harness.handle(Event::FirstToken(call));
+    harness.offer_wanted();
+    stream(&mut harness, call, 60_000, 2_000);
+    let low = harness.gate.load(harness.now).batch_limit;
     assert!(low <= 2, "{low}");
-    stream(&mut stand, call, 10_000, 4_000);
-    assert_eq!(stand.gate.load(stand.now).batch_limit, 24);
+    stream(&mut harness, call, 10_000, 4_000);
+    assert_eq!(harness.gate.load(harness.now).batch_limit, 24);
 }
 
 #[test]
-fn goes_by_its_own_speed_without_online_calls() {
-    let mut stand = stand();
-    stand.settle(24);
+fn limit_follows_batch_latency_without_online_calls() {
+    let mut harness = harness();
+    harness.settle(24);
     for _ in 0..8 {
-        let running = stand.starts();
-        stand.now = stand.now.saturating_add_ms(500);
-        // 8 tokens in 500 ms are 62 ms apart, and 30 are promised.
+        let running = harness.starts();
+        harness.now = harness.now.saturating_add_ms(500);
+        // 8 tokens in 500 ms are 62 ms apart; the target is 30 ms.
         for key in running {
             let end = End::Done { tokens: 8 };
-            stand.handle(Event::Ended { key, end });
+            harness.handle(Event::Ended { key, end });
         }
-        stand.handle(Event::Tick);
-        stand.fill();
+        harness.handle(Event::Tick);
+        harness.offer_wanted();
     }
-    let limit = stand.gate.load(stand.now).batch_limit;
+    let limit = harness.gate.load(harness.now).batch_limit;
     assert!((1..12).contains(&limit), "{limit}");
 }
 
 #[test]
 fn stops_items_when_a_first_token_is_late() {
-    let mut stand = stand();
-    stand.settle(24);
-    let call = stand.arrive().unwrap();
-    stand.handle(Event::StreamStarted(call));
-    stand.take();
-    stand.pass_ms(1_000);
-    assert!(stand.batch_running() <= 12, "{}", stand.batch_running());
+    let mut harness = harness();
+    harness.settle(24);
+    let call = harness.arrive().unwrap();
+    harness.handle(Event::StreamStarted(call));
+    harness.take_actions();
+    harness.advance_ms(1_000);
+    assert!(harness.batch_running() <= 12, "{}", harness.batch_running());
 }
 
-// Symptom: the first calls of a rush wait although batch gives way.
-// Sequence: each call takes the place of an item, which the engine drops
-// only at its next write. Cause: no place was free before the call came.
+// Guards against a wait of the first calls of a burst although batch is
+// preempted. If no slot is free beforehand, each call takes the slot of an
+// item that the engine drops only at its next write.
 #[test]
 fn a_burst_finds_free_places() {
-    let mut stand = stand();
-    stand.settle(24);
-    let mut least_free = u32::MAX;
+    let mut harness = harness();
+    harness.settle(24);
+    let mut min_free = u32::MAX;
     for _ in 0..20 {
-        stand.arrive().unwrap();
-        let running = stand.gate.load(stand.now).running;
-        least_free = least_free.min(32 - running);
-        stand.now = stand.now.saturating_add_ms(10);
+        harness.arrive().unwrap();
+        let running = harness.gate.load(harness.now).running;
+        min_free = min_free.min(32 - running);
+        harness.now = harness.now.saturating_add_ms(10);
     }
-    assert!(least_free >= 3, "{least_free}");
-    assert_eq!(stand.batch_running(), 0);
-    assert!(stand.gate.batch_wanted(stand.now) <= 1);
+    assert!(min_free >= 3, "{min_free}");
+    assert_eq!(harness.batch_running(), 0);
+    assert!(harness.gate.batch_wanted(harness.now) <= 1);
 }
 
 #[test]
 fn comes_back_within_seconds_after_a_burst() {
-    let mut stand = stand();
-    stand.settle(24);
-    let calls: Vec<_> = (0..30).filter_map(|_| stand.arrive().ok()).collect();
-    assert_eq!(stand.batch_running(), 0);
-    stand.pass_ms(250);
+    let mut harness = harness();
+    harness.settle(24);
+    let calls: Vec<_> =
+        (0..30).filter_map(|_| harness.arrive().ok()).collect();
+    assert_eq!(harness.batch_running(), 0);
+    harness.advance_ms(250);
     for key in calls {
-        stand.end(key);
+        harness.end(key);
     }
     let ms = (0..40).find(|_| {
-        stand.fill();
-        stand.pass_ms(50);
-        stand.batch_running() >= 24
+        harness.offer_wanted();
+        harness.advance_ms(50);
+        harness.batch_running() >= 24
     });
     assert!(ms.is_some_and(|ticks| ticks * 50 <= 2_000), "{ms:?}");
 }
 
 #[test]
 fn single_calls_stop_no_items() {
-    let mut stand = stand();
-    stand.settle(24);
+    let mut harness = harness();
+    harness.settle(24);
     for _ in 0..20 {
-        let call = stand.arrive().unwrap();
-        stand.pass_ms(200);
-        stand.end(call);
-        stand.fill();
+        let call = harness.arrive().unwrap();
+        harness.advance_ms(200);
+        harness.end(call);
+        harness.offer_wanted();
     }
-    assert!(stand.stops().is_empty());
+    assert!(harness.stops().is_empty());
 }
 
 #[test]
 fn keeps_places_for_items_that_are_due() {
-    let mut stand = stand();
+    let mut harness = harness();
     for _ in 0..6 {
-        stand.offer(0);
+        harness.offer(0);
     }
     for _ in 0..40 {
-        let _ = stand.arrive();
+        let _ = harness.arrive();
     }
-    // An eighth of the places, and online has all others.
-    let load = stand.gate.load(stand.now);
+    // Batch keeps one eighth of the slots; online calls have all others.
+    let load = harness.gate.load(harness.now);
     assert_eq!((load.running, load.batch_running), (32, 4));
 }
 
 #[test]
 fn the_floor_rises_with_time() {
-    let mut stand = stand();
-    let calls: Vec<_> = (0..40).filter_map(|_| stand.arrive().ok()).collect();
-    // Nothing runs, yet one item is asked for, to know when it is deadline.
-    assert_eq!(stand.gate.batch_wanted(stand.now), 1);
-    let item = stand.offer(4_000_000);
-    stand.take();
-    stand.pass_ms(5_050);
-    assert_eq!(stand.take().last(), Some(&Action::Return(item)));
-    // A place that a call leaves goes to the floor before waiting calls.
-    let urgent = stand.offer(1_000_000);
-    stand.arrive().unwrap();
-    assert!(stand.starts().is_empty());
-    stand.end(calls[0]);
-    assert_eq!(stand.starts(), [urgent]);
+    let mut harness = harness();
+    let calls: Vec<_> =
+        (0..40).filter_map(|_| harness.arrive().ok()).collect();
+    // No item runs, but one is requested, to know its deadline.
+    assert_eq!(harness.gate.batch_wanted(harness.now), 1);
+    let item = harness.offer(4_000_000);
+    harness.take_actions();
+    harness.advance_ms(5_050);
+    assert_eq!(harness.take_actions().last(), Some(&Action::Return(item)));
+    // A slot that a call frees goes to the floor before the waiting calls.
+    let urgent = harness.offer(1_000_000);
+    harness.arrive().unwrap();
+    assert!(harness.starts().is_empty());
+    harness.end(calls[0]);
+    assert_eq!(harness.starts(), [urgent]);
 }
 
 #[test]
 fn items_in_hand_are_taken_earliest_first_within_a_customer() {
-    let mut stand = Stand::new(GateOptions::new(1, 1));
-    let running = stand.offer(FAR_MS);
-    let first = stand.offer(FAR_MS);
-    stand.offer(FAR_MS);
-    stand.take();
-    stand.end(running);
-    assert_eq!(stand.starts(), [first]);
+    let mut harness = Harness::new(GateOptions::new(1, 1));
+    let running = harness.offer(FAR_DEADLINE_MS);
+    let first = harness.offer(FAR_DEADLINE_MS);
+    harness.offer(FAR_DEADLINE_MS);
+    harness.take_actions();
+    harness.end(running);
+    assert_eq!(harness.starts(), [first]);
 }
--- a/crates/gate/tests/common/mod.rs
+++ b/crates/gate/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gate on a stepped clock.
+//! A gate on a simulated clock.
 
 #![allow(dead_code)]
 
@@ -8,16 +8,16 @@
     Rejection,
 };
 
-/// Due so late that it does not matter.
-pub(crate) const FAR_MS: u64 = 1 << 40;
+/// Deadline far enough in the future to have no effect, in milliseconds.
+pub(crate) const FAR_DEADLINE_MS: u64 = 1 << 40;
 
-pub(crate) struct Stand {
+pub(crate) struct Harness {
     pub(crate) gate: Gate,
     pub(crate) now: Millis,
     pub(crate) actions: Vec<Action>,
 }
 
-impl Stand {
+impl Harness {
     pub(crate) fn new(options: GateOptions) -> Self {
         let now = Millis::new(1_000_000);
         let gate = Gate::new(options, now);
@@ -26,10 +26,10 @@
     }
 
     pub(crate) fn arrive(&mut self) -> Result<CallKey, Rejection> {
-        self.arrive_of("alama", 1)
+        self.arrive_as("alama", 1)
     }
 
-    pub(crate) fn arrive_of(
+    pub(crate) fn arrive_as(
         &mut self,
         customer: &str,
         weight: u32,
@@ -51,24 +51,24 @@
         self.gate.submit_batch(self.now, &item, &mut self.actions)
     }
 
-    /// Offers items as a companion does, for as long as they are wanted.
-    pub(crate) fn fill(&mut self) {
+    /// Offers items like a companion does, until no more are wanted.
+    pub(crate) fn offer_wanted(&mut self) {
         for _ in 0..self.gate.batch_wanted(self.now) {
-            self.offer(FAR_MS);
+            self.offer(FAR_DEADLINE_MS);
         }
     }
 
-    /// Lets batch start at its pace until so many items run, which must not
-    /// take longer than a second.
+    /// Lets batch items start at their pace until the given number runs,
+    /// within a second.
     pub(crate) fn settle(&mut self, batch_running: u32) {
         for _ in 0..20 {
-            self.fill();
+            self.offer_wanted();
             if self.batch_running() == batch_running {
                 return;
             }
-            self.pass_ms(50);
+            self.advance_ms(50);
         }
-        panic!("{} items run", self.batch_running());
+        panic!("{} items are running", self.batch_running());
     }
 
     pub(crate) fn handle(&mut self, event: Event) {
@@ -80,21 +80,21 @@
         self.handle(Event::Ended { key, end });
     }
 
-    /// Lets time pass in ticks of 50 ms.
-    pub(crate) fn pass_ms(&mut self, ms: u64) {
+    /// Advances the time in ticks of 50 ms.
+    pub(crate) fn advance_ms(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.now = self.now.saturating_add_ms(50);
             self.handle(Event::Tick);
         }
     }
 
-    /// Takes the actions so far.
-    pub(crate) fn take(&mut self) -> Vec<Action> {
+    /// Takes the pending actions.
+    pub(crate) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     pub(crate) fn stops(&mut self) -> Vec<CallKey> {
-        let stops = self.take().into_iter().filter_map(|action| {
+        let stops = self.take_actions().into_iter().filter_map(|action| {
             let Action::Stop(key, _) = action else {
                 return None;
             };
@@ -104,7 +104,7 @@
     }
 
     pub(crate) fn starts(&mut self) -> Vec<CallKey> {
-        let starts = self.take().into_iter().filter_map(|action| {
+        let starts = self.take_actions().into_iter().filter_map(|action| {
             let Action::Start(key) = action else {
                 return None;
             };
