--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -1,21 +1,21 @@
 use base::Millis;
 
-/// Parts of a token that a bucket counts in. With whole parts, low rates
-/// lose nothing to rounding, however often they are asked.
-const PARTS: u64 = 1_000_000_000;
+/// Units per token. A bucket counts in integer units, so that low rates lose
+/// nothing to rounding, however often the bucket is used.
+const UNITS_PER_TOKEN: u64 = 1_000_000_000;
 
-/// Parts that a rate of one token a second brings each millisecond.
-const PARTS_PER_MS: f64 = 1_000_000.0;
+/// Units per millisecond at a rate of one token per second.
+const UNITS_PER_MS: f64 = 1_000_000.0;
 
-/// Longest wait that is told, in milliseconds.
-const WAIT_MAX_MS: u64 = 3_600_000;
+/// Maximum retry delay in a refusal, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 3_600_000;
 
-/// Limits a rate: tokens come in at a steady rate up to a burst, and each
+/// Limits a rate: tokens accrue at a steady rate up to a burst, and each
 /// request takes one.
 ///
-/// It holds no reservations. A queue inside the limit was rejected: a
-/// request over the limit gets its refusal at once, with the time to come
-/// back, and does not wait near its deadline.
+/// The bucket holds no reservations. A queue inside the limit was rejected: a
+/// request over the limit is refused at once, with the time after which to
+/// retry, and does not wait until close to its deadline.
 ///
 /// # Example
 ///
@@ -31,88 +31,88 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    parts_per_ms: u64,
+    units_per_ms: u64,
     capacity: u64,
-    parts: u64,
+    units: u64,
     updated: Millis,
 }
 
 impl TokenBucket {
-    /// Makes a full bucket; a burst of 0 is taken as 1, since no request
+    /// Creates a full bucket. A burst of 0 is treated as 1, since no request
     /// could ever pass otherwise.
     pub fn new(rate_per_s: f64, burst: u32, now: Millis) -> Self {
-        let capacity = u64::from(burst.max(1)) * PARTS;
+        let capacity = u64::from(burst.max(1)) * UNITS_PER_TOKEN;
         Self {
-            parts_per_ms: parts_per_ms(rate_per_s),
+            units_per_ms: units_per_ms(rate_per_s),
             capacity,
-            parts: capacity,
+            units: capacity,
             updated: now,
         }
     }
 
-    /// Makes an empty bucket: for a counter that does not know what was let
-    /// through before it started.
+    /// Creates an empty bucket, for a counter that does not know how many
+    /// requests were admitted before it started.
     pub fn empty(rate_per_s: f64, burst: u32, now: Millis) -> Self {
         Self {
-            parts: 0,
+            units: 0,
             ..Self::new(rate_per_s, burst, now)
         }
     }
 
-    /// Changes rate and burst and keeps what is in the bucket, so that a
-    /// configuration change is no second burst.
+    /// Changes rate and burst but keeps the current tokens, so that a
+    /// configuration change does not permit a second burst.
     pub fn set(&mut self, rate_per_s: f64, burst: u32, now: Millis) {
         self.refill(now);
-        self.parts_per_ms = parts_per_ms(rate_per_s);
-        self.capacity = u64::from(burst.max(1)) * PARTS;
-        self.parts = self.parts.min(self.capacity);
+        self.units_per_ms = units_per_ms(rate_per_s);
+        self.capacity = u64::from(burst.max(1)) * UNITS_PER_TOKEN;
+        self.units = self.units.min(self.capacity);
     }
 
     /// Takes one token.
     ///
     /// # Errors
     ///
-    /// [`OverLimit`] if there is none; nothing is taken then.
+    /// [`OverLimit`] if no token is available; the bucket is unchanged then.
     pub fn try_take(&mut self, now: Millis) -> Result<(), OverLimit> {
         self.refill(now);
-        if let Some(rest) = self.parts.checked_sub(PARTS) {
-            self.parts = rest;
+        if let Some(remaining) = self.units.checked_sub(UNITS_PER_TOKEN) {
+            self.units = remaining;
             return Ok(());
         }
-        let missing = PARTS - self.parts;
-        let wait_ms = match self.parts_per_ms {
-            0 => WAIT_MAX_MS,
-            rate => missing.div_ceil(rate).min(WAIT_MAX_MS),
+        let missing = UNITS_PER_TOKEN - self.units;
+        let retry_after_ms = match self.units_per_ms {
+            0 => MAX_RETRY_AFTER_MS,
+            rate => missing.div_ceil(rate).min(MAX_RETRY_AFTER_MS),
         };
-        Err(OverLimit::new(wait_ms))
+        Err(OverLimit::new(retry_after_ms))
     }
 
-    /// Gives one token back that was taken for a request which then did not
-    /// run for another reason.
+    /// Returns the token of a request that was then not run for another
+    /// reason.
     pub fn refund(&mut self) {
-        self.parts = (self.parts + PARTS).min(self.capacity);
+        self.units = (self.units + UNITS_PER_TOKEN).min(self.capacity);
     }
 
-    /// Returns the whole tokens that are there.
+    /// Returns the number of whole tokens that are available.
     pub fn available(&mut self, now: Millis) -> u32 {
         self.refill(now);
-        u32::try_from(self.parts / PARTS).unwrap_or(u32::MAX)
+        u32::try_from(self.units / UNITS_PER_TOKEN).unwrap_or(u32::MAX)
     }
 
     fn refill(&mut self, now: Millis) {
         let elapsed_ms = now.saturating_ms_since(self.updated);
-        let parts = elapsed_ms.saturating_mul(self.parts_per_ms);
-        self.parts = self.parts.saturating_add(parts).min(self.capacity);
+        let units = elapsed_ms.saturating_mul(self.units_per_ms);
+        self.units = self.units.saturating_add(units).min(self.capacity);
         self.updated = self.updated.max(now);
     }
 }
 
-fn parts_per_ms(rate_per_s: f64) -> u64 {
-    // The cast saturates, and takes what is no number as 0.
-    (rate_per_s * PARTS_PER_MS).round() as u64
+fn units_per_ms(rate_per_s: f64) -> u64 {
+    // The cast saturates and converts NaN to 0.
+    (rate_per_s * UNITS_PER_MS).round() as u64
 }
 
-/// Says that a limit is reached.
+/// Error for a request over a limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OverLimit {
     retry_after_ms: u64,
@@ -123,8 +123,7 @@
         Self { retry_after_ms }
     }
 
-    /// Returns the wait after which it makes sense to come back, in
-    /// milliseconds.
+    /// Returns the time after which to retry, in milliseconds.
     #[inline]
     pub fn retry_after_ms(self) -> u64 {
         self.retry_after_ms
--- a/crates/limits/src/concurrency.rs
+++ b/crates/limits/src/concurrency.rs
@@ -5,8 +5,8 @@
 
 use crate::OverLimit;
 
-/// Wait that is told to a caller who finds no place, in milliseconds. When a
-/// place comes free is not known; this is about the length of a request.
+/// Retry delay of a caller that finds no free slot, in milliseconds. When a
+/// slot becomes free is unknown; this is about the duration of a request.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 #[derive(Debug)]
@@ -15,11 +15,11 @@
     running: AtomicU32,
 }
 
-/// Limits how many requests run at once.
+/// Limits the number of concurrent requests.
 ///
-/// Clones share one limit. A place is freed when its [`Permit`] is dropped,
-/// on every path, also if a caller goes away or a task panics; a count that
-/// is given back by hand would leak places on the path that forgets it.
+/// Clones share one limit. A slot is freed when its [`Permit`] is dropped, on
+/// every path, also if a caller disconnects or a task panics. A count that has
+/// to be released explicitly would leak slots on any path that forgets to.
 ///
 /// # Example
 ///
@@ -37,7 +37,7 @@
 pub struct ConcurrencyLimit(Arc<Inner>);
 
 impl ConcurrencyLimit {
-    /// Makes a limit; 0 lets nothing run.
+    /// Creates a limit; 0 admits nothing.
     pub fn new(limit: u32) -> Self {
         Self(Arc::new(Inner {
             limit: AtomicU32::new(limit),
@@ -45,8 +45,8 @@
         }))
     }
 
-    /// Changes the limit. What runs goes on; a lower limit holds from the
-    /// next request on.
+    /// Changes the limit. Running requests continue; a lower limit applies
+    /// from the next request on.
     pub fn set(&self, limit: u32) {
         self.0.limit.store(limit, Ordering::Relaxed);
     }
@@ -57,17 +57,17 @@
         self.0.limit.load(Ordering::Relaxed)
     }
 
-    /// Returns how many run.
+    /// Returns the number of running requests.
     #[inline]
     pub fn running(&self) -> u32 {
         self.0.running.load(Ordering::Relaxed)
     }
 
-    /// Takes a place.
+    /// Acquires a slot.
     ///
     /// # Errors
     ///
-    /// [`OverLimit`] if all are taken.
+    /// [`OverLimit`] if all slots are in use.
     pub fn try_acquire(&self) -> Result<Permit, OverLimit> {
         let limit = self.limit();
         let taken = self.0.running.fetch_update(
@@ -82,9 +82,9 @@
     }
 }
 
-/// A place under a [`ConcurrencyLimit`], free again when dropped.
+/// A slot under a [`ConcurrencyLimit`], freed on drop.
 #[derive(Debug)]
-#[must_use = "the place is free again when the permit is dropped"]
+#[must_use = "the slot is freed when the permit is dropped"]
 pub struct Permit(Arc<Inner>);
 
 impl Drop for Permit {
--- a/crates/limits/src/even.rs
+++ b/crates/limits/src/even.rs
@@ -7,29 +7,29 @@
     front_count::FrontCount,
 };
 
-/// Gives each front an even part of each limit, without a message.
+/// Splits each limit evenly over the fronts, without messages.
 ///
-/// The simplest way, and the measure for others: callers come unevenly, and
-/// a customer with a few requests a second over many fronts has less than
-/// one at each of them.
+/// This is the simplest limiter and the baseline for others. Callers are
+/// spread unevenly, and a customer with a few requests per second over many
+/// fronts has less than one at each of them.
 ///
 /// # Example
 ///
 /// ```
 /// use base::{Customer, Millis};
 /// use pomeloslip_limits::{
-///     Tolerance, RateLimit, EvenSplit, FleetLimiter, LimitAction, LimitNodes,
-///     Ticket, LimitDecision,
+///     EvenSplit, FleetLimiter, LimitAction, LimitDecision, LimitNodes,
+///     RateLimit, Ticket, Tolerance,
 /// };
 ///
 /// let now = Millis::new(0);
-/// let mut way = EvenSplit::new("f1", Tolerance::default());
+/// let mut limiter = EvenSplit::new("f1", Tolerance::default());
 /// let fronts = vec!["f1".to_owned(), "f2".to_owned()];
-/// way.set_nodes(&LimitNodes { fronts, ..LimitNodes::default() }, now);
-/// let customer: Customer = "alama".parse().expect("a name");
-/// let limit = RateLimit::try_new(2.0, 2).expect("a limit");
-/// way.request(Ticket(1), &customer, limit, now);
-/// let actions = way.take_actions();
+/// limiter.set_nodes(&LimitNodes { fronts, ..LimitNodes::default() }, now);
+/// let customer: Customer = "alama".parse().expect("a valid name");
+/// let limit = RateLimit::try_new(2.0, 2).expect("a valid limit");
+/// limiter.request(Ticket(1), &customer, limit, now);
+/// let actions = limiter.take_actions();
 /// assert!(matches!(
 ///     actions[..],
 ///     [LimitAction::Decide { decision: LimitDecision::OverLimit(_), .. }]
@@ -47,8 +47,8 @@
 }
 
 impl EvenSplit {
-    /// Starts with empty buckets: what an earlier process of this front let
-    /// through is not known.
+    /// Creates a limiter with empty buckets, since the requests that an
+    /// earlier process of this front admitted are unknown.
     pub fn new(node: &str, tolerance: Tolerance) -> Self {
         Self {
             node: stable_hash(&[node]),
@@ -61,31 +61,32 @@
     }
 }
 
-/// When to come back where this front has no part at all, in milliseconds:
-/// the next try reaches another one.
-const NEVER_MS: u64 = 1_000;
+/// Retry delay at a front without any share of the limit, in milliseconds. The
+/// next attempt reaches another front.
+const NO_SHARE_RETRY_MS: u64 = 1_000;
 
 impl EvenSplit {
-    /// Returns the whole requests of this front's part of a burst. Parts are
-    /// rounded by chance, so that they add up over the fronts.
+    /// Returns this front's share of a burst in whole requests. The rounding
+    /// is pseudorandom per customer and front, so that the shares add up over
+    /// the fronts.
     fn burst_tokens(
         &self,
         customer: &Customer,
         limit: RateLimit,
         fronts: u32,
     ) -> u32 {
-        let part = self.tolerance.burst_tokens(limit) / f64::from(fronts);
+        let share = self.tolerance.burst_tokens(limit) / f64::from(fronts);
         let name = stable_hash(&[customer.as_str()]);
-        let chance = mix(name ^ self.node) as f64 / u64::MAX as f64;
-        (part + chance).floor() as u32
+        let dither = mix(name ^ self.node) as f64 / u64::MAX as f64;
+        (share + dither).floor() as u32
     }
 }
 
 impl FleetLimiter for EvenSplit {
     fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis) {
         self.fronts.observe(&nodes.fronts, now);
-        let own = |front: &String| stable_hash(&[front]) == self.node;
-        self.is_listed |= nodes.fronts.iter().any(own);
+        let is_own = |front: &String| stable_hash(&[front]) == self.node;
+        self.is_listed |= nodes.fronts.iter().any(is_own);
     }
 
     fn request(
@@ -99,16 +100,16 @@
         let rate = limit.per_s() / f64::from(fronts);
         let burst_tokens = self.burst_tokens(customer, limit, fronts);
         let entry = self.buckets.entry(customer.clone());
-        let (known, parts, bucket) = entry.or_insert_with(|| {
+        let (known_limit, known_fronts, bucket) = entry.or_insert_with(|| {
             (limit, fronts, TokenBucket::empty(rate, burst_tokens, now))
         });
-        if *known != limit || *parts != fronts {
-            (*known, *parts) = (limit, fronts);
+        if *known_limit != limit || *known_fronts != fronts {
+            (*known_limit, *known_fronts) = (limit, fronts);
             bucket.set(rate, burst_tokens, now);
         }
         let decision = match bucket.try_take(now) {
             _ if burst_tokens == 0 || !self.is_listed => {
-                LimitDecision::OverLimit(OverLimit::new(NEVER_MS))
+                LimitDecision::OverLimit(OverLimit::new(NO_SHARE_RETRY_MS))
             }
             Ok(()) => LimitDecision::Admitted(QuotaPermit::new()),
             Err(over) => LimitDecision::OverLimit(over),
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,17 +1,18 @@
 //! Customer rate and concurrency limits and retry budgets without I/O.
 //!
 //! Each limit is a small state machine that takes the time as an argument:
-//! rates ([`TokenBucket`]), requests at once ([`ConcurrencyLimit`]), both for
-//! every customer ([`LimitTable`]), an entry's part of a limit of the fleet
-//! ([`LimitShare`]), retries ([`RetryBudget`]) and fair turns of customers
-//! ([`FairQueue`]).
+//! request rates ([`TokenBucket`]), concurrent requests
+//! ([`ConcurrencyLimit`]), both per customer ([`LimitTable`]), an entry's
+//! share of a fleet-wide limit ([`LimitShare`]), retries ([`RetryBudget`]) and
+//! fair queueing over customers ([`FairQueue`]).
 //!
-//! A cap over all fronts is held by a [`FleetLimiter`]: [`EvenSplit`] gives
-//! each front a fixed part, [`TokenClient`] lends its parts to a few nodes
-//! ([`TokenServer`]) that count for many fronts.
+//! A rate limit over all fronts is enforced by a [`FleetLimiter`]:
+//! [`EvenSplit`] gives each front a fixed share, while [`TokenClient`] allots
+//! its shares to a few nodes ([`TokenServer`]) that count requests for many
+//! fronts.
 //!
-//! A refusal always says when to come back ([`OverLimit`]); nothing waits
-//! inside a limit.
+//! A refusal always includes the time after which to retry ([`OverLimit`]); no
+//! request waits inside a limit.
 
 mod bucket;
 mod cap;
--- a/crates/limits/src/limiter.rs
+++ b/crates/limits/src/limiter.rs
@@ -2,22 +2,22 @@
 
 use crate::{OverLimit, QuotaPermit, RateLimit, TokenRequest, TokenResponse};
 
-/// Names a request that waits for a decision.
+/// Identifies a request that waits for a decision.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
 /// Whether a request is within its customer's limit.
 #[derive(Debug)]
 pub enum LimitDecision {
-    /// It is, and is counted.
+    /// The request is within the limit and was counted.
     Admitted(QuotaPermit),
-    /// It is not.
+    /// The request is over the limit.
     OverLimit(OverLimit),
-    /// Nobody who could count it answers.
+    /// No node that could count the request responds.
     Unavailable,
 }
 
-/// What a limiter demands done.
+/// An action that the owner of a limiter has to carry out.
 #[derive(Debug)]
 pub enum LimitAction {
     /// Send a message to a node.
@@ -27,33 +27,34 @@
         /// The message.
         request: TokenRequest,
     },
-    /// Go on with a request.
+    /// Continue with a request.
     Decide {
         /// The request.
         ticket: Ticket,
-        /// What became of it.
+        /// Whether it is admitted.
         decision: LimitDecision,
     },
 }
 
-/// The nodes that hold limits together.
+/// The nodes that enforce limits together.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LimitNodes {
-    /// Those that take callers' requests.
+    /// Nodes that accept callers' requests.
     pub fronts: Vec<String>,
-    /// Those that do not, and count for the fronts before others do.
+    /// Nodes that do not, and are preferred as token servers.
     pub workers: Vec<String>,
 }
 
-/// A way of holding limits over all fronts, seen from one of them.
+/// Enforces limits over all fronts, from the point of view of one front.
 ///
-/// It does no I/O: its owner carries out the actions, hands in what arrives
-/// and calls [`tick`](Self::tick) at the time that it names.
+/// A limiter does no I/O: its owner carries out the actions, passes in the
+/// responses that arrive, and calls [`tick`](Self::tick) at the time that
+/// [`next_tick`](Self::next_tick) returns.
 pub trait FleetLimiter: Send {
-    /// Takes the nodes that are listed now.
+    /// Updates the listed nodes.
     fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis);
 
-    /// Asks for one request; the decision comes as an action.
+    /// Requests admission of one request; the decision follows as an action.
     fn request(
         &mut self,
         ticket: Ticket,
@@ -62,15 +63,15 @@
         now: Millis,
     );
 
-    /// Takes the answer of another node.
+    /// Handles the response of another node.
     fn receive(&mut self, from: &str, reply: &TokenResponse, now: Millis);
 
-    /// Does what is due.
+    /// Does the work that is due.
     fn tick(&mut self, now: Millis);
 
-    /// Returns when something is due.
+    /// Returns when the next work is due.
     fn next_tick(&self) -> Option<Millis>;
 
-    /// Returns what is to be done, in order.
+    /// Returns the pending actions, in order.
     fn take_actions(&mut self) -> Vec<LimitAction>;
 }
--- a/crates/limits/src/pool/fraction.rs
+++ b/crates/limits/src/pool/fraction.rs
@@ -2,72 +2,74 @@
 
 use base::Millis;
 
-/// Least part that counts: far below that of one front in any fleet.
-const LEAST: f64 = 1e-9;
+/// Minimum fraction that counts: far below that of one front in any fleet.
+const MIN_FRACTION: f64 = 1e-9;
 
-/// Part of the caps that is lent to a pool, over time.
+/// Fraction of the limits that is allotted to a token pool, over time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fraction {
-    now: f64,
-    at: Millis,
-    /// Sum of the part over time, in milliseconds.
+    current: f64,
+    updated_at: Millis,
+    /// Integral of the fraction over time, in milliseconds.
     sum: f64,
-    /// Former values and until when each held; both rise. A value that a
-    /// later one was not above is left out, since only lows count.
-    lows: VecDeque<(Millis, f64)>,
+    /// Former values and the end of each; both increase. A value that is not
+    /// below a later one is omitted, since only minima matter.
+    minima: VecDeque<(Millis, f64)>,
 }
 
-/// What a bucket knows of a pool's past.
+/// State of a pool when a bucket was last refilled.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Mark {
+pub(super) struct Snapshot {
     at: Millis,
     sum: f64,
 }
 
 impl Fraction {
-    /// Returns the part that is lent now.
+    /// Returns the fraction that is currently allotted.
     pub(super) fn get(&self) -> f64 {
-        self.now
+        self.current
     }
 
-    /// Changes the part.
+    /// Changes the fraction.
     pub(super) fn add(&mut self, change: f64, now: Millis) {
         self.advance(now);
-        let before = self.now;
+        let before = self.current;
         let after = before + change;
-        // Sums of parts may end a rounding error beside nothing, and a rate
-        // by such a part is a time beyond all numbers.
-        self.now = if after < LEAST { 0.0 } else { after };
-        while self.lows.back().is_some_and(|(_, low)| *low >= before) {
-            self.lows.pop_back();
+        // A sum of shares may differ from 0 by a rounding error, and a wait
+        // computed from such a fraction overflows.
+        self.current = if after < MIN_FRACTION { 0.0 } else { after };
+        while self.minima.back().is_some_and(|(_, min)| *min >= before) {
+            self.minima.pop_back();
         }
-        self.lows.push_back((now, before));
+        self.minima.push_back((now, before));
     }
 
-    /// Returns the present as a mark.
-    pub(super) fn mark(&mut self, now: Millis) -> Mark {
+    /// Returns a snapshot of the current state.
+    pub(super) fn snapshot(&mut self, now: Millis) -> Snapshot {
         self.advance(now);
-        Mark {
+        Snapshot {
             at: now,
             sum: self.sum,
         }
     }
 
-    /// Returns the part over time since a mark, in milliseconds.
-    pub(super) fn sum_since(&mut self, mark: Mark, now: Millis) -> f64 {
+    /// Returns the integral of the fraction since a snapshot, in milliseconds.
+    pub(super) fn sum_since(&mut self, since: Snapshot, now: Millis) -> f64 {
         self.advance(now);
-        self.sum - mark.sum
+        self.sum - since.sum
     }
 
-    /// Returns the least part that was lent at any time since a mark.
-    pub(super) fn low_since(&self, mark: Mark) -> f64 {
-        let first = self.lows.partition_point(|(until, _)| *until < mark.at);
-        let low = self.lows.get(first).map_or(self.now, |(_, low)| *low);
-        low.min(self.now)
+    /// Returns the minimum fraction since a snapshot.
+    pub(super) fn min_since(&self, since: Snapshot) -> f64 {
+        let first =
+            self.minima.partition_point(|(until, _)| *until < since.at);
+        let min = self.minima.get(first).map_or(self.current, |(_, min)| *min);
+        min.min(self.current)
     }
 
     fn advance(&mut self, now: Millis) {
-        self.sum += self.now * now.saturating_ms_since(self.at) as f64;
-        self.at = self.at.max(now);
+        self.sum +=
+            self.current * now.saturating_ms_since(self.updated_at) as f64;
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/limits/src/pool/holder.rs
+++ b/crates/limits/src/pool/holder.rs
@@ -4,24 +4,26 @@
 use indexmap::IndexMap;
 
 use super::{
-    Demand, SEATS, SLOT_COUNT, ServerTimestamp, TokenGrant, TokenRefusal,
+    Demand, REPLICAS, SLOT_COUNT, ServerTimestamp, TokenGrant, TokenRefusal,
     TokenRequest, TokenResponse, TokenServerOptions,
-    fraction::{Fraction, Mark},
+    fraction::{Fraction, Snapshot},
     slot_of,
 };
 use crate::{RateLimit, Tolerance, front_count::FrontCount};
 
-/// Counts requests against the parts that fronts lend to this node.
+/// Counts requests against the shares that fronts allot to this node.
 ///
 /// # Example
 ///
 /// ```
 /// use base::Millis;
-/// use pomeloslip_limits::{Tolerance, TokenRequest, TokenServer, TokenServerOptions};
+/// use pomeloslip_limits::{
+///     TokenRequest, TokenServer, TokenServerOptions, Tolerance,
+/// };
 ///
 /// let tolerance = Tolerance::default();
 /// let options = TokenServerOptions::default();
-/// let mut holder = TokenServer::new("w1", 9, tolerance, options);
+/// let mut server = TokenServer::new("w1", 9, tolerance, options);
 /// let request = TokenRequest {
 ///     front: "f1".to_owned(),
 ///     incarnation: 1,
@@ -31,9 +33,9 @@
 ///     fronts: 1,
 ///     demands: Vec::new(),
 /// };
-/// let reply = holder.handle(&request, Millis::new(5)).expect("valid");
+/// let reply = server.handle(&request, Millis::new(5)).expect("valid");
 /// assert_eq!((reply.sequence, reply.timestamp.at_ms), (1, 5));
-/// assert!(holder.handle(&request, Millis::new(6)).is_none(), "a replay");
+/// assert!(server.handle(&request, Millis::new(6)).is_none(), "a replay");
 /// ```
 #[derive(Debug)]
 pub struct TokenServer {
@@ -41,66 +43,66 @@
     incarnation: u64,
     tolerance: Tolerance,
     options: TokenServerOptions,
-    lenders: IndexMap<String, Lender>,
-    /// Ends of the leases, the next one first.
-    ends: BTreeSet<(Millis, String)>,
+    allotments: IndexMap<String, FrontAllotment>,
+    /// Ends of the leases, earliest first.
+    expiries: BTreeSet<(Millis, String)>,
     pools: [Fraction; SLOT_COUNT],
     buckets: IndexMap<(Customer, u8), Bucket>,
     fronts: FrontCount,
 }
 
-/// How a message stands to those of the same front before it.
-enum Age {
-    News,
-    /// It may be of a process that is gone. It lends nothing.
-    FormerProcess,
-    /// It was answered, or a later one was.
-    Answered,
+/// How a message relates to earlier messages of the same front.
+enum Freshness {
+    New,
+    /// The message may be from a former process. Its allotment is ignored.
+    OldProcess,
+    /// This message or a later one was already handled.
+    Duplicate,
 }
 
-/// A front that lends its parts.
+/// Allotment of one front.
 #[derive(Debug, Default)]
-struct Lender {
+struct FrontAllotment {
     incarnation: u64,
     sequence: u64,
     slots: u16,
-    /// Its part of each limit in each replica.
-    part: f64,
-    until: Millis,
-    heard: Millis,
+    /// Share of each limit in each replica.
+    share: f64,
+    expires_at: Millis,
+    last_seen: Millis,
 }
 
-/// What is left of one replica of a customer's limit.
+/// Token bucket of one replica of a customer's limit.
 #[derive(Debug)]
 struct Bucket {
     limit: RateLimit,
     tokens: f64,
-    /// Left of what a counter begins with; never filled up again.
+    /// Remaining initial tokens; never refilled.
     initial_tokens: u32,
-    refilled: Mark,
-    /// When there is room for all that were refused so far.
-    room_for_all_at_us: u64,
+    refilled: Snapshot,
+    /// When tokens are available for all requests that were refused so far.
+    backlog_end_us: u64,
 }
 
-/// Time after the start of a process in which its counters begin with some
-/// tokens, in milliseconds. Later, a customer that is new here was counted
-/// elsewhere until now.
-const FIRST_TOKENS_MS: u64 = 3_000;
+/// Time after the start of a process in which its new buckets get initial
+/// tokens, in milliseconds. Later, a customer without a bucket was counted by
+/// another server until now.
+const INITIAL_TOKENS_MS: u64 = 3_000;
 
-/// Most buckets: far more customers than any fleet has, so that a node that
-/// makes up names cannot fill the memory.
-const BUCKETS_MOST: usize = 100_000;
+/// Maximum number of buckets: far more than the customers of any fleet, so
+/// that a node that sends invented names cannot exhaust memory.
+const MAX_BUCKETS: usize = 100_000;
 
-/// Longest time in which refused callers are told to come back, in
-/// milliseconds. Those behind them are told the same: under a lasting excess
-/// a true place in the line would be minutes away, and they leave before.
-const BACK_MOST_MS: u64 = 2_000;
+/// Maximum retry delay of refused requests, in milliseconds. Requests further
+/// back get the same delay: under a lasting excess their true position would
+/// be minutes away, and the callers give up earlier.
+const MAX_RETRY_AFTER_MS: u64 = 2_000;
 
 const US_PER_MS: f64 = 1_000.0;
 
 impl TokenServer {
-    /// Starts with nothing lent and empty buckets. `incarnation` differs
-    /// between the processes of a node.
+    /// Creates a server without allotments and with empty buckets.
+    /// `incarnation` differs between the processes of a node.
     pub fn new(
         node: &str,
         incarnation: u64,
@@ -112,16 +114,18 @@
             incarnation,
             tolerance,
             options,
-            lenders: IndexMap::new(),
-            ends: BTreeSet::new(),
+            allotments: IndexMap::new(),
+            expiries: BTreeSet::new(),
             pools: Default::default(),
             buckets: IndexMap::new(),
             fronts: FrontCount::default(),
         }
     }
 
-    /// Answers a front; none if the message is malformed, or older than one
-    /// of the same process that was answered.
+    /// Handles the request of a front.
+    ///
+    /// Returns `None` if the message is malformed, or not newer than one of
+    /// the same process that was already handled.
     pub fn handle(
         &mut self,
         request: &TokenRequest,
@@ -130,17 +134,17 @@
         if !request.is_valid() {
             return None;
         }
-        self.end_leases(now);
-        let accepted = match self.age_of(request, now) {
-            Age::News => true,
-            Age::FormerProcess => false,
-            Age::Answered => return None,
+        self.expire_leases(now);
+        let accepted = match self.freshness_of(request, now) {
+            Freshness::New => true,
+            Freshness::OldProcess => false,
+            Freshness::Duplicate => return None,
         };
         if accepted {
-            self.lend(request, now);
+            self.apply_allotment(request, now);
         }
         self.fronts.tick(now);
-        self.fronts.hear(request.fronts, now);
+        self.fronts.report(request.fronts, now);
         let demands = request.demands.iter();
         let grants = demands.map(|demand| self.grant(demand, now)).collect();
         Some(TokenResponse {
@@ -157,37 +161,39 @@
         })
     }
 
-    /// Returns the part of the caps that is lent here for a slot.
+    /// Returns the fraction of the limits that is allotted to this node in a
+    /// slot.
     pub fn allotted(&self, slot: usize) -> f64 {
         self.pools.get(slot).map_or(0.0, Fraction::get)
     }
 
-    fn age_of(&self, request: &TokenRequest, now: Millis) -> Age {
-        let Some(known) = self.lenders.get(&request.front) else {
-            return Age::News;
+    fn freshness_of(&self, request: &TokenRequest, now: Millis) -> Freshness {
+        let Some(known) = self.allotments.get(&request.front) else {
+            return Freshness::New;
         };
         if request.incarnation == known.incarnation {
             return match request.sequence > known.sequence {
-                true => Age::News,
-                false => Age::Answered,
+                true => Freshness::New,
+                false => Freshness::Duplicate,
             };
         }
-        // The clock that tells processes apart may have been set back, so
-        // that an earlier one is accepted once the other has fallen silent.
-        let silent_ms = now.saturating_ms_since(known.heard);
+        // The clock that distinguishes processes may have been set back. A
+        // seemingly earlier process is therefore accepted once the other one
+        // has been silent.
+        let silent_ms = now.saturating_ms_since(known.last_seen);
         match request.incarnation > known.incarnation
             || silent_ms >= self.options.max_lease_ms
         {
-            true => Age::News,
-            false => Age::FormerProcess,
+            true => Freshness::New,
+            false => Freshness::OldProcess,
         }
     }
 
-    /// Takes over what the front lends from now on, in place of what it lent
-    /// before.
-    fn lend(&mut self, request: &TokenRequest, now: Millis) {
-        let until = match request.lease_start {
-            // A timestamp of an earlier process, or of the future, lends nothing.
+    /// Replaces the allotment of the front by that of the request.
+    fn apply_allotment(&mut self, request: &TokenRequest, now: Millis) {
+        let expires_at = match request.lease_start {
+            // A timestamp of an earlier process or of the future allots
+            // nothing.
             Some(from)
                 if from.incarnation == self.incarnation
                     && from.at_ms <= now.as_ms() =>
@@ -197,52 +203,57 @@
             }
             _ => Millis::new(0),
         };
-        let slots = match until > now {
+        let slots = match expires_at > now {
             true => request.slots,
             false => 0,
         };
-        let part = 1.0 / f64::from(request.fronts) / SEATS as f64;
-        let lender = self.lenders.entry(request.front.clone()).or_default();
-        let before = (lender.slots, lender.part, lender.until);
-        lender.incarnation = request.incarnation;
-        lender.sequence = request.sequence;
-        lender.heard = now;
-        (lender.slots, lender.part, lender.until) = (slots, part, until);
-        self.ends.remove(&(before.2, request.front.clone()));
+        let share = 1.0 / f64::from(request.fronts) / REPLICAS as f64;
+        let allotment =
+            self.allotments.entry(request.front.clone()).or_default();
+        let previous =
+            (allotment.slots, allotment.share, allotment.expires_at);
+        allotment.incarnation = request.incarnation;
+        allotment.sequence = request.sequence;
+        allotment.last_seen = now;
+        (allotment.slots, allotment.share, allotment.expires_at) =
+            (slots, share, expires_at);
+        self.expiries.remove(&(previous.2, request.front.clone()));
         if slots != 0 {
-            self.ends.insert((until, request.front.clone()));
+            self.expiries.insert((expires_at, request.front.clone()));
         }
-        self.change((before.0, before.1), (slots, part), now);
+        self.move_share((previous.0, previous.1), (slots, share), now);
     }
 
-    fn end_leases(&mut self, now: Millis) {
-        while let Some((until, _)) = self.ends.first()
-            && *until <= now
+    fn expire_leases(&mut self, now: Millis) {
+        while let Some((expires_at, _)) = self.expiries.first()
+            && *expires_at <= now
         {
-            let Some((until, front)) = self.ends.pop_first() else {
+            let Some((expires_at, front)) = self.expiries.pop_first() else {
                 return;
             };
-            let Some(lender) = self.lenders.get_mut(&front) else {
+            let Some(allotment) = self.allotments.get_mut(&front) else {
                 continue;
             };
-            let before = (lender.slots, lender.part);
-            lender.slots = 0;
-            // It counts up to its end, also where that is noticed later.
-            self.change(before, (0, 0.0), until);
+            let previous = (allotment.slots, allotment.share);
+            allotment.slots = 0;
+            // The allotment counts until its end, even if that is noticed
+            // later.
+            self.move_share(previous, (0, 0.0), expires_at);
         }
     }
 
-    /// Moves a lender's parts from some slots to others.
-    fn change(&mut self, from: (u16, f64), to: (u16, f64), now: Millis) {
+    /// Updates the pools when a front's allotted slots or share change.
+    fn move_share(&mut self, from: (u16, f64), to: (u16, f64), now: Millis) {
         if from == to {
             return;
         }
         for (slot, pool) in self.pools.iter_mut().enumerate() {
-            let part = |(slots, part): (u16, f64)| match slots & (1 << slot) {
+            let share = |(slots, share): (u16, f64)| match slots & (1 << slot)
+            {
                 0 => 0.0,
-                _ => part,
+                _ => share,
             };
-            let change = part(to) - part(from);
+            let change = share(to) - share(from);
             if change != 0.0 {
                 pool.add(change, now);
             }
@@ -252,24 +263,26 @@
     fn grant(&mut self, demand: &Demand, now: Millis) -> TokenGrant {
         let key = (demand.customer.clone(), demand.replica);
         let is_known = self.buckets.contains_key(&key);
-        if !is_known && self.buckets.len() >= BUCKETS_MOST {
+        if !is_known && self.buckets.len() >= MAX_BUCKETS {
             return TokenGrant {
                 granted: 0,
-                refused: Some(TokenRefusal::after(BACK_MOST_MS)),
+                refused: Some(TokenRefusal::after(MAX_RETRY_AFTER_MS)),
             };
         }
         let slot = slot_of(&demand.customer, usize::from(demand.replica));
         let pool = &mut self.pools[slot];
-        // The clock counts from the start of the process.
-        let first = match now.as_ms() < FIRST_TOKENS_MS {
-            true => self.tolerance.initial_tokens(demand.limit) / SEATS as f64,
+        // The clock starts at 0 when the process starts.
+        let first = match now.as_ms() < INITIAL_TOKENS_MS {
+            true => {
+                self.tolerance.initial_tokens(demand.limit) / REPLICAS as f64
+            }
             false => 0.0,
         };
         let entry = self.buckets.entry(key);
         let bucket =
             entry.or_insert_with(|| Bucket::new(demand.limit, first as u32));
         bucket.refill(pool, self.tolerance, now);
-        bucket.set_cap(demand.limit, pool, self.tolerance);
+        bucket.set(demand.limit, pool, self.tolerance);
         bucket.take(demand.count, pool.get(), now)
     }
 }
@@ -290,9 +303,10 @@
             limit,
             tokens: 0.0,
             initial_tokens,
-            // Since the start of the process: nobody used it meanwhile.
-            refilled: Mark::default(),
-            room_for_all_at_us: 0,
+            // Since the start of the process, as no other node counted
+            // meanwhile.
+            refilled: Snapshot::default(),
+            backlog_end_us: 0,
         }
     }
 
@@ -303,64 +317,59 @@
         now: Millis,
     ) {
         let burst_tokens = tolerance.burst_tokens(self.limit);
-        // A part that was away was perhaps used elsewhere, so that its burst
-        // is not here any more when it comes back.
+        // A share that was withdrawn may have been used elsewhere, so its
+        // burst is not available when it returns.
         let kept = self
             .tokens
-            .min(burst_tokens * pool.low_since(self.refilled));
-        let lent_ms = pool.sum_since(self.refilled, now);
-        let tokens = kept + self.limit.per_s() * lent_ms / 1_000.0;
+            .min(burst_tokens * pool.min_since(self.refilled));
+        let share_ms = pool.sum_since(self.refilled, now);
+        let tokens = kept + self.limit.per_s() * share_ms / 1_000.0;
         self.tokens = tokens.min(burst_tokens * pool.get());
-        self.refilled = pool.mark(now);
+        self.refilled = pool.snapshot(now);
     }
 
-    /// Takes a limit of a later version; an older one must not raise what
-    /// operators have lowered.
-    fn set_cap(
-        &mut self,
-        limit: RateLimit,
-        pool: &Fraction,
-        tolerance: Tolerance,
-    ) {
-        if limit.version() > self.limit.version() {
-            self.limit = limit;
-            let most = tolerance.burst_tokens(limit) * pool.get();
-            self.tokens = self.tokens.min(most);
+    /// Applies a limit with a later version. An older one must not raise a
+    /// limit that operators have lowered.
+    fn set(&mut self, new: RateLimit, pool: &Fraction, tolerance: Tolerance) {
+        if new.version() > self.limit.version() {
+            self.limit = new;
+            let max_tokens = tolerance.burst_tokens(new) * pool.get();
+            self.tokens = self.tokens.min(max_tokens);
         }
     }
 
-    fn take(&mut self, count: u32, lent: f64, now: Millis) -> TokenGrant {
+    fn take(&mut self, count: u32, share: f64, now: Millis) -> TokenGrant {
         let whole = (self.tokens.floor() as u32).min(count);
         self.tokens -= f64::from(whole);
         let first = self.initial_tokens.min(count - whole);
         self.initial_tokens -= first;
         let granted = whole + first;
         let refused = count - granted;
-        let refused = (refused > 0).then(|| self.refuse(refused, lent, now));
+        let refused = (refused > 0).then(|| self.refuse(refused, share, now));
         TokenGrant { granted, refused }
     }
 
-    /// Finds when refused requests have room: one after the other at the
-    /// rate of this pool, behind all that were refused before.
-    fn refuse(&mut self, count: u32, lent: f64, now: Millis) -> TokenRefusal {
-        let per_ms = self.limit.per_s() * lent / 1_000.0;
+    /// Computes when refused requests have tokens: one after the other at the
+    /// rate of this pool, behind all requests that were refused before.
+    fn refuse(&mut self, count: u32, share: f64, now: Millis) -> TokenRefusal {
+        let per_ms = self.limit.per_s() * share / 1_000.0;
         if per_ms <= 0.0 {
-            return TokenRefusal::after(BACK_MOST_MS);
+            return TokenRefusal::after(MAX_RETRY_AFTER_MS);
         }
-        let most_us = BACK_MOST_MS * US_PER_MS as u64;
+        let max_us = MAX_RETRY_AFTER_MS * US_PER_MS as u64;
         let now_us = now.as_ms() * US_PER_MS as u64;
         let spacing_us = (US_PER_MS / per_ms) as u64;
-        let room_ms = (1.0 - self.tokens) / per_ms;
-        let room_us = (room_ms * US_PER_MS) as u64;
-        let first = now_us.saturating_add(room_us);
-        let first = first.max(self.room_for_all_at_us);
-        let back_us = (first - now_us).min(most_us);
+        let token_ms = (1.0 - self.tokens) / per_ms;
+        let token_us = (token_ms * US_PER_MS) as u64;
+        let first = now_us.saturating_add(token_us);
+        let first = first.max(self.backlog_end_us);
+        let retry_after_us = (first - now_us).min(max_us);
         let all = first.saturating_add(spacing_us * u64::from(count));
-        self.room_for_all_at_us = all.min(now_us + most_us);
+        self.backlog_end_us = all.min(now_us + max_us);
         TokenRefusal {
-            token_in_ms: room_us / US_PER_MS as u64,
-            retry_after_ms: back_us / US_PER_MS as u64,
-            spacing_us: spacing_us.min(most_us),
+            token_in_ms: token_us / US_PER_MS as u64,
+            retry_after_ms: retry_after_us / US_PER_MS as u64,
+            spacing_us: spacing_us.min(max_us),
         }
     }
 }
--- a/crates/limits/src/pool/lending.rs
+++ b/crates/limits/src/pool/lending.rs
@@ -2,90 +2,91 @@
 use indexmap::IndexMap;
 
 use super::{
-    SEATS, SLOT_COUNT, ServerTimestamp, TokenResponse, TokenServerOptions,
+    REPLICAS, SLOT_COUNT, ServerTimestamp, TokenResponse, TokenServerOptions,
 };
 use crate::{LimitNodes, front_count::FrontCount};
 
-/// Whom the parts of one front are lent to, and whom they can be lent to.
+/// Token servers that the shares of one front are allotted to, and candidates
+/// for them.
 #[derive(Debug)]
-pub(super) struct Lending {
+pub(super) struct Allotments {
     node: String,
     options: TokenServerOptions,
-    /// When the sequence of fronts can be relied on.
+    /// When the number of fronts is reliable.
     settles_at: Option<Millis>,
-    /// Whether the list of nodes names this front. Without that it does not
-    /// know how many share the caps, and has no part of its own.
+    /// Whether the list of nodes contains this front. Otherwise the front does
+    /// not know how many fronts share the limits, and has no share of its own.
     is_listed: bool,
     fronts: FrontCount,
-    /// Nodes that may hold pools, from the first choice on, by group.
-    candidates: [Vec<String>; SLOT_COUNT / SEATS],
-    holders: IndexMap<String, Holder>,
+    /// Candidates for token servers per shard, in order of preference.
+    candidates: [Vec<String>; SLOT_COUNT / REPLICAS],
+    servers: IndexMap<String, Server>,
     slots: [Slot; SLOT_COUNT],
 }
 
-/// What is known of a node that parts are lent to.
+/// State of a node that shares are allotted to.
 #[derive(Debug, Default)]
-struct Holder {
-    stamp: Option<(ServerTimestamp, Millis)>,
+struct Server {
+    timestamp: Option<(ServerTimestamp, Millis)>,
     last_sent: Option<Millis>,
-    /// Since when a message waits for an answer.
-    unanswered: Option<Millis>,
+    /// When the oldest message without a response was sent.
+    unanswered_since: Option<Millis>,
 }
 
-/// A part of this front.
+/// State of one slot of this front.
 #[derive(Debug, Default)]
 struct Slot {
-    /// Whom requests are sent to, and whom it is lent to once it can be.
-    holder: Option<String>,
-    /// Whom it was lent to last. After a start that is not known.
-    lent_to: Option<String>,
-    /// Until when that node may count it.
-    lent_until: Millis,
-    /// The message with which it was not lent any more.
-    released_by: Option<u64>,
+    /// Server that requests are sent to, and that gets the slot as soon as
+    /// possible.
+    server: Option<String>,
+    /// Server that last had the slot; unknown after a start.
+    allotted_to: Option<String>,
+    /// Until when that server may count the slot.
+    allotted_until: Millis,
+    /// Sequence number of the message that released the slot.
+    released_in: Option<u64>,
 }
 
-/// What one message says of the parts of its sender.
+/// Shares that one message allots to its recipient.
 #[derive(Debug)]
-pub(super) struct Lent {
-    /// The holder's newest stamp; the lease runs from it.
+pub(super) struct Shares {
+    /// Latest timestamp of the server; the lease starts at it.
     pub(super) from: Option<ServerTimestamp>,
-    /// The slots that are lent, a bit each.
+    /// Bit mask of the allotted slots.
     pub(super) slots: u16,
-    /// Those of them that were not lent just before.
-    pub(super) newly: Vec<usize>,
-    /// Fronts that share the caps.
+    /// Allotted slots that were not allotted to this server just before.
+    pub(super) newly_allotted: Vec<usize>,
+    /// Number of fronts that share the limits.
     pub(super) fronts: u32,
 }
 
-/// Time between two looks at what has to be renewed, in milliseconds.
-pub(super) const RENEWAL_LOOK_MS: u64 = 100;
+/// Interval between checks for due renewals, in milliseconds.
+pub(super) const RENEWAL_CHECK_MS: u64 = 100;
 
-/// Renewals in the time of one lease. Two of them may be lost.
+/// Renewals per lease. Two of them may be lost.
 const RENEWALS_PER_LEASE: u64 = 4;
 
-/// Time between two messages to a node that does not answer, in
-/// milliseconds.
-const PROBE_MS: u64 = 1_000;
+/// Interval between messages to an unresponsive node, in milliseconds.
+const PROBE_INTERVAL_MS: u64 = 1_000;
 
-/// Time after a start in which the sequence of fronts is not relied on, in
-/// milliseconds: until all that started at the same moment are listed.
+/// Time after a start in which the number of fronts is not reliable, in
+/// milliseconds: until all nodes that started at the same time are listed.
 const SETTLE_MS: u64 = 500;
 
-/// Added to the time of a lease before a part is lent to another node, in
-/// milliseconds: clocks are read in whole ones.
+/// Margin added to a lease before a slot is allotted to another server, in
+/// milliseconds, since clocks are read in whole milliseconds.
 const LEASE_MARGIN_MS: u64 = 2;
 
-/// Workers that may hold the pools of one group, and fronts after them, which
-/// have callers to serve.
+/// Maximum number of workers that are candidates for one shard, and of fronts
+/// after them, which also serve callers.
 ///
-/// Enough that two are left where half of the nodes are lost; a process that
-/// starts waits for all of them.
-const WORKERS_OF_GROUP: usize = 6;
-const FRONTS_OF_GROUP: usize = 3;
+/// At these numbers two candidates remain if half of the nodes are lost; a
+/// process that starts waits for all of them.
+const WORKERS_PER_SHARD: usize = 6;
+const FRONTS_PER_SHARD: usize = 3;
 
-impl Lending {
-    /// Starts with nothing lent.
+impl Allotments {
+    /// Creates the state without any allotment.
     pub(super) fn new(node: &str, options: TokenServerOptions) -> Self {
         Self {
             node: node.to_owned(),
@@ -94,16 +95,16 @@
             is_listed: false,
             fronts: FrontCount::default(),
             candidates: Default::default(),
-            holders: IndexMap::new(),
+            servers: IndexMap::new(),
             slots: Default::default(),
         }
     }
 
-    /// Begins the time in which parts are not lent.
+    /// Starts the period in which slots are not allotted.
     ///
-    /// An earlier process of this front may have lent them, and how many
-    /// fronts there are is not known at once. Until both is over this process
-    /// only asks.
+    /// An earlier process of this front may have allotted them, and the number
+    /// of fronts is not known at once. Until both are resolved, this process
+    /// only requests tokens.
     pub(super) fn start(&mut self, now: Millis) {
         if self.settles_at.is_some() {
             return;
@@ -112,65 +113,72 @@
         self.settles_at = Some(settles_at);
         let until = settles_at.saturating_add_ms(self.lease_ms());
         for slot in &mut self.slots {
-            slot.lent_until = until;
+            slot.allotted_until = until;
         }
     }
 
-    /// Takes the nodes that are listed now.
+    /// Updates the listed nodes.
     pub(super) fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis) {
         self.fronts.observe(&nodes.fronts, now);
         self.is_listed |= nodes.fronts.contains(&self.node);
-        let workers = hashed(&nodes.workers);
-        let fronts = hashed(&nodes.fronts);
-        for (group, candidates) in self.candidates.iter_mut().enumerate() {
-            *candidates = first(&workers, group as u64, WORKERS_OF_GROUP);
-            candidates.extend(first(&fronts, group as u64, FRONTS_OF_GROUP));
+        let workers = hash_names(&nodes.workers);
+        let fronts = hash_names(&nodes.fronts);
+        for (shard, candidates) in self.candidates.iter_mut().enumerate() {
+            *candidates =
+                top_ranked(&workers, shard as u64, WORKERS_PER_SHARD);
+            candidates.extend(top_ranked(
+                &fronts,
+                shard as u64,
+                FRONTS_PER_SHARD,
+            ));
         }
-        let known = |node: &String| {
+        let is_listed_node = |node: &String| {
             nodes.workers.contains(node) || nodes.fronts.contains(node)
         };
-        self.holders.retain(|node, _| known(node));
-        self.place(now);
+        self.servers.retain(|node, _| is_listed_node(node));
+        self.assign_servers(now);
     }
 
-    /// Returns whom the requests of a slot are sent to.
-    pub(super) fn holder_of(&self, slot: usize) -> Option<&str> {
-        self.slots[slot].holder.as_deref()
+    /// Returns the server that requests of a slot are sent to.
+    pub(super) fn server_of(&self, slot: usize) -> Option<&str> {
+        self.slots[slot].server.as_deref()
     }
 
-    /// Tells whether the node of a slot answers in time.
-    pub(super) fn is_good(&self, slot: usize, now: Millis) -> bool {
+    /// Reports whether the server of a slot responds in time.
+    pub(super) fn is_responsive(&self, slot: usize, now: Millis) -> bool {
         let response_timeout_ms = self.options.response_timeout_ms;
-        let holder = self.holder_of(slot);
-        holder.is_some_and(|node| {
-            !self.is_silent(node, response_timeout_ms, now)
+        let server = self.server_of(slot);
+        server.is_some_and(|node| {
+            !self.is_unanswered(node, response_timeout_ms, now)
         })
     }
 
-    /// Returns this front's part of one replica of each limit, and since when it
-    /// has been lent to nobody.
-    pub(super) fn own_part(&self, slot: usize) -> (f64, Millis) {
-        let part = match self.is_listed {
-            true => 1.0 / f64::from(self.fronts.get()) / SEATS as f64,
+    /// Returns this front's share of one replica of each limit, and since when
+    /// it has not been allotted.
+    pub(super) fn own_share(&self, slot: usize) -> (f64, Millis) {
+        let share = match self.is_listed {
+            true => 1.0 / f64::from(self.fronts.get()) / REPLICAS as f64,
             false => 0.0,
         };
-        (part, self.slots[slot].lent_until)
+        (share, self.slots[slot].allotted_until)
     }
 
-    /// Chooses holders anew and returns the nodes that have to hear from
+    /// Reassigns servers and returns the nodes that are due a message from
     /// this front.
-    pub(super) fn due(&mut self, now: Millis) -> Vec<String> {
+    pub(super) fn servers_due(&mut self, now: Millis) -> Vec<String> {
         self.fronts.tick(now);
-        self.place(now);
-        let mut nodes = self.to_clear(now);
+        self.assign_servers(now);
+        let mut nodes = self.unconfirmed_servers(now);
         for (at, slot) in self.slots.iter().enumerate() {
-            nodes.extend(slot.holder.clone());
-            if slot.is_to_be_released(now) {
-                nodes.extend(slot.lent_to.clone());
+            nodes.extend(slot.server.clone());
+            if slot.needs_release(now) {
+                nodes.extend(slot.allotted_to.clone());
             }
-            // Nodes that would be preferred if they answered.
-            let preferred = self.candidates[at / SEATS].iter().take(SEATS);
-            let silent = preferred.filter(|node| self.is_lost(node, now));
+            // Nodes that would be preferred if they responded.
+            let preferred =
+                self.candidates[at / REPLICAS].iter().take(REPLICAS);
+            let silent =
+                preferred.filter(|node| self.is_unresponsive(node, now));
             nodes.extend(silent.cloned());
         }
         nodes.sort_unstable();
@@ -179,50 +187,45 @@
         nodes
     }
 
-    /// Says in a message to a node what is lent to it from now on.
-    pub(super) fn lend(
-        &mut self,
-        to: &str,
-        sequence: u64,
-        now: Millis,
-    ) -> Lent {
+    /// Determines the slots that a message allots to its recipient.
+    pub(super) fn allot(&mut self, to: &str, seq: u64, now: Millis) -> Shares {
         let lease_ms = self.lease_ms();
-        let holder = self.holders.entry(to.to_owned()).or_default();
-        holder.last_sent = Some(now);
-        holder.unanswered.get_or_insert(now);
-        let stamp = holder.stamp;
-        let (slots, newly) = match stamp {
-            Some((_, heard_at)) if self.is_listed => {
+        let server = self.servers.entry(to.to_owned()).or_default();
+        server.last_sent = Some(now);
+        server.unanswered_since.get_or_insert(now);
+        let timestamp = server.timestamp;
+        let (slots, newly_allotted) = match timestamp {
+            Some((_, received_at)) if self.is_listed => {
                 let until =
-                    heard_at.saturating_add_ms(lease_ms + LEASE_MARGIN_MS);
-                self.lend_slots(to, until, sequence, now)
+                    received_at.saturating_add_ms(lease_ms + LEASE_MARGIN_MS);
+                self.allot_slots(to, until, seq, now)
             }
             _ => (0, Vec::new()),
         };
-        Lent {
-            from: stamp.map(|(stamp, _)| stamp),
+        Shares {
+            from: timestamp.map(|(timestamp, _)| timestamp),
             slots,
-            newly,
+            newly_allotted,
             fronts: self.fronts.get(),
         }
     }
 
-    /// Takes what an answer tells of its sender.
-    pub(super) fn heard(
+    /// Updates the state of a server from its response.
+    pub(super) fn on_response(
         &mut self,
         from: &str,
         reply: &TokenResponse,
         now: Millis,
     ) {
-        self.fronts.hear(reply.fronts, now);
-        let Some(holder) = self.holders.get_mut(from) else {
+        self.fronts.report(reply.fronts, now);
+        let Some(server) = self.servers.get_mut(from) else {
             return;
         };
-        holder.unanswered = None;
+        server.unanswered_since = None;
         if !reply.accepted {
             return;
         }
-        let before = holder.stamp.map(|(stamp, _)| stamp);
+        let before = server.timestamp.map(|(timestamp, _)| timestamp);
         let has_restarted = before.is_some_and(|before| {
             before.incarnation < reply.timestamp.incarnation
         });
@@ -231,17 +234,17 @@
                 || before.at_ms < reply.timestamp.at_ms
         });
         if is_newer {
-            holder.stamp = Some((reply.timestamp, now));
+            server.timestamp = Some((reply.timestamp, now));
         }
         for slot in &mut self.slots {
-            // The holder has taken the release in before it answered; a
-            // process that has just started counts nothing of before.
+            // The server applied the release before it responded; a process
+            // that has just started counts no earlier allotments.
             let released = slot
-                .released_by
+                .released_in
                 .is_some_and(|sequence| reply.sequence >= sequence);
             let is_over = released || has_restarted;
-            if is_over && slot.lent_to.as_deref() == Some(from) {
-                slot.lent_until = slot.lent_until.min(now);
+            if is_over && slot.allotted_to.as_deref() == Some(from) {
+                slot.allotted_until = slot.allotted_until.min(now);
             }
         }
     }
@@ -250,41 +253,42 @@
         self.options.lease_ms(self.fronts.get())
     }
 
-    fn is_silent(&self, node: &str, after_ms: u64, now: Millis) -> bool {
-        let holder = self.holders.get(node);
-        let since = holder.and_then(|holder| holder.unanswered);
+    fn is_unanswered(&self, node: &str, after_ms: u64, now: Millis) -> bool {
+        let server = self.servers.get(node);
+        let since = server.and_then(|server| server.unanswered_since);
         since.is_some_and(|at| now.saturating_ms_since(at) >= after_ms)
     }
 
-    /// Tells whether a node has been silent for so long that its parts are
-    /// lent to another one.
-    fn is_lost(&self, node: &str, now: Millis) -> bool {
-        self.is_silent(node, self.options.unresponsive_after_ms, now)
+    /// Reports whether a node has been silent for so long that its slots are
+    /// assigned to another one.
+    fn is_unresponsive(&self, node: &str, now: Millis) -> bool {
+        self.is_unanswered(node, self.options.unresponsive_after_ms, now)
     }
 
     fn has_answered(&self, node: &str) -> bool {
-        let holder = self.holders.get(node);
-        holder.is_some_and(|holder| holder.stamp.is_some())
+        let server = self.servers.get(node);
+        server.is_some_and(|server| server.timestamp.is_some())
     }
 
-    /// Tells whether no node counts what an earlier process has lent of a
-    /// group: each that could have has heard of this process since.
-    fn is_cleared(&self, group: usize, now: Millis) -> bool {
-        let candidates = &self.candidates[group];
+    /// Reports whether no server counts slots of a shard that an earlier
+    /// process allotted: every candidate has responded to this process.
+    fn is_confirmed(&self, shard: usize, now: Millis) -> bool {
+        let candidates = &self.candidates[shard];
         self.settles_at.is_some_and(|at| now >= at)
             && !candidates.is_empty()
             && candidates.iter().all(|node| self.has_answered(node))
     }
 
-    /// Returns the nodes that have to hear of this process before it lends
-    /// parts which an earlier one may have lent.
-    fn to_clear(&self, now: Millis) -> Vec<String> {
+    /// Returns the nodes that have to respond to this process before it allots
+    /// slots that an earlier process may have allotted.
+    fn unconfirmed_servers(&self, now: Millis) -> Vec<String> {
         let mut nodes = Vec::new();
-        for (group, candidates) in self.candidates.iter().enumerate() {
-            let slots = &self.slots[group * SEATS..(group + 1) * SEATS];
-            let waits =
-                |slot: &Slot| slot.lent_to.is_none() && now < slot.lent_until;
-            if slots.iter().any(waits) {
+        for (shard, candidates) in self.candidates.iter().enumerate() {
+            let slots = &self.slots[shard * REPLICAS..(shard + 1) * REPLICAS];
+            let is_unconfirmed = |slot: &Slot| {
+                slot.allotted_to.is_none() && now < slot.allotted_until
+            };
+            if slots.iter().any(is_unconfirmed) {
                 let new = candidates.iter();
                 let new = new.filter(|node| !self.has_answered(node));
                 nodes.extend(new.cloned());
@@ -293,23 +297,23 @@
         nodes
     }
 
-    /// Chooses the holder of each slot: the first candidate that answers,
-    /// and for the second replica another one if there is one.
-    fn place(&mut self, now: Millis) {
+    /// Chooses the server of each slot: the first candidate that responds, and
+    /// for the second replica another one if there is one.
+    fn assign_servers(&mut self, now: Millis) {
         for slot in 0..SLOT_COUNT {
-            let choice = self.choice(slot, now);
-            if self.slots[slot].holder.as_deref() != choice {
-                self.slots[slot].holder = choice.map(str::to_owned);
+            let choice = self.choose_server(slot, now);
+            if self.slots[slot].server.as_deref() != choice {
+                self.slots[slot].server = choice.map(str::to_owned);
             }
         }
     }
 
-    fn choice(&self, slot: usize, now: Millis) -> Option<&str> {
-        let mut answering = self.candidates[slot / SEATS]
+    fn choose_server(&self, slot: usize, now: Millis) -> Option<&str> {
+        let mut answering = self.candidates[slot / REPLICAS]
             .iter()
-            .filter(|node| !self.is_lost(node, now));
+            .filter(|node| !self.is_unresponsive(node, now));
         let first = answering.next()?;
-        let node = match slot % SEATS {
+        let node = match slot % REPLICAS {
             0 => first,
             _ => answering.next().unwrap_or(first),
         };
@@ -318,86 +322,94 @@
 
     fn is_due(&self, node: &str, now: Millis) -> bool {
         let releases = self.slots.iter().any(|slot| {
-            slot.is_to_be_released(now)
-                && slot.released_by.is_none()
-                && slot.lent_to.as_deref() == Some(node)
+            slot.needs_release(now)
+                && slot.released_in.is_none()
+                && slot.allotted_to.as_deref() == Some(node)
         });
-        let Some(holder) = self.holders.get(node) else {
+        let Some(server) = self.servers.get(node) else {
             return true;
         };
-        let pause_ms = match holder.unanswered {
-            Some(_) if self.is_lost(node, now) => PROBE_MS,
+        let pause_ms = match server.unanswered_since {
+            Some(_) if self.is_unresponsive(node, now) => PROBE_INTERVAL_MS,
             // One lost datagram must not look like a lost node.
-            Some(_) => RENEWAL_LOOK_MS,
+            Some(_) => RENEWAL_CHECK_MS,
             None => self.lease_ms() / RENEWALS_PER_LEASE,
         };
-        let has_waited = holder
+        let has_waited = server
             .last_sent
             .is_none_or(|at| now.saturating_ms_since(at) >= pause_ms);
         has_waited || releases
     }
 
-    /// Takes note of what a message lends. A slot is lent to another node
-    /// only when the one before has surely stopped counting it.
-    fn lend_slots(
+    /// Records the slots that a message allots. A slot is allotted to another
+    /// server only when the previous one has certainly stopped counting it.
+    fn allot_slots(
         &mut self,
         to: &str,
         until: Millis,
         sequence: u64,
         now: Millis,
     ) -> (u16, Vec<usize>) {
-        let (mut slots, mut newly) = (0, Vec::new());
-        // Asked for only until each slot has been lent once.
-        let is_new = self.slots.iter().any(|slot| slot.lent_to.is_none());
-        let cleared: [bool; SLOT_COUNT / SEATS] =
-            std::array::from_fn(|group| is_new && self.is_cleared(group, now));
+        let (mut slots, mut newly_allotted) = (0, Vec::new());
+        // Needed only until each slot has been allotted once.
+        let is_new = self.slots.iter().any(|slot| slot.allotted_to.is_none());
+        let confirmed: [bool; SLOT_COUNT / REPLICAS] =
+            std::array::from_fn(|shard| {
+                is_new && self.is_confirmed(shard, now)
+            });
         for (at, slot) in self.slots.iter_mut().enumerate() {
-            let was_lent = slot.lent_to.as_deref() == Some(to);
-            if slot.holder.as_deref() != Some(to) {
-                if was_lent && slot.lent_until > now {
-                    slot.released_by.get_or_insert(sequence);
+            let was_allotted = slot.allotted_to.as_deref() == Some(to);
+            if slot.server.as_deref() != Some(to) {
+                if was_allotted && slot.allotted_until > now {
+                    slot.released_in.get_or_insert(sequence);
                 }
                 continue;
             }
-            let is_cleared = slot.lent_to.is_none() && cleared[at / SEATS];
-            let is_free = slot.lent_until <= now || is_cleared;
-            if until <= now || !(was_lent || is_free) {
+            let is_confirmed =
+                slot.allotted_to.is_none() && confirmed[at / REPLICAS];
+            let is_free = slot.allotted_until <= now || is_confirmed;
+            if until <= now || !(was_allotted || is_free) {
                 continue;
             }
-            if is_cleared {
-                slot.lent_until = now;
+            if is_confirmed {
+                slot.allotted_until = now;
             }
-            if !was_lent || slot.lent_until <= now {
-                newly.push(at);
+            if !was_allotted || slot.allotted_until <= now {
+                newly_allotted.push(at);
             }
             slots |= 1 << at;
-            slot.lent_to = Some(to.to_owned());
-            slot.lent_until = slot.lent_until.max(until);
-            slot.released_by = None;
+            slot.allotted_to = Some(to.to_owned());
+            slot.allotted_until = slot.allotted_until.max(until);
+            slot.released_in = None;
         }
-        (slots, newly)
+        (slots, newly_allotted)
     }
 }
 
 impl Slot {
-    fn is_to_be_released(&self, now: Millis) -> bool {
-        now < self.lent_until
-            && self.lent_to.is_some()
-            && self.lent_to != self.holder
+    fn needs_release(&self, now: Millis) -> bool {
+        now < self.allotted_until
+            && self.allotted_to.is_some()
+            && self.allotted_to != self.server
     }
 }
 
-fn hashed(names: &[String]) -> Vec<(u64, &String)> {
+fn hash_names(names: &[String]) -> Vec<(u64, &String)> {
     names
         .iter()
         .map(|name| (stable_hash(&[name]), name))
         .collect()
 }
 
-/// Returns the first nodes for one group of customers, by their hashes.
-fn first(nodes: &[(u64, &String)], group: u64, most: usize) -> Vec<String> {
+/// Returns the highest ranked nodes for one shard of customers, by rendezvous
+/// hashing.
+fn top_ranked(
+    nodes: &[(u64, &String)],
+    shard: u64,
+    max: usize,
+) -> Vec<String> {
     let mut nodes = nodes.to_vec();
-    nodes.sort_unstable_by_key(|(hash, _)| mix(hash ^ mix(group)));
-    let first = nodes.into_iter().take(most);
-    first.map(|(_, name)| name.clone()).collect()
+    nodes.sort_unstable_by_key(|(hash, _)| mix(hash ^ mix(shard)));
+    let top = nodes.into_iter().take(max);
+    top.map(|(_, name)| name.clone()).collect()
 }
--- a/crates/limits/src/pool/member.rs
+++ b/crates/limits/src/pool/member.rs
@@ -4,9 +4,9 @@
 use indexmap::IndexMap;
 
 use super::{
-    Demand, SEATS, TokenGrant, TokenRefusal, TokenRequest, TokenResponse,
+    Demand, REPLICAS, TokenGrant, TokenRefusal, TokenRequest, TokenResponse,
     TokenServerOptions,
-    lending::{Lending, RENEWAL_LOOK_MS},
+    lending::{Allotments, RENEWAL_CHECK_MS},
     slot_of,
 };
 use crate::{
@@ -14,33 +14,34 @@
     QuotaPermit, RateLimit, Ticket, Tolerance,
 };
 
-/// Lends the parts of one front and asks for its requests.
+/// Allots the shares of one front to token servers and requests tokens from
+/// them.
 ///
 /// # Example
 ///
 /// ```
 /// use base::{Customer, Millis};
 /// use pomeloslip_limits::{
-///     Tolerance, RateLimit, FleetLimiter, LimitAction, LimitNodes, TokenServer,
-///     TokenClient, TokenServerOptions, Ticket, LimitDecision,
+///     FleetLimiter, LimitAction, LimitDecision, LimitNodes, RateLimit,
+///     Ticket, TokenClient, TokenServer, TokenServerOptions, Tolerance,
 /// };
 ///
 /// let options = TokenServerOptions::default();
 /// let tolerance = Tolerance { slack: 20, ..Tolerance::default() };
 /// let mut front = TokenClient::new("f1", 1, tolerance, options);
-/// let mut holder = TokenServer::new("w1", 1, tolerance, options);
+/// let mut server = TokenServer::new("w1", 1, tolerance, options);
 /// let nodes = LimitNodes {
 ///     fronts: vec!["f1".to_owned()],
 ///     workers: vec!["w1".to_owned()],
 /// };
 /// let now = Millis::new(0);
 /// front.set_nodes(&nodes, now);
-/// let customer: Customer = "alama".parse().expect("a name");
-/// let limit = RateLimit::try_new(5.0, 5).expect("a limit");
+/// let customer: Customer = "alama".parse().expect("a valid name");
+/// let limit = RateLimit::try_new(5.0, 5).expect("a valid limit");
 /// front.request(Ticket(2), &customer, limit, now);
 /// for action in front.take_actions() {
 ///     if let LimitAction::Send { request, .. } = action {
-///         let reply = holder.handle(&request, now).expect("valid");
+///         let reply = server.handle(&request, now).expect("valid");
 ///         front.receive("w1", &reply, now);
 ///     }
 /// }
@@ -55,13 +56,13 @@
     incarnation: u64,
     tolerance: Tolerance,
     options: TokenServerOptions,
-    lending: Lending,
+    allotments: Allotments,
     queues: IndexMap<(Customer, usize), Queue>,
     sent: IndexMap<u64, Sent>,
-    /// Customers without room in either replica, and until when.
-    full: IndexMap<Customer, Millis>,
-    own: IndexMap<(Customer, usize), OwnBucket>,
-    last_number: u64,
+    /// Customers without tokens in either replica, and until when.
+    exhausted: IndexMap<Customer, Millis>,
+    own_buckets: IndexMap<(Customer, usize), OwnBucket>,
+    last_sequence: u64,
     next_renewal: Millis,
     actions: Vec<LimitAction>,
 }
@@ -69,43 +70,45 @@
 /// Requests of a customer that wait for one replica.
 #[derive(Debug, Default)]
 struct Queue {
-    waiting: VecDeque<Waiting>,
-    is_asked: bool,
+    pending: VecDeque<PendingRequest>,
+    in_flight: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct PendingRequest {
     ticket: Ticket,
     limit: RateLimit,
-    /// Whether the other replica was asked already.
+    /// Whether the other replica was asked before.
     is_retry: bool,
     refused: Option<TokenRefusal>,
 }
 
-/// A message that waits for its answer.
+/// A message that waits for its response.
 #[derive(Debug)]
 struct Sent {
     to: String,
     at: Millis,
     customer: Customer,
     replica: usize,
-    requests: Vec<Waiting>,
+    requests: Vec<PendingRequest>,
 }
 
-/// This front's own part of one replica, while nobody counts it.
+/// Bucket of this front's own share of one replica, used while the share is
+/// not allotted.
 #[derive(Debug)]
 struct OwnBucket {
     tokens: f64,
     at: Millis,
 }
 
-/// Longest time for which a customer counts as full without asking again, in
-/// milliseconds: room that others leave is found that soon.
-const FULL_MOST_MS: u64 = 100;
+/// Maximum time for which a customer counts as exhausted without another
+/// request, in milliseconds. Tokens that other fronts leave unused are found
+/// after this time.
+const MAX_EXHAUSTED_MS: u64 = 100;
 
 impl TokenClient {
-    /// Starts with nothing lent. `incarnation` grows from process to process
-    /// of a front.
+    /// Creates a client without allotments. `incarnation` increases from
+    /// process to process of a front.
     pub fn new(
         node: &str,
         incarnation: u64,
@@ -117,35 +120,36 @@
             incarnation,
             tolerance,
             options,
-            lending: Lending::new(node, options),
+            allotments: Allotments::new(node, options),
             queues: IndexMap::new(),
             sent: IndexMap::new(),
-            full: IndexMap::new(),
-            own: IndexMap::new(),
-            last_number: 0,
+            exhausted: IndexMap::new(),
+            own_buckets: IndexMap::new(),
+            last_sequence: 0,
             next_renewal: Millis::new(0),
             actions: Vec::new(),
         }
     }
 
-    /// Sends a message to each node that has to hear from this front.
+    /// Sends a message to each node that is due one.
     fn renew(&mut self, now: Millis) {
-        self.next_renewal = now.saturating_add_ms(RENEWAL_LOOK_MS);
-        self.full.retain(|_, until| now < *until);
-        for node in self.lending.due(now) {
+        self.next_renewal = now.saturating_add_ms(RENEWAL_CHECK_MS);
+        self.exhausted.retain(|_, until| now < *until);
+        for node in self.allotments.servers_due(now) {
             self.send(&node, Vec::new(), now);
         }
     }
 
-    /// Sends one message, which lends all slots of that holder anew.
+    /// Sends one message, which renews the allotment of all slots of that
+    /// server.
     fn send(&mut self, to: &str, demands: Vec<Demand>, now: Millis) -> u64 {
-        self.last_number += 1;
-        let sequence = self.last_number;
-        let lent = self.lending.lend(to, sequence, now);
-        if !lent.newly.is_empty() {
-            // Whoever counts a part has it whole.
-            self.own.retain(|(customer, replica), _| {
-                !lent.newly.contains(&slot_of(customer, *replica))
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let shares = self.allotments.allot(to, sequence, now);
+        if !shares.newly_allotted.is_empty() {
+            // The server that counts a share has the whole of it.
+            self.own_buckets.retain(|(customer, replica), _| {
+                !shares.newly_allotted.contains(&slot_of(customer, *replica))
             });
         }
         self.actions.push(LimitAction::Send {
@@ -154,9 +158,9 @@
                 front: self.node.clone(),
                 incarnation: self.incarnation,
                 sequence,
-                lease_start: lent.from,
-                slots: lent.slots,
-                fronts: lent.fronts,
+                lease_start: shares.from,
+                slots: shares.slots,
+                fronts: shares.fronts,
                 demands,
             },
         });
@@ -168,19 +172,20 @@
         let Some(queue) = self.queues.get_mut(&key) else {
             return;
         };
-        if queue.is_asked || queue.waiting.is_empty() {
+        if queue.in_flight || queue.pending.is_empty() {
             return;
         }
         let slot = slot_of(customer, replica);
-        let holder = self.lending.holder_of(slot).map(str::to_owned);
-        let Some(holder) = holder else {
-            let waiting: Vec<Waiting> = queue.waiting.drain(..).collect();
-            self.use_own(customer, replica, waiting, now);
+        let server = self.allotments.server_of(slot).map(str::to_owned);
+        let Some(server) = server else {
+            let pending: Vec<PendingRequest> =
+                queue.pending.drain(..).collect();
+            self.take_own(customer, replica, pending, now);
             return;
         };
-        queue.is_asked = true;
-        let requests: Vec<Waiting> = queue.waiting.drain(..).collect();
-        let newest = requests.iter().map(|one| one.limit);
+        queue.in_flight = true;
+        let requests: Vec<PendingRequest> = queue.pending.drain(..).collect();
+        let newest = requests.iter().map(|pending| pending.limit);
         let Some(limit) = newest.max_by_key(|limit| limit.version()) else {
             return;
         };
@@ -190,9 +195,9 @@
             limit,
             count: requests.len() as u32,
         };
-        let sequence = self.send(&holder, vec![demand], now);
+        let sequence = self.send(&server, vec![demand], now);
         let sent = Sent {
-            to: holder,
+            to: server,
             at: now,
             customer: customer.clone(),
             replica,
@@ -201,85 +206,92 @@
         self.sent.insert(sequence, sent);
     }
 
-    /// Hands on requests that one replica has no answer or no room for.
-    fn try_other(
+    /// Passes requests on to the other replica if one has no response or no
+    /// tokens.
+    fn try_other_replica(
         &mut self,
         customer: &Customer,
         replica: usize,
-        requests: Vec<Waiting>,
+        requests: Vec<PendingRequest>,
         now: Millis,
     ) {
         let other = 1 - replica;
-        let (second, first): (Vec<Waiting>, Vec<Waiting>) =
-            requests.into_iter().partition(|one| one.is_retry);
+        let (second, first): (Vec<PendingRequest>, Vec<PendingRequest>) =
+            requests.into_iter().partition(|pending| pending.is_retry);
         if !first.is_empty() {
             let key = (customer.clone(), other);
             let queue = self.queues.entry(key).or_default();
-            queue.waiting.extend(first.into_iter().map(|one| Waiting {
-                is_retry: true,
-                ..one
+            queue.pending.extend(first.into_iter().map(|pending| {
+                PendingRequest {
+                    is_retry: true,
+                    ..pending
+                }
             }));
             self.flush(customer, other, now);
         }
-        self.end(customer, second, now);
+        self.finish(customer, second, now);
     }
 
-    /// Ends requests that neither replica has counted.
-    fn end(
+    /// Finishes requests that neither replica has admitted.
+    fn finish(
         &mut self,
         customer: &Customer,
-        requests: Vec<Waiting>,
+        requests: Vec<PendingRequest>,
         now: Millis,
     ) {
-        for (place, one) in requests.into_iter().enumerate() {
-            let decision = match one.refused {
+        for (position, pending) in requests.into_iter().enumerate() {
+            let decision = match pending.refused {
                 Some(refused) => {
-                    let full_ms = refused.token_in_ms.min(FULL_MOST_MS);
-                    let until = now.saturating_add_ms(full_ms);
-                    self.full.insert(customer.clone(), until);
-                    LimitDecision::OverLimit(refused.back(place as u64))
+                    let exhausted_ms =
+                        refused.token_in_ms.min(MAX_EXHAUSTED_MS);
+                    let until = now.saturating_add_ms(exhausted_ms);
+                    self.exhausted.insert(customer.clone(), until);
+                    LimitDecision::OverLimit(
+                        refused.retry_after(position as u64),
+                    )
                 }
                 None => LimitDecision::Unavailable,
             };
-            self.decide(one.ticket, decision);
+            self.decide(pending.ticket, decision);
         }
     }
 
-    /// Counts requests against this front's own part of a replica, where it is
-    /// lent to nobody.
-    fn use_own(
+    /// Counts requests against this front's own share of a replica, if the
+    /// share is not allotted.
+    fn take_own(
         &mut self,
         customer: &Customer,
         replica: usize,
-        requests: Vec<Waiting>,
+        requests: Vec<PendingRequest>,
         now: Millis,
     ) {
         let slot = slot_of(customer, replica);
-        let (part, free_since) = self.lending.own_part(slot);
+        let (share, free_since) = self.allotments.own_share(slot);
         let mut left = Vec::new();
-        for one in requests {
+        for pending in requests {
             let key = (customer.clone(), replica);
-            let bucket = self.own.entry(key).or_insert(OwnBucket {
+            let bucket = self.own_buckets.entry(key).or_insert(OwnBucket {
                 tokens: 0.0,
                 at: free_since,
             });
             let ms = now.saturating_ms_since(bucket.at) as f64;
-            let burst_tokens = self.tolerance.burst_tokens(one.limit) * part;
-            let filled = one.limit.per_s() * part * ms / 1_000.0;
+            let burst_tokens =
+                self.tolerance.burst_tokens(pending.limit) * share;
+            let filled = pending.limit.per_s() * share * ms / 1_000.0;
             bucket.tokens = (bucket.tokens + filled).min(burst_tokens);
             bucket.at = bucket.at.max(now);
             if bucket.tokens >= 1.0 {
                 bucket.tokens -= 1.0;
                 self.decide(
-                    one.ticket,
+                    pending.ticket,
                     LimitDecision::Admitted(QuotaPermit::new()),
                 );
             } else {
-                left.push(one);
+                left.push(pending);
             }
         }
         if !left.is_empty() {
-            self.try_other(customer, replica, left, now);
+            self.try_other_replica(customer, replica, left, now);
         }
     }
 
@@ -287,7 +299,7 @@
         self.actions.push(LimitAction::Decide { ticket, decision });
     }
 
-    /// Gives up messages that were not answered in time.
+    /// Times out messages without a response.
     fn expire(&mut self, now: Millis) {
         let late = |sent: &Sent| {
             now.saturating_ms_since(sent.at)
@@ -301,36 +313,32 @@
             .collect();
         for sequence in late {
             if let Some(sent) = self.sent.shift_remove(&sequence) {
-                self.answered(sent, None, now);
+                self.resolve(sent, None, now);
             }
         }
     }
 
-    /// Goes on with the requests of a message.
-    fn answered(
-        &mut self,
-        sent: Sent,
-        grant: Option<TokenGrant>,
-        now: Millis,
-    ) {
+    /// Continues with the requests of a message.
+    fn resolve(&mut self, sent: Sent, grant: Option<TokenGrant>, now: Millis) {
         let key = (sent.customer.clone(), sent.replica);
         if let Some(queue) = self.queues.get_mut(&key) {
-            queue.is_asked = false;
+            queue.in_flight = false;
         }
         let mut requests = sent.requests;
         if let Some(grant) = grant {
             let granted = (grant.granted as usize).min(requests.len());
-            for one in requests.drain(..granted) {
+            for pending in requests.drain(..granted) {
                 self.decide(
-                    one.ticket,
+                    pending.ticket,
                     LimitDecision::Admitted(QuotaPermit::new()),
                 );
             }
-            for one in &mut requests {
-                one.refused = TokenRefusal::sooner(one.refused, grant.refused);
+            for pending in &mut requests {
+                pending.refused =
+                    TokenRefusal::earlier(pending.refused, grant.refused);
             }
         }
-        self.try_other(&sent.customer, sent.replica, requests, now);
+        self.try_other_replica(&sent.customer, sent.replica, requests, now);
         self.flush(&sent.customer, sent.replica, now);
         if self.queues.get(&key).is_some_and(Queue::is_idle) {
             self.queues.swap_remove(&key);
@@ -340,12 +348,12 @@
 
 impl Queue {
     fn is_idle(&self) -> bool {
-        !self.is_asked && self.waiting.is_empty()
+        !self.in_flight && self.pending.is_empty()
     }
 }
 
 impl TokenRefusal {
-    fn sooner(a: Option<Self>, b: Option<Self>) -> Option<Self> {
+    fn earlier(a: Option<Self>, b: Option<Self>) -> Option<Self> {
         match (a, b) {
             (Some(a), Some(b)) if a.retry_after_ms <= b.retry_after_ms => {
                 Some(a)
@@ -355,17 +363,17 @@
         }
     }
 
-    /// Returns when the request at a place among the refused has room.
-    fn back(self, place: u64) -> OverLimit {
-        let behind_ms = self.spacing_us * place / 1_000;
+    /// Returns when the refused request at the given position has a token.
+    fn retry_after(self, position: u64) -> OverLimit {
+        let behind_ms = self.spacing_us * position / 1_000;
         OverLimit::new(self.retry_after_ms + behind_ms)
     }
 }
 
 impl FleetLimiter for TokenClient {
     fn set_nodes(&mut self, nodes: &LimitNodes, now: Millis) {
-        self.lending.start(now);
-        self.lending.set_nodes(nodes, now);
+        self.allotments.start(now);
+        self.allotments.set_nodes(nodes, now);
         self.next_renewal = now;
     }
 
@@ -376,19 +384,19 @@
         limit: RateLimit,
         now: Millis,
     ) {
-        self.lending.start(now);
-        if let Some(until) = self.full.get(customer)
+        self.allotments.start(now);
+        if let Some(until) = self.exhausted.get(customer)
             && now < *until
         {
-            let back_ms = until.saturating_ms_since(now);
-            let over = OverLimit::new(back_ms + FULL_MOST_MS);
+            let remaining_ms = until.saturating_ms_since(now);
+            let over = OverLimit::new(remaining_ms + MAX_EXHAUSTED_MS);
             self.decide(ticket, LimitDecision::OverLimit(over));
             return;
         }
-        let replica = self.seat_for(ticket, customer, now);
+        let replica = self.replica_for(ticket, customer, now);
         let queue =
             self.queues.entry((customer.clone(), replica)).or_default();
-        queue.waiting.push_back(Waiting {
+        queue.pending.push_back(PendingRequest {
             ticket,
             limit,
             is_retry: false,
@@ -398,22 +406,22 @@
     }
 
     fn receive(&mut self, from: &str, reply: &TokenResponse, now: Millis) {
-        let is_own = reply.to_incarnation == self.incarnation
-            && reply.sequence <= self.last_number
+        let is_for_this_process = reply.to_incarnation == self.incarnation
+            && reply.sequence <= self.last_sequence
             && reply.server == from;
-        if !is_own {
+        if !is_for_this_process {
             return;
         }
-        self.lending.heard(from, reply, now);
+        self.allotments.on_response(from, reply, now);
         if let Some(sent) = self.sent.shift_remove(&reply.sequence) {
             let is_same = sent.to == from;
             let grant = reply.grants.first().copied().filter(|_| is_same);
-            self.answered(sent, grant, now);
+            self.resolve(sent, grant, now);
         }
     }
 
     fn tick(&mut self, now: Millis) {
-        self.lending.start(now);
+        self.allotments.start(now);
         self.expire(now);
         if now >= self.next_renewal {
             self.renew(now);
@@ -435,18 +443,19 @@
 }
 
 impl TokenClient {
-    /// Returns the replica that a request asks first: either by turns, unless
-    /// the node of one keeps it waiting.
-    fn seat_for(
+    /// Returns the replica that a request asks first: round robin, unless only
+    /// the server of one responds in time.
+    fn replica_for(
         &self,
         ticket: Ticket,
         customer: &Customer,
         now: Millis,
     ) -> usize {
-        let replica = (ticket.0 % SEATS as u64) as usize;
+        let replica = (ticket.0 % REPLICAS as u64) as usize;
         let first = slot_of(customer, 0);
-        let is_good = |replica| self.lending.is_good(first + replica, now);
-        match !is_good(replica) && is_good(1 - replica) {
+        let is_responsive =
+            |replica| self.allotments.is_responsive(first + replica, now);
+        match !is_responsive(replica) && is_responsive(1 - replica) {
             true => 1 - replica,
             false => replica,
         }
--- a/crates/limits/src/pool/message.rs
+++ b/crates/limits/src/pool/message.rs
@@ -3,45 +3,46 @@
 
 use crate::RateLimit;
 
-/// Most customers in one message.
-const WANTS_MOST: usize = 8;
+/// Maximum number of customers in one message.
+const MAX_DEMANDS: usize = 8;
 
-/// Most requests that one message asks for, of one customer.
-const COUNT_MOST: u32 = 10_000;
+/// Maximum number of requests of one customer in one message.
+const MAX_COUNT: u32 = 10_000;
 
-/// Most fronts that a message may claim to know of.
-const FRONTS_MOST: u32 = 100_000;
+/// Maximum number of fronts that a message may report.
+const MAX_FRONTS: u32 = 100_000;
 
-/// A moment on the clock of one process of a holder.
+/// A time on the clock of one process of a token server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerTimestamp {
-    /// Names the process: a holder that starts again has lent nothing.
+    /// Identifies the process. A restarted server has no allotments.
     pub incarnation: u64,
-    /// Milliseconds on its clock.
+    /// Time on its clock, in milliseconds.
     pub at_ms: u64,
 }
 
-/// What a front asks a holder, and what it lends to it.
+/// A front's request for tokens, with the slots that it allots to the server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenRequest {
-    /// The front.
+    /// Name of the front.
     pub front: String,
-    /// Names the process of the front.
+    /// Identifies the process of the front.
     pub incarnation: u64,
-    /// Grows with each message of the process.
+    /// Increases with each message of the process.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The holder's newest timestamp that the front has; the lease runs from it.
+    /// Latest timestamp of the server that the front has received; the lease
+    /// starts at it.
     #[serde(rename = "lent_from")]
     pub lease_start: Option<ServerTimestamp>,
-    /// The slots that are lent, a bit each.
+    /// Bit mask of the allotted slots.
     pub slots: u16,
-    /// Fronts that share the caps, as far as the sender knows; its part is
-    /// one in this many.
+    /// Number of fronts that share the limits, as far as the sender knows. Its
+    /// share is one divided by this number.
     pub fronts: u32,
-    /// The requests that are to be counted.
+    /// The requests to count.
     #[serde(rename = "wants")]
     pub demands: Vec<Demand>,
 }
@@ -52,76 +53,76 @@
 pub struct Demand {
     /// The customer.
     pub customer: Customer,
-    /// Its replica.
+    /// Index of the replica that counts the requests.
     #[serde(rename = "seat")]
     pub replica: u8,
-    /// Its limit, as the front knows it.
+    /// Rate limit of the customer, as the front knows it.
     #[serde(rename = "cap")]
     pub limit: RateLimit,
-    /// How many requests.
+    /// Number of requests.
     pub count: u32,
 }
 
 impl TokenRequest {
-    /// Tells whether it can be what a front sends.
+    /// Reports whether all fields are in the range that a front sends.
     pub(crate) fn is_valid(&self) -> bool {
         let want_ok = |demand: &Demand| {
-            usize::from(demand.replica) < super::SEATS
+            usize::from(demand.replica) < super::REPLICAS
                 && demand.limit.is_valid()
-                && demand.count <= COUNT_MOST
+                && demand.count <= MAX_COUNT
         };
-        (1..=FRONTS_MOST).contains(&self.fronts)
-            && self.demands.len() <= WANTS_MOST
+        (1..=MAX_FRONTS).contains(&self.fronts)
+            && self.demands.len() <= MAX_DEMANDS
             && self.demands.iter().all(want_ok)
     }
 }
 
-/// What a holder answers.
+/// A token server's response to a front.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenResponse {
-    /// The holder.
+    /// Name of the server.
     #[serde(rename = "holder")]
     pub server: String,
-    /// The front's process that it answers.
+    /// Process of the front that the response is for.
     pub to_incarnation: u64,
-    /// The message that it answers.
+    /// Sequence number of the request.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The holder's clock when it got the message.
+    /// Clock of the server when it received the request.
     #[serde(rename = "stamp")]
     pub timestamp: ServerTimestamp,
-    /// Whether what the message lends was taken over.
+    /// Whether the server applied the allotment of the request.
     #[serde(rename = "heeded")]
     pub accepted: bool,
-    /// Fronts that share the caps, as far as the holder knows.
+    /// Number of fronts that share the limits, as far as the server knows.
     pub fronts: u32,
-    /// One for each demand, in the same order.
+    /// One grant per demand, in the same order.
     pub grants: Vec<TokenGrant>,
 }
 
-/// How many requests of a customer are counted.
+/// Result of counting the requests of a customer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenGrant {
-    /// Requests that are.
+    /// Number of admitted requests.
     pub granted: u32,
-    /// About those that are not.
+    /// Retry information for the other requests.
     pub refused: Option<TokenRefusal>,
 }
 
-/// When requests that were not counted may come again.
+/// When refused requests may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TokenRefusal {
-    /// Until there is room for one request, in milliseconds.
+    /// Time until a token is available, in milliseconds.
     #[serde(rename = "room_in_ms")]
     pub token_in_ms: u64,
-    /// Until there is room for the first of those that were refused, behind
-    /// all that were refused before it, in milliseconds.
+    /// Time until the first of the refused requests has a token, behind all
+    /// requests that were refused before it, in milliseconds.
     #[serde(rename = "back_in_ms")]
     pub retry_after_ms: u64,
-    /// Between each of them and the next, in microseconds.
+    /// Interval between the refused requests after it, in microseconds.
     #[serde(rename = "apart_us")]
     pub spacing_us: u64,
 }
--- a/crates/limits/src/pool/mod.rs
+++ b/crates/limits/src/pool/mod.rs
@@ -1,25 +1,27 @@
-//! Parts of caps, lent to nodes that count for many fronts.
+//! Shares of rate limits, allotted to token servers that count requests for
+//! many fronts.
 //!
-//! Each front owns an even part of every limit, in two halves (seats). It
-//! lends each half for a short time, the lease, to a [`TokenServer`], which
-//! adds up the parts of all fronts that lend to it and counts requests
-//! against the sum. A front asks for each request; a few of them in one
-//! message where many come at once.
+//! Each front owns an even share of every limit, in two halves (replicas). It
+//! allots each half for a short lease to a [`TokenServer`], which adds up the
+//! shares of all fronts that allot to it and counts requests against the sum.
+//! A front requests a token for each request, and combines several of them in
+//! one message under load.
 //!
-//! Safe whatever is lost: at each moment a part is lent to one holder, or
-//! used by its front, or idle. A front lends it elsewhere only when the time
-//! of the lease has passed since it heard the holder's stamp, and the holder
-//! counts the same time from the moment at which it made that stamp, which
-//! is earlier. Counters that start anew start without the burst.
+//! Safety under any loss of nodes and messages: at any time a share is
+//! allotted to one server, used by its front, or idle. A front allots it to
+//! another server only after the lease has passed since it received the
+//! server's timestamp. The server measures the same lease from the time at
+//! which it created that timestamp, which is earlier. Counters that restart do
+//! so without the burst.
 //!
-//! Usable whatever is lost: the two seats of a customer are at different
-//! nodes, so that one of them counts while the other is replaced; and a
-//! front that reaches no holder has its own part.
+//! Availability under such losses: the two replicas of a customer are on
+//! different nodes, so that one of them counts while the other is replaced;
+//! and a front that reaches no server uses its own share.
 //!
-//! Rejected: one counter for each customer, named by the list of nodes. Two
-//! nodes whose lists differ then count the whole limit each, for as long as
-//! one of them is cut off. And counters in the key-value service: they cost
-//! a call for each request and are gone with it.
+//! Rejected: one counter per customer, chosen by the list of nodes. Two nodes
+//! with different lists would each count the whole limit, for as long as one
+//! of them is cut off. Also rejected: counters in the key-value service, which
+//! cost a call per request and are unavailable whenever the service is.
 
 mod fraction;
 mod holder;
@@ -38,44 +40,46 @@
 
 use base::{Customer, mix, stable_hash};
 
-/// Groups of customers that are lent together.
-const SHARDS: u64 = 8;
+/// Number of shards of customers that are allotted together.
+const SHARD_COUNT: u64 = 8;
 
-/// Halves of a part.
-const SEATS: usize = 2;
+/// Number of replicas of each shard, each with half of the share.
+const REPLICAS: usize = 2;
 
-/// All that a front lends: each replica of each group of customers.
-pub const SLOT_COUNT: usize = SHARDS as usize * SEATS;
+/// Number of slots that a front allots: each replica of each shard of
+/// customers.
+pub const SLOT_COUNT: usize = SHARD_COUNT as usize * REPLICAS;
 
 /// Returns the slot of a customer's replica.
 fn slot_of(customer: &Customer, replica: usize) -> usize {
-    shard_of(customer) * SEATS + replica
+    shard_of(customer) * REPLICAS + replica
 }
 
 fn shard_of(customer: &Customer) -> usize {
-    (mix(stable_hash(&[customer.as_str()])) % SHARDS) as usize
+    (mix(stable_hash(&[customer.as_str()])) % SHARD_COUNT) as usize
 }
 
-/// Times of the pools; all nodes of a fleet have the same.
+/// Timing of token servers; the same at all nodes of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenServerOptions {
-    /// Shortest lease of a part, in milliseconds.
+    /// Minimum lease of an allotment, in milliseconds.
     pub min_lease_ms: u64,
-    /// Lease for each front of the fleet, in milliseconds: leases grow with
-    /// the fleet, so that a holder hears a bounded sequence of them a second.
+    /// Lease per front of the fleet, in milliseconds. Leases grow with the
+    /// fleet, so that a server receives a bounded number of renewals per
+    /// second.
     pub lease_per_front_ms: u64,
-    /// Longest lease, in milliseconds.
+    /// Maximum lease, in milliseconds.
     pub max_lease_ms: u64,
-    /// How long one holder may take to answer, in milliseconds.
+    /// Time limit for the response of one server, in milliseconds.
     pub response_timeout_ms: u64,
-    /// Silence after which parts are lent to another holder, in
-    /// milliseconds.
+    /// Time without a response after which slots are assigned to another
+    /// server, in milliseconds.
     pub unresponsive_after_ms: u64,
 }
 
 impl Default for TokenServerOptions {
-    /// A caller waits for two answers at the most, which leaves two thirds
-    /// of the shortest latency objectives.
+    /// A caller waits for at most two responses, which leaves two thirds of
+    /// the shortest latency objectives.
     fn default() -> Self {
         Self {
             min_lease_ms: 1_500,
@@ -88,7 +92,7 @@
 }
 
 impl TokenServerOptions {
-    /// Returns the lease in a fleet of so many fronts.
+    /// Returns the lease in a fleet with the given number of fronts.
     pub(crate) fn lease_ms(&self, fronts: u32) -> u64 {
         let grown = self.lease_per_front_ms * u64::from(fronts);
         grown.clamp(self.min_lease_ms, self.max_lease_ms)
--- a/crates/limits/src/retry.rs
+++ b/crates/limits/src/retry.rs
@@ -1,6 +1,6 @@
 use base::Millis;
 
-/// Slots that the window is cut into.
+/// Number of slots in the window.
 const SLOTS: usize = 10;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -9,13 +9,13 @@
     retries: u64,
 }
 
-/// Bounds retries to a share of the requests.
+/// Limits retries to a fraction of the requests.
 ///
-/// In a brown-out every request fails; with three attempts each, a service
-/// that could serve half of the load gets three times of it and serves
-/// nothing. One would notice by attempts that grow while answers fall. The
-/// budget bounds what retries add to the load, whatever fails; a small
-/// minimum lets quiet hours retry at all.
+/// In a brown-out every request fails. With three attempts each, a service
+/// that can serve half of the load receives three times the load and serves
+/// nothing; the symptom is a rising number of attempts while responses
+/// decline. The budget bounds the load that retries add, whatever fails. A
+/// small minimum permits retries at low traffic.
 ///
 /// # Example
 ///
@@ -37,12 +37,12 @@
     minimum: u32,
     slot_ms: u64,
     slots: [Slot; SLOTS],
-    /// Number of the slot that time is in, counted from time 0.
+    /// Index of the current slot, counted from time 0.
     current: u64,
 }
 
 impl RetryBudget {
-    /// Allows `ratio` retries per request and `minimum` more, within a
+    /// Permits `ratio` retries per request and `minimum` more, within a
     /// sliding window.
     pub fn new(ratio: f64, minimum: u32, window_ms: u64) -> Self {
         Self {
@@ -54,19 +54,19 @@
         }
     }
 
-    /// Counts a request; its retries do not count.
+    /// Counts a request, but not its retries.
     pub fn record_request(&mut self, now: Millis) {
         self.slot(now).requests += 1;
     }
 
-    /// Takes a retry out of the budget and tells whether there was one.
+    /// Takes a retry from the budget and returns whether one was available.
     pub fn try_retry(&mut self, now: Millis) -> bool {
         self.slot(now);
         let sum = |count: fn(&Slot) -> u64| -> u64 {
             self.slots.iter().map(count).sum()
         };
         let earned = sum(|slot| slot.requests) as f64 * self.ratio;
-        // Sums of tenths fall just short of whole numbers.
+        // Floating-point sums of tenths fall just short of whole numbers.
         let earned = (earned + 1e-9) as u64;
         let allowed = earned.saturating_add(u64::from(self.minimum));
         if sum(|slot| slot.retries) >= allowed {
@@ -76,13 +76,13 @@
         true
     }
 
-    /// Returns the slot of now and empties those that have left the window.
+    /// Returns the current slot and clears those that have left the window.
     fn slot(&mut self, now: Millis) -> &mut Slot {
         let number = (now.as_ms() / self.slot_ms).max(self.current);
-        let passed = (number - self.current).min(SLOTS as u64);
-        for offset in 0..passed {
-            let old = (number - offset) % SLOTS as u64;
-            self.slots[old as usize] = Slot::default();
+        let elapsed_slots = (number - self.current).min(SLOTS as u64);
+        for offset in 0..elapsed_slots {
+            let expired = (number - offset) % SLOTS as u64;
+            self.slots[expired as usize] = Slot::default();
         }
         self.current = number;
         &mut self.slots[(number % SLOTS as u64) as usize]
--- a/crates/limits/src/share.rs
+++ b/crates/limits/src/share.rs
@@ -1,16 +1,16 @@
 use serde::{Deserialize, Serialize};
 
-/// One entry's part of a limit that holds over the fleet.
+/// One entry's share of a fleet-wide limit.
 ///
 /// A limit is split evenly over the live entries, without a message per
-/// request: 1,900 requests a second over 340 entries would make a shared
-/// counter the busiest part of the system, and its outage everybody's. The
-/// balancer spreads callers evenly, but not exactly, so each entry may
-/// *overcommit*: its part is raised by a fixed share, which bounds the whole at
-/// `1 + overcommit` times the limit while every entry is at its part. An entry
-/// that sees too few others, for example after a partition, gives out more
-/// than its part; the count should therefore fall slowly and rise at once,
-/// which [`EntryCount`] does.
+/// request: at 1,900 requests per second over 340 entries, a shared counter
+/// would be the busiest part of the system, and its outage would affect every
+/// request. The load balancer spreads callers evenly, but not exactly, so each
+/// entry may *overcommit*: its share is raised by a fixed fraction, which
+/// bounds the total at `1 + overcommit` times the limit if every entry uses
+/// its whole share. An entry that sees too few others, for example after a
+/// partition, admits more than its share. The count should therefore decrease
+/// slowly and increase at once, which [`EntryCount`] does.
 ///
 /// # Example
 ///
@@ -30,14 +30,14 @@
 }
 
 impl LimitShare {
-    /// Share of its part that an entry borrows.
+    /// Fraction by which an entry overcommits its share.
     ///
     /// With n callers spread over the entries at random, an entry sees its
-    /// mean ± 1/sqrt(mean); a fifth covers one standard deviation from 25
+    /// mean ± 1/sqrt(mean). One fifth covers one standard deviation from 25
     /// requests on.
     pub const DEFAULT_OVERCOMMIT: f64 = 0.2;
 
-    /// Makes the share of one among live entries; 0 is taken as 1.
+    /// Creates the share of one of the live entries; 0 is treated as 1.
     pub fn new(entries: u32) -> Self {
         let entries = entries.max(1);
         let overcommit = Self::DEFAULT_OVERCOMMIT;
@@ -47,37 +47,38 @@
         }
     }
 
-    /// Changes what is borrowed; below 0 is taken as 0.
+    /// Changes the overcommitted fraction; below 0 is treated as 0.
     pub fn with_overcommit(self, overcommit: f64) -> Self {
         let overcommit = overcommit.max(0.0);
         Self { overcommit, ..self }
     }
 
-    /// Returns this entry's part of a rate.
-    pub fn rate(self, whole: f64) -> f64 {
+    /// Returns this entry's share of a rate.
+    pub fn rate(self, total: f64) -> f64 {
         if self.entries == 1 {
-            return whole;
+            return total;
         }
-        let part = whole / f64::from(self.entries);
-        (part * (1.0 + self.overcommit)).min(whole)
+        let share = total / f64::from(self.entries);
+        (share * (1.0 + self.overcommit)).min(total)
     }
 
-    /// Returns this entry's part of a count: rounded up and at least 1, else
-    /// a small limit over many entries would let nobody through. The whole
-    /// can then reach the number of entries.
-    pub fn count(self, whole: u32) -> u32 {
-        let part = self.rate(f64::from(whole));
-        // Nearly whole numbers come from the borrowed share, not callers.
-        let part = (part - 1e-9).ceil().max(1.0) as u32;
-        part.min(whole)
+    /// Returns this entry's share of a count, rounded up and at least 1;
+    /// otherwise a small limit over many entries would admit nothing. The
+    /// total can then reach the number of entries.
+    pub fn count(self, total: u32) -> u32 {
+        let share = self.rate(f64::from(total));
+        // Results just above whole numbers are rounding errors of the
+        // overcommitted fraction.
+        let share = (share - 1e-9).ceil().max(1.0) as u32;
+        share.min(total)
     }
 }
 
-/// Counts live entries: more at once, fewer only after a while.
+/// Counts live entries; increases at once and decreases only after a delay.
 ///
-/// The platform's list lags and a restart takes an entry away for seconds.
-/// If the count fell at once, the others would give out its part while it
-/// still does.
+/// The platform's list lags, and a restart removes an entry for seconds. If
+/// the count decreased at once, the others would use the share of an entry
+/// that is still using it.
 ///
 /// # Example
 ///
@@ -96,19 +97,19 @@
 pub struct EntryCount {
     count: u32,
     hold_ms: u64,
-    lower: Option<Lower>,
+    lower: Option<LowerCount>,
 }
 
-/// A lower count that has not held for long enough yet.
+/// A lower count that has not lasted long enough yet.
 #[derive(Clone, Copy, Debug)]
-struct Lower {
+struct LowerCount {
     since: base::Millis,
-    /// The highest that was seen since.
-    highest: u32,
+    /// Maximum count seen since then.
+    max_seen: u32,
 }
 
 impl EntryCount {
-    /// Starts at a count; a lower one must hold for `hold_ms`.
+    /// Creates a counter. A lower count has to last for `hold_ms`.
     pub fn new(count: u32, hold_ms: u64) -> Self {
         let count = count.max(1);
         let lower = None;
@@ -125,7 +126,7 @@
         self.count
     }
 
-    /// Takes what the list of machines shows now.
+    /// Updates the number of entries that the list of machines shows.
     pub fn observe(&mut self, live: u32, now: base::Millis) {
         let live = live.max(1);
         if live >= self.count {
@@ -133,14 +134,14 @@
             self.lower = None;
             return;
         }
-        let start = Lower {
+        let start = LowerCount {
             since: now,
-            highest: live,
+            max_seen: live,
         };
         let lower = self.lower.get_or_insert(start);
-        lower.highest = lower.highest.max(live);
+        lower.max_seen = lower.max_seen.max(live);
         if now.saturating_ms_since(lower.since) >= self.hold_ms {
-            self.count = lower.highest;
+            self.count = lower.max_seen;
             self.lower = None;
         }
     }
--- a/crates/limits/src/table.rs
+++ b/crates/limits/src/table.rs
@@ -7,20 +7,19 @@
 use crate::{ConcurrencyLimit, LimitShare, OverLimit, Permit, TokenBucket};
 
 new_key_type! {
-    /// Names a customer in a [`LimitTable`]; it stays the same over
-    /// configuration changes.
+    /// Identifies a customer in a [`LimitTable`] across configuration changes.
     pub struct LimitKey;
 }
 
-/// Limits of a customer over the whole fleet; what is left out is not limited.
+/// Fleet-wide limits of a customer; an omitted one does not apply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: Option<f64>,
-    /// Requests at once after a pause; those of one second if left out.
+    /// Requests at once after a pause; defaults to those of one second.
     pub burst: Option<u32>,
-    /// Requests that run at once.
+    /// Concurrent requests.
     pub concurrent: Option<u32>,
 }
 
@@ -39,8 +38,8 @@
 /// Limits of all customers at one entry.
 ///
 /// Each customer has a row in an arena; a request holds its small key. A row
-/// lives on while its customer is configured, so that a configuration change
-/// neither refills buckets nor forgets what runs.
+/// exists as long as its customer is configured, so that a configuration
+/// change neither refills buckets nor loses track of running requests.
 ///
 /// # Example
 ///
@@ -67,15 +66,15 @@
     keys: HashMap<Customer, (LimitKey, FleetLimits)>,
 }
 
-/// Lets a request run; its place is free again when this is dropped.
+/// Admission of a request; its slot is freed on drop.
 #[derive(Debug)]
-#[must_use = "the place is free again when the admission is dropped"]
+#[must_use = "the slot is freed when the admission is dropped"]
 pub struct Admission {
     _permit: Option<Permit>,
 }
 
 impl LimitTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(share: LimitShare) -> Self {
         Self {
             share,
@@ -84,8 +83,7 @@
         }
     }
 
-    /// Takes the customers of a configuration; those that are not in it are
-    /// forgotten.
+    /// Applies the customers of a configuration and removes all others.
     pub fn configure<'a>(
         &mut self,
         customers: impl IntoIterator<Item = (&'a Customer, FleetLimits)>,
@@ -109,7 +107,7 @@
         self.apply(now);
     }
 
-    /// Takes a new number of live entries.
+    /// Applies a new number of live entries.
     pub fn set_share(&mut self, share: LimitShare, now: Millis) {
         if share != self.share {
             self.share = share;
@@ -122,27 +120,28 @@
         self.keys.get(customer).map(|(key, _)| *key)
     }
 
-    /// Returns how many requests of a customer run here, if that is limited.
+    /// Returns the number of running requests of a customer at this entry, if
+    /// that is limited.
     pub fn running(&self, key: LimitKey) -> Option<u32> {
         let limit = self.rows.get(key)?.concurrent.as_ref()?;
         Some(limit.running())
     }
 
-    /// Lets a request run, or not at once.
+    /// Admits or refuses a request at once.
     ///
     /// # Errors
     ///
     /// [`OverLimit`] if a limit is reached, or the customer is no longer
-    /// configured; nothing is taken then.
+    /// configured; no token or slot is taken then.
     pub fn try_admit(
         &mut self,
         key: LimitKey,
         now: Millis,
     ) -> Result<Admission, OverLimit> {
-        // A customer that was just removed: its next call is refused by key.
+        // The customer was just removed; its next call is refused by its key.
         let row = self.rows.get_mut(key).ok_or(OverLimit::new(1_000))?;
-        // The place comes first: dropping it undoes it, while a token that
-        // was taken for nothing would be a request less.
+        // The slot is acquired first: dropping the permit frees it, while a
+        // token taken in vain would cost the customer one request.
         let limit = row.concurrent.as_ref();
         let permit = limit.map(ConcurrencyLimit::try_acquire).transpose()?;
         if let Some(bucket) = &mut row.bucket {
@@ -164,9 +163,9 @@
     fn apply(&mut self, limits: &FleetLimits, share: LimitShare, now: Millis) {
         match limits.requests_per_s {
             None => self.bucket = None,
-            Some(whole) => {
-                let rate = share.rate(whole);
-                let burst = share.count(limits.burst(whole));
+            Some(total) => {
+                let rate = share.rate(total);
+                let burst = share.count(limits.burst(total));
                 match &mut self.bucket {
                     Some(bucket) => bucket.set(rate, burst, now),
                     None => {
@@ -176,7 +175,7 @@
                 }
             }
         }
-        match limits.concurrent.map(|whole| share.count(whole)) {
+        match limits.concurrent.map(|total| share.count(total)) {
             None => self.concurrent = None,
             Some(limit) => match &self.concurrent {
                 Some(concurrent) => concurrent.set(limit),
