--- a/crates/limits/tests/fair.rs
+++ b/crates/limits/tests/fair.rs
@@ -1,4 +1,4 @@
-//! Fair turns of customers.
+//! Fair queueing over customers.
 
 use pomeloslip_limits::{FairQueue, PushError};
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -29,21 +29,21 @@
     assert!(of_a.abs_diff(expected) <= 1, "{of_a}");
 }
 
-/// Symptom: a customer with one item waits behind another's ten thousand.
-/// Sequence: the large bundle comes first, the small one a moment later.
-/// Cause: one queue in order of arrival.
+/// Guards against a customer with one item that waits behind ten thousand
+/// items of another customer, which arrived a moment earlier. A single queue
+/// in order of arrival causes this.
 #[test]
-fn small_flow_does_not_wait_behind_a_bundle() {
+fn small_flow_does_not_wait_behind_a_bulk_flow() {
     let mut queue = FairQueue::new(10_000);
-    let bundle = queue.add_flow(1);
+    let bulk = queue.add_flow(1);
     for _ in 0..10_000 {
-        queue.push(bundle, 1, "bundle").unwrap();
+        queue.push(bulk, 1, "bulk").unwrap();
     }
     queue.pop();
     let small = queue.add_flow(1);
     queue.push(small, 1, "small").unwrap();
-    let place = (0..3).position(|_| queue.pop() == Some("small"));
-    assert!(place.is_some());
+    let position = (0..3).position(|_| queue.pop() == Some("small"));
+    assert!(position.is_some());
 }
 
 #[test]
@@ -97,7 +97,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Each item comes out once, and each flow's in their order.
+    /// Each item is returned once, and the items of each flow in order.
     #[test]
     fn nothing_is_lost_or_overtaken(
         items in prop::collection::vec((0..4_usize, 0..50_u64), 0..200),
--- a/crates/limits/tests/fleet/event.rs
+++ b/crates/limits/tests/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a fleet, one thing after the other.
+//! Messages and events of the simulation.
 
 use std::cmp::Ordering;
 
@@ -6,8 +6,8 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    Ask(TokenRequest),
-    Reply(TokenResponse),
+    Request(TokenRequest),
+    Response(TokenResponse),
 }
 
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     Arrive {
         customer: usize,
     },
-    Look {
+    Poll {
         node: usize,
     },
     Kill {
@@ -34,7 +34,7 @@
     Start {
         node: usize,
     },
-    Cut {
+    CutOff {
         node: usize,
         all: bool,
         for_ms: u64,
@@ -49,26 +49,26 @@
     Thaw {
         node: usize,
     },
-    LowerCap,
-    Split,
+    LowerLimits,
+    Repartition,
 }
 
-/// Events order by time and number only.
+/// Orders events by time and number only.
 #[derive(Clone, Debug)]
-pub(crate) struct EventBox(pub(crate) Event);
+pub(crate) struct QueuedEvent(pub(crate) Event);
 
-impl PartialEq for EventBox {
+impl PartialEq for QueuedEvent {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl Eq for EventBox {}
-impl PartialOrd for EventBox {
+impl Eq for QueuedEvent {}
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for EventBox {
+impl Ord for QueuedEvent {
     fn cmp(&self, _: &Self) -> Ordering {
         Ordering::Equal
     }
--- a/crates/limits/tests/fleet/sim.rs
+++ b/crates/limits/tests/fleet/sim.rs
@@ -1,4 +1,4 @@
-//! A fleet on a stepped clock.
+//! A fleet on a simulated clock.
 
 use std::{
     cmp::Reverse,
@@ -12,8 +12,8 @@
 };
 
 use crate::{
-    event::{Event, EventBox, Message},
-    scenario::{Demand, Faults, Outcome, Plant, Scenario, Way},
+    event::{Event, Message, QueuedEvent},
+    scenario::{Demand, Faults, InjectedBug, Outcome, Scenario, Strategy},
 };
 
 struct Node {
@@ -23,39 +23,40 @@
     started_ms: u64,
     alive: bool,
     frozen: bool,
-    held: Vec<Event>,
-    /// Cut off from the key-value service; and from all nodes.
-    cut_from_service: bool,
+    deferred: Vec<Event>,
+    /// Whether the node is cut off from the key-value service, and from all
+    /// nodes.
+    cut_from_kv: bool,
     cut_from_all: bool,
-    half: bool,
+    partition_side: bool,
     listed_until_ms: u64,
     limiter: Option<Box<dyn FleetLimiter>>,
-    holder: TokenServer,
+    server: TokenServer,
     seen: BTreeMap<String, (bool, u64)>,
-    known: LimitNodes,
+    known_nodes: LimitNodes,
     wake_at_ms: u64,
-    heard: u64,
+    received: u64,
     sent: u64,
 }
 
-/// When callers begin; the nodes have started long before.
+/// When callers start; the nodes have started long before.
 const START_MS: u64 = 14_000;
 
-const LAPSE_MS: u64 = 3_000;
-const LOOK_MS: u64 = 200;
-const GONE_MS: u64 = 10_000;
-const CONFIG_MS: u64 = 3_000;
+const ENTRY_TTL_MS: u64 = 3_000;
+const POLL_MS: u64 = 200;
+const FORGET_MS: u64 = 10_000;
+const MAX_CONFIG_LAG_MS: u64 = 3_000;
 
 struct World {
     scenario: Scenario,
     random: u64,
     now_ms: u64,
     number: u64,
-    events: BinaryHeap<Reverse<(u64, u64, EventBox)>>,
+    events: BinaryHeap<Reverse<(u64, u64, QueuedEvent)>>,
     nodes: Vec<Node>,
     by_name: BTreeMap<String, usize>,
     customers: Vec<(Customer, RateLimit)>,
-    /// Caps before a change, and when that was.
+    /// Limits before a change, and when they changed.
     before: Option<(u64, Vec<RateLimit>)>,
     tickets: BTreeMap<(usize, u64), usize>,
     last_ticket: u64,
@@ -67,7 +68,7 @@
     pub(crate) fn run(self) -> Outcome {
         let mut world = World::new(self);
         world.prepare();
-        world.play();
+        world.run_events();
         world.finish()
     }
 }
@@ -91,16 +92,16 @@
             last_ticket: 0,
             counted,
             outcome: Outcome {
-                asked: zeros.clone(),
+                requested: zeros.clone(),
                 refused: zeros,
                 ..Outcome::default()
             },
         }
     }
 
-    fn below(&mut self, most: u64) -> u64 {
+    fn below(&mut self, max: u64) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.random) % most.max(1)
+        mix(self.random) % max.max(1)
     }
 
     fn chance(&mut self, percent: u64) -> bool {
@@ -109,7 +110,7 @@
 
     fn push(&mut self, at_ms: u64, event: Event) {
         self.number += 1;
-        let entry = (at_ms, self.number, EventBox(event));
+        let entry = (at_ms, self.number, QueuedEvent(event));
         self.events.push(Reverse(entry));
     }
 
@@ -122,7 +123,7 @@
                 false => format!("worker-{at}"),
             };
             self.by_name.insert(name.clone(), at);
-            let holder = self.holder(&name, 0);
+            let server = self.server(&name, 0);
             self.nodes.push(Node {
                 name,
                 is_front,
@@ -130,39 +131,39 @@
                 started_ms: 0,
                 alive: false,
                 frozen: false,
-                held: Vec::new(),
-                cut_from_service: false,
+                deferred: Vec::new(),
+                cut_from_kv: false,
                 cut_from_all: false,
-                half: false,
+                partition_side: false,
                 listed_until_ms: 0,
                 limiter: None,
-                holder,
+                server,
                 seen: BTreeMap::new(),
-                known: LimitNodes::default(),
+                known_nodes: LimitNodes::default(),
                 wake_at_ms: u64::MAX,
-                heard: 0,
+                received: 0,
                 sent: 0,
             });
             let start = self.below(300);
             self.push(start, Event::Start { node: at });
-            let look = self.below(LOOK_MS);
-            self.push(look, Event::Look { node: at });
+            let poll = self.below(POLL_MS);
+            self.push(poll, Event::Poll { node: at });
         }
         for customer in 0..self.customers.len() {
             self.push(START_MS, Event::Arrive { customer });
         }
         match self.scenario.faults {
             Faults::None => {}
-            Faults::Mixed => self.draw_faults(),
-            Faults::Splits => {
+            Faults::Mixed => self.schedule_faults(),
+            Faults::Partitions => {
                 for round in 0..16 {
-                    self.push(START_MS + 500 * round, Event::Split);
+                    self.push(START_MS + 500 * round, Event::Repartition);
                 }
             }
-            Faults::StaleCaps => {
+            Faults::StaleLimits => {
                 for node in 1..self.scenario.fronts {
                     if self.chance(40) {
-                        let cut = Event::Cut {
+                        let cut = Event::CutOff {
                             node,
                             all: false,
                             for_ms: 60_000,
@@ -170,12 +171,12 @@
                         self.push(START_MS, cut);
                     }
                 }
-                self.push(START_MS + 500, Event::LowerCap);
+                self.push(START_MS + 500, Event::LowerLimits);
             }
         }
     }
 
-    fn draw_faults(&mut self) {
+    fn schedule_faults(&mut self) {
         let all = self.nodes.len();
         for _ in 0..self.below(4) + 1 {
             let at = START_MS + self.below(10_000);
@@ -191,12 +192,12 @@
                 }
                 let event = match kind {
                     0 | 1 => Event::Kill { node, back_in_ms },
-                    2 => Event::Cut {
+                    2 => Event::CutOff {
                         node,
                         all: true,
                         for_ms,
                     },
-                    3 => Event::Cut {
+                    3 => Event::CutOff {
                         node,
                         all: false,
                         for_ms,
@@ -209,7 +210,7 @@
                         node,
                         back_in_ms: 300,
                     },
-                    _ => Event::Cut {
+                    _ => Event::CutOff {
                         node,
                         all: true,
                         for_ms: 1_500,
@@ -223,12 +224,12 @@
         }
         if self.chance(40) {
             let at = START_MS + self.below(6_000);
-            self.push(at, Event::LowerCap);
+            self.push(at, Event::LowerLimits);
         }
     }
 
-    fn holder(&self, name: &str, process: u64) -> TokenServer {
-        let tolerance = self.scenario.holder_allowance();
+    fn server(&self, name: &str, process: u64) -> TokenServer {
+        let tolerance = self.scenario.server_tolerance();
         TokenServer::new(
             name,
             process,
@@ -237,7 +238,7 @@
         )
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         while let Some(Reverse((at_ms, _, event))) = self.events.pop() {
             if at_ms > self.scenario.length_ms {
                 return;
@@ -253,13 +254,13 @@
             Event::Arrive { customer } => self.arrive(customer),
             Event::Kill { node, back_in_ms } => self.kill(node, back_in_ms),
             Event::Start { node } => self.start(node),
-            Event::Cut { node, all, for_ms } => {
-                self.nodes[node].cut_from_service = true;
+            Event::CutOff { node, all, for_ms } => {
+                self.nodes[node].cut_from_kv = true;
                 self.nodes[node].cut_from_all |= all;
                 self.push(self.now_ms + for_ms, Event::Heal { node });
             }
             Event::Heal { node } => {
-                self.nodes[node].cut_from_service = false;
+                self.nodes[node].cut_from_kv = false;
                 self.nodes[node].cut_from_all = false;
             }
             Event::Freeze { node, for_ms } => {
@@ -268,28 +269,28 @@
             }
             Event::Thaw { node } => {
                 self.nodes[node].frozen = false;
-                for event in std::mem::take(&mut self.nodes[node].held) {
+                for event in std::mem::take(&mut self.nodes[node].deferred) {
                     self.push(self.now_ms, event);
                 }
             }
-            Event::LowerCap => self.lower_caps(),
-            Event::Split => {
+            Event::LowerLimits => self.lower_limits(),
+            Event::Repartition => {
                 for node in 0..self.nodes.len() {
-                    self.nodes[node].half = self.chance(50);
+                    self.nodes[node].partition_side = self.chance(50);
                 }
             }
-            Event::Look { node } => {
-                self.push(self.now_ms + LOOK_MS, Event::Look { node });
-                self.look(node);
+            Event::Poll { node } => {
+                self.push(self.now_ms + POLL_MS, Event::Poll { node });
+                self.poll(node);
             }
             Event::Wake { node, process } => {
-                let known = &self.nodes[node];
-                if !known.alive || known.process != process {
+                let state = &self.nodes[node];
+                if !state.alive || state.process != process {
                     return;
                 }
-                if known.frozen {
+                if state.frozen {
                     let event = Event::Wake { node, process };
-                    self.nodes[node].held.push(event);
+                    self.nodes[node].deferred.push(event);
                     return;
                 }
                 self.nodes[node].wake_at_ms = u64::MAX;
@@ -302,7 +303,8 @@
     }
 
     fn local(&self, node: usize) -> Millis {
-        // Clocks of processes begin at their start, and so all differ.
+        // The clock of a process starts at 0 with the process, so all clocks
+        // differ.
         Millis::new(self.now_ms - self.nodes[node].started_ms)
     }
 
@@ -311,26 +313,28 @@
             return;
         }
         let process = self.nodes[at].process + 1;
-        let holder = self.holder(&self.nodes[at].name, process);
-        let options = self.scenario.member_options();
+        let server = self.server(&self.nodes[at].name, process);
+        let options = self.scenario.client_options();
         let tolerance = self.scenario.tolerance;
         let node = &mut self.nodes[at];
         node.process = process;
         node.started_ms = self.now_ms;
         node.alive = true;
         node.frozen = false;
-        node.held.clear();
+        node.deferred.clear();
         node.seen.clear();
-        node.known = LimitNodes::default();
-        node.holder = holder;
-        let limiter: Box<dyn FleetLimiter> = match self.scenario.way {
-            Way::Even => Box::new(EvenSplit::new(&node.name, tolerance)),
-            Way::Pools => Box::new(TokenClient::new(
+        node.known_nodes = LimitNodes::default();
+        node.server = server;
+        let limiter: Box<dyn FleetLimiter> = match self.scenario.strategy {
+            Strategy::EvenShares => {
+                Box::new(EvenSplit::new(&node.name, tolerance))
+            }
+            Strategy::Replicated => Box::new(TokenClient::new(
                 &node.name, process, tolerance, options,
             )),
         };
         node.limiter = node.is_front.then_some(limiter);
-        node.listed_until_ms = self.now_ms + LAPSE_MS;
+        node.listed_until_ms = self.now_ms + ENTRY_TTL_MS;
         node.wake_at_ms = u64::MAX;
     }
 
@@ -342,16 +346,16 @@
         self.push(self.now_ms + back_in_ms, Event::Start { node: at });
     }
 
-    fn look(&mut self, at: usize) {
+    fn poll(&mut self, at: usize) {
         let now_ms = self.now_ms;
         let node = &mut self.nodes[at];
         if !node.alive || node.frozen {
             return;
         }
-        if node.cut_from_service {
+        if node.cut_from_kv {
             return;
         }
-        node.listed_until_ms = now_ms + LAPSE_MS;
+        node.listed_until_ms = now_ms + ENTRY_TTL_MS;
         let listed: Vec<(String, bool)> = self
             .nodes
             .iter()
@@ -362,7 +366,7 @@
         for (name, is_front) in listed {
             node.seen.insert(name, (is_front, now_ms));
         }
-        node.seen.retain(|_, (_, seen)| now_ms - *seen < GONE_MS);
+        node.seen.retain(|_, (_, seen)| now_ms - *seen < FORGET_MS);
         let mut nodes = LimitNodes::default();
         for (name, (is_front, _)) in &node.seen {
             match is_front {
@@ -372,35 +376,36 @@
         }
         let now = self.local(at);
         let node = &mut self.nodes[at];
-        if node.known != nodes
+        if node.known_nodes != nodes
             && let Some(limiter) = &mut node.limiter
         {
             limiter.set_nodes(&nodes, now);
-            node.known = nodes;
+            node.known_nodes = nodes;
         }
         self.tick(at);
     }
 
-    fn lower_caps(&mut self) {
+    fn lower_limits(&mut self) {
         let before = self.customers.iter().map(|(_, limit)| *limit).collect();
         self.before = Some((self.now_ms, before));
         for (_, limit) in &mut self.customers {
             let rate = limit.per_s() / 4.0;
             let burst = limit.burst() / 4;
-            let lower = RateLimit::try_new(rate, burst).expect("a cap");
+            let lower =
+                RateLimit::try_new(rate, burst).expect("a valid limit");
             *limit = lower.with_version(2);
         }
     }
 
-    /// Returns the limit as a front knows it: news take a while.
-    fn cap_at(&self, node: usize, customer: usize) -> RateLimit {
+    /// Returns the limit that a front knows; changes reach it with a delay.
+    fn limit_at(&self, node: usize, customer: usize) -> RateLimit {
         let limit = self.customers[customer].1;
         let Some((changed_ms, before)) = &self.before else {
             return limit;
         };
-        let lag_ms = match self.nodes[node].cut_from_service {
+        let lag_ms = match self.nodes[node].cut_from_kv {
             true => u64::MAX / 2,
-            false => mix(node as u64) % CONFIG_MS,
+            false => mix(node as u64) % MAX_CONFIG_LAG_MS,
         };
         match self.now_ms < changed_ms + lag_ms {
             true => before[customer],
@@ -413,8 +418,8 @@
         let now_ms = self.now_ms;
         let factor = match self.scenario.demand {
             Demand::None => return,
-            // Gusts of 2.8 s each 6.6 s, as high as nearly five times the
-            // time between; the mean is at five eighths of the limit.
+            // Bursts of 2.8 s every 6.6 s, at nearly five times the rate
+            // between them; the mean is five eighths of the limit.
             Demand::Usual => match now_ms % 6_600 {
                 0..3_800 => 0.377 / 1.6,
                 _ => 1.84 / 1.6,
@@ -427,19 +432,20 @@
         let again = Event::Arrive { customer };
         self.push(now_ms + pause_ms + jitter, again);
         let fronts = self.scenario.fronts as u64;
-        // Callers are uneven, and move to other fronts now and then.
+        // Callers are spread unevenly and move to other fronts from time to
+        // time.
         let (a, b) = (self.below(fronts), self.below(fronts));
         let moved = mix(now_ms / 5_000) % fronts;
         let node = ((a.min(b) + moved) % fronts) as usize;
         if !self.nodes[node].alive || self.nodes[node].frozen {
             return;
         }
-        self.outcome.asked[customer] += 1;
+        self.outcome.requested[customer] += 1;
         self.last_ticket += 1;
         let ticket = self.last_ticket;
         self.tickets.insert((node, ticket), customer);
         let now = self.local(node);
-        let limit = self.cap_at(node, customer);
+        let limit = self.limit_at(node, customer);
         let name = self.customers[customer].0.clone();
         if let Some(limiter) = &mut self.nodes[node].limiter {
             limiter.request(Ticket(ticket), &name, limit, now);
@@ -471,12 +477,12 @@
                 LimitAction::Send { to, request } => {
                     self.nodes[at].sent += 1;
                     let to = self.by_name[&to];
-                    self.send(at, to, Message::Ask(request));
+                    self.send(at, to, Message::Request(request));
                 }
                 LimitAction::Decide { ticket, decision } => {
                     let key = (at, ticket.0);
                     let customer = self.tickets.remove(&key);
-                    let customer = customer.expect("one verdict a request");
+                    let customer = customer.expect("one decision per request");
                     match decision {
                         LimitDecision::Admitted(_) => {
                             self.counted[customer].push(self.now_ms);
@@ -517,34 +523,35 @@
     fn deliver(&mut self, from: usize, to: usize, message: Message) {
         let cut = self.nodes[from].cut_from_all
             || self.nodes[to].cut_from_all
-            || self.nodes[from].half != self.nodes[to].half;
+            || self.nodes[from].partition_side
+                != self.nodes[to].partition_side;
         if !self.nodes[to].alive || (cut && from != to) {
             return;
         }
         if self.nodes[to].frozen {
             let event = Event::Deliver { from, to, message };
-            self.nodes[to].held.push(event);
+            self.nodes[to].deferred.push(event);
             return;
         }
-        self.nodes[to].heard += 1;
+        self.nodes[to].received += 1;
         let now = self.local(to);
         match message {
-            Message::Ask(mut request) => {
-                if self.scenario.plant == Plant::OldCapWins {
+            Message::Request(mut request) => {
+                if self.scenario.bug == InjectedBug::OldLimitWins {
                     for demand in &mut request.demands {
                         demand.limit = demand.limit.with_version(self.number);
                     }
                 }
                 if let Some(reply) =
-                    self.nodes[to].holder.handle(&request, now)
+                    self.nodes[to].server.handle(&request, now)
                 {
-                    self.send(to, from, Message::Reply(reply));
+                    self.send(to, from, Message::Response(reply));
                 }
             }
-            Message::Reply(reply) => {
-                let holder = self.nodes[from].name.clone();
+            Message::Response(reply) => {
+                let server = self.nodes[from].name.clone();
                 if let Some(limiter) = &mut self.nodes[to].limiter {
-                    limiter.receive(&holder, &reply, now);
+                    limiter.receive(&server, &reply, now);
                 }
                 self.tick(to);
             }
@@ -561,9 +568,9 @@
                     first += 1;
                 }
                 let count = (last - first + 1) as f64;
-                let most = self.most_in_window(customer, *at_ms);
-                if count - most > self.outcome.worst_excess {
-                    self.outcome.worst_excess = count - most;
+                let max = self.max_requests(customer, *at_ms);
+                if count - max > self.outcome.worst_excess {
+                    self.outcome.worst_excess = count - max;
                     self.outcome.worst = Some((customer, *at_ms));
                 }
             }
@@ -580,25 +587,28 @@
         let sent: u64 = fronts.map(|node| node.sent).sum();
         self.outcome.sent_by_front =
             sent as f64 / seconds / self.scenario.fronts as f64;
-        let heard = self.nodes.iter().map(|node| node.heard).max();
-        self.outcome.heard_by_busiest = heard.unwrap_or(0) as f64 / seconds;
+        let received = self.nodes.iter().map(|node| node.received).max();
+        self.outcome.received_by_busiest =
+            received.unwrap_or(0) as f64 / seconds;
         self.outcome
     }
 
-    /// Returns the most that a window which ends at a moment may hold. A
-    /// lower limit binds a window after all know of it.
-    fn most_in_window(&self, customer: usize, at_ms: u64) -> f64 {
+    /// Returns the maximum number of requests in a window that ends at a given
+    /// time. A lowered limit applies to windows after every front has received
+    /// it.
+    fn max_requests(&self, customer: usize, at_ms: u64) -> f64 {
         let tolerance = self.scenario.tolerance;
         let now = tolerance.max_in_window(self.customers[customer].1);
         let Some((changed_ms, before)) = &self.before else {
             return now;
         };
         if self.scenario.faults == Faults::Mixed {
-            // Fronts may be out of touch at any moment, and a lower limit
-            // binds only those that have heard of it.
+            // Fronts may be cut off at any time, and a lowered limit applies
+            // only at those that have received it.
             return tolerance.max_in_window(before[customer]).max(now);
         }
-        let binds_ms = changed_ms + CONFIG_MS + 2 * tolerance.window_ms;
+        let binds_ms =
+            changed_ms + MAX_CONFIG_LAG_MS + 2 * tolerance.window_ms;
         match at_ms < binds_ms {
             true => tolerance.max_in_window(before[customer]).max(now),
             false => now,
--- a/crates/limits/tests/limits.rs
+++ b/crates/limits/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rates, places, shares and retry budgets.
+//! Rate limits, concurrency limits, shares and retry budgets.
 
 use base::{Customer, Millis};
 use pomeloslip_limits::{
@@ -11,7 +11,7 @@
     Millis::new(ms)
 }
 
-fn taken(bucket: &mut TokenBucket, now: Millis, tries: u32) -> u32 {
+fn take_count(bucket: &mut TokenBucket, now: Millis, tries: u32) -> u32 {
     (0..tries).filter(|_| bucket.try_take(now).is_ok()).count() as u32
 }
 
@@ -25,29 +25,29 @@
 )]
 fn bucket_refills(rate: f64, burst: u32, wait_ms: u64, expected: u32) {
     let mut bucket = TokenBucket::new(rate, burst, at(0));
-    let first = taken(&mut bucket, at(0), 100);
+    let first = take_count(&mut bucket, at(0), 100);
     if wait_ms == 0 {
         assert_eq!(first, expected);
     } else {
-        assert_eq!(taken(&mut bucket, at(wait_ms), 100), expected);
+        assert_eq!(take_count(&mut bucket, at(wait_ms), 100), expected);
     }
 }
 
-/// Symptom: a customer with a low rate gets less than its rate when it asks
-/// often. Sequence: each refusal refills a fraction of a token, which is
-/// rounded down. Cause: fractions lost at each call.
+/// Guards against a customer with a low rate that gets less than its rate when
+/// it sends requests often: each refusal refills a fraction of a token, and
+/// rounding the fraction down loses it.
 #[test]
 fn frequent_refusals_lose_no_tokens() {
-    // A burst of 2, since a bucket that is full at 1 drops what is over it.
+    // A burst of 2, since a full bucket of 1 drops what exceeds one token.
     let mut bucket = TokenBucket::new(0.7, 2, at(0));
-    let passed = (0..=100_000)
+    let admitted = (0..=100_000)
         .filter(|ms| bucket.try_take(at(*ms)).is_ok())
         .count();
-    assert_eq!(passed, 72);
+    assert_eq!(admitted, 72);
 }
 
 #[test]
-fn told_wait_is_exactly_long_enough() {
+fn retry_delay_is_exactly_long_enough() {
     let mut bucket = TokenBucket::new(3.0, 1, at(0));
     bucket.try_take(at(0)).unwrap();
     let wait_ms = bucket.try_take(at(10)).unwrap_err().retry_after_ms();
@@ -70,16 +70,16 @@
 #[test]
 fn changed_rate_is_no_second_burst() {
     let mut bucket = TokenBucket::new(1.0, 10, at(0));
-    assert_eq!(taken(&mut bucket, at(0), 20), 10);
+    assert_eq!(take_count(&mut bucket, at(0), 20), 10);
     bucket.set(5.0, 20, at(0));
-    assert_eq!(taken(&mut bucket, at(0), 20), 0);
-    assert_eq!(taken(&mut bucket, at(1_000), 20), 5);
+    assert_eq!(take_count(&mut bucket, at(0), 20), 0);
+    assert_eq!(take_count(&mut bucket, at(1_000), 20), 5);
     bucket.refund();
-    assert_eq!(taken(&mut bucket, at(1_000), 20), 1);
+    assert_eq!(take_count(&mut bucket, at(1_000), 20), 1);
 }
 
 #[test]
-fn places_come_back_and_limits_change() {
+fn slots_are_freed_and_limits_change() {
     let limit = ConcurrencyLimit::new(2);
     let first = limit.try_acquire().unwrap();
     let second = limit.try_acquire().unwrap();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn places_hold_over_threads() {
+fn concurrency_limit_holds_over_threads() {
     let limit = ConcurrencyLimit::new(3);
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -117,22 +117,22 @@
     nothing_stays_nothing = { 4, 0, 0 },
     no_entry_known = { 0, 100, 100 },
 )]
-fn share_of_a_count(entries: u32, whole: u32, expected: u32) {
-    assert_eq!(LimitShare::new(entries).count(whole), expected);
+fn share_of_a_count(entries: u32, total: u32, expected: u32) {
+    assert_eq!(LimitShare::new(entries).count(total), expected);
 }
 
 #[test]
 fn shares_add_up_to_the_documented_bound() {
     let share = LimitShare::new(8);
-    let whole = 8.0 * share.rate(1_000.0);
-    assert!((whole - 1_200.0).abs() < 1e-6, "{whole}");
+    let total = 8.0 * share.rate(1_000.0);
+    assert!((total - 1_200.0).abs() < 1e-6, "{total}");
     let exact = share.with_overcommit(0.0);
     assert!((8.0 * exact.rate(1_000.0) - 1_000.0).abs() < 1e-6);
 }
 
-/// Symptom: a customer gets twice its limit during a restart of entries.
-/// Sequence: an entry leaves the lagging list while it still serves, the
-/// others take over its part. Cause: a count that falls at once.
+/// Guards against a customer that gets twice its limit during a restart of
+/// entries: the lagging list no longer contains an entry that still serves,
+/// and if the count decreases at once, the others use its share too.
 #[test]
 fn entry_count_falls_slowly_and_rises_at_once() {
     let mut count = EntryCount::new(4, 30_000);
@@ -140,7 +140,7 @@
     count.observe(3, at(10_000));
     assert_eq!(count.get(), 4);
     count.observe(2, at(30_000));
-    assert_eq!(count.get(), 3, "the highest seen meanwhile");
+    assert_eq!(count.get(), 3, "the maximum seen since then");
     count.observe(2, at(31_000));
     count.observe(9, at(32_000));
     assert_eq!(count.get(), 9);
@@ -179,8 +179,8 @@
     assert!(!budget.try_retry(at(u64::MAX)));
 }
 
-/// Symptom: attempts grow while answers fall. Sequence: everything fails and
-/// each caller's request is tried again. Cause: retries without a bound.
+/// Guards against a rising number of attempts while responses decline: every
+/// request fails, and retries are unlimited.
 #[test]
 fn brown_out_adds_a_bounded_load() {
     let mut budget = RetryBudget::new(0.1, 2, 10_000);
@@ -190,8 +190,8 @@
         attempts += 1;
         attempts += (0..3).filter(|_| budget.try_retry(at(ms))).count();
     }
-    let most = 60_000 + 6_000 + 7 * (2 + 100);
-    assert!(attempts <= most, "{attempts} attempts");
+    let max = 60_000 + 6_000 + 7 * (2 + 100);
+    assert!(attempts <= max, "{attempts} attempts");
 }
 
 fn customer(name: &str) -> Customer {
@@ -227,11 +227,10 @@
     assert!(table.try_admit(key, at(1)).is_ok());
 }
 
-/// Symptom: a customer's rate is used up by requests that did not run.
-/// Sequence: no place is free, but a token is taken. Cause: the token came
-/// first.
+/// Guards against a customer whose rate is used up by requests that did not
+/// run: if the token is take_count first, it is lost when no slot is free.
 #[test]
-fn refusal_for_places_takes_no_token() {
+fn refusal_for_concurrency_takes_no_token() {
     let one = customer("one");
     let limits = FleetLimits {
         requests_per_s: Some(1.0),
@@ -246,7 +245,7 @@
     drop(running);
     assert!(table.try_admit(key, at(0)).is_ok());
     assert!(table.try_admit(key, at(0)).is_err());
-    assert_eq!(table.running(key), Some(0), "the place came back");
+    assert_eq!(table.running(key), Some(0), "the slot was freed");
 }
 
 #[test]
