--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -15,22 +15,21 @@
 //! request waits inside a limit.
 
 mod bucket;
-mod cap;
 mod concurrency;
-mod even;
+mod even_split;
 mod fair;
 mod front_count;
 mod limiter;
 mod pool;
+mod rate_limit;
 mod retry;
 mod share;
 mod table;
 
 pub use crate::{
     bucket::{OverLimit, TokenBucket},
-    cap::{QuotaPermit, RateLimit, RateLimitError, Tolerance},
     concurrency::{ConcurrencyLimit, Permit},
-    even::EvenSplit,
+    even_split::EvenSplit,
     fair::{FairQueue, FlowKey, PushError},
     limiter::{FleetLimiter, LimitAction, LimitDecision, LimitNodes, Ticket},
     pool::{
@@ -38,6 +37,7 @@
         TokenRefusal, TokenRequest, TokenResponse, TokenServer,
         TokenServerOptions,
     },
+    rate_limit::{QuotaPermit, RateLimit, RateLimitError, Tolerance},
     retry::RetryBudget,
     share::{EntryCount, LimitShare},
     table::{Admission, FleetLimits, LimitKey, LimitTable},
--- a/crates/limits/src/pool/member.rs
+++ b/crates/limits/src/pool/client.rs
@@ -6,7 +6,7 @@
 use super::{
     Demand, REPLICAS, TokenGrant, TokenRefusal, TokenRequest, TokenResponse,
     TokenServerOptions,
-    lending::{Allotments, RENEWAL_CHECK_MS},
+    allotment::{Allotments, RENEWAL_CHECK_MS},
     slot_of,
 };
 use crate::{
--- a/crates/limits/src/pool/mod.rs
+++ b/crates/limits/src/pool/mod.rs
@@ -23,19 +23,19 @@
 //! of them is cut off. Also rejected: counters in the key-value service, which
 //! cost a call per request and are unavailable whenever the service is.
 
+mod allotment;
+mod client;
 mod fraction;
-mod holder;
-mod lending;
-mod member;
 mod message;
+mod server;
 
 pub use self::{
-    holder::TokenServer,
-    member::TokenClient,
+    client::TokenClient,
     message::{
         Demand, ServerTimestamp, TokenGrant, TokenRefusal, TokenRequest,
         TokenResponse,
     },
+    server::TokenServer,
 };
 
 use base::{Customer, mix, stable_hash};
