--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/neighbours.rs
@@ -9,7 +9,7 @@
 use base::timer::Timer;
 use bytes::Bytes;
 use error_stack::{Report, ResultExt};
-use quarantine::{CaseNews, Quarantine};
+use quarantine::{CrashRecordUpdate, Quarantine};
 use serde::{Deserialize, Serialize};
 use spread::{Event, Message, Options, Spread};
 use tokio::task::JoinSet;
@@ -32,7 +32,7 @@
     #[serde(flatten)]
     message: Message,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    held_requests: Vec<CaseNews>,
+    held_requests: Vec<CrashRecordUpdate>,
 }
 
 /// Talks to neighbours.
@@ -117,7 +117,7 @@
     ) -> Result<Message, Report<EntryError>> {
         let question = Envelope {
             message: *message,
-            held_requests: self.quarantine.news(),
+            held_requests: self.quarantine.updates(),
         };
         let question = serde_json::to_vec(&question)
             .change_context(EntryError::Config)?;
@@ -126,7 +126,7 @@
         let answer: Envelope = serde_json::from_slice(&answer)
             .change_context(EntryError::Config)
             .attach("a neighbour's answer is broken")?;
-        self.quarantine.take_news(answer.held_requests);
+        self.quarantine.apply_updates(answer.held_requests);
         Ok(answer.message)
     }
 }
@@ -145,10 +145,10 @@
                 return None;
             }
         };
-        quarantine.take_news(question.held_requests);
+        quarantine.apply_updates(question.held_requests);
         let reply = Envelope {
             message: self.handle(Event::Question(question.message))?,
-            held_requests: quarantine.news(),
+            held_requests: quarantine.updates(),
         };
         serde_json::to_vec(&reply).ok().map(Bytes::from)
     }
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/case.rs
@@ -13,7 +13,7 @@
 ///
 /// ```
 /// use base::UnixMillis;
-/// use pomeloslip_quarantine::{Case, Crash, CrashedEndpoint};
+/// use pomeloslip_quarantine::{CrashRecord, Crash, CrashedEndpoint};
 ///
 /// let crash = |endpoint, began_ms| Crash {
 ///     endpoint: CrashedEndpoint::new(endpoint),
@@ -22,7 +22,7 @@
 ///     resumed_after: 0,
 ///     reached: 0,
 /// };
-/// let mut case = Case::default();
+/// let mut case = CrashRecord::default();
 /// assert!(case.add(crash(1, 1_000)));
 /// // Another run was cut off at the same time: one event may have ended
 /// // both endpoints.
@@ -33,7 +33,7 @@
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Case {
+pub struct CrashRecord {
     /// In the order in which the endpoints crashed.
     crashes: Vec<Crash>,
     /// How often the request was let through to find out whether it still
@@ -43,7 +43,7 @@
     tried_at: Option<UnixMillis>,
 }
 
-impl Case {
+impl CrashRecord {
     /// Returns the crashes, the oldest first.
     #[inline]
     pub fn crashes(&self) -> &[Crash] {
@@ -94,7 +94,7 @@
 
     /// Adds what another one knows of the same request, and returns whether
     /// anything of it was new.
-    pub fn merge(&mut self, other: &Case) -> bool {
+    pub fn merge(&mut self, other: &CrashRecord) -> bool {
         let before = self.clone();
         for crash in &other.crashes {
             self.add(*crash);
@@ -120,16 +120,16 @@
 
     /// Returns what this case has beyond another one.
     #[must_use]
-    pub fn without(&self, other: &Case) -> Case {
+    pub fn without(&self, other: &CrashRecord) -> CrashRecord {
         let is_known = |crash: &Crash| {
             other.crashes.iter().any(|known| {
                 known.is_same(crash) && known.progress() >= crash.progress()
             })
         };
         let rest = self.crashes.iter().filter(|crash| !is_known(crash));
-        Case {
+        CrashRecord {
             crashes: rest.copied().collect(),
-            ..Case::default()
+            ..CrashRecord::default()
         }
     }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! The same loss of an endpoint hits requests that were merely running, and
 //! these are to be served by another one. So a [`Crash`] is evidence, not
-//! proof. [`Case`] holds what speaks against one request, [`CaseTable`]
+//! proof. [`CrashRecord`] holds what speaks against one request, [`CrashRecordTable`]
 //! decides by it without I/O:
 //!
 //! - Only crashes one after the other count. Runs that overlap may have been
@@ -51,11 +51,11 @@
 mod table;
 
 pub use crate::{
-    case::Case,
+    case::CrashRecord,
     crash::{Crash, CrashedEndpoint},
     keys::EvidenceKeys,
     options::QuarantineOptions,
     probe::has_crashed,
-    quarantine::{CaseNews, Cleared, Held, Quarantine},
-    table::{CaseTable, Standing, StoredCase},
+    quarantine::{Cleared, CrashRecordUpdate, Held, Quarantine},
+    table::{CrashRecordTable, Standing, StoredRecord},
 };
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -15,10 +15,11 @@
 use kv::{KeyValue, Kv};
 use tokio::sync::Notify;
 
-pub use self::news::CaseNews;
 use self::news::ClearedCase;
+pub use self::news::CrashRecordUpdate;
 use crate::{
-    CaseTable, Crash, EvidenceKeys, QuarantineOptions, Standing, StoredCase,
+    Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, Standing,
+    StoredRecord,
     recent::RecentCrashes,
     store::{CaseStore, decode},
 };
@@ -41,7 +42,7 @@
 /// Clones share one state. All processes that use one prefix of the
 /// key-value service share what they know: each writes the crashes that it
 /// sees. It learns those of the others from whoever follows the service for
-/// it ([`Self::apply`]), or from its neighbours ([`Self::take_news`]).
+/// it ([`Self::apply`]), or from its neighbours ([`Self::apply_updates`]).
 ///
 /// While no endpoint has crashed, a request costs one look at a counter.
 #[derive(Clone)]
@@ -59,7 +60,7 @@
 }
 
 struct State {
-    cases: CaseTable,
+    cases: CrashRecordTable,
     recent: RecentCrashes,
     /// Requests of which the service does not have all that is known.
     unsaved: IndexSet<RequestDigest>,
@@ -86,7 +87,7 @@
     /// Event after which the answer began.
     resumed_after: u64,
     /// What the service has, as far as is known.
-    stored: StoredCase,
+    stored: StoredRecord,
 }
 
 impl Quarantine {
@@ -136,7 +137,7 @@
         let started = (clock.now(), clock.unix());
         Self(Arc::new(Inner {
             table: Mutex::new(State {
-                cases: CaseTable::new(options),
+                cases: CrashRecordTable::new(options),
                 recent: RecentCrashes::default(),
                 unsaved: IndexSet::new(),
                 answered: IndexMap::new(),
@@ -314,7 +315,7 @@
     fn take(
         &self,
         digest: RequestDigest,
-        stored: Option<StoredCase>,
+        stored: Option<StoredRecord>,
         revision: u64,
     ) {
         let mut state = self.lock();
@@ -329,7 +330,7 @@
         &self,
         state: &mut State,
         digest: RequestDigest,
-        stored: StoredCase,
+        stored: StoredRecord,
     ) {
         let now = self.now();
         let before = state.cases.standing(digest, now);
--- a/crates/quarantine/src/quarantine/news.rs
+++ b/crates/quarantine/src/quarantine/news.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Quarantine, State};
-use crate::{Case, Standing, StoredCase};
+use crate::{CrashRecord, Standing, StoredRecord};
 
 /// Requests that one message names.
 const NEWS_MOST: usize = 64;
@@ -22,13 +22,13 @@
 
 /// What one process reports of a request to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct CaseNews {
+pub struct CrashRecordUpdate {
     digest: RequestDigest,
     /// Revision of the key-value service at which it became so.
     revision: u64,
     /// What speaks against it; none if it was cleared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    case: Option<Case>,
+    case: Option<CrashRecord>,
 }
 
 /// A request that was cleared.
@@ -58,13 +58,13 @@
 
     /// Returns what other processes have to know: the requests that are held
     /// and those that were cleared.
-    pub fn news(&self) -> Vec<CaseNews> {
+    pub fn updates(&self) -> Vec<CrashRecordUpdate> {
         let state = self.lock();
         let now = self.now();
         let is_new = |at| now.saturating_ms_since(at) < NEWS_MS;
         let cleared = state.cleared.iter();
         let cleared = cleared.filter(|(_, cleared)| is_new(cleared.at));
-        let cleared = cleared.map(|(digest, cleared)| CaseNews {
+        let cleared = cleared.map(|(digest, cleared)| CrashRecordUpdate {
             digest: *digest,
             revision: cleared.revision,
             case: None,
@@ -74,7 +74,7 @@
             is_new(stored.case.changed_at())
                 && state.cases.standing(*digest, now) != Standing::Clear
         });
-        let held = held.map(|(digest, stored)| CaseNews {
+        let held = held.map(|(digest, stored)| CrashRecordUpdate {
             digest,
             revision: stored.revision,
             case: Some(stored.case.clone()),
@@ -83,12 +83,12 @@
     }
 
     /// Takes in what another process has reported.
-    pub fn take_news(&self, news: Vec<CaseNews>) {
+    pub fn apply_updates(&self, news: Vec<CrashRecordUpdate>) {
         if news.is_empty() {
             return;
         }
         let mut state = self.lock();
-        for CaseNews {
+        for CrashRecordUpdate {
             digest,
             revision,
             case,
@@ -103,7 +103,7 @@
                 // never forget it.
                 Some(case) if state.cases.is_over(&case, self.now()) => {}
                 Some(case) => {
-                    let stored = StoredCase { case, revision };
+                    let stored = StoredRecord { case, revision };
                     self.learn(&mut state, digest, stored);
                 }
                 None => {
--- a/crates/quarantine/src/quarantine/trial.rs
+++ b/crates/quarantine/src/quarantine/trial.rs
@@ -3,7 +3,7 @@
 use base::RequestDigest;
 
 use super::{Quarantine, WRITES_MOST};
-use crate::{Standing, StoredCase, store::Written};
+use crate::{Standing, StoredRecord, store::Written};
 
 impl Quarantine {
     /// Enters a trial, so that no other node lets the request through.
@@ -29,7 +29,7 @@
             case.begin_trial(self.now());
             match store.put(digest, before, &case).await {
                 Ok(Written::Done(revision)) => {
-                    let stored = StoredCase { case, revision };
+                    let stored = StoredRecord { case, revision };
                     let now = self.now();
                     self.lock().cases.learn(digest, stored, now);
                     return true;
--- a/crates/quarantine/src/quarantine/write.rs
+++ b/crates/quarantine/src/quarantine/write.rs
@@ -10,7 +10,7 @@
 
 use super::{Answered, Quarantine, WRITES_MOST};
 use crate::{
-    Case, Crash, StoredCase,
+    Crash, CrashRecord, StoredRecord,
     store::{CaseStore, Written},
 };
 
@@ -51,7 +51,7 @@
 ) -> Result<Option<u64>, Report<KvError>> {
     let mut known = Some(answered.stored.clone());
     for _ in 0..WRITES_MOST {
-        let Some(StoredCase { mut case, revision }) = known else {
+        let Some(StoredRecord { mut case, revision }) = known else {
             return Ok(None);
         };
         let is_over = case.refute(answered.resumed_after);
@@ -164,7 +164,8 @@
             }
             match store.put(digest, before, &case).await? {
                 Written::Done(revision) => {
-                    return self.saved(digest, StoredCase { case, revision });
+                    return self
+                        .saved(digest, StoredRecord { case, revision });
                 }
                 Written::Changed(now, revision) => {
                     self.take(digest, now, revision);
@@ -179,7 +180,7 @@
     fn parts_to_save(
         &self,
         digest: RequestDigest,
-    ) -> Option<(Option<StoredCase>, Case)> {
+    ) -> Option<(Option<StoredRecord>, CrashRecord)> {
         let state = self.lock();
         let (stored, unsaved) = state.cases.parts(digest)?;
         let is_accident =
@@ -195,7 +196,7 @@
     fn saved(
         &self,
         digest: RequestDigest,
-        stored: StoredCase,
+        stored: StoredRecord,
     ) -> Result<(), Report<KvError>> {
         let mut state = self.lock();
         if state.cases.contains(digest) {
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -5,7 +5,7 @@
 use kv::{Compare, KeyValue, Kv, KvError, Op, Txn};
 use tokio::time::timeout;
 
-use crate::{Case, StoredCase};
+use crate::{CrashRecord, StoredRecord};
 
 /// Longest wait for one call.
 const CALL_MOST: Duration = Duration::from_millis(1_000);
@@ -17,7 +17,7 @@
     Done(u64),
     /// Another writer was faster, or the outcome is not known. This is what
     /// the service has now, as of a revision.
-    Changed(Option<StoredCase>, u64),
+    Changed(Option<StoredRecord>, u64),
 }
 
 /// Keeps cases in the key-value service.
@@ -55,7 +55,7 @@
         &self,
         digest: RequestDigest,
         before: u64,
-        case: &Case,
+        case: &CrashRecord,
     ) -> Result<Written, Report<KvError>> {
         let value = serde_json::to_vec(case)
             .map_err(|_| Report::new(KvError::Invalid))?;
@@ -129,13 +129,13 @@
 
 /// Decodes a case; one that cannot be read counts as empty, so that the next
 /// crash writes it anew.
-pub(crate) fn decode(kv: &KeyValue) -> StoredCase {
+pub(crate) fn decode(kv: &KeyValue) -> StoredRecord {
     let case = serde_json::from_slice(&kv.value).unwrap_or_else(|error| {
         log::warn!(key = kv.key.as_str(), error:%;
             "what is known of a request that crashes endpoints cannot be read");
-        Case::default()
+        CrashRecord::default()
     });
-    StoredCase {
+    StoredRecord {
         case,
         revision: kv.mod_revision,
     }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -1,7 +1,7 @@
 use base::{RequestDigest, UnixMillis};
 use indexmap::IndexMap;
 
-use crate::{Case, Crash, QuarantineOptions};
+use crate::{Crash, CrashRecord, QuarantineOptions};
 
 /// Score that lengthens a hold by one step: that of a crash without progress.
 const SCORE_PER_LEVEL: u32 = 2;
@@ -28,9 +28,9 @@
 
 /// A case as the key-value service has it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StoredCase {
+pub struct StoredRecord {
     /// The case.
-    pub case: Case,
+    pub case: CrashRecord,
     /// Revision of its last write.
     pub revision: u64,
 }
@@ -44,7 +44,7 @@
 /// ```
 /// use base::{RequestContent, RequestDigest, UnixMillis};
 /// use pomeloslip_quarantine::{
-///     CaseTable, Crash, CrashedEndpoint, QuarantineOptions, Standing,
+///     CrashRecordTable, Crash, CrashedEndpoint, QuarantineOptions, Standing,
 /// };
 ///
 /// let digest = RequestDigest::of(RequestContent {
@@ -54,7 +54,7 @@
 ///     target: "/chat/1",
 ///     body: b"hello",
 /// });
-/// let mut table = CaseTable::new(QuarantineOptions::default());
+/// let mut table = CrashRecordTable::new(QuarantineOptions::default());
 /// for number in 0..3 {
 ///     assert_eq!(
 ///         table.standing(digest, UnixMillis::new(number * 1_000)),
@@ -75,7 +75,7 @@
 /// assert_eq!(due, Standing::Due);
 /// ```
 #[derive(Debug)]
-pub struct CaseTable {
+pub struct CrashRecordTable {
     options: QuarantineOptions,
     cases: IndexMap<RequestDigest, Entry>,
     forgotten: Vec<(RequestDigest, u64)>,
@@ -84,11 +84,11 @@
 #[derive(Debug, Default)]
 struct Entry {
     /// All that is known.
-    case: Case,
+    case: CrashRecord,
     /// What this node has seen and the service may not have yet.
-    unsaved: Case,
+    unsaved: CrashRecord,
     /// As the service has it.
-    stored: Option<StoredCase>,
+    stored: Option<StoredRecord>,
     /// When this node learned what is newest of it.
     learned_at: UnixMillis,
 }
@@ -125,7 +125,7 @@
     }
 }
 
-impl CaseTable {
+impl CrashRecordTable {
     /// Makes an empty table.
     pub fn new(options: QuarantineOptions) -> Self {
         Self {
@@ -150,7 +150,7 @@
     /// Returns the cases that the service has, as far as is known.
     pub fn stored(
         &self,
-    ) -> impl Iterator<Item = (RequestDigest, &StoredCase)> {
+    ) -> impl Iterator<Item = (RequestDigest, &StoredRecord)> {
         let cases = self.cases.iter();
         cases.filter_map(|(digest, entry)| {
             Some((*digest, entry.stored.as_ref()?))
@@ -198,7 +198,7 @@
     pub fn parts(
         &self,
         digest: RequestDigest,
-    ) -> Option<(Option<StoredCase>, Case)> {
+    ) -> Option<(Option<StoredRecord>, CrashRecord)> {
         let entry = self.cases.get(&digest)?;
         Some((entry.stored.clone(), entry.unsaved.clone()))
     }
@@ -234,7 +234,7 @@
     pub fn learn(
         &mut self,
         digest: RequestDigest,
-        stored: StoredCase,
+        stored: StoredRecord,
         now: UnixMillis,
     ) {
         self.change(digest, |entry| {
@@ -281,7 +281,7 @@
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
-    ) -> (bool, Option<StoredCase>) {
+    ) -> (bool, Option<StoredRecord>) {
         if !self.cases.contains_key(&digest) {
             return (false, None);
         }
@@ -300,7 +300,7 @@
     /// Tells whether a case that another node reports is not worth learning:
     /// it has been quiet for so long that it is forgotten, or is dated so
     /// far ahead that nobody would forget it.
-    pub fn is_over(&self, case: &Case, now: UnixMillis) -> bool {
+    pub fn is_over(&self, case: &CrashRecord, now: UnixMillis) -> bool {
         let changed_at = case.changed_at();
         let quiet_ms = now.saturating_ms_since(changed_at);
         quiet_ms >= self.options.kept_ms
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -301,23 +301,23 @@
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    while fleet.nodes[0].news().is_empty() {
+    while fleet.nodes[0].updates().is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
     let [near, far] = [0, 1].map(|_| fleet.alone());
-    near.take_news(fleet.nodes[0].news());
-    far.take_news(near.news());
+    near.apply_updates(fleet.nodes[0].updates());
+    far.apply_updates(near.updates());
     assert!(far.admit(bad).await.is_err());
     // Once it is cleared, what others still tell brings it back nowhere.
-    let stale = far.news();
+    let stale = far.updates();
     fleet.nodes[0].answered(bad, 0);
     while fleet.stored().await > 0 {
         sleep(Duration::from_millis(5)).await;
     }
-    near.take_news(fleet.nodes[0].news());
-    near.take_news(stale);
+    near.apply_updates(fleet.nodes[0].updates());
+    near.apply_updates(stale);
     assert!(near.admit(bad).await.is_ok());
-    far.take_news(near.news());
+    far.apply_updates(near.updates());
     assert!(far.admit(bad).await.is_ok());
 }
 
@@ -329,13 +329,13 @@
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    while fleet.nodes[0].news().is_empty() {
+    while fleet.nodes[0].updates().is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
-    let old = fleet.nodes[0].news();
+    let old = fleet.nodes[0].updates();
     fleet.pass(QuarantineOptions::default().kept_ms);
     let other = fleet.alone();
-    other.take_news(old);
+    other.apply_updates(old);
     assert!(other.is_empty());
 }
 
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -2,8 +2,8 @@
 
 use base::{RequestContent, RequestDigest, UnixMillis};
 use pomeloslip_quarantine::{
-    Case, CaseTable, Crash, CrashedEndpoint, QuarantineOptions, Standing,
-    StoredCase,
+    Crash, CrashRecord, CrashRecordTable, CrashedEndpoint, QuarantineOptions,
+    Standing, StoredRecord,
 };
 use yare::parameterized;
 
@@ -32,19 +32,27 @@
     }
 }
 
-fn table() -> CaseTable {
-    CaseTable::new(QuarantineOptions::default())
+fn table() -> CrashRecordTable {
+    CrashRecordTable::new(QuarantineOptions::default())
 }
 
 /// Adds crashes one second apart, each of another endpoint.
-fn crash_times(table: &mut CaseTable, digest: RequestDigest, times: u64) {
+fn crash_times(
+    table: &mut CrashRecordTable,
+    digest: RequestDigest,
+    times: u64,
+) {
     for number in 1..=times {
         let ended_ms = number * 1_000;
         table.add_crash(digest, crash(number, ended_ms, 100));
     }
 }
 
-fn is_held(table: &CaseTable, digest: RequestDigest, now_ms: u64) -> bool {
+fn is_held(
+    table: &CrashRecordTable,
+    digest: RequestDigest,
+    now_ms: u64,
+) -> bool {
     matches!(table.standing(digest, at(now_ms)), Standing::Held { .. })
 }
 
@@ -210,7 +218,7 @@
 const HOURS_MS: u64 = 3 * 3_600_000;
 
 /// Learns three crashes of another node whose clock shows `dated_ms`.
-fn learned(dated_ms: u64, now_ms: u64) -> CaseTable {
+fn learned(dated_ms: u64, now_ms: u64) -> CrashRecordTable {
     let mut table = table();
     let crashes =
         [0, 1_000, 2_000].map(|after| crash(after, dated_ms + after, 100));
@@ -238,13 +246,13 @@
     let options = QuarantineOptions::default();
     let now_ms = 2 * HOURS_MS;
     let mut table = learned(HOURS_MS, now_ms);
-    let Some((Some(StoredCase { mut case, .. }), _)) =
+    let Some((Some(StoredRecord { mut case, .. }), _)) =
         table.parts(digest("bad"))
     else {
         panic!("learned");
     };
     case.begin_trial(at(HOURS_MS));
-    let stored = StoredCase { case, revision: 8 };
+    let stored = StoredRecord { case, revision: 8 };
     table.learn(digest("bad"), stored, at(now_ms));
     let held_ms = options.hold_ms(1) - 10_000;
     assert!(is_held(&table, digest("bad"), now_ms + held_ms - 1));
@@ -266,7 +274,7 @@
         cases_most: 10,
         ..QuarantineOptions::default()
     };
-    let mut table = CaseTable::new(options);
+    let mut table = CrashRecordTable::new(options);
     crash_times(&mut table, digest("first"), 3);
     for number in 0..50 {
         let name = format!("request {number}");
@@ -285,7 +293,7 @@
 /// Guards against a case of a few bytes for each of a thousand crashes.
 #[test]
 fn a_case_keeps_few_crashes_and_those_that_count() {
-    let mut case = Case::default();
+    let mut case = CrashRecord::default();
     for number in 1..=3 {
         case.add(crash(number, 1_000 * number, 100));
     }
@@ -296,12 +304,12 @@
     assert_eq!(case.evidence().len(), 3);
 }
 
-fn stored(crashes: &[Crash], revision: u64) -> StoredCase {
-    let mut case = Case::default();
+fn stored(crashes: &[Crash], revision: u64) -> StoredRecord {
+    let mut case = CrashRecord::default();
     for crash in crashes {
         case.add(*crash);
     }
-    StoredCase { case, revision }
+    StoredRecord { case, revision }
 }
 
 #[test]
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -5,8 +5,8 @@
 
 use base::{RequestContent, RequestDigest, UnixMillis};
 use pomeloslip_quarantine::{
-    Case, CaseTable, Crash, CrashedEndpoint, QuarantineOptions, Standing,
-    StoredCase,
+    Crash, CrashRecord, CrashRecordTable, CrashedEndpoint, QuarantineOptions,
+    Standing, StoredRecord,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -96,17 +96,17 @@
 }
 
 /// Writes that a node hears of: when, and at which revision.
-type News = BTreeMap<(u64, u64), (RequestDigest, Option<StoredCase>)>;
+type News = BTreeMap<(u64, u64), (RequestDigest, Option<StoredRecord>)>;
 
 pub(crate) struct World {
     plan: Plan,
     random: StdRng,
     now_ms: u64,
-    nodes: Vec<CaseTable>,
+    nodes: Vec<CrashRecordTable>,
     /// Time of day of each node less the true one.
     clocks_ms: Vec<i64>,
     news: Vec<News>,
-    store: BTreeMap<RequestDigest, StoredCase>,
+    store: BTreeMap<RequestDigest, StoredRecord>,
     revision: u64,
     alive: BTreeSet<u64>,
     replacements: Vec<u64>,
@@ -137,7 +137,7 @@
 impl World {
     pub(crate) fn new(plan: Plan, seed: u64) -> Self {
         let options = QuarantineOptions::default();
-        let node = |_| CaseTable::new(options);
+        let node = |_| CrashRecordTable::new(options);
         let mut random = StdRng::seed_from_u64(seed);
         let clocks = (0..plan.nodes).map(|_| clock_off(&plan, &mut random));
         let mut world = Self {
@@ -204,7 +204,8 @@
             }
             self.clocks_ms[node] = clock_off(&self.plan, &mut self.random);
             self.news[node].clear();
-            self.nodes[node] = CaseTable::new(QuarantineOptions::default());
+            self.nodes[node] =
+                CrashRecordTable::new(QuarantineOptions::default());
             let now = self.unix_of(node);
             for (digest, stored) in &self.store {
                 self.nodes[node].learn(*digest, stored.clone(), now);
@@ -305,7 +306,7 @@
             Standing::Held { .. } => false,
             Standing::Due => {
                 let stored = self.store.get(&request.digest).cloned();
-                let Some(StoredCase { mut case, .. }) = stored else {
+                let Some(StoredRecord { mut case, .. }) = stored else {
                     return true;
                 };
                 // The trial of another node, which this one has not heard of.
@@ -454,11 +455,11 @@
         &mut self,
         writer: usize,
         digest: RequestDigest,
-        case: Option<Case>,
+        case: Option<CrashRecord>,
     ) {
         self.revision += 1;
         let revision = self.revision;
-        let stored = case.map(|case| StoredCase { case, revision });
+        let stored = case.map(|case| StoredRecord { case, revision });
         match &stored {
             Some(stored) => self.store.insert(digest, stored.clone()),
             None => self.store.remove(&digest),
