--- a/crates/bench/benches/quarantine.rs
+++ b/crates/bench/benches/quarantine.rs
@@ -37,7 +37,7 @@
     let full = Quarantine::local(clock.clone(), QuarantineOptions::default());
     for number in 0..most as u64 {
         let now = clock.unix();
-        full.crashed(digest(&number.to_le_bytes()), crash(number, now));
+        full.record_crash(digest(&number.to_le_bytes()), crash(number, now));
     }
     let mut table = Table::new(
         "Time of one check in ns, and as a ratio to that without any request \
--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -2,7 +2,7 @@
 
 use base::{Customer, RequestContent, RequestDigest};
 use ledger::{Granted, ItemEnd};
-use quarantine::{Cleared, Crash, CrashedEndpoint};
+use quarantine::{Crash, CrashedEndpoint, SendPermit};
 use wire::message::{Item, ItemOutcome, ItemResult};
 
 use super::Owner;
@@ -35,7 +35,7 @@
     ) -> Option<Item> {
         let of_item = || digest(&item.customer, &item.path, &item.body);
         let held = match self.quarantine.admit(of_item).await {
-            Ok(Cleared { .. }) => return Some(item),
+            Ok(SendPermit { .. }) => return Some(item),
             Err(held) => held,
         };
         log::info!(
@@ -62,7 +62,7 @@
         digest: impl Fn() -> RequestDigest,
     ) {
         match result.outcome {
-            ItemOutcome::Answered => self.quarantine.answered(digest, 0),
+            ItemOutcome::Answered => self.quarantine.record_answer(digest, 0),
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
                 let ledger = self.ledger();
@@ -80,7 +80,7 @@
                     resumed_after: 0,
                     reached: 0,
                 };
-                self.quarantine.crashed(digest(), crash);
+                self.quarantine.record_crash(digest(), crash);
             }
             ItemOutcome::Lost | ItemOutcome::Returned => {}
         }
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -78,7 +78,8 @@
     /// Notes that the answer is whole.
     pub(crate) fn completed(&self) {
         if let Some(call) = &self.call {
-            call.quarantine.answered(|| call.digest, call.resumed_after);
+            call.quarantine
+                .record_answer(|| call.digest, call.resumed_after);
         }
     }
 
@@ -99,7 +100,7 @@
             resumed_after: call.resumed_after,
             reached: call.reached,
         };
-        call.quarantine.crashed(call.digest, crash);
+        call.quarantine.record_crash(call.digest, crash);
     }
 
     /// Notes the load that came with the reply to the call. If it comes from
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use quarantine::Cleared;
+use quarantine::SendPermit;
 use router::Failure;
 use upstream::EndpointClient;
 use web::ProblemKind;
@@ -44,7 +44,7 @@
     /// Parts of the answer that the caller has already.
     pub(super) offset: u32,
     /// Says that the request may be sent.
-    pub(super) cleared: Cleared,
+    pub(super) cleared: SendPermit,
 }
 
 /// An answer that has begun.
@@ -85,7 +85,7 @@
         number,
         left_ms,
         offset,
-        cleared: Cleared { .. },
+        cleared: SendPermit { .. },
     } = attempted;
     flight.begin(&shared.quarantine, exchange.digest, offset);
     let target = flight.target().clone();
--- a/crates/entry/src/forward/tries.rs
+++ b/crates/entry/src/forward/tries.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use obs::Counter;
-use quarantine::Held;
+use quarantine::Quarantined;
 use router::EndpointKey;
 use web::{Problem, ProblemKind, Ran};
 
@@ -147,7 +147,7 @@
     }
 
     /// Refuses a request that crashes endpoints.
-    fn held(&self, exchange: &Exchange, held: Held) -> Problem {
+    fn held(&self, exchange: &Exchange, held: Quarantined) -> Problem {
         log::info!(
             request_id = exchange.request_id.as_str(),
             digest:% = exchange.digest,
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -46,7 +46,7 @@
 impl RunObserver for RunNotifier {
     fn answered(&self, run: &Run) {
         self.quarantine
-            .answered(|| run.evidence_keys(), run.resumed_after());
+            .record_answer(|| run.evidence_keys(), run.resumed_after());
     }
 
     fn cut_off(&self, run: &Run) {
@@ -205,7 +205,7 @@
                 resumed_after: run.resumed_after,
                 reached: run.reached,
             };
-            self.quarantine.crashed(run.keys.clone(), crash);
+            self.quarantine.record_crash(run.keys.clone(), crash);
         }
     }
 
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -3,7 +3,7 @@
 use base::{Clock, Millis};
 use fleet::{Endpoint, LoadReport, Suspicion};
 use http::{HeaderMap, StatusCode, header};
-use quarantine::Cleared;
+use quarantine::SendPermit;
 use tokio::time;
 
 use crate::{
@@ -76,7 +76,7 @@
     /// Longest wait for the head of the answer.
     pub wait: Duration,
     /// Says that the request may be sent.
-    pub cleared: Cleared,
+    pub cleared: SendPermit,
 }
 
 /// What an offer needs besides the request.
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -10,7 +10,7 @@
     Verdict,
 };
 use http::Response;
-use quarantine::{Cleared, Held, Quarantine, QuarantineOptions};
+use quarantine::{Quarantine, QuarantineOptions, Quarantined, SendPermit};
 use tokio::time;
 
 use crate::{
@@ -394,8 +394,8 @@
         wait: Duration,
     ) -> Result<Exchange, Failure> {
         let cleared = self.clear(request).await;
-        let cleared =
-            cleared.map_err(|Held { for_ms, .. }| Failure::Held { for_ms })?;
+        let cleared = cleared
+            .map_err(|Quarantined { for_ms, .. }| Failure::Held { for_ms })?;
         let offer = Offer {
             request,
             endpoint,
@@ -407,7 +407,10 @@
     }
 
     /// Lets a request pass unless it is known to crash endpoints.
-    async fn clear(&self, request: &Inbound) -> Result<Cleared, Held> {
+    async fn clear(
+        &self,
+        request: &Inbound,
+    ) -> Result<SendPermit, Quarantined> {
         let admitted = self.quarantine.admit(|| request.evidence_keys()).await;
         admitted.inspect_err(|held| {
             Counters::add(&self.counters.requests_held);
@@ -465,7 +468,7 @@
 
 /// Refuses a request that crashes endpoints; one of them may have been lost
 /// to this very request.
-fn refuse_held(held: Held, tries: &Tries) -> Refusal {
+fn refuse_held(held: Quarantined, tries: &Tries) -> Refusal {
     const WHY: &str = "endpoints crash when they run this request";
     match tries.used {
         0 => Refusal::not_run(WHY).with_retry_after_ms(held.for_ms),
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -28,7 +28,7 @@
 //! trial, to correct a mistake: a sound request is answered and cleared. Each
 //! further crash or trial makes the hold longer. [`Quarantine`] does this for
 //! a process and shares it with others through the key-value service, so
-//! that it holds on every node and after restarts. A [`Cleared`] is needed
+//! that it holds on every node and after restarts. A [`SendPermit`] is needed
 //! for each send, so that no path to an endpoint can leave out the check.
 //!
 //! # What was rejected
@@ -56,6 +56,6 @@
     keys::EvidenceKeys,
     options::QuarantineOptions,
     probe::has_crashed,
-    quarantine::{Cleared, CrashRecordUpdate, Held, Quarantine},
-    table::{CrashRecordTable, Standing, StoredRecord},
+    quarantine::{CrashRecordUpdate, Quarantine, Quarantined, SendPermit},
+    table::{CrashRecordTable, StoredRecord, Verdict},
 };
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -18,19 +18,19 @@
 use self::news::ClearedCase;
 pub use self::news::CrashRecordUpdate;
 use crate::{
-    Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, Standing,
-    StoredRecord,
+    Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, StoredRecord,
+    Verdict,
     recent::RecentCrashes,
     store::{CaseStore, decode},
 };
 
 /// Proof that a request may be sent to an endpoint, once.
 #[derive(Debug)]
-pub struct Cleared(());
+pub struct SendPermit(());
 
 /// Says that a request is not to be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Held {
+pub struct Quarantined {
     /// How many crashes speak against it.
     pub crashes: usize,
     /// When it may be tried again, in milliseconds from now.
@@ -167,14 +167,14 @@
     ///
     /// # Errors
     ///
-    /// [`Held`] for a request that has crashed too many endpoints, or is of
+    /// [`Quarantined`] for a request that has crashed too many endpoints, or is of
     /// a group that has.
     pub async fn admit<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
-    ) -> Result<Cleared, Held> {
+    ) -> Result<SendPermit, Quarantined> {
         if self.is_empty() {
-            return Ok(Cleared(()));
+            return Ok(SendPermit(()));
         }
         let keys = keys().into();
         let held = keys.all().filter_map(|key| self.held(key));
@@ -182,40 +182,43 @@
             return Err(held);
         }
         for key in keys.all() {
-            if self.standing(key).0 == Standing::Due {
+            if self.verdict(key).0 == Verdict::ProbeDue {
                 self.try_again(key).await?;
             }
         }
-        Ok(Cleared(()))
+        Ok(SendPermit(()))
     }
 
-    fn held(&self, key: RequestDigest) -> Option<Held> {
-        match self.standing(key) {
-            (Standing::Held { for_ms }, crashes) => {
-                Some(Held { crashes, for_ms })
+    fn held(&self, key: RequestDigest) -> Option<Quarantined> {
+        match self.verdict(key) {
+            (Verdict::Quarantined { for_ms }, crashes) => {
+                Some(Quarantined { crashes, for_ms })
             }
             _ => None,
         }
     }
 
-    async fn try_again(&self, digest: RequestDigest) -> Result<(), Held> {
-        let crashes = self.standing(digest).1;
+    async fn try_again(
+        &self,
+        digest: RequestDigest,
+    ) -> Result<(), Quarantined> {
+        let crashes = self.verdict(digest).1;
         if self.begin_trial(digest).await {
             log::info!(digest:%, crashes; "a held request is tried again");
             return Ok(());
         }
-        let for_ms = match self.standing(digest).0 {
-            Standing::Held { for_ms } => for_ms,
+        let for_ms = match self.verdict(digest).0 {
+            Verdict::Quarantined { for_ms } => for_ms,
             _ => TRIAL_AGAIN_MS,
         };
-        Err(Held { crashes, for_ms })
+        Err(Quarantined { crashes, for_ms })
     }
 
     /// Takes note that an endpoint has crashed while it ran a request.
-    pub fn crashed(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
+    pub fn record_crash(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
         let mut state = self.lock();
         for key in keys.into().all() {
-            let before = state.cases.standing(key, self.now());
+            let before = state.cases.verdict(key, self.now());
             if state.cases.add_crash(key, crash) {
                 state.recent.add(crash.endpoint, crash.ended_at);
                 state.unsaved.insert(key);
@@ -229,7 +232,7 @@
 
     /// Takes note of a whole answer to a request. It began after the event
     /// `resumed_after`, 0 for the first one.
-    pub fn answered<K: Into<EvidenceKeys>>(
+    pub fn record_answer<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
         resumed_after: u64,
@@ -305,10 +308,10 @@
         self.note_size(&state);
     }
 
-    fn standing(&self, digest: RequestDigest) -> (Standing, usize) {
+    fn verdict(&self, digest: RequestDigest) -> (Verdict, usize) {
         let state = self.lock();
-        let standing = state.cases.standing(digest, self.now());
-        (standing, state.cases.crashes(digest))
+        let verdict = state.cases.verdict(digest, self.now());
+        (verdict, state.cases.crashes(digest))
     }
 
     /// Takes what the service has of a request at a revision.
@@ -333,7 +336,7 @@
         stored: StoredRecord,
     ) {
         let now = self.now();
-        let before = state.cases.standing(digest, now);
+        let before = state.cases.verdict(digest, now);
         state.cases.learn(digest, stored, now);
         self.log_standing(state, digest, before);
         // Others go by what is written: a crash that was not worth a write
@@ -349,11 +352,11 @@
         &self,
         state: &State,
         digest: RequestDigest,
-        before: Standing,
+        before: Verdict,
     ) {
-        let now = state.cases.standing(digest, self.now());
-        let is_held = |standing| matches!(standing, Standing::Held { .. });
-        if let Standing::Held { for_ms } = now
+        let now = state.cases.verdict(digest, self.now());
+        let is_held = |verdict| matches!(verdict, Verdict::Quarantined { .. });
+        if let Verdict::Quarantined { for_ms } = now
             && !is_held(before)
         {
             log::warn!(
@@ -391,7 +394,8 @@
         digest: RequestDigest,
         resumed_after: u64,
     ) -> bool {
-        let (has_changed, stored) = self.cases.answered(digest, resumed_after);
+        let (has_changed, stored) =
+            self.cases.record_answer(digest, resumed_after);
         if !has_changed {
             return false;
         }
--- a/crates/quarantine/src/quarantine/news.rs
+++ b/crates/quarantine/src/quarantine/news.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Quarantine, State};
-use crate::{CrashRecord, Standing, StoredRecord};
+use crate::{CrashRecord, StoredRecord, Verdict};
 
 /// Requests that one message names.
 const NEWS_MOST: usize = 64;
@@ -72,7 +72,7 @@
         let stored = state.cases.stored();
         let held = stored.filter(|(digest, stored)| {
             is_new(stored.case.changed_at())
-                && state.cases.standing(*digest, now) != Standing::Clear
+                && state.cases.verdict(*digest, now) != Verdict::Clear
         });
         let held = held.map(|(digest, stored)| CrashRecordUpdate {
             digest,
--- a/crates/quarantine/src/quarantine/trial.rs
+++ b/crates/quarantine/src/quarantine/trial.rs
@@ -3,7 +3,7 @@
 use base::RequestDigest;
 
 use super::{Quarantine, WRITES_MOST};
-use crate::{Standing, StoredRecord, store::Written};
+use crate::{StoredRecord, Verdict, store::Written};
 
 impl Quarantine {
     /// Enters a trial, so that no other node lets the request through.
@@ -15,7 +15,7 @@
             let (stored, unsaved) = {
                 let state = self.lock();
                 let now = self.now();
-                if state.cases.standing(digest, now) != Standing::Due {
+                if state.cases.verdict(digest, now) != Verdict::ProbeDue {
                     return false;
                 }
                 match state.cases.parts(digest) {
@@ -50,7 +50,7 @@
     fn begin_local_trial(&self, digest: RequestDigest) -> bool {
         let mut state = self.lock();
         let now = self.now();
-        let is_due = state.cases.standing(digest, now) == Standing::Due;
+        let is_due = state.cases.verdict(digest, now) == Verdict::ProbeDue;
         if is_due {
             state.cases.begin_trial(digest, now);
         }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -13,17 +13,17 @@
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum Verdict {
     /// Nothing speaks against it.
     Clear,
     /// It is held for so long.
-    Held {
+    Quarantined {
         /// Time until it may be tried again, in milliseconds.
         for_ms: u64,
     },
     /// It was held, and may be let through once to find out whether it still
     /// crashes endpoints.
-    Due,
+    ProbeDue,
 }
 
 /// A case as the key-value service has it.
@@ -44,7 +44,7 @@
 /// ```
 /// use base::{RequestContent, RequestDigest, UnixMillis};
 /// use pomeloslip_quarantine::{
-///     CrashRecordTable, Crash, CrashedEndpoint, QuarantineOptions, Standing,
+///     CrashRecordTable, Crash, CrashedEndpoint, QuarantineOptions, Verdict,
 /// };
 ///
 /// let digest = RequestDigest::of(RequestContent {
@@ -57,8 +57,8 @@
 /// let mut table = CrashRecordTable::new(QuarantineOptions::default());
 /// for number in 0..3 {
 ///     assert_eq!(
-///         table.standing(digest, UnixMillis::new(number * 1_000)),
-///         Standing::Clear,
+///         table.verdict(digest, UnixMillis::new(number * 1_000)),
+///         Verdict::Clear,
 ///     );
 ///     let crash = Crash {
 ///         endpoint: CrashedEndpoint::new(number),
@@ -69,10 +69,10 @@
 ///     };
 ///     table.add_crash(digest, crash);
 /// }
-/// let held = table.standing(digest, UnixMillis::new(2_100));
-/// assert_eq!(held, Standing::Held { for_ms: 10_000 });
-/// let due = table.standing(digest, UnixMillis::new(12_100));
-/// assert_eq!(due, Standing::Due);
+/// let held = table.verdict(digest, UnixMillis::new(2_100));
+/// assert_eq!(held, Verdict::Quarantined { for_ms: 10_000 });
+/// let due = table.verdict(digest, UnixMillis::new(12_100));
+/// assert_eq!(due, Verdict::ProbeDue);
 /// ```
 #[derive(Debug)]
 pub struct CrashRecordTable {
@@ -163,27 +163,23 @@
     }
 
     /// Returns whether a request may be sent.
-    pub fn standing(
-        &self,
-        digest: RequestDigest,
-        now: UnixMillis,
-    ) -> Standing {
+    pub fn verdict(&self, digest: RequestDigest, now: UnixMillis) -> Verdict {
         let Some(entry) = self.cases.get(&digest) else {
-            return Standing::Clear;
+            return Verdict::Clear;
         };
         let evidence = entry.case.evidence();
         let score: u32 = evidence.iter().map(|crash| crash.score()).sum();
         let surplus = score.checked_sub(self.options.held_from);
         let (Some(last), Some(surplus)) = (evidence.last(), surplus) else {
-            return Standing::Clear;
+            return Verdict::Clear;
         };
         let since = Some(last.ended_at).max(entry.case.tried_at());
         let since = entry.bounded(since.unwrap_or_default()).min(now);
         let level = entry.case.trials().max(surplus / SCORE_PER_LEVEL);
         let until = since.saturating_add_ms(self.options.hold_ms(level));
         match until.saturating_ms_since(now) {
-            0 => Standing::Due,
-            for_ms => Standing::Held { for_ms },
+            0 => Verdict::ProbeDue,
+            for_ms => Verdict::Quarantined { for_ms },
         }
     }
 
@@ -277,7 +273,7 @@
 
     /// Takes note of a whole answer. Returns whether that changes what
     /// speaks against the request, and what the service has of it.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -109,7 +109,7 @@
             resumed_after: 0,
             reached: 0,
         };
-        self.nodes[node].crashed(bad(), crash);
+        self.nodes[node].record_crash(bad(), crash);
     }
 
     async fn is_held(&self, node: usize) -> bool {
@@ -233,7 +233,7 @@
     fleet.until_all_hold().await;
     fleet.pass(QuarantineOptions::default().first_hold_ms);
     assert!(!fleet.is_held(1).await);
-    fleet.nodes[1].answered(bad, 0);
+    fleet.nodes[1].record_answer(bad, 0);
     fleet.until_all_forget().await;
     assert_eq!(fleet.stored().await, 0);
 }
@@ -287,7 +287,7 @@
             resumed_after: 0,
             reached: 0,
         };
-        fleet.nodes[0].crashed(digest, crash);
+        fleet.nodes[0].record_crash(digest, crash);
     }
     sleep(Duration::from_millis(400)).await;
     assert_eq!(fleet.stored().await, 0);
@@ -310,7 +310,7 @@
     assert!(far.admit(bad).await.is_err());
     // Once it is cleared, what others still tell brings it back nowhere.
     let stale = far.updates();
-    fleet.nodes[0].answered(bad, 0);
+    fleet.nodes[0].record_answer(bad, 0);
     while fleet.stored().await > 0 {
         sleep(Duration::from_millis(5)).await;
     }
@@ -386,7 +386,7 @@
             resumed_after: 0,
             reached: 0,
         };
-        fleet.nodes[0].crashed(bad(), crash);
+        fleet.nodes[0].record_crash(bad(), crash);
     }
     sleep(Duration::from_millis(300)).await;
     assert_eq!(fleet.stored().await, 0);
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -3,7 +3,7 @@
 use base::{RequestContent, RequestDigest, UnixMillis};
 use pomeloslip_quarantine::{
     Crash, CrashRecord, CrashRecordTable, CrashedEndpoint, QuarantineOptions,
-    Standing, StoredRecord,
+    StoredRecord, Verdict,
 };
 use yare::parameterized;
 
@@ -53,7 +53,10 @@
     digest: RequestDigest,
     now_ms: u64,
 ) -> bool {
-    matches!(table.standing(digest, at(now_ms)), Standing::Held { .. })
+    matches!(
+        table.verdict(digest, at(now_ms)),
+        Verdict::Quarantined { .. }
+    )
 }
 
 #[parameterized(
@@ -171,8 +174,8 @@
 fn an_answer_clears_a_request() {
     let mut table = table();
     crash_times(&mut table, digest("sound"), 3);
-    table.answered(digest("sound"), 0);
-    assert_eq!(table.standing(digest("sound"), at(3_100)), Standing::Clear);
+    table.record_answer(digest("sound"), 0);
+    assert_eq!(table.verdict(digest("sound"), at(3_100)), Verdict::Clear);
     assert!(table.is_empty());
 }
 
@@ -182,7 +185,7 @@
 fn the_rest_of_an_answer_clears_nothing_before_it() {
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
-    assert!(!table.answered(digest("bad"), 5).0);
+    assert!(!table.record_answer(digest("bad"), 5).0);
     assert!(is_held(&table, digest("bad"), 3_100));
 }
 
@@ -192,13 +195,13 @@
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
     let first = at(3_000).saturating_add_ms(options.first_hold_ms);
-    assert_eq!(table.standing(digest("bad"), first), Standing::Due);
+    assert_eq!(table.verdict(digest("bad"), first), Verdict::ProbeDue);
     table.begin_trial(digest("bad"), first);
     let second = options.hold_ms(1);
     assert!(second > options.first_hold_ms);
     assert_eq!(
-        table.standing(digest("bad"), first),
-        Standing::Held { for_ms: second },
+        table.verdict(digest("bad"), first),
+        Verdict::Quarantined { for_ms: second },
     );
     let crashed = Crash {
         endpoint: CrashedEndpoint::new(9),
@@ -209,8 +212,8 @@
     };
     table.add_crash(digest("bad"), crashed);
     assert_eq!(
-        table.standing(digest("bad"), crashed.ended_at),
-        Standing::Held { for_ms: second },
+        table.verdict(digest("bad"), crashed.ended_at),
+        Verdict::Quarantined { for_ms: second },
     );
 }
 
@@ -234,7 +237,7 @@
     let mut table = learned(HOURS_MS, 5_000);
     let due_ms = 5_000 + options.first_hold_ms;
     assert!(is_held(&table, digest("bad"), due_ms - 1));
-    assert_eq!(table.standing(digest("bad"), at(due_ms)), Standing::Due);
+    assert_eq!(table.verdict(digest("bad"), at(due_ms)), Verdict::ProbeDue);
     table.expire(at(5_000 + options.kept_ms));
     assert!(table.is_empty());
 }
@@ -263,9 +266,9 @@
 fn a_crash_in_the_future_is_held_against_a_request_from_now_on() {
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
-    let held = table.standing(digest("bad"), at(0));
+    let held = table.verdict(digest("bad"), at(0));
     let for_ms = QuarantineOptions::default().first_hold_ms;
-    assert_eq!(held, Standing::Held { for_ms });
+    assert_eq!(held, Verdict::Quarantined { for_ms });
 }
 
 #[test]
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use base::{RequestContent, RequestDigest, UnixMillis};
 use pomeloslip_quarantine::{
     Crash, CrashRecord, CrashRecordTable, CrashedEndpoint, QuarantineOptions,
-    Standing, StoredRecord,
+    StoredRecord, Verdict,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -301,10 +301,10 @@
     /// Asks the node, and enters a trial in the store if it is due.
     fn may_send(&mut self, node: usize, request: &Request) -> bool {
         let now = self.unix_of(node);
-        match self.nodes[node].standing(request.digest, now) {
-            Standing::Clear => true,
-            Standing::Held { .. } => false,
-            Standing::Due => {
+        match self.nodes[node].verdict(request.digest, now) {
+            Verdict::Clear => true,
+            Verdict::Quarantined { .. } => false,
+            Verdict::ProbeDue => {
                 let stored = self.store.get(&request.digest).cloned();
                 let Some(StoredRecord { mut case, .. }) = stored else {
                     return true;
@@ -377,7 +377,7 @@
     fn answer(&mut self, run: &Running) {
         let digest = run.request.digest;
         let (changed, stored) =
-            self.nodes[run.node].answered(digest, run.resumed_after);
+            self.nodes[run.node].record_answer(digest, run.resumed_after);
         if changed && stored.is_some() {
             self.write(run.node, digest, None);
         }
