--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -68,7 +68,7 @@
             /// Returns the milliseconds between two moments, whichever is
             /// earlier.
             #[inline]
-            pub const fn ms_apart(self, other: Self) -> u64 {
+            pub const fn abs_diff_ms(self, other: Self) -> u64 {
                 self.0.abs_diff(other.0)
             }
         }
--- a/crates/quarantine/src/crash.rs
+++ b/crates/quarantine/src/crash.rs
@@ -66,7 +66,7 @@
     /// Tells whether two runs were cut off by the same crash.
     pub fn is_same(&self, other: &Crash) -> bool {
         self.endpoint == other.endpoint
-            && self.ended_at.ms_apart(other.ended_at) <= SAME_CRASH_MS
+            && self.ended_at.abs_diff_ms(other.ended_at) <= SAME_CRASH_MS
     }
 
     /// Returns how long the run lasted, in milliseconds.
--- a/crates/quarantine/src/recent.rs
+++ b/crates/quarantine/src/recent.rs
@@ -24,7 +24,7 @@
 impl RecentCrashes {
     pub(crate) fn add(&mut self, endpoint: CrashedEndpoint, at: UnixMillis) {
         let is_known = |(known, then): &(CrashedEndpoint, UnixMillis)| {
-            *known == endpoint && then.ms_apart(at) <= TOGETHER_MS
+            *known == endpoint && then.abs_diff_ms(at) <= TOGETHER_MS
         };
         if self.0.iter().any(is_known) {
             return;
@@ -37,15 +37,15 @@
 
     /// Tells whether many endpoints crashed about a moment.
     pub(crate) fn came_with_others(&self, at: UnixMillis) -> bool {
-        let is_near = |other: UnixMillis| other.ms_apart(at) <= TOGETHER_MS;
+        let is_near = |other: UnixMillis| other.abs_diff_ms(at) <= TOGETHER_MS;
         let near = self.0.iter().filter(|(_, other)| is_near(*other));
         near.count() >= TOGETHER
     }
 
     pub(crate) fn expire(&mut self, now: UnixMillis) {
-        let is_over =
+        let is_expired =
             |at: UnixMillis| now.saturating_ms_since(at) >= REMEMBERED_MS;
-        while self.0.front().is_some_and(|(_, at)| is_over(*at)) {
+        while self.0.front().is_some_and(|(_, at)| is_expired(*at)) {
             self.0.pop_front();
         }
     }
