--- a/crates/bench/benches/quarantine.rs
+++ b/crates/bench/benches/quarantine.rs
@@ -32,7 +32,7 @@
 async fn measure(options: Options) -> Result<(), Report<BenchError>> {
     let rounds = if options.small { 20_000 } else { 400_000 };
     let clock = Arc::new(SystemClock::new());
-    let most = QuarantineOptions::default().cases_most;
+    let most = QuarantineOptions::default().max_records;
     let none = Quarantine::local(clock.clone(), QuarantineOptions::default());
     let full = Quarantine::local(clock.clone(), QuarantineOptions::default());
     for number in 0..most as u64 {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -40,22 +40,23 @@
 //! that are cut off are sound. A memory in each node: a fleet of `n` nodes
 //! would lose three times `n` endpoints.
 
-mod case;
 mod crash;
+mod crash_check;
 mod keys;
 mod options;
-mod probe;
+
 mod quarantine;
 mod recent;
+mod record;
 mod store;
 mod table;
 
 pub use crate::{
-    case::CrashRecord,
     crash::{Crash, CrashedEndpoint},
+    crash_check::has_crashed,
     keys::EvidenceKeys,
     options::QuarantineOptions,
-    probe::has_crashed,
     quarantine::{CrashRecordUpdate, Quarantine, Quarantined, SendPermit},
+    record::CrashRecord,
     table::{CrashRecordTable, StoredRecord, Verdict},
 };
--- a/crates/quarantine/src/options.rs
+++ b/crates/quarantine/src/options.rs
@@ -7,25 +7,25 @@
 ///
 /// let options = QuarantineOptions::default();
 /// assert!(options.hold_ms(0) < options.hold_ms(1));
-/// assert_eq!(options.hold_ms(99), options.longest_hold_ms);
+/// assert_eq!(options.hold_ms(99), options.max_hold_ms);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineOptions {
     /// Score from which on a request is held, see [`Crash::score`].
     ///
     /// [`Crash::score`]: crate::Crash::score
-    pub held_from: u32,
+    pub quarantine_score: u32,
     /// How long it is held first.
-    pub first_hold_ms: u64,
+    pub initial_hold_ms: u64,
     /// Each further crash without progress, or trial, multiplies that by this.
     pub hold_factor: u64,
     /// How long it is held at the most.
-    pub longest_hold_ms: u64,
+    pub max_hold_ms: u64,
     /// How long a request is remembered after its last crash or trial.
-    pub kept_ms: u64,
+    pub retention_ms: u64,
     /// Requests that are remembered at the most; the ones that have been
     /// quiet for longest are forgotten first.
-    pub cases_most: usize,
+    pub max_records: usize,
 }
 
 impl Default for QuarantineOptions {
@@ -35,22 +35,22 @@
     /// mistake is soon found out.
     fn default() -> Self {
         Self {
-            held_from: 6,
-            first_hold_ms: 10_000,
+            quarantine_score: 6,
+            initial_hold_ms: 10_000,
             hold_factor: 6,
-            longest_hold_ms: 600_000,
-            kept_ms: 600_000,
-            cases_most: 1_024,
+            max_hold_ms: 600_000,
+            retention_ms: 600_000,
+            max_records: 1_024,
         }
     }
 }
 
 impl QuarantineOptions {
-    /// Returns how long a request is held after so many crashes or trials
+    /// Returns how long a request is held after so many crashes or probes
     /// beyond the first hold, in milliseconds.
     pub fn hold_ms(&self, level: u32) -> u64 {
         let factor = self.hold_factor.saturating_pow(level);
-        let hold_ms = self.first_hold_ms.saturating_mul(factor);
-        hold_ms.min(self.longest_hold_ms)
+        let hold_ms = self.initial_hold_ms.saturating_mul(factor);
+        hold_ms.min(self.max_hold_ms)
     }
 }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,5 +1,5 @@
-mod news;
-mod trial;
+mod probe;
+mod updates;
 mod write;
 
 use std::{
@@ -15,8 +15,8 @@
 use kv::{KeyValue, Kv};
 use tokio::sync::Notify;
 
-use self::news::ClearedCase;
-pub use self::news::CrashRecordUpdate;
+use self::updates::ClearedCase;
+pub use self::updates::CrashRecordUpdate;
 use crate::{
     Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, StoredRecord,
     Verdict,
@@ -203,7 +203,7 @@
         digest: RequestDigest,
     ) -> Result<(), Quarantined> {
         let crashes = self.verdict(digest).1;
-        if self.begin_trial(digest).await {
+        if self.begin_probe(digest).await {
             log::info!(digest:%, crashes; "a held request is tried again");
             return Ok(());
         }
@@ -290,13 +290,13 @@
         }
         let mut state = self.lock();
         for (digest, kv) in &changed {
-            self.learn(&mut state, *digest, decode(kv));
+            self.apply_stored(&mut state, *digest, decode(kv));
         }
         let deleted = deleted.iter();
         for (digest, at) in
             deleted.filter_map(|(key, at)| Some((digest_of(key)?, *at)))
         {
-            state.cases.forget_stored(digest, at);
+            state.cases.remove_stored(digest, at);
         }
         if whole {
             let there: IndexSet<RequestDigest> =
@@ -323,13 +323,13 @@
     ) {
         let mut state = self.lock();
         match stored {
-            Some(stored) => self.learn(&mut state, digest, stored),
-            None => state.cases.forget_stored(digest, revision),
+            Some(stored) => self.apply_stored(&mut state, digest, stored),
+            None => state.cases.remove_stored(digest, revision),
         }
         self.note_size(&state);
     }
 
-    fn learn(
+    fn apply_stored(
         &self,
         state: &mut State,
         digest: RequestDigest,
@@ -337,12 +337,14 @@
     ) {
         let now = self.now();
         let before = state.cases.verdict(digest, now);
-        state.cases.learn(digest, stored, now);
+        state.cases.apply_stored(digest, stored, now);
         self.log_standing(state, digest, before);
         // Others go by what is written: a crash that was not worth a write
         // of its own is, now that there is more.
-        let parts = state.cases.parts(digest);
-        if parts.is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty()) {
+        let stored_and_unsaved = state.cases.stored_and_unsaved(digest);
+        if stored_and_unsaved
+            .is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty())
+        {
             state.unsaved.insert(digest);
             self.0.work.notify_one();
         }
@@ -372,7 +374,7 @@
         let mut state = self.lock();
         let now = self.now();
         state.cases.expire(now);
-        let forgotten = state.cases.take_forgotten();
+        let forgotten = state.cases.take_removed();
         state.over.extend(forgotten);
         state.recent.expire(now);
         self.note_size(&state);
--- a/crates/quarantine/src/quarantine/trial.rs
+++ b/crates/quarantine/src/quarantine/probe.rs
@@ -7,7 +7,7 @@
 
 impl Quarantine {
     /// Enters a trial, so that no other node lets the request through.
-    pub(super) async fn begin_trial(&self, digest: RequestDigest) -> bool {
+    pub(super) async fn begin_probe(&self, digest: RequestDigest) -> bool {
         let Some(store) = &self.0.store else {
             return self.begin_local_trial(digest);
         };
@@ -18,20 +18,20 @@
                 if state.cases.verdict(digest, now) != Verdict::ProbeDue {
                     return false;
                 }
-                match state.cases.parts(digest) {
-                    Some(parts) => parts,
+                match state.cases.stored_and_unsaved(digest) {
+                    Some(stored_and_unsaved) => stored_and_unsaved,
                     None => return false,
                 }
             };
             let before = stored.as_ref().map_or(0, |stored| stored.revision);
             let mut case = stored.map(|s| s.case).unwrap_or_default();
             case.merge(&unsaved);
-            case.begin_trial(self.now());
+            case.begin_probe(self.now());
             match store.put(digest, before, &case).await {
                 Ok(Written::Done(revision)) => {
                     let stored = StoredRecord { case, revision };
                     let now = self.now();
-                    self.lock().cases.learn(digest, stored, now);
+                    self.lock().cases.apply_stored(digest, stored, now);
                     return true;
                 }
                 Ok(Written::Changed(now, revision)) => {
@@ -52,7 +52,7 @@
         let now = self.now();
         let is_due = state.cases.verdict(digest, now) == Verdict::ProbeDue;
         if is_due {
-            state.cases.begin_trial(digest, now);
+            state.cases.begin_probe(digest, now);
         }
         is_due
     }
--- a/crates/quarantine/src/quarantine/news.rs
+++ b/crates/quarantine/src/quarantine/updates.rs
@@ -101,13 +101,15 @@
             match case {
                 // Two processes that pass on a case that has run out would
                 // never forget it.
-                Some(case) if state.cases.is_over(&case, self.now()) => {}
+                Some(case)
+                    if state.cases.is_expired_or_future(&case, self.now()) => {
+                }
                 Some(case) => {
                     let stored = StoredRecord { case, revision };
-                    self.learn(&mut state, digest, stored);
+                    self.apply_stored(&mut state, digest, stored);
                 }
                 None => {
-                    state.cases.forget_stored(digest, revision);
+                    state.cases.remove_stored(digest, revision);
                     state.note_cleared(digest, revision, self.now());
                 }
             }
--- a/crates/quarantine/src/quarantine/write.rs
+++ b/crates/quarantine/src/quarantine/write.rs
@@ -54,14 +54,14 @@
         let Some(StoredRecord { mut case, revision }) = known else {
             return Ok(None);
         };
-        let is_over = case.refute(answered.resumed_after);
-        let written = match is_over {
+        let is_empty = case.refute(answered.resumed_after);
+        let written = match is_empty {
             true => store.delete(digest, revision).await?,
             false => store.put(digest, revision, &case).await?,
         };
         known = match written {
             Written::Done(revision) => {
-                return Ok(is_over.then_some(revision));
+                return Ok(is_empty.then_some(revision));
             }
             Written::Changed(now, _) => now,
         };
@@ -182,7 +182,7 @@
         digest: RequestDigest,
     ) -> Option<(Option<StoredRecord>, CrashRecord)> {
         let state = self.lock();
-        let (stored, unsaved) = state.cases.parts(digest)?;
+        let (stored, unsaved) = state.cases.stored_and_unsaved(digest)?;
         let is_accident =
             |crash: &Crash| state.recent.came_with_others(crash.ended_at);
         let is_worth_it = stored.is_some()
@@ -200,7 +200,7 @@
     ) -> Result<(), Report<KvError>> {
         let mut state = self.lock();
         if state.cases.contains(digest) {
-            self.learn(&mut state, digest, stored);
+            self.apply_stored(&mut state, digest, stored);
         } else {
             let answered = Answered {
                 resumed_after: 0,
--- a/crates/quarantine/src/case.rs
+++ b/crates/quarantine/src/record.rs
@@ -38,9 +38,11 @@
     crashes: Vec<Crash>,
     /// How often the request was let through to find out whether it still
     /// crashes endpoints.
-    trials: u32,
+    #[serde(rename = "trials")]
+    probes: u32,
     /// When it was let through last.
-    tried_at: Option<UnixMillis>,
+    #[serde(rename = "tried_at")]
+    probed_at: Option<UnixMillis>,
 }
 
 impl CrashRecord {
@@ -52,24 +54,24 @@
 
     /// Returns how often the request was let through on trial.
     #[inline]
-    pub fn trials(&self) -> u32 {
-        self.trials
+    pub fn probes(&self) -> u32 {
+        self.probes
     }
 
     /// Returns when it was let through on trial last.
     #[inline]
-    pub fn tried_at(&self) -> Option<UnixMillis> {
-        self.tried_at
+    pub fn probed_at(&self) -> Option<UnixMillis> {
+        self.probed_at
     }
 
     /// Returns when the case last changed.
     pub fn changed_at(&self) -> UnixMillis {
         let crashed_at = self.crashes.last().map(|crash| crash.ended_at);
-        crashed_at.max(self.tried_at).unwrap_or_default()
+        crashed_at.max(self.probed_at).unwrap_or_default()
     }
 
     /// Tells whether a crash is among those of this case.
-    pub fn knows(&self, crash: &Crash) -> bool {
+    pub fn contains(&self, crash: &Crash) -> bool {
         self.crashes.iter().any(|known| known.is_same(crash))
     }
 
@@ -99,15 +101,15 @@
         for crash in &other.crashes {
             self.add(*crash);
         }
-        self.trials = self.trials.max(other.trials);
-        self.tried_at = self.tried_at.max(other.tried_at);
+        self.probes = self.probes.max(other.probes);
+        self.probed_at = self.probed_at.max(other.probed_at);
         *self != before
     }
 
     /// Takes note that the request is let through on trial.
-    pub fn begin_trial(&mut self, now: UnixMillis) {
-        self.trials += 1;
-        self.tried_at = Some(now);
+    pub fn begin_probe(&mut self, now: UnixMillis) {
+        self.probes += 1;
+        self.probed_at = Some(now);
     }
 
     /// Drops the crashes that a whole answer shows not to be the request's
@@ -120,7 +122,7 @@
 
     /// Returns what this case has beyond another one.
     #[must_use]
-    pub fn without(&self, other: &CrashRecord) -> CrashRecord {
+    pub fn difference(&self, other: &CrashRecord) -> CrashRecord {
         let is_known = |crash: &Crash| {
             other.crashes.iter().any(|known| {
                 known.is_same(crash) && known.progress() >= crash.progress()
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -169,13 +169,13 @@
         };
         let evidence = entry.case.evidence();
         let score: u32 = evidence.iter().map(|crash| crash.score()).sum();
-        let surplus = score.checked_sub(self.options.held_from);
+        let surplus = score.checked_sub(self.options.quarantine_score);
         let (Some(last), Some(surplus)) = (evidence.last(), surplus) else {
             return Verdict::Clear;
         };
-        let since = Some(last.ended_at).max(entry.case.tried_at());
+        let since = Some(last.ended_at).max(entry.case.probed_at());
         let since = entry.bounded(since.unwrap_or_default()).min(now);
-        let level = entry.case.trials().max(surplus / SCORE_PER_LEVEL);
+        let level = entry.case.probes().max(surplus / SCORE_PER_LEVEL);
         let until = since.saturating_add_ms(self.options.hold_ms(level));
         match until.saturating_ms_since(now) {
             0 => Verdict::ProbeDue,
@@ -191,7 +191,7 @@
 
     /// Returns what the service has of a request, and what this node knows
     /// beyond that.
-    pub fn parts(
+    pub fn stored_and_unsaved(
         &self,
         digest: RequestDigest,
     ) -> Option<(Option<StoredRecord>, CrashRecord)> {
@@ -200,10 +200,10 @@
     }
 
     /// Takes note that a request is let through on trial.
-    pub fn begin_trial(&mut self, digest: RequestDigest, now: UnixMillis) {
+    pub fn begin_probe(&mut self, digest: RequestDigest, now: UnixMillis) {
         if self.cases.contains_key(&digest) {
             self.change(digest, |entry| {
-                entry.unsaved.begin_trial(now);
+                entry.unsaved.begin_probe(now);
                 entry.learned(now);
             });
         }
@@ -227,7 +227,7 @@
     ///
     /// What other nodes have dated counts from `now` at the latest, and as
     /// little older than that as their clocks can explain.
-    pub fn learn(
+    pub fn apply_stored(
         &mut self,
         digest: RequestDigest,
         stored: StoredRecord,
@@ -236,7 +236,7 @@
         self.change(digest, |entry| {
             if stored.revision > entry.revision() {
                 let is_news = entry.case.clone().merge(&stored.case);
-                entry.unsaved = entry.unsaved.without(&stored.case);
+                entry.unsaved = entry.unsaved.difference(&stored.case);
                 entry.stored = Some(stored);
                 if is_news {
                     entry.learned(now);
@@ -248,7 +248,7 @@
     /// Takes note that the service has no case any more since a revision:
     /// the request was answered, or its case has run out. What this node has
     /// seen since stays.
-    pub fn forget_stored(&mut self, digest: RequestDigest, revision: u64) {
+    pub fn remove_stored(&mut self, digest: RequestDigest, revision: u64) {
         if !self.cases.contains_key(&digest) {
             return;
         }
@@ -267,7 +267,7 @@
     ) {
         let gone = self.cases.keys().filter(|digest| !is_there(digest));
         for digest in gone.copied().collect::<Vec<_>>() {
-            self.forget_stored(digest, revision);
+            self.remove_stored(digest, revision);
         }
     }
 
@@ -296,21 +296,25 @@
     /// Tells whether a case that another node reports is not worth learning:
     /// it has been quiet for so long that it is forgotten, or is dated so
     /// far ahead that nobody would forget it.
-    pub fn is_over(&self, case: &CrashRecord, now: UnixMillis) -> bool {
+    pub fn is_expired_or_future(
+        &self,
+        case: &CrashRecord,
+        now: UnixMillis,
+    ) -> bool {
         let changed_at = case.changed_at();
         let quiet_ms = now.saturating_ms_since(changed_at);
-        quiet_ms >= self.options.kept_ms
+        quiet_ms >= self.options.retention_ms
             || changed_at.saturating_ms_since(now) > OLDER_MOST_MS
     }
 
     /// Forgets requests that have been quiet for long.
     pub fn expire(&mut self, now: UnixMillis) {
-        let kept_ms = self.options.kept_ms;
-        let is_over = |entry: &Entry| {
-            now.saturating_ms_since(entry.changed_at()) >= kept_ms
+        let retention_ms = self.options.retention_ms;
+        let is_expired = |entry: &Entry| {
+            now.saturating_ms_since(entry.changed_at()) >= retention_ms
         };
         let cases = self.cases.iter();
-        let over = cases.filter(|(_, entry)| is_over(entry));
+        let over = cases.filter(|(_, entry)| is_expired(entry));
         let over: Vec<RequestDigest> = over.map(|(d, _)| *d).collect();
         for digest in over {
             self.forget(digest);
@@ -319,7 +323,7 @@
 
     /// Returns the requests that were forgotten here and that the service
     /// has, with the revision of what it has.
-    pub fn take_forgotten(&mut self) -> Vec<(RequestDigest, u64)> {
+    pub fn take_removed(&mut self) -> Vec<(RequestDigest, u64)> {
         std::mem::take(&mut self.forgotten)
     }
 
@@ -343,7 +347,7 @@
 
     /// Forgets what has been quiet for longest if there is no room.
     fn make_room(&mut self) {
-        while self.cases.len() >= self.options.cases_most {
+        while self.cases.len() >= self.options.max_records {
             let quiet = self.cases.iter();
             let quiet = quiet.min_by_key(|(_, entry)| entry.changed_at());
             let Some(digest) = quiet.map(|(digest, _)| *digest) else {
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -211,7 +211,7 @@
         fleet.crash(0, endpoint);
     }
     fleet.until_all_hold().await;
-    fleet.pass(QuarantineOptions::default().first_hold_ms);
+    fleet.pass(QuarantineOptions::default().initial_hold_ms);
     let tries = fleet.nodes.iter().map(|node| node.admit(bad));
     let mut admitted = 0;
     for tried in tries {
@@ -231,14 +231,14 @@
         fleet.crash(0, endpoint);
     }
     fleet.until_all_hold().await;
-    fleet.pass(QuarantineOptions::default().first_hold_ms);
+    fleet.pass(QuarantineOptions::default().initial_hold_ms);
     assert!(!fleet.is_held(1).await);
     fleet.nodes[1].record_answer(bad, 0);
     fleet.until_all_forget().await;
     assert_eq!(fleet.stored().await, 0);
 }
 
-/// Guards against trials that nobody else hears of.
+/// Guards against probes that nobody else hears of.
 #[tokio::test]
 async fn without_the_service_a_held_request_stays_held() {
     let fleet = Fleet::start(2);
@@ -247,7 +247,7 @@
     }
     fleet.until_all_hold().await;
     fleet.kv.set_down(true);
-    fleet.pass(QuarantineOptions::default().first_hold_ms);
+    fleet.pass(QuarantineOptions::default().initial_hold_ms);
     assert!(fleet.is_held(0).await);
     assert!(fleet.is_held(1).await);
 }
@@ -333,7 +333,7 @@
         sleep(Duration::from_millis(5)).await;
     }
     let old = fleet.nodes[0].updates();
-    fleet.pass(QuarantineOptions::default().kept_ms);
+    fleet.pass(QuarantineOptions::default().retention_ms);
     let other = fleet.alone();
     other.apply_updates(old);
     assert!(other.is_empty());
@@ -365,7 +365,7 @@
     while fleet.stored().await == 0 {
         sleep(Duration::from_millis(5)).await;
     }
-    fleet.pass(QuarantineOptions::default().kept_ms);
+    fleet.pass(QuarantineOptions::default().retention_ms);
     while fleet.stored().await > 0 {
         sleep(Duration::from_millis(5)).await;
     }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -194,11 +194,11 @@
     let options = QuarantineOptions::default();
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
-    let first = at(3_000).saturating_add_ms(options.first_hold_ms);
+    let first = at(3_000).saturating_add_ms(options.initial_hold_ms);
     assert_eq!(table.verdict(digest("bad"), first), Verdict::ProbeDue);
-    table.begin_trial(digest("bad"), first);
+    table.begin_probe(digest("bad"), first);
     let second = options.hold_ms(1);
-    assert!(second > options.first_hold_ms);
+    assert!(second > options.initial_hold_ms);
     assert_eq!(
         table.verdict(digest("bad"), first),
         Verdict::Quarantined { for_ms: second },
@@ -225,7 +225,7 @@
     let mut table = table();
     let crashes =
         [0, 1_000, 2_000].map(|after| crash(after, dated_ms + after, 100));
-    table.learn(digest("bad"), stored(&crashes, 7), at(now_ms));
+    table.apply_stored(digest("bad"), stored(&crashes, 7), at(now_ms));
     table
 }
 
@@ -235,10 +235,10 @@
 fn a_clock_that_is_hours_ahead_holds_no_request_for_hours() {
     let options = QuarantineOptions::default();
     let mut table = learned(HOURS_MS, 5_000);
-    let due_ms = 5_000 + options.first_hold_ms;
+    let due_ms = 5_000 + options.initial_hold_ms;
     assert!(is_held(&table, digest("bad"), due_ms - 1));
     assert_eq!(table.verdict(digest("bad"), at(due_ms)), Verdict::ProbeDue);
-    table.expire(at(5_000 + options.kept_ms));
+    table.expire(at(5_000 + options.retention_ms));
     assert!(table.is_empty());
 }
 
@@ -250,13 +250,13 @@
     let now_ms = 2 * HOURS_MS;
     let mut table = learned(HOURS_MS, now_ms);
     let Some((Some(StoredRecord { mut case, .. }), _)) =
-        table.parts(digest("bad"))
+        table.stored_and_unsaved(digest("bad"))
     else {
         panic!("learned");
     };
-    case.begin_trial(at(HOURS_MS));
+    case.begin_probe(at(HOURS_MS));
     let stored = StoredRecord { case, revision: 8 };
-    table.learn(digest("bad"), stored, at(now_ms));
+    table.apply_stored(digest("bad"), stored, at(now_ms));
     let held_ms = options.hold_ms(1) - 10_000;
     assert!(is_held(&table, digest("bad"), now_ms + held_ms - 1));
 }
@@ -267,14 +267,14 @@
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
     let held = table.verdict(digest("bad"), at(0));
-    let for_ms = QuarantineOptions::default().first_hold_ms;
+    let for_ms = QuarantineOptions::default().initial_hold_ms;
     assert_eq!(held, Verdict::Quarantined { for_ms });
 }
 
 #[test]
 fn what_is_remembered_is_bounded_and_runs_out() {
     let options = QuarantineOptions {
-        cases_most: 10,
+        max_records: 10,
         ..QuarantineOptions::default()
     };
     let mut table = CrashRecordTable::new(options);
@@ -287,9 +287,9 @@
     assert_eq!(table.len(), 10);
     assert!(!table.contains(digest("first")), "the quietest goes first");
     assert!(table.contains(digest("request 49")));
-    table.expire(at(10_049 + options.kept_ms - 1));
+    table.expire(at(10_049 + options.retention_ms - 1));
     assert!(table.contains(digest("request 49")));
-    table.expire(at(10_049 + options.kept_ms));
+    table.expire(at(10_049 + options.retention_ms));
     assert!(table.is_empty());
 }
 
@@ -320,10 +320,10 @@
     let mut table = table();
     table.add_crash(digest("bad"), crash(1, 1_000, 100));
     let others = [crash(2, 2_000, 100), crash(3, 3_000, 100)];
-    table.learn(digest("bad"), stored(&others, 7), at(3_000));
+    table.apply_stored(digest("bad"), stored(&others, 7), at(3_000));
     assert!(is_held(&table, digest("bad"), 3_100));
     // An older write that arrives late brings nothing back.
-    table.learn(digest("bad"), stored(&others[..1], 6), at(3_100));
+    table.apply_stored(digest("bad"), stored(&others[..1], 6), at(3_100));
     assert!(is_held(&table, digest("bad"), 3_100));
 }
 
@@ -331,12 +331,12 @@
 fn a_case_that_is_gone_from_the_service_leaves_what_was_seen_here() {
     let mut table = table();
     let others = [crash(2, 2_000, 100), crash(3, 3_000, 100)];
-    table.learn(digest("bad"), stored(&others, 7), at(3_000));
+    table.apply_stored(digest("bad"), stored(&others, 7), at(3_000));
     table.add_crash(digest("bad"), crash(4, 4_000, 100));
     assert!(is_held(&table, digest("bad"), 4_100));
-    table.forget_stored(digest("bad"), 8);
+    table.remove_stored(digest("bad"), 8);
     assert_eq!(table.crashes(digest("bad")), 1);
-    table.learn(digest("gone"), stored(&others, 9), at(4_100));
+    table.apply_stored(digest("gone"), stored(&others, 9), at(4_100));
     table.retain_stored(10, |kept| *kept == digest("bad"));
     assert!(!table.contains(digest("gone")));
 }
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -208,7 +208,7 @@
                 CrashRecordTable::new(QuarantineOptions::default());
             let now = self.unix_of(node);
             for (digest, stored) in &self.store {
-                self.nodes[node].learn(*digest, stored.clone(), now);
+                self.nodes[node].apply_stored(*digest, stored.clone(), now);
             }
         }
     }
@@ -310,11 +310,11 @@
                     return true;
                 };
                 // The trial of another node, which this one has not heard of.
-                let known = case.tried_at().unwrap_or_default();
+                let known = case.probed_at().unwrap_or_default();
                 if now.saturating_ms_since(known) < 1_000 {
                     return false;
                 }
-                case.begin_trial(now);
+                case.begin_probe(now);
                 self.write(node, request.digest, Some(case));
                 true
             }
@@ -485,8 +485,8 @@
             {
                 let ((_, revision), (digest, stored)) = first.remove_entry();
                 match stored {
-                    Some(stored) => node.learn(digest, stored, now),
-                    None => node.forget_stored(digest, revision),
+                    Some(stored) => node.apply_stored(digest, stored, now),
+                    None => node.remove_stored(digest, revision),
                 }
             }
         }
