--- a/crates/access/src/customers.rs
+++ b/crates/access/src/customers.rs
@@ -97,7 +97,7 @@
 
 /// Most keys of all customers together: their digests take a second of the
 /// thinnest machine, which has to be ready with a configuration in three.
-const KEYS_MOST: usize = 50_000;
+const MAX_KEYS: usize = 50_000;
 
 impl Customers {
     /// Makes the table of a configuration.
@@ -108,7 +108,7 @@
     /// be told apart; the configuration before stays in force then.
     pub fn new(specs: Vec<CustomerSpec>) -> Result<Self, CustomersError> {
         let keys: usize = specs.iter().map(|spec| spec.keys.len()).sum();
-        if keys > KEYS_MOST {
+        if keys > MAX_KEYS {
             return Err(CustomersError::TooManyKeys(keys));
         }
         let mut names = IndexMap::with_capacity(specs.len());
--- a/crates/access/src/key.rs
+++ b/crates/access/src/key.rs
@@ -3,7 +3,7 @@
 use base::KeyDigest;
 
 /// Longest key that is accepted, in bytes.
-const KEY_MOST_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// A key by which a customer's callers are known.
 ///
@@ -13,12 +13,12 @@
 /// # Example
 ///
 /// ```
-/// use pomeloslip_access::{ApiKey, KeyFault};
+/// use pomeloslip_access::{ApiKey, ApiKeyError};
 ///
 /// let key = ApiKey::parse(b"secret")?;
 /// assert_eq!(format!("{key:?}"), "ApiKey(..)");
-/// assert_eq!(ApiKey::parse(b""), Err(KeyFault::Empty));
-/// # Ok::<(), KeyFault>(())
+/// assert_eq!(ApiKey::parse(b""), Err(ApiKeyError::Empty));
+/// # Ok::<(), ApiKeyError>(())
 /// ```
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct ApiKey(KeyDigest);
@@ -28,19 +28,19 @@
     ///
     /// # Errors
     ///
-    /// [`KeyFault`] for a text that no configuration can hold as a key.
-    pub fn parse(text: &[u8]) -> Result<Self, KeyFault> {
+    /// [`ApiKeyError`] for a text that no configuration can hold as a key.
+    pub fn parse(text: &[u8]) -> Result<Self, ApiKeyError> {
         if text.is_empty() {
-            return Err(KeyFault::Empty);
+            return Err(ApiKeyError::Empty);
         }
-        if text.len() > KEY_MOST_BYTES {
-            return Err(KeyFault::TooLong);
+        if text.len() > MAX_KEY_BYTES {
+            return Err(ApiKeyError::TooLong);
         }
         match std::str::from_utf8(text) {
             Ok(text) if text.bytes().all(|byte| byte.is_ascii_graphic()) => {
                 Ok(Self(KeyDigest::of_key(text)))
             }
-            _ => Err(KeyFault::Characters),
+            _ => Err(ApiKeyError::InvalidCharacter),
         }
     }
 
@@ -57,33 +57,35 @@
 
 /// Why what a caller or a configuration gives is no key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum KeyFault {
-    /// Several keys in one request; which one counts would be a guess.
-    Several,
+pub enum ApiKeyError {
+    /// Multiple keys in one request; which one counts would be a guess.
+    Multiple,
     /// No character.
     Empty,
     /// More bytes than any key has.
     TooLong,
     /// Something else than visible ASCII characters.
-    Characters,
+    InvalidCharacter,
 }
 
-impl KeyFault {
-    /// Returns the fault as text for answers and logs.
+impl ApiKeyError {
+    /// Returns the error as text for answers and logs.
     pub fn reason(self) -> &'static str {
         match self {
-            KeyFault::Several => "the request has several keys",
-            KeyFault::Empty => "the key is empty",
-            KeyFault::TooLong => "the key is too long",
-            KeyFault::Characters => "the key has characters that none has",
+            ApiKeyError::Multiple => "the request has several keys",
+            ApiKeyError::Empty => "the key is empty",
+            ApiKeyError::TooLong => "the key is too long",
+            ApiKeyError::InvalidCharacter => {
+                "the key has characters that none has"
+            }
         }
     }
 }
 
-impl fmt::Display for KeyFault {
+impl fmt::Display for ApiKeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.reason())
     }
 }
 
-impl error::Error for KeyFault {}
+impl error::Error for ApiKeyError {}
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -12,7 +12,7 @@
 //! ```
 //! use http::{HeaderMap, HeaderName, HeaderValue};
 //! use pomeloslip_access::{
-//!     ApiKey, Arrived, Confidence, CustomerSpec, Customers, KeyHeaders,
+//!     ApiKey, Arrived, ConfigFreshness, CustomerSpec, Customers, KeyHeaders,
 //! };
 //!
 //! let spec = CustomerSpec {
@@ -27,13 +27,13 @@
 //! let mut headers = HeaderMap::new();
 //! headers.insert("x-key", HeaderValue::from_static("key-1"));
 //!
-//! let arrived = Arrived::take(&mut headers, &names);
+//! let arrived = Arrived::from_headers(&mut headers, &names);
 //! let identified =
-//!     arrived.identify(Some(&customers), false, Confidence::Fresh);
+//!     arrived.identify(Some(&customers), false, ConfigFreshness::Fresh);
 //! let caller = identified.expect("known").caller().cloned();
 //! assert_eq!(caller.expect("a customer").customer().as_str(), "taevakorv");
 //! assert!(headers.is_empty(), "the key goes no further");
-//! # Ok::<(), pomeloslip_access::KeyFault>(())
+//! # Ok::<(), pomeloslip_access::ApiKeyError>(())
 //! ```
 
 mod customers;
@@ -44,6 +44,8 @@
     customers::{
         Caller, CustomerKey, CustomerSpec, Customers, CustomersError,
     },
-    key::{ApiKey, KeyFault},
-    request::{Admitted, Arrived, Confidence, Denied, Identified, KeyHeaders},
+    key::{ApiKey, ApiKeyError},
+    request::{
+        Admitted, Arrived, ConfigFreshness, Denied, Identified, KeyHeaders,
+    },
 };
--- a/crates/access/src/request.rs
+++ b/crates/access/src/request.rs
@@ -2,7 +2,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 use limits::Counted;
 
-use crate::{ApiKey, Caller, Customers, KeyFault};
+use crate::{ApiKey, ApiKeyError, Caller, Customers};
 
 /// How the headers of a dialect are called that concern customers.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
 
 /// What a node may say by the configuration that it knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Confidence {
+pub enum ConfigFreshness {
     /// It is the newest: what it does not hold does not exist.
     Fresh,
     /// A newer one may have added keys.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 #[must_use = "a request that is not identified is served to nobody"]
 pub struct Arrived {
-    key: Result<Option<ApiKey>, KeyFault>,
+    key: Result<Option<ApiKey>, ApiKeyError>,
 }
 
 impl Arrived {
@@ -46,12 +46,12 @@
     ///
     /// What goes wrong where it is read and stays: an endpoint, another
     /// node or a log gets it with the other headers.
-    pub fn take(headers: &mut HeaderMap, names: &KeyHeaders) -> Self {
+    pub fn from_headers(headers: &mut HeaderMap, names: &KeyHeaders) -> Self {
         let mut given = headers.get_all(&names.credential).iter();
         let key = match (given.next(), given.next()) {
             (None, _) => Ok(None),
             (Some(one), None) => ApiKey::parse(one.as_bytes()).map(Some),
-            (Some(_), Some(_)) => Err(KeyFault::Several),
+            (Some(_), Some(_)) => Err(ApiKeyError::Multiple),
         };
         headers.remove(&names.credential);
         headers.remove(&names.customer);
@@ -72,7 +72,7 @@
         self,
         customers: Option<&Customers>,
         public: bool,
-        confidence: Confidence,
+        freshness: ConfigFreshness,
     ) -> Result<Identified, Denied> {
         let Some(customers) = customers else {
             return Ok(Identified { caller: None });
@@ -85,7 +85,7 @@
             let caller = known.cloned();
             return Ok(Identified { caller });
         }
-        if confidence == Confidence::Expired {
+        if freshness == ConfigFreshness::Expired {
             let why = "keys cannot be confirmed now";
             return Err(Denied::Unconfirmed(why));
         }
@@ -93,7 +93,7 @@
             Some(caller) => Ok(Identified {
                 caller: Some(caller.clone()),
             }),
-            None if confidence == Confidence::Fresh => {
+            None if freshness == ConfigFreshness::Fresh => {
                 Err(Denied::Unknown(self.reason()))
             }
             None => {
@@ -107,7 +107,7 @@
         match &self.key {
             Ok(None) => "the request has no key",
             Ok(Some(_)) => "the key is not known",
-            Err(fault) => fault.reason(),
+            Err(error) => error.reason(),
         }
     }
 }
--- a/crates/access/tests/access.rs
+++ b/crates/access/tests/access.rs
@@ -2,8 +2,8 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use pomeloslip_access::{
-    Admitted, ApiKey, Arrived, Confidence, CustomerSpec, Customers,
-    CustomersError, Denied, KeyFault, KeyHeaders,
+    Admitted, ApiKey, ApiKeyError, Arrived, ConfigFreshness, CustomerSpec,
+    Customers, CustomersError, Denied, KeyHeaders,
 };
 use yare::parameterized;
 
@@ -41,36 +41,36 @@
 fn judge(
     keys: &[&str],
     public: bool,
-    confidence: Confidence,
+    freshness: ConfigFreshness,
 ) -> Result<Option<String>, Denied> {
     let mut headers = headers(keys);
-    let arrived = Arrived::take(&mut headers, &names());
+    let arrived = Arrived::from_headers(&mut headers, &names());
     assert!(headers.is_empty(), "nothing of it goes further");
     let table = customers();
-    let identified = arrived.identify(Some(&table), public, confidence)?;
+    let identified = arrived.identify(Some(&table), public, freshness)?;
     Ok(identified.customer().map(ToString::to_string))
 }
 
 #[parameterized(
-    known = { &["key-a"], Confidence::Fresh, Ok(()) },
-    known_by_an_old_configuration = { &["key-a"], Confidence::Stale, Ok(()) },
-    known_but_not_confirmed = { &["key-a"], Confidence::Expired, Err(false) },
-    unknown = { &["key-b"], Confidence::Fresh, Err(true) },
+    known = { &["key-a"], ConfigFreshness::Fresh, Ok(()) },
+    known_by_an_old_configuration = { &["key-a"], ConfigFreshness::Stale, Ok(()) },
+    known_but_not_confirmed = { &["key-a"], ConfigFreshness::Expired, Err(false) },
+    unknown = { &["key-b"], ConfigFreshness::Fresh, Err(true) },
     unknown_to_an_old_configuration = {
-        &["key-b"], Confidence::Stale, Err(false)
+        &["key-b"], ConfigFreshness::Stale, Err(false)
     },
-    none = { &[], Confidence::Fresh, Err(true) },
-    none_by_an_old_configuration = { &[], Confidence::Stale, Err(false) },
-    several = { &["key-a", "key-a"], Confidence::Fresh, Err(true) },
-    empty = { &[""], Confidence::Fresh, Err(true) },
-    with_a_space = { &["key a"], Confidence::Fresh, Err(true) },
+    none = { &[], ConfigFreshness::Fresh, Err(true) },
+    none_by_an_old_configuration = { &[], ConfigFreshness::Stale, Err(false) },
+    several = { &["key-a", "key-a"], ConfigFreshness::Fresh, Err(true) },
+    empty = { &[""], ConfigFreshness::Fresh, Err(true) },
+    with_a_space = { &["key a"], ConfigFreshness::Fresh, Err(true) },
 )]
 fn a_key_is_judged_by_what_is_known(
     keys: &[&str],
-    confidence: Confidence,
+    freshness: ConfigFreshness,
     wanted: Result<(), bool>,
 ) {
-    let judged = judge(keys, false, confidence);
+    let judged = judge(keys, false, freshness);
     let certain = |denied| matches!(denied, Denied::Unknown(_));
     assert_eq!(judged.map(|_| ()).map_err(certain), wanted);
 }
@@ -82,8 +82,8 @@
     with_several = { &["key-a", "key-a"], None },
 )]
 fn a_public_route_needs_no_key(keys: &[&str], customer: Option<&str>) {
-    for confidence in [Confidence::Fresh, Confidence::Expired] {
-        let judged = judge(keys, true, confidence).expect("served");
+    for freshness in [ConfigFreshness::Fresh, ConfigFreshness::Expired] {
+        let judged = judge(keys, true, freshness).expect("served");
         assert_eq!(judged.as_deref(), customer);
     }
 }
@@ -91,8 +91,8 @@
 #[test]
 fn without_customers_everybody_is_served() {
     let mut headers = headers(&["anything"]);
-    let arrived = Arrived::take(&mut headers, &names());
-    let identified = arrived.identify(None, false, Confidence::Expired);
+    let arrived = Arrived::from_headers(&mut headers, &names());
+    let identified = arrived.identify(None, false, ConfigFreshness::Expired);
     assert!(identified.expect("served").caller().is_none());
     assert!(headers.is_empty());
 }
@@ -112,14 +112,14 @@
 }
 
 #[parameterized(
-    empty = { b"", KeyFault::Empty },
-    overlong = { &[b'k'; 257], KeyFault::TooLong },
-    not_ascii = { "k\u{e9}y".as_bytes(), KeyFault::Characters },
-    control = { b"key\n", KeyFault::Characters },
-    not_text = { &[0xff, 0xfe], KeyFault::Characters },
+    empty = { b"", ApiKeyError::Empty },
+    overlong = { &[b'k'; 257], ApiKeyError::TooLong },
+    not_ascii = { "k\u{e9}y".as_bytes(), ApiKeyError::InvalidCharacter },
+    control = { b"key\n", ApiKeyError::InvalidCharacter },
+    not_text = { &[0xff, 0xfe], ApiKeyError::InvalidCharacter },
 )]
-fn what_is_no_key_is_refused(text: &[u8], fault: KeyFault) {
-    assert_eq!(ApiKey::parse(text), Err(fault));
+fn what_is_no_key_is_refused(text: &[u8], error: ApiKeyError) {
+    assert_eq!(ApiKey::parse(text), Err(error));
 }
 
 #[test]
@@ -146,7 +146,7 @@
 fn no_debug_output_shows_a_key_or_its_digest() {
     let key = ApiKey::parse(b"key-a").expect("a key");
     let digest = base::KeyDigest::of_key("key-a").to_string();
-    let arrived = Arrived::take(&mut headers(&["key-a"]), &names());
+    let arrived = Arrived::from_headers(&mut headers(&["key-a"]), &names());
     let shown = format!("{key:?} {:?} {arrived:?}", customers());
     assert!(!shown.contains("key-a"), "{shown}");
     assert!(!shown.contains(&digest[..8]), "{shown}");
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-use access::Confidence;
+use access::ConfigFreshness;
 use base::{Clock, Millis, Snapshot};
 use fleet::Config;
 use pass::DirectoryView;
@@ -119,19 +119,19 @@
 
     /// Tells whether it may be said that a route does not exist.
     pub fn is_config_sure(&self) -> bool {
-        self.confidence() == Confidence::Fresh
+        self.confidence() == ConfigFreshness::Fresh
     }
 
     /// Returns what may be said of keys and routes by the configuration.
-    pub fn confidence(&self) -> Confidence {
+    pub fn confidence(&self) -> ConfigFreshness {
         let age_ms = self.config_age_ms();
         let is_over = |most_ms| age_ms > most_ms;
         match self.bounds {
             bounds if bounds.revoke_ms.is_some_and(is_over) => {
-                Confidence::Expired
+                ConfigFreshness::Expired
             }
-            bounds if is_over(bounds.sure_ms) => Confidence::Stale,
-            _ => Confidence::Fresh,
+            bounds if is_over(bounds.sure_ms) => ConfigFreshness::Stale,
+            _ => ConfigFreshness::Fresh,
         }
     }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -194,7 +194,7 @@
         self.cluster.wait_for_start().await;
         let (mut parts, body) = request.into_parts();
         let keys = &self.forwarder.names().keys;
-        let arrived = Arrived::take(&mut parts.headers, keys);
+        let arrived = Arrived::from_headers(&mut parts.headers, keys);
         let call =
             self.dialect
                 .job_call(&parts.method, &parts.uri, &parts.headers);
