--- a/crates/companion/src/admission.rs
+++ b/crates/companion/src/admission.rs
@@ -12,7 +12,7 @@
 };
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, mpsc};
-use upstream::Seen;
+use upstream::ResponseProgress;
 
 /// Time between two looks of the gate at what has not moved.
 const TICK_MS: u64 = 50;
@@ -235,13 +235,15 @@
 
     /// Tells the progress of the call and returns the time since the token
     /// before, if there was one.
-    pub(crate) fn seen(&mut self, seen: Seen) -> Option<u32> {
+    pub(crate) fn seen(&mut self, seen: ResponseProgress) -> Option<u32> {
         let key = self.key;
         match seen {
-            Seen::Stream => self.admission.handle(Event::Streams(key)),
+            ResponseProgress::Stream => {
+                self.admission.handle(Event::Streams(key))
+            }
             // Blanks keep an answer alive while its engine stands still.
-            Seen::Bytes => {}
-            Seen::Event => {
+            ResponseProgress::Bytes => {}
+            ResponseProgress::Event => {
                 let now = Instant::now();
                 let Some(last) = self.last_event.replace(now) else {
                     self.admission.handle(Event::FirstToken(key));
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -8,7 +8,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use gate::{End, Refused, RefusedWhy};
 use obs::{Counter, Metrics, Series};
-use upstream::{EndpointClient, Seen};
+use upstream::{EndpointClient, ResponseProgress};
 use wire::{
     Answer, CompanionHandler,
     message::{
@@ -153,12 +153,15 @@
             let gap_us = u64::from(gap_us);
             customer.record(Series::BetweenTokensUs, class, gap_us);
         }
-        if seen != Seen::Stream && std::mem::take(&mut is_first) {
+        if seen != ResponseProgress::Stream && std::mem::take(&mut is_first) {
             let ms = shared.timer.now().saturating_ms_since(arrived);
             customer.record(Series::FirstTokenMs, class, ms);
         }
     };
-    let outcome = shared.client.run_seen(request, &answer, on_seen).await;
+    let outcome = shared
+        .client
+        .run_with_progress(request, &answer, on_seen)
+        .await;
     let (counter, end) = match outcome.kind {
         OutcomeKind::Complete => {
             (Counter::Completed, End::Whole { tokens: 0 })
--- a/crates/companion/src/probe.rs
+++ b/crates/companion/src/probe.rs
@@ -6,7 +6,7 @@
 };
 
 use gate::Event;
-use upstream::EndpointLife;
+use upstream::EndpointIncarnation;
 
 use crate::handler::Shared;
 
@@ -23,7 +23,7 @@
 /// Asks the endpoint for its health until the process ends.
 pub(crate) async fn watch(shared: Arc<Shared>) {
     let mut failures = 0;
-    let mut last_life: Option<EndpointLife> = None;
+    let mut last_life: Option<EndpointIncarnation> = None;
     loop {
         if let Some(life) = shared.client.health(PROBE_TIMEOUT).await {
             failures = 0;
@@ -43,7 +43,7 @@
 }
 
 /// What was measured at the old engine says nothing of the new one.
-fn restarted(shared: &Shared, life: &EndpointLife) {
+fn restarted(shared: &Shared, life: &EndpointIncarnation) {
     log::info!(
         endpoint = shared.endpoint.name.as_str(),
         version = life.version.as_str(),
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -20,7 +20,7 @@
 use crate::events::EventSplitter;
 
 /// Headers of one hop, which are never passed on.
-const HOP_HEADERS: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -33,19 +33,19 @@
 
 /// Says that a client could not be made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EndpointError;
+pub struct ClientBuildError;
 
-impl fmt::Display for EndpointError {
+impl fmt::Display for ClientBuildError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("cannot make a client for the endpoint")
     }
 }
 
-impl std::error::Error for EndpointError {}
+impl std::error::Error for ClientBuildError {}
 
 /// Progress of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
-pub enum Seen {
+pub enum ResponseProgress {
     /// The answer is an event stream.
     Stream,
     /// An event that carries a part of the answer.
@@ -59,34 +59,34 @@
 /// # Example
 ///
 /// ```
-/// use pomeloslip_upstream::EndpointLife;
+/// use pomeloslip_upstream::EndpointIncarnation;
 ///
 /// let body = br#"{"status":"ok","version":"1.0.0","incarnation":7}"#;
-/// let life = EndpointLife::of_health(body);
+/// let life = EndpointIncarnation::from_health_response(body);
 /// assert_eq!(life.version, "1.0.0");
-/// assert_ne!(life, EndpointLife::of_health(b"ok"));
+/// assert_ne!(life, EndpointIncarnation::from_health_response(b"ok"));
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// Version of its software.
     pub version: String,
     /// Life of its process, as it writes it.
     pub incarnation: String,
 }
 
-impl EndpointLife {
+impl EndpointIncarnation {
     /// Reads the body of a health page.
-    pub fn of_health(body: &[u8]) -> Self {
+    pub fn from_health_response(body: &[u8]) -> Self {
         let body: serde_json::Value =
             serde_json::from_slice(body).unwrap_or_default();
         Self {
-            version: text_of(&body["version"]),
-            incarnation: text_of(&body["incarnation"]),
+            version: json_text(&body["version"]),
+            incarnation: json_text(&body["incarnation"]),
         }
     }
 }
 
-fn text_of(value: &serde_json::Value) -> String {
+fn json_text(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Null => String::new(),
         serde_json::Value::String(text) => text.clone(),
@@ -98,26 +98,26 @@
 #[derive(Clone, Debug)]
 pub struct EndpointClient {
     address: HttpAddress,
-    kept: Client,
-    fresh: Client,
+    pooled: Client,
+    unpooled: Client,
     first_byte: Duration,
     between_bytes: Duration,
 }
 
 /// Where a call stands when it ends early.
-struct Progress {
+struct CallProgress {
     sent_head: bool,
     chunks: u32,
 }
 
 /// How a call ends early.
-struct Ended {
+struct CallFailure {
     kind: OutcomeKind,
     ran: bool,
     detail: String,
 }
 
-impl Ended {
+impl CallFailure {
     fn new(kind: OutcomeKind, ran: bool, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -136,21 +136,21 @@
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] if the HTTP library cannot start.
+    /// [`ClientBuildError`] if the HTTP library cannot start.
     pub fn try_new(
         address: HttpAddress,
         timeouts: &TimeoutSettings,
-    ) -> Result<Self, Report<EndpointError>> {
+    ) -> Result<Self, Report<ClientBuildError>> {
         let connect = Duration::from_millis(timeouts.connect_ms);
         let builder = || Client::builder().connect_timeout(connect);
-        let start = EndpointError;
+        let start = ClientBuildError;
         Ok(Self {
             address,
-            kept: builder().build().change_context(start)?,
-            // A kept connection may have gone silent, and a call lost on it
+            pooled: builder().build().change_context(start)?,
+            // A pooled connection may have gone silent, and a call lost on it
             // cannot be told from one that ran. Calls that may not be
             // repeated therefore get a connection of their own.
-            fresh: builder()
+            unpooled: builder()
                 .pool_max_idle_per_host(0)
                 .build()
                 .change_context(start)?,
@@ -175,52 +175,53 @@
         on_first: impl FnOnce(),
     ) -> Outcome {
         let mut on_first = Some(on_first);
-        let on_seen = |seen| {
-            if seen != Seen::Stream
+        let on_progress = |progress| {
+            if progress != ResponseProgress::Stream
                 && let Some(on_first) = on_first.take()
             {
                 on_first();
             }
         };
-        self.run_seen(request, answer, on_seen).await
+        self.run_with_progress(request, answer, on_progress).await
     }
 
     /// Runs a call to its end, sends its frames and tells its progress.
-    pub async fn run_seen(
+    pub async fn run_with_progress(
         &self,
         request: Request,
         answer: &Answer,
-        on_seen: impl FnMut(Seen),
+        on_progress: impl FnMut(ResponseProgress),
     ) -> Outcome {
-        let mut progress = Progress {
+        let mut progress = CallProgress {
             sent_head: false,
             chunks: 0,
         };
         let deadline = deadline(request.deadline_ms);
-        let work = self.work(request, answer, &mut progress, on_seen);
-        let ended = tokio::select! {
-            ended = work => ended,
-            () = answer.closed() => Err(Ended::cancelled()),
+        let transfer =
+            self.stream_response(request, answer, &mut progress, on_progress);
+        let result = tokio::select! {
+            result = transfer => result,
+            () = answer.closed() => Err(CallFailure::cancelled()),
             () = tokio::time::sleep_until(deadline) => {
                 let detail = "the deadline passed at the endpoint";
-                Err(Ended::new(OutcomeKind::TimedOut, true, detail))
+                Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         };
-        let ended = match ended {
+        let result = match result {
             Ok(()) => Ok(()),
-            Err(ended) => Err(self.examine(ended).await),
+            Err(failure) => Err(self.classify_failure(failure).await),
         };
-        let outcome = match ended {
+        let outcome = match result {
             Ok(()) => Outcome {
                 kind: OutcomeKind::Complete,
                 ran: true,
                 detail: String::new(),
                 chunks: progress.chunks,
             },
-            Err(ended) => Outcome {
-                kind: ended.kind,
-                ran: ended.ran || progress.sent_head,
-                detail: ended.detail,
+            Err(failure) => Outcome {
+                kind: failure.kind,
+                ran: failure.ran || progress.sent_head,
+                detail: failure.detail,
                 chunks: progress.chunks,
             },
         };
@@ -230,70 +231,73 @@
     }
 
     /// Finds out whether a call was cut off by the crash of the endpoint.
-    async fn examine(&self, ended: Ended) -> Ended {
+    async fn classify_failure(&self, failure: CallFailure) -> CallFailure {
         let kinds = [OutcomeKind::Broken, OutcomeKind::Truncated];
-        if !kinds.contains(&ended.kind)
+        if !kinds.contains(&failure.kind)
             || !has_crashed(self.address.socket()).await
         {
-            return ended;
+            return failure;
         }
-        let detail = format!("the endpoint crashed: {}", ended.detail);
-        Ended::new(OutcomeKind::Crashed, true, detail)
+        let detail = format!("the endpoint crashed: {}", failure.detail);
+        CallFailure::new(OutcomeKind::Crashed, true, detail)
     }
 
-    async fn work(
+    async fn stream_response(
         &self,
         request: Request,
         answer: &Answer,
-        progress: &mut Progress,
-        mut on_seen: impl FnMut(Seen),
-    ) -> Result<(), Ended> {
+        progress: &mut CallProgress,
+        mut on_progress: impl FnMut(ResponseProgress),
+    ) -> Result<(), CallFailure> {
         let mut response = self.send(request).await?;
         let head = Frame::Head {
             status: response.status().as_u16(),
-            headers: headers_back(response.headers()),
+            headers: end_to_end_headers(response.headers()),
         };
-        answer.send(head).await.map_err(|_| Ended::cancelled())?;
+        answer
+            .send(head)
+            .await
+            .map_err(|_| CallFailure::cancelled())?;
         progress.sent_head = true;
         if is_event_stream(&response) {
             let mut events = EventSplitter::default();
-            on_seen(Seen::Stream);
+            on_progress(ResponseProgress::Stream);
             while let Some(bytes) = self.next_bytes(&mut response).await? {
                 events.push(&bytes);
                 while let Some(event) = events.next_event().map_err(|_| {
                     let detail = "an event is too large";
-                    Ended::new(OutcomeKind::Broken, true, detail)
+                    CallFailure::new(OutcomeKind::Broken, true, detail)
                 })? {
                     if EventSplitter::is_content(&event) {
-                        on_seen(Seen::Event);
+                        on_progress(ResponseProgress::Event);
                     }
-                    pass(answer, progress, event).await?;
+                    send_chunk(answer, progress, event).await?;
                 }
             }
-            if !events.ended() {
+            if !events.has_end_mark() {
                 let detail = "the stream ended without its end mark";
                 let kind = OutcomeKind::Truncated;
-                return Err(Ended::new(kind, true, detail));
+                return Err(CallFailure::new(kind, true, detail));
             }
             return Ok(());
         }
         while let Some(bytes) = self.next_bytes(&mut response).await? {
-            on_seen(Seen::Bytes);
-            pass(answer, progress, bytes).await?;
+            on_progress(ResponseProgress::Bytes);
+            send_chunk(answer, progress, bytes).await?;
         }
         Ok(())
     }
 
-    async fn send(&self, request: Request) -> Result<Response, Ended> {
+    async fn send(&self, request: Request) -> Result<Response, CallFailure> {
         let client = if request.repeatable {
-            &self.kept
+            &self.pooled
         } else {
-            &self.fresh
+            &self.unpooled
         };
         let method =
             Method::from_bytes(request.method.as_bytes()).map_err(|_| {
                 let detail = "the method is not valid";
-                Ended::new(OutcomeKind::NotSent, false, detail)
+                CallFailure::new(OutcomeKind::NotSent, false, detail)
             })?;
         let url = self.address.join(&request.path);
         let mut call = client.request(method, url);
@@ -308,7 +312,7 @@
             Ok(Err(error)) => Err(send_error(&error)),
             Err(_) => {
                 let detail = "the endpoint sent nothing in time";
-                Err(Ended::new(OutcomeKind::TimedOut, true, detail))
+                Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         }
     }
@@ -316,16 +320,16 @@
     async fn next_bytes(
         &self,
         response: &mut Response,
-    ) -> Result<Option<Bytes>, Ended> {
+    ) -> Result<Option<Bytes>, CallFailure> {
         match timeout(self.between_bytes, response.chunk()).await {
             Ok(Ok(bytes)) => Ok(bytes),
-            Ok(Err(error)) => Err(Ended::new(
+            Ok(Err(error)) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
                 format!("the answer broke: {error}"),
             )),
             // The connection went silent: nothing would ever come.
-            Err(_) => Err(Ended::new(
+            Err(_) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
                 "the answer went silent",
@@ -334,26 +338,29 @@
     }
 }
 
-async fn pass(
+async fn send_chunk(
     answer: &Answer,
-    progress: &mut Progress,
+    progress: &mut CallProgress,
     bytes: Bytes,
-) -> Result<(), Ended> {
+) -> Result<(), CallFailure> {
     let seq = progress.chunks;
     let frame = Frame::Chunk { seq, bytes };
-    answer.send(frame).await.map_err(|_| Ended::cancelled())?;
+    answer
+        .send(frame)
+        .await
+        .map_err(|_| CallFailure::cancelled())?;
     progress.chunks += 1;
     Ok(())
 }
 
 /// Tells a call that was certainly not sent from one that may have run.
-fn send_error(error: &reqwest::Error) -> Ended {
+fn send_error(error: &reqwest::Error) -> CallFailure {
     if error.is_connect() || error.is_builder() {
         let detail = format!("cannot reach the endpoint: {error}");
-        return Ended::new(OutcomeKind::NotSent, false, detail);
+        return CallFailure::new(OutcomeKind::NotSent, false, detail);
     }
     let detail = format!("the connection broke: {error}");
-    Ended::new(OutcomeKind::Broken, true, detail)
+    CallFailure::new(OutcomeKind::Broken, true, detail)
 }
 
 fn deadline(deadline_ms: u64) -> Instant {
@@ -372,10 +379,10 @@
         .is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-fn headers_back(headers: &HeaderMap) -> Vec<Header> {
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
         .filter_map(|(name, value)| {
             Some(Header {
                 name: name.as_str().to_owned(),
@@ -400,7 +407,7 @@
         body["fence"] = order.fence.into();
         body["kind"] = order.kind.clone().into();
         let url = self.address.join("/orders");
-        let call = self.fresh.post(url).json(&body).send();
+        let call = self.unpooled.post(url).json(&body).send();
         let failed =
             |detail: String| Refusal::new(RefusalKind::Failed, detail);
         match timeout(self.first_byte, call).await {
@@ -421,15 +428,18 @@
     }
 
     /// Asks the endpoint whether it lives, and which life that is.
-    pub async fn health(&self, limit: Duration) -> Option<EndpointLife> {
+    pub async fn health(
+        &self,
+        limit: Duration,
+    ) -> Option<EndpointIncarnation> {
         let url = self.address.join("/health");
         let ask = async {
-            let reply = self.fresh.get(url).send().await.ok()?;
+            let reply = self.unpooled.get(url).send().await.ok()?;
             if !reply.status().is_success() {
                 return None;
             }
             let body = reply.bytes().await.ok()?;
-            Some(EndpointLife::of_health(&body))
+            Some(EndpointIncarnation::from_health_response(&body))
         };
         timeout(limit, ask).await.ok().flatten()
     }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -38,13 +38,13 @@
 /// assert_eq!(events.next_event()?, None);
 /// events.push(b"ta: [DONE]\n\n");
 /// events.next_event()?;
-/// assert!(events.ended());
+/// assert!(events.has_end_mark());
 /// # Ok::<(), pomeloslip_upstream::EventTooLarge>(())
 /// ```
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    ended: bool,
+    has_end_mark: bool,
 }
 
 impl EventSplitter {
@@ -74,7 +74,7 @@
         };
         let event = self.buffer.split_to(end).freeze();
         if event.starts_with(END_MARK) {
-            self.ended = true;
+            self.has_end_mark = true;
         }
         Ok(Some(event))
     }
@@ -96,8 +96,8 @@
     /// Tells whether the end mark was seen. A stream that ends without it
     /// is not an answer.
     #[inline]
-    pub fn ended(&self) -> bool {
-        self.ended
+    pub fn has_end_mark(&self) -> bool {
+        self.has_end_mark
     }
 }
 
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -10,6 +10,9 @@
 mod events;
 
 pub use crate::{
-    client::{EndpointClient, EndpointError, EndpointLife, Seen},
+    client::{
+        ClientBuildError, EndpointClient, EndpointIncarnation,
+        ResponseProgress,
+    },
     events::{EventSplitter, EventTooLarge},
 };
--- a/crates/upstream/tests/property.rs
+++ b/crates/upstream/tests/property.rs
@@ -31,7 +31,7 @@
             found.push(event.to_vec());
         }
     }
-    (found, splitter.ended())
+    (found, splitter.has_end_mark())
 }
 
 fn sorted(cuts: &[Index], len: usize) -> Vec<usize> {
@@ -92,9 +92,9 @@
         });
         let arrived: Vec<Vec<u8>> =
             arrived.map(|event| event.clone().into_bytes()).collect();
-        let (found, ended) = events(bytes, &sorted(&cuts, bytes.len()));
+        let (found, has_end_mark) = events(bytes, &sorted(&cuts, bytes.len()));
         let done = arrived.iter().any(|e| e.starts_with(b"data: [DONE]"));
         prop_assert_eq!(found, arrived);
-        prop_assert_eq!(ended, done);
+        prop_assert_eq!(has_end_mark, done);
     }
 }
