--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -183,7 +183,7 @@
         }
         for key in keys.all() {
             if self.verdict(key).0 == Verdict::ProbeDue {
-                self.try_again(key).await?;
+                self.probe(key).await?;
             }
         }
         Ok(SendPermit(()))
@@ -198,10 +198,7 @@
         }
     }
 
-    async fn try_again(
-        &self,
-        digest: RequestDigest,
-    ) -> Result<(), Quarantined> {
+    async fn probe(&self, digest: RequestDigest) -> Result<(), Quarantined> {
         let crashes = self.verdict(digest).1;
         if self.begin_probe(digest).await {
             log::info!(digest:%, crashes; "a held request is tried again");
@@ -218,7 +215,7 @@
     pub fn record_crash(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
         let mut state = self.lock();
         for key in keys.into().all() {
-            let before = state.cases.verdict(key, self.now());
+            let before = state.cases.verdict_at(key, self.now());
             if state.cases.add_crash(key, crash) {
                 state.recent.add(crash.endpoint, crash.ended_at);
                 state.unsaved.insert(key);
@@ -310,7 +307,7 @@
 
     fn verdict(&self, digest: RequestDigest) -> (Verdict, usize) {
         let state = self.lock();
-        let verdict = state.cases.verdict(digest, self.now());
+        let verdict = state.cases.verdict_at(digest, self.now());
         (verdict, state.cases.crashes(digest))
     }
 
@@ -336,7 +333,7 @@
         stored: StoredRecord,
     ) {
         let now = self.now();
-        let before = state.cases.verdict(digest, now);
+        let before = state.cases.verdict_at(digest, now);
         state.cases.apply_stored(digest, stored, now);
         self.log_standing(state, digest, before);
         // Others go by what is written: a crash that was not worth a write
@@ -356,7 +353,7 @@
         digest: RequestDigest,
         before: Verdict,
     ) {
-        let now = state.cases.verdict(digest, self.now());
+        let now = state.cases.verdict_at(digest, self.now());
         let is_held = |verdict| matches!(verdict, Verdict::Quarantined { .. });
         if let Verdict::Quarantined { for_ms } = now
             && !is_held(before)
--- a/crates/quarantine/src/quarantine/probe.rs
+++ b/crates/quarantine/src/quarantine/probe.rs
@@ -15,7 +15,7 @@
             let (stored, unsaved) = {
                 let state = self.lock();
                 let now = self.now();
-                if state.cases.verdict(digest, now) != Verdict::ProbeDue {
+                if state.cases.verdict_at(digest, now) != Verdict::ProbeDue {
                     return false;
                 }
                 match state.cases.stored_and_unsaved(digest) {
@@ -50,7 +50,7 @@
     fn begin_local_trial(&self, digest: RequestDigest) -> bool {
         let mut state = self.lock();
         let now = self.now();
-        let is_due = state.cases.verdict(digest, now) == Verdict::ProbeDue;
+        let is_due = state.cases.verdict_at(digest, now) == Verdict::ProbeDue;
         if is_due {
             state.cases.begin_probe(digest, now);
         }
--- a/crates/quarantine/src/quarantine/updates.rs
+++ b/crates/quarantine/src/quarantine/updates.rs
@@ -72,7 +72,7 @@
         let stored = state.cases.stored();
         let held = stored.filter(|(digest, stored)| {
             is_new(stored.case.changed_at())
-                && state.cases.verdict(*digest, now) != Verdict::Clear
+                && state.cases.verdict_at(*digest, now) != Verdict::Clear
         });
         let held = held.map(|(digest, stored)| CrashRecordUpdate {
             digest,
@@ -101,9 +101,7 @@
             match case {
                 // Two processes that pass on a case that has run out would
                 // never forget it.
-                Some(case)
-                    if state.cases.is_expired_or_future(&case, self.now()) => {
-                }
+                Some(case) if state.cases.is_unusable(&case, self.now()) => {}
                 Some(case) => {
                     let stored = StoredRecord { case, revision };
                     self.apply_stored(&mut state, digest, stored);
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -57,7 +57,7 @@
 /// let mut table = CrashRecordTable::new(QuarantineOptions::default());
 /// for number in 0..3 {
 ///     assert_eq!(
-///         table.verdict(digest, UnixMillis::new(number * 1_000)),
+///         table.verdict_at(digest, UnixMillis::new(number * 1_000)),
 ///         Verdict::Clear,
 ///     );
 ///     let crash = Crash {
@@ -69,9 +69,9 @@
 ///     };
 ///     table.add_crash(digest, crash);
 /// }
-/// let held = table.verdict(digest, UnixMillis::new(2_100));
+/// let held = table.verdict_at(digest, UnixMillis::new(2_100));
 /// assert_eq!(held, Verdict::Quarantined { for_ms: 10_000 });
-/// let due = table.verdict(digest, UnixMillis::new(12_100));
+/// let due = table.verdict_at(digest, UnixMillis::new(12_100));
 /// assert_eq!(due, Verdict::ProbeDue);
 /// ```
 #[derive(Debug)]
@@ -163,7 +163,11 @@
     }
 
     /// Returns whether a request may be sent.
-    pub fn verdict(&self, digest: RequestDigest, now: UnixMillis) -> Verdict {
+    pub fn verdict_at(
+        &self,
+        digest: RequestDigest,
+        now: UnixMillis,
+    ) -> Verdict {
         let Some(entry) = self.cases.get(&digest) else {
             return Verdict::Clear;
         };
@@ -296,12 +300,8 @@
     /// Tells whether a case that another node reports is not worth learning:
     /// it has been quiet for so long that it is forgotten, or is dated so
     /// far ahead that nobody would forget it.
-    pub fn is_expired_or_future(
-        &self,
-        case: &CrashRecord,
-        now: UnixMillis,
-    ) -> bool {
-        let changed_at = case.changed_at();
+    pub fn is_unusable(&self, record: &CrashRecord, now: UnixMillis) -> bool {
+        let changed_at = record.changed_at();
         let quiet_ms = now.saturating_ms_since(changed_at);
         quiet_ms >= self.options.retention_ms
             || changed_at.saturating_ms_since(now) > OLDER_MOST_MS
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -54,7 +54,7 @@
     now_ms: u64,
 ) -> bool {
     matches!(
-        table.verdict(digest, at(now_ms)),
+        table.verdict_at(digest, at(now_ms)),
         Verdict::Quarantined { .. }
     )
 }
@@ -175,7 +175,7 @@
     let mut table = table();
     crash_times(&mut table, digest("sound"), 3);
     table.record_answer(digest("sound"), 0);
-    assert_eq!(table.verdict(digest("sound"), at(3_100)), Verdict::Clear);
+    assert_eq!(table.verdict_at(digest("sound"), at(3_100)), Verdict::Clear);
     assert!(table.is_empty());
 }
 
@@ -195,12 +195,12 @@
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
     let first = at(3_000).saturating_add_ms(options.initial_hold_ms);
-    assert_eq!(table.verdict(digest("bad"), first), Verdict::ProbeDue);
+    assert_eq!(table.verdict_at(digest("bad"), first), Verdict::ProbeDue);
     table.begin_probe(digest("bad"), first);
     let second = options.hold_ms(1);
     assert!(second > options.initial_hold_ms);
     assert_eq!(
-        table.verdict(digest("bad"), first),
+        table.verdict_at(digest("bad"), first),
         Verdict::Quarantined { for_ms: second },
     );
     let crashed = Crash {
@@ -212,7 +212,7 @@
     };
     table.add_crash(digest("bad"), crashed);
     assert_eq!(
-        table.verdict(digest("bad"), crashed.ended_at),
+        table.verdict_at(digest("bad"), crashed.ended_at),
         Verdict::Quarantined { for_ms: second },
     );
 }
@@ -237,7 +237,10 @@
     let mut table = learned(HOURS_MS, 5_000);
     let due_ms = 5_000 + options.initial_hold_ms;
     assert!(is_held(&table, digest("bad"), due_ms - 1));
-    assert_eq!(table.verdict(digest("bad"), at(due_ms)), Verdict::ProbeDue);
+    assert_eq!(
+        table.verdict_at(digest("bad"), at(due_ms)),
+        Verdict::ProbeDue
+    );
     table.expire(at(5_000 + options.retention_ms));
     assert!(table.is_empty());
 }
@@ -266,7 +269,7 @@
 fn a_crash_in_the_future_is_held_against_a_request_from_now_on() {
     let mut table = table();
     crash_times(&mut table, digest("bad"), 3);
-    let held = table.verdict(digest("bad"), at(0));
+    let held = table.verdict_at(digest("bad"), at(0));
     let for_ms = QuarantineOptions::default().initial_hold_ms;
     assert_eq!(held, Verdict::Quarantined { for_ms });
 }
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -301,7 +301,7 @@
     /// Asks the node, and enters a trial in the store if it is due.
     fn may_send(&mut self, node: usize, request: &Request) -> bool {
         let now = self.unix_of(node);
-        match self.nodes[node].verdict(request.digest, now) {
+        match self.nodes[node].verdict_at(request.digest, now) {
             Verdict::Clear => true,
             Verdict::Quarantined { .. } => false,
             Verdict::ProbeDue => {
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -423,15 +423,12 @@
     }
 
     /// Asks the endpoint whether it lives.
-    pub async fn is_healthy(&self, limit: Duration) -> bool {
-        self.health(limit).await.is_some()
+    pub async fn is_healthy(&self, wait: Duration) -> bool {
+        self.health(wait).await.is_some()
     }
 
     /// Asks the endpoint whether it lives, and which life that is.
-    pub async fn health(
-        &self,
-        limit: Duration,
-    ) -> Option<EndpointIncarnation> {
+    pub async fn health(&self, wait: Duration) -> Option<EndpointIncarnation> {
         let url = self.address.join("/health");
         let ask = async {
             let reply = self.unpooled.get(url).send().await.ok()?;
@@ -441,6 +438,6 @@
             let body = reply.bytes().await.ok()?;
             Some(EndpointIncarnation::from_health_response(&body))
         };
-        timeout(limit, ask).await.ok().flatten()
+        timeout(wait, ask).await.ok().flatten()
     }
 }
