--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Tells whether somebody waits for the answer.
+/// Latency class of a request: interactive or batch.
 #[derive(
     Clone,
     Copy,
@@ -17,14 +17,14 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A person waits for the answer.
+    /// A person waits for the response.
     Online,
-    /// The answer is due at a time that may be hours away.
+    /// The response is due at a deadline that may be hours away.
     Batch,
 }
 
 impl Class {
-    /// Both classes, online first.
+    /// All classes, [`Class::Online`] first.
     pub const ALL: [Class; 2] = [Class::Online, Class::Batch];
 
     /// Returns the name used in rules, metrics and messages.
--- a/crates/base/src/digest.rs
+++ b/crates/base/src/digest.rs
@@ -6,14 +6,14 @@
 /// Length of a SHA-256 digest, in bytes.
 const KEY_DIGEST_BYTES: usize = 32;
 
-/// Length of a [`RequestDigest`], in bytes. Nobody finds a second request
-/// for a digest of this length, and one stands for a request in each line
-/// of the log about it.
+/// Length of a [`RequestDigest`], in bytes. 128 bits make finding a second
+/// request with the same digest infeasible, and are short enough for the log
+/// lines that identify a request by its digest.
 const REQUEST_DIGEST_BYTES: usize = 16;
 
-/// Reads bytes in hexadecimal digits; none of any other text.
+/// Parses exactly `N` bytes in hexadecimal; returns `None` for other text.
 fn parse_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
-    // Numbers may have a sign, digits of a digest may not.
+    // `from_str_radix` accepts a sign, which a digest must not have.
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if text.len() != N * 2 || !is_hex {
         return None;
@@ -26,7 +26,8 @@
     Some(bytes)
 }
 
-/// Writes and reads a digest in hexadecimal digits, also in serde's formats.
+/// Implements hexadecimal formatting and parsing of a digest, which its serde
+/// implementation uses as well.
 macro_rules! hex_text {
     ($digest:ident, $error:ident) => {
         impl FromStr for $digest {
@@ -62,7 +63,7 @@
     };
 }
 
-/// Says that a text is no key digest.
+/// The error of parsing an invalid [`KeyDigest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct KeyDigestError;
 
@@ -74,8 +75,8 @@
 
 /// The SHA-256 digest of a bearer key.
 ///
-/// Settings and configuration hold digests only: who reads them, or a log
-/// of them, cannot call with them.
+/// Settings and configuration hold digests only, so that neither they nor
+/// logs of them disclose a usable key.
 ///
 /// # Example
 ///
@@ -102,7 +103,7 @@
 pub struct KeyDigest([u8; KEY_DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Digests a key as it stands in the `Authorization` header.
+    /// Computes the digest of a key as given in the `Authorization` header.
     pub fn of_key(key: &str) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -116,18 +117,18 @@
 
 hex_text!(KeyDigest, KeyDigestError);
 
-/// What makes two requests the same for an endpoint: who asks for what.
+/// The content that makes two requests equivalent for an endpoint.
 ///
-/// The id of the request is no part of it, since each try of a caller has
-/// an id of its own. Neither are headers: deadlines and positions of streams
-/// differ between the tries of one request.
+/// The request id is excluded, since each retry of a caller has its own id.
+/// Headers are excluded, since deadlines and stream offsets differ between
+/// the attempts of one request.
 #[derive(Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Name of the customer; empty without one.
+    /// Name of the customer; empty if the request has none.
     pub customer: &'a str,
-    /// Method of the call.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that it is for; empty where one host is all there is.
+    /// Host that the request addresses; empty if there is only one host.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
@@ -135,10 +136,10 @@
     pub body: &'a [u8],
 }
 
-/// Tells a request by its content, without holding any of it.
+/// Identifies a request by a digest of its content.
 ///
-/// All nodes find the same digest, so that they can tell each other about
-/// a request, and logs can name it.
+/// All nodes compute the same digest, so that they can exchange information
+/// about a request, and logs can identify it.
 ///
 /// # Example
 ///
@@ -172,12 +173,12 @@
 #[serde(try_from = "String", into = "String")]
 pub struct RequestDigest([u8; REQUEST_DIGEST_BYTES]);
 
-/// Says that a text is no digest of a request.
+/// The error of parsing an invalid [`RequestDigest`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestDigestError;
 
 impl RequestDigest {
-    /// Digests a request.
+    /// Computes the digest of a request.
     pub fn of(content: RequestContent<'_>) -> Self {
         let RequestContent {
             customer,
@@ -187,12 +188,12 @@
             body,
         } = content;
         let mut digest = Sha256::new();
-        digest_parts(&mut digest, &[customer, method, host, target]);
+        hash_parts(&mut digest, &[customer, method, host, target]);
         digest.update(body);
-        Self::shortened(digest)
+        Self::truncated(digest)
     }
 
-    /// Digests what several requests have in common, such as their job.
+    /// Computes the digest of a group of requests, such as those of a job.
     ///
     /// # Example
     ///
@@ -205,22 +206,24 @@
     /// ```
     pub fn of_group(kind: &str, parts: &[&str]) -> Self {
         let mut digest = Sha256::new();
-        // No request has so many parts, nor one of this length.
+        // The prefix keeps digests of groups apart from those of requests,
+        // which begin with the length of a part: no part is this long.
         digest.update(u64::MAX.to_le_bytes());
-        digest_parts(&mut digest, &[kind]);
-        digest_parts(&mut digest, parts);
-        Self::shortened(digest)
+        hash_parts(&mut digest, &[kind]);
+        hash_parts(&mut digest, parts);
+        Self::truncated(digest)
     }
 
-    fn shortened(digest: Sha256) -> Self {
+    fn truncated(digest: Sha256) -> Self {
         let mut bytes = [0; REQUEST_DIGEST_BYTES];
         bytes.copy_from_slice(&digest.finalize()[..REQUEST_DIGEST_BYTES]);
         Self(bytes)
     }
 }
 
-/// Adds texts so that none can pass for a part of its neighbour.
-fn digest_parts(digest: &mut Sha256, parts: &[&str]) {
+/// Hashes texts with their lengths, so that moving bytes from one part to
+/// the next changes the digest.
+fn hash_parts(digest: &mut Sha256, parts: &[&str]) {
     for part in parts {
         digest.update((part.len() as u64).to_le_bytes());
         digest.update(part);
--- a/crates/base/src/hash.rs
+++ b/crates/base/src/hash.rs
@@ -2,9 +2,9 @@
 
 /// Hashes parts to a number that is the same in every build and process.
 ///
-/// Partitions and the order of data VMs follow from it, so two builds that
-/// run side by side during a roll-out must agree on it. The standard
-/// library's hasher promises no such thing.
+/// Partitions and the order of data VMs depend on this hash, so two builds
+/// that run side by side during a roll-out must agree on it. The standard
+/// library's hasher does not guarantee that.
 ///
 /// # Example
 ///
@@ -26,10 +26,10 @@
         .fold(0, |hash, byte| (hash << 8) | u64::from(*byte))
 }
 
-/// Spreads the bits of a number (the finalizer of splitmix64).
+/// Mixes the bits of a number (the finalizer of splitmix64).
 ///
-/// For choices among things whose [`stable_hash`] is known already: a
-/// thousand times cheaper than hashing the pair again.
+/// Derives further hashes from a known [`stable_hash`], a thousand times
+/// cheaper than hashing the parts again.
 ///
 /// # Example
 ///
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest accepted name, in bytes.
-const NAME_MAX_BYTES: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
-/// Says why a text is no valid name.
+/// The error of parsing an invalid name.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IdError {
     kind: &'static str,
@@ -26,7 +26,7 @@
             Cause::TooLong(bytes) => write!(
                 f,
                 "a {} of {bytes} bytes is over the limit of {}",
-                self.kind, NAME_MAX_BYTES
+                self.kind, MAX_NAME_BYTES
             ),
             Cause::Character(found) => write!(
                 f,
@@ -39,12 +39,12 @@
 
 impl std::error::Error for IdError {}
 
-fn check(kind: &'static str, text: &str) -> Result<(), IdError> {
+fn validate(kind: &'static str, text: &str) -> Result<(), IdError> {
     let fail = |cause| Err(IdError { kind, cause });
     if text.is_empty() {
         return fail(Cause::Empty);
     }
-    if text.len() > NAME_MAX_BYTES {
+    if text.len() > MAX_NAME_BYTES {
         return fail(Cause::TooLong(text.len()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
@@ -58,8 +58,8 @@
     ($(#[$doc:meta])* $name:ident, $kind:literal) => {
         $(#[$doc])*
         ///
-        /// It holds 1 to 128 letters, digits, `-`, `_` and `.`, checked when
-        /// it is parsed. Clones share one allocation.
+        /// A name has 1 to 128 letters, digits, `-`, `_` and `.`, which
+        /// parsing validates. Clones share one allocation.
         ///
         /// # Example
         ///
@@ -90,7 +90,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                check($kind, text)?;
+                validate($kind, text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -124,53 +124,53 @@
 }
 
 name!(
-    /// Names one customer whose calls are limited and measured together.
+    /// Name of a customer, whose calls are limited and measured together.
     Customer,
     "tenant"
 );
 name!(
-    /// Names a model as callers write it.
+    /// Name of a model, as callers give it.
     Model,
     "model"
 );
 name!(
-    /// Names a plain service that is routed to beside the model engines.
+    /// Name of a plain service, served in addition to the model engines.
     Service,
     "service"
 );
 name!(
-    /// Names one endpoint: an engine replica or one instance of a service.
+    /// Name of an endpoint: an engine replica or an instance of a service.
     EndpointName,
     "endpoint"
 );
 name!(
-    /// Names a group of machines that can be lost together.
+    /// Name of a failure domain: machines that can fail together.
     FailureDomain,
     "failure domain"
 );
 name!(
-    /// Names a virtual machine of the platform.
+    /// Name of a virtual machine of the platform.
     VmId,
     "vm"
 );
 name!(
-    /// Names a batch job.
+    /// Identifier of a batch job.
     JobId,
     "job id"
 );
 name!(
-    /// Names an uploaded or produced file.
+    /// Identifier of an uploaded or produced file.
     FileId,
     "file id"
 );
 name!(
-    /// Names one call of a caller, in logs and on every message.
+    /// Identifier of one call, which logs and all of its messages carry.
     RequestId,
     "request id"
 );
 
 impl RequestId {
-    /// Makes an id from a random number, which the caller draws.
+    /// Creates an id from a random number that the caller supplies.
     ///
     /// # Example
     ///
@@ -197,7 +197,7 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps a number.
+            /// Creates a value from a number.
             #[inline]
             pub const fn new(number: u64) -> Self {
                 Self(number)
@@ -219,14 +219,14 @@
 }
 
 number!(
-    /// Tells two lives of a process at one address apart.
+    /// Distinguishes the incarnations of a process at one address.
     ///
-    /// It is drawn at random at each start. A counter would need a disk or
-    /// the key-value service to survive a restart; most processes have
-    /// neither at that moment.
+    /// Each start of a process draws a random number. A counter would need a
+    /// disk or the key-value service to survive a restart; most processes
+    /// have neither at that moment.
     Incarnation
 );
 number!(
-    /// Numbers the accepted configurations, newest highest.
+    /// Revision of an accepted configuration; newer ones are higher.
     Revision
 );
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,8 @@
 //! Domain types, time, timers and snapshots that every other crate uses.
 //!
-//! Nothing here does I/O. A decision takes the time ([`Millis`]), its
-//! randomness and identities as arguments, so that a run can be replayed
-//! from a seed:
+//! The crate does no I/O apart from reading the clocks. Code that decides
+//! takes the time ([`Millis`]), randomness and identities as arguments, so
+//! that a run can be replayed from a seed:
 //!
 //! ```
 //! use pomeloslip_base::{Class, Millis, Customer};
@@ -15,11 +15,10 @@
 //! # Ok::<(), pomeloslip_base::IdError>(())
 //! ```
 //!
-//! Names are checked once, when they are parsed; code inside the system can
-//! then rely on them ([`Customer`], [`Model`], [`EndpointName`], [`VmId`],
-//! [`FailureDomain`], [`JobId`], [`RequestId`]). The alternative, plain
-//! strings checked where they are used, leaves each use to remember the
-//! check.
+//! Names are validated once, when they are parsed, and are valid from then
+//! on ([`Customer`], [`Model`], [`EndpointName`], [`VmId`],
+//! [`FailureDomain`], [`JobId`], [`RequestId`]). Plain strings would need a
+//! check at each use, and any of these checks could be forgotten.
 
 mod class;
 mod digest;
--- a/crates/base/src/retention.rs
+++ b/crates/base/src/retention.rs
@@ -2,10 +2,11 @@
 
 const MS_PER_DAY: u64 = 86_400_000;
 
-/// Returns the start of the ids of blobs that were made on a day.
+/// Returns the prefix of the ids of blobs that were created on a given day.
 ///
-/// Whoever names a blob puts this first; a data VM removes blobs by it when
-/// their day is past the retention. Both copies go on the same day.
+/// Every blob id starts with this prefix. Data VMs remove blobs by prefix
+/// when the day is past the retention, so both copies of a blob are removed
+/// on the same day.
 ///
 /// # Example
 ///
@@ -15,6 +16,6 @@
 /// let noon = UnixMillis::new(20_000 * 86_400_000 + 43_200_000);
 /// assert_eq!(blob_day_prefix(noon), "d20000/");
 /// ```
-pub fn blob_day_prefix(made: UnixMillis) -> String {
-    format!("d{}/", made.as_ms() / MS_PER_DAY)
+pub fn blob_day_prefix(created_at: UnixMillis) -> String {
+    format!("d{}/", created_at.as_ms() / MS_PER_DAY)
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -1,7 +1,7 @@
 //! Time as an argument: monotonic and calendar milliseconds, and clocks.
 //!
-//! Decisions take [`Millis`] and never read a clock. Only the daemons own a
-//! [`Clock`]; tests hand in a [`SteppedClock`] instead.
+//! Code that decides takes [`Millis`] and never reads a clock. Only the
+//! daemons own a [`Clock`]; tests pass a [`SteppedClock`] instead.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -21,34 +21,32 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps a number of milliseconds.
+            /// Creates a value from a number of milliseconds.
             #[inline]
             pub const fn new(ms: u64) -> Self {
                 Self(ms)
             }
 
-            /// Returns the milliseconds since the origin of this scale.
+            /// Returns the milliseconds since the origin of the time scale.
             #[inline]
             pub const fn as_ms(self) -> u64 {
                 self.0
             }
 
-            /// Adds milliseconds and stays at the largest value instead of
-            /// wrapping.
+            /// Adds milliseconds, saturating at the largest value.
             #[inline]
             pub const fn saturating_add_ms(self, ms: u64) -> Self {
                 Self(self.0.saturating_add(ms))
             }
 
-            /// Goes back by milliseconds and stays at the origin instead of
-            /// wrapping.
+            /// Subtracts milliseconds, saturating at the origin.
             #[inline]
             pub const fn saturating_sub_ms(self, ms: u64) -> Self {
                 Self(self.0.saturating_sub(ms))
             }
 
-            /// Returns the milliseconds since `earlier`, or 0 if it is
-            /// later.
+            /// Returns the milliseconds since `earlier`, or 0 if `earlier`
+            /// is later than `self`.
             ///
             /// # Example
             ///
@@ -65,8 +63,8 @@
                 self.0.saturating_sub(earlier.0)
             }
 
-            /// Returns the milliseconds between two moments, whichever is
-            /// earlier.
+            /// Returns the absolute difference to another time, in
+            /// milliseconds.
             #[inline]
             pub const fn abs_diff_ms(self, other: Self) -> u64 {
                 self.0.abs_diff(other.0)
@@ -78,8 +76,8 @@
 millis!(
     /// Monotonic milliseconds since the process started.
     ///
-    /// Values of two processes cannot be compared; messages carry spans of
-    /// time, or [`UnixMillis`] where a calendar time is meant.
+    /// Values of two processes are not comparable; messages carry durations,
+    /// or [`UnixMillis`] for calendar times.
     Millis
 );
 millis!(
@@ -87,27 +85,27 @@
     UnixMillis
 );
 
-/// Reads the time for a daemon.
+/// A source of monotonic and calendar time.
 pub trait Clock: Send + Sync + 'static {
-    /// Returns monotonic time.
+    /// Returns the monotonic time.
     fn now(&self) -> Millis;
 
-    /// Returns calendar time.
+    /// Returns the calendar time.
     fn unix(&self) -> UnixMillis;
 }
 
 /// Reads the machine's clocks.
 ///
-/// Monotonic time goes on while the machine is suspended. What goes wrong
-/// with the usual steady clock, which does not: a node wakes after seconds
-/// and takes its lease, its list of endpoints and its configuration for as
-/// young as before. One sees it act on what all others have replaced.
+/// Monotonic time advances while the machine is suspended (`CLOCK_BOOTTIME`).
+/// With `CLOCK_MONOTONIC`, which does not, a node that wakes after seconds
+/// would consider its lease, its list of endpoints and its configuration as
+/// fresh as before, and act on state that all other nodes have replaced.
 #[derive(Debug)]
 pub struct SystemClock {
     start_ms: u64,
 }
 
-/// Returns the time since the machine was started, suspensions included.
+/// Returns the time since the machine booted, including suspended time.
 fn since_boot_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
@@ -116,7 +114,7 @@
 }
 
 impl SystemClock {
-    /// Starts a clock whose monotonic time begins at 0.
+    /// Creates a clock whose monotonic time starts at 0.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Self {
         Self {
@@ -136,7 +134,7 @@
     }
 }
 
-/// Stands still until it is stepped.
+/// A clock for tests that advances only when it is stepped.
 ///
 /// # Example
 ///
@@ -153,7 +151,7 @@
 }
 
 impl SteppedClock {
-    /// Moves both scales on by `ms`.
+    /// Advances both time scales by `ms`.
     pub fn step_ms(&self, ms: u64) {
         self.now_ms.fetch_add(ms, Ordering::SeqCst);
     }
--- a/crates/base/src/timer.rs
+++ b/crates/base/src/timer.rs
@@ -1,10 +1,10 @@
-//! A timer service that the parts of a process subscribe to.
+//! A timer service that holds the deadlines of a process.
 //!
-//! One service per process holds every deadline. With a
-//! [`SystemClock`](crate::SystemClock) a task drives it; with a
+//! Each process has one service for all of its deadlines. With a
+//! [`SystemClock`](crate::SystemClock) a task drives the service; with a
 //! [`SteppedClock`](crate::SteppedClock) a test calls [`Timer::fire_due`]
-//! after each step, so that hours pass in a moment and in the same order on
-//! every run.
+//! after each step, so that hours of simulated time pass quickly and
+//! deterministically.
 
 use std::{
     cmp::Reverse,
@@ -20,8 +20,8 @@
 
 use crate::{Clock, Millis};
 
-/// Longest sleep of the driving task when nothing is due, in milliseconds.
-const IDLE_SLEEP_MS: u64 = 60_000;
+/// Longest sleep of the driving task, in milliseconds.
+const MAX_SLEEP_MS: u64 = 60_000;
 
 struct Entry {
     due: Millis,
@@ -61,7 +61,7 @@
     changed: Notify,
 }
 
-/// Wakes subscribers when their time has come.
+/// Wakes subscribers when their deadlines are reached.
 ///
 /// Clones share one service.
 ///
@@ -83,7 +83,7 @@
 pub struct Timer(Arc<Inner>);
 
 impl Timer {
-    /// Makes a service that reads the given clock.
+    /// Creates a service that reads the given clock.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self(Arc::new(Inner {
             clock,
@@ -92,7 +92,7 @@
         }))
     }
 
-    /// Returns the clock that decides what is due.
+    /// Returns the clock by which deadlines are measured.
     pub fn clock(&self) -> &Arc<dyn Clock> {
         &self.0.clock
     }
@@ -102,7 +102,7 @@
         self.0.clock.now()
     }
 
-    /// Subscribes to a point in time; dropping the subscription cancels it.
+    /// Subscribes to a deadline; dropping the subscription cancels it.
     pub fn subscribe_at(&self, due: Millis) -> Subscription {
         let (wake, woken) = oneshot::channel();
         let mut heap = self.heap();
@@ -114,13 +114,13 @@
         Subscription(woken)
     }
 
-    /// Subscribes to a point `delay_ms` from now.
+    /// Subscribes to a deadline `delay_ms` from now.
     pub fn subscribe_in_ms(&self, delay_ms: u64) -> Subscription {
         self.subscribe_at(self.now().saturating_add_ms(delay_ms))
     }
 
-    /// Wakes all that are due, earliest first, and returns how many still
-    /// listened.
+    /// Wakes all due subscriptions, earliest first, and returns the number
+    /// of those that were not dropped.
     pub fn fire_due(&self) -> usize {
         let now = self.now();
         let mut woken = 0;
@@ -132,8 +132,8 @@
         woken
     }
 
-    /// Drives the service until the returned future is dropped; spawned
-    /// once by a daemon.
+    /// Fires due subscriptions until the returned future is dropped. Each
+    /// daemon spawns this future once.
     pub async fn drive(self) {
         loop {
             self.fire_due();
@@ -150,12 +150,12 @@
         let now = self.now();
         let heap = self.heap();
         match heap.entries.peek() {
-            // The tokio timer may wake a little before this clock reaches
-            // the due time; one more millisecond avoids a busy loop.
+            // The tokio timer may wake shortly before this clock reaches
+            // the deadline; one more millisecond avoids a busy loop.
             Some(Reverse(entry)) => {
-                entry.due.saturating_ms_since(now).min(IDLE_SLEEP_MS) + 1
+                entry.due.saturating_ms_since(now).min(MAX_SLEEP_MS) + 1
             }
-            None => IDLE_SLEEP_MS,
+            None => MAX_SLEEP_MS,
         }
     }
 
@@ -173,7 +173,7 @@
     }
 }
 
-/// Resolves when its time has come.
+/// A future that resolves when its deadline is reached.
 #[derive(Debug)]
 pub struct Subscription(oneshot::Receiver<()>);
 
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -1,16 +1,14 @@
-//! The clock of a daemon.
+//! Tests of the system clock.
 
 use std::{thread, time::Duration};
 
 use pomeloslip_base::{Clock, SystemClock};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Symptom: a node that was suspended acts on old beliefs. Events: the
-/// machine sleeps for seconds, the node wakes and finds its knowledge as
-/// young as before. Cause: ages were counted by a clock that stood still.
-/// A test cannot suspend its machine, so it checks that ages are counted by
-/// the clock that goes on: since the start of the machine, not of the steady
-/// clock's own running time.
+/// Guards against a node that acts on stale state after its machine was
+/// suspended, since its monotonic clock did not advance meanwhile. A test
+/// cannot suspend its machine, so this one checks that the clock reads the
+/// time since boot, which includes suspended time.
 #[test]
 fn monotonic_time_is_the_time_since_the_machine_started() {
     let boot_ms = || {
@@ -21,6 +19,6 @@
     let clock = SystemClock::new();
     thread::sleep(Duration::from_millis(20));
     let age = clock.now().as_ms();
-    let most = boot_ms() - before;
-    assert!((20..=most).contains(&age), "{age} is not in 20 to {most}");
+    let max = boot_ms() - before;
+    assert!((20..=max).contains(&age), "{age} is not in 20 to {max}");
 }
--- a/crates/base/tests/property.rs
+++ b/crates/base/tests/property.rs
@@ -1,9 +1,10 @@
-//! Names and key digests from outside: what is taken is shown as it came.
+//! Property tests: names and key digests that parse are formatted unchanged.
 
 use pomeloslip_base::{Customer, EndpointName, KeyDigest, RequestId};
 use proptest::{prelude::*, test_runner::RngSeed};
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Generates cases from a fixed seed; `PROPERTY_FACTOR` multiplies their
+/// number.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -20,9 +21,9 @@
     (1..=128).contains(&text.len()) && text.chars().all(allowed)
 }
 
-/// Symptom: a configuration with a digest that no tool prints is accepted,
-/// and its customer can never call. Sequence: an operator pastes a digest with
-/// a plus sign in it. Cause: `from_str_radix` takes a sign before a digit.
+/// Guards against accepting a key digest with a plus sign, which no key has,
+/// so that its customer could never call: `from_str_radix` accepts a sign
+/// before a digit.
 #[test]
 fn a_sign_is_no_hex_digit() {
     let signed = "+f".repeat(32);
@@ -41,14 +42,15 @@
             Ok(name) => {
                 prop_assert!(is_name(&text));
                 prop_assert_eq!(name.to_string(), &text[..]);
-                let json = serde_json::to_string(&name).expect("a text");
-                let back: Customer = serde_json::from_str(&json).expect("it");
+                let json = serde_json::to_string(&name).expect("serializes");
+                let back: Customer =
+                    serde_json::from_str(&json).expect("deserializes");
                 prop_assert_eq!(back, name);
             }
             Err(error) => {
                 prop_assert!(!is_name(&text));
                 prop_assert!(error.to_string().contains("tenant"));
-                let json = serde_json::to_string(&text).expect("a text");
+                let json = serde_json::to_string(&text).expect("serializes");
                 prop_assert!(
                     serde_json::from_str::<EndpointName>(&json).is_err()
                 );
@@ -75,14 +77,14 @@
         text in "([0-9a-fA-F]{63,65}|[0-9a-f]{0,64}[^0-9a-f][0-9a-f]{0,64}\
             |[0-9a-f]{31}[+ -][0-9a-f]{32})",
     ) {
-        let hex = text.chars().all(|c| c.is_ascii_hexdigit());
-        let right = text.len() == 64 && hex;
+        let is_hex = text.chars().all(|c| c.is_ascii_hexdigit());
+        let is_valid = text.len() == 64 && is_hex;
         match text.parse::<KeyDigest>() {
             Ok(digest) => {
-                prop_assert!(right, "{text:?} was taken");
+                prop_assert!(is_valid, "{text:?} was accepted");
                 prop_assert_eq!(digest.to_string(), text.to_lowercase());
             }
-            Err(_) => prop_assert!(!right),
+            Err(_) => prop_assert!(!is_valid),
         }
     }
 }
--- a/crates/base/tests/timer.rs
+++ b/crates/base/tests/timer.rs
@@ -1,11 +1,11 @@
-//! The timer service on a stepped clock.
+//! Tests of the timer service on a stepped clock.
 
 use std::sync::Arc;
 
 use pomeloslip_base::{SteppedClock, timer::Timer};
 
 #[test]
-fn wakes_only_what_is_due() {
+fn wakes_only_due_subscriptions() {
     let clock = Arc::new(SteppedClock::default());
     let timer = Timer::new(clock.clone());
     let _late = timer.subscribe_in_ms(200);
