--- a/crates/access/src/customers.rs
+++ b/crates/access/src/customers.rs
@@ -6,25 +6,26 @@
 
 use crate::ApiKey;
 
-/// Names a customer in one [`Customers`] table.
+/// Index of a customer in one [`Customers`] table.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct CustomerKey(u32);
 
-/// What a configuration says of one customer.
+/// The configuration of one customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerSpec {
     /// Name of the customer.
     pub customer: Customer,
-    /// Keys of its callers; one without any is served to nobody.
+    /// API keys of its callers; a customer without keys cannot send requests.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, in place of the route's; 0 is the highest.
+    /// Priority of its requests, which overrides that of the route; 0 is the
+    /// highest.
     pub priority: Option<u32>,
-    /// Requests that it may send over the whole fleet; none if unlimited.
+    /// Rate limit over the whole fleet; `None` if unlimited.
     pub cap: Option<Cap>,
 }
 
 impl CustomerSpec {
-    /// Makes a customer without keys and limit.
+    /// Creates a customer without keys and without a limit.
     pub fn new(customer: Customer) -> Self {
         Self {
             customer,
@@ -35,7 +36,7 @@
     }
 }
 
-/// The customer of a request, as the configuration in force has it.
+/// The customer of a request, by the current configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
     key: CustomerKey,
@@ -45,7 +46,7 @@
 }
 
 impl Caller {
-    /// Returns the place of the customer in its table.
+    /// Returns the index of the customer in its table.
     #[inline]
     pub fn key(&self) -> CustomerKey {
         self.key
@@ -57,13 +58,14 @@
         &self.customer
     }
 
-    /// Returns the rank that goes before the route's; 0 is the highest.
+    /// Returns the priority that overrides that of the route; 0 is the
+    /// highest.
     #[inline]
     pub fn priority(&self) -> Option<u32> {
         self.priority
     }
 
-    /// Returns the limit over the whole fleet, if there is one.
+    /// Returns the rate limit over the whole fleet, if there is one.
     #[inline]
     pub fn cap(&self) -> Option<Cap> {
         self.cap
@@ -72,9 +74,10 @@
 
 /// The customers of one configuration and their keys.
 ///
-/// A key is looked up by its digest in a table whose hash has a secret of
-/// this process. The time of a look-up tells nothing of keys, as nobody can
-/// choose digests that begin alike, and does not grow with the customers.
+/// Keys are looked up by their digest in a hash table that is seeded with a
+/// secret of the process. The lookup time reveals nothing about keys, since
+/// callers cannot choose digests with a common prefix, and does not depend
+/// on the number of customers.
 ///
 /// # Example
 ///
@@ -95,17 +98,19 @@
     by_digest: IndexMap<KeyDigest, CustomerKey>,
 }
 
-/// Most keys of all customers together: their digests take a second of the
-/// thinnest machine, which has to be ready with a configuration in three.
+/// Maximum number of keys of all customers together. Computing their digests
+/// takes one second on the smallest machine, which has to apply a
+/// configuration within three.
 const MAX_KEYS: usize = 50_000;
 
 impl Customers {
-    /// Makes the table of a configuration.
+    /// Creates the table of a configuration.
     ///
     /// # Errors
     ///
-    /// [`CustomersError`] for customers between which a request could not
-    /// be told apart; the configuration before stays in force then.
+    /// [`CustomersError`] for too many keys, and for names or keys that do not
+    /// identify a single customer; the previous configuration then stays in
+    /// force.
     pub fn new(specs: Vec<CustomerSpec>) -> Result<Self, CustomersError> {
         let keys: usize = specs.iter().map(|spec| spec.keys.len()).sum();
         if keys > MAX_KEYS {
@@ -113,14 +118,14 @@
         }
         let mut names = IndexMap::with_capacity(specs.len());
         let mut table = Self::default();
-        for (at, spec) in specs.into_iter().enumerate() {
-            let key = CustomerKey(at as u32);
+        for (index, spec) in specs.into_iter().enumerate() {
+            let key = CustomerKey(index as u32);
             if names.insert(spec.customer.clone(), key).is_some() {
                 return Err(CustomersError::SameName(spec.customer));
             }
             for api_key in &spec.keys {
-                let before = table.by_digest.insert(*api_key.digest(), key);
-                if before.is_some_and(|before| before != key) {
+                let previous = table.by_digest.insert(*api_key.digest(), key);
+                if previous.is_some_and(|previous| previous != key) {
                     return Err(CustomersError::SharedKey(spec.customer));
                 }
             }
@@ -141,30 +146,30 @@
         self.get(*customer)
     }
 
-    /// Returns a customer by its place.
+    /// Returns a customer by its index.
     pub fn get(&self, key: CustomerKey) -> Option<&Caller> {
         self.callers.get(key.0 as usize)
     }
 
-    /// Tells whether any customer has a limit.
+    /// Reports whether any customer has a rate limit.
     #[inline]
     pub fn has_caps(&self) -> bool {
         self.has_caps
     }
 
-    /// Returns how many customers there are.
+    /// Returns the number of customers.
     pub fn len(&self) -> usize {
         self.callers.len()
     }
 
-    /// Tells whether there is none.
+    /// Reports whether there are no customers.
     pub fn is_empty(&self) -> bool {
         self.callers.is_empty()
     }
 }
 
 impl fmt::Debug for Customers {
-    /// Tells the numbers only: digests belong in no log.
+    /// Formats only the counts, since digests must not be logged.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Customers")
             .field("customers", &self.callers.len())
@@ -173,25 +178,29 @@
     }
 }
 
-/// Why customers cannot be taken.
+/// The reason for which customers are rejected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CustomersError {
-    /// Two customers have this name.
+    /// Two customers have the same name.
     SameName(Customer),
-    /// This customer has a key of another one.
+    /// The customer has a key that another customer has, too.
     SharedKey(Customer),
-    /// So many keys are too many.
+    /// The number of keys exceeds the limit.
     TooManyKeys(usize),
 }
 
 impl fmt::Display for CustomersError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::SameName(name) => write!(f, "two customers {name}"),
+            Self::SameName(name) => {
+                write!(f, "two customers have the name {name}")
+            }
             Self::SharedKey(name) => {
-                write!(f, "customer {name} has a key of another one")
+                write!(f, "customer {name} has a key of another customer")
+            }
+            Self::TooManyKeys(keys) => {
+                write!(f, "{keys} keys are over the limit of {MAX_KEYS}")
             }
-            Self::TooManyKeys(keys) => write!(f, "{keys} keys are too many"),
         }
     }
 }
--- a/crates/access/src/key.rs
+++ b/crates/access/src/key.rs
@@ -5,10 +5,10 @@
 /// Longest key that is accepted, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A key by which a customer's callers are known.
+/// An API key, which identifies the customer of a caller.
 ///
-/// Only the digest is kept: whoever sees a log, a dump of memory or the
-/// output of `Debug` cannot call with it.
+/// Only the digest is stored, so that logs, memory dumps and `Debug` output
+/// do not disclose a usable key.
 ///
 /// # Example
 ///
@@ -24,11 +24,11 @@
 pub struct ApiKey(KeyDigest);
 
 impl ApiKey {
-    /// Digests a key as it stands in a header or a configuration.
+    /// Parses and digests a key of a header or a configuration.
     ///
     /// # Errors
     ///
-    /// [`ApiKeyError`] for a text that no configuration can hold as a key.
+    /// [`ApiKeyError`] for a text that is not a valid key.
     pub fn parse(text: &[u8]) -> Result<Self, ApiKeyError> {
         if text.is_empty() {
             return Err(ApiKeyError::Empty);
@@ -55,21 +55,21 @@
     }
 }
 
-/// Why what a caller or a configuration gives is no key.
+/// The reason for which a key of a caller or a configuration is invalid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ApiKeyError {
-    /// Multiple keys in one request; which one counts would be a guess.
+    /// The request has several keys, which is ambiguous.
     Multiple,
-    /// No character.
+    /// The key is empty.
     Empty,
-    /// More bytes than any key has.
+    /// The key exceeds the maximum length.
     TooLong,
-    /// Something else than visible ASCII characters.
+    /// The key has a character other than visible ASCII.
     InvalidCharacter,
 }
 
 impl ApiKeyError {
-    /// Returns the error as text for answers and logs.
+    /// Returns the text of the error for responses and logs.
     pub fn reason(self) -> &'static str {
         match self {
             ApiKeyError::Multiple => "the request has several keys",
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,13 +1,13 @@
-//! Who may ask: customers, their keys, and the admission of a request.
+//! Access control: customers, their API keys, and the admission of requests.
 //!
-//! [`Customers`] is the table of one configuration. A request goes through
-//! three states, each a type of its own: [`Arrived`] holds what the caller
-//! presents, taken out of the headers; [`Identified`] knows the customer;
-//! [`Admitted`] is also within the customer's limit. What sends requests to
-//! endpoints takes nothing but the last, so that the compiler finds the path
-//! on which a check was forgotten.
+//! [`Customers`] is the table of customers of one configuration. A request
+//! passes through three states, each with a type of its own: [`Arrived`]
+//! holds the credentials that were removed from the headers; [`Identified`]
+//! holds the customer; [`Admitted`] is also within the customer's limit. Code
+//! that sends requests to endpoints accepts only [`Admitted`] requests, so
+//! that a path without a check does not compile.
 //!
-//! Nothing here does I/O or keeps the text of a key.
+//! The crate does no I/O and never stores the text of a key.
 //!
 //! ```
 //! use http::{HeaderMap, HeaderName, HeaderValue};
@@ -32,7 +32,7 @@
 //!     arrived.identify(Some(&customers), false, ConfigFreshness::Fresh);
 //! let caller = identified.expect("known").caller().cloned();
 //! assert_eq!(caller.expect("a customer").customer().as_str(), "taevakorv");
-//! assert!(headers.is_empty(), "the key goes no further");
+//! assert!(headers.is_empty(), "the key is not passed on");
 //! # Ok::<(), pomeloslip_access::ApiKeyError>(())
 //! ```
 
--- a/crates/access/src/request.rs
+++ b/crates/access/src/request.rs
@@ -4,48 +4,52 @@
 
 use crate::{ApiKey, ApiKeyError, Caller, Customers};
 
-/// How the headers of a dialect are called that concern customers.
+/// Names of the headers that identify customers in a dialect.
 #[derive(Clone, Debug)]
 pub struct KeyHeaders {
-    /// Key of the caller.
+    /// Header with the caller's API key.
     pub credential: HeaderName,
-    /// Name of the customer, which endpoints are given.
+    /// Header with the name of the customer, which is sent to endpoints.
     pub customer: HeaderName,
 }
 
-/// What a node may say by the configuration that it knows.
+/// Freshness of a node's configuration, which decides how far the node may
+/// rely on its keys.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfigFreshness {
-    /// It is the newest: what it does not hold does not exist.
+    /// The configuration is current: a key that it lacks does not exist.
     Fresh,
-    /// A newer one may have added keys.
+    /// A newer configuration may have added keys.
     Stale,
-    /// Keys may have been taken away for too long to serve any.
+    /// The configuration is so old that any of its keys may have been revoked;
+    /// no key is accepted.
     Expired,
 }
 
-/// Why a request is not served to its caller.
+/// The reason for which a request is denied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Denied {
-    /// Its key is certainly none.
+    /// The key is missing, invalid or certainly unknown.
     Unknown(&'static str),
-    /// Whether its key is one is not known here and now.
+    /// The node cannot currently determine whether the key is valid.
     Unconfirmed(&'static str),
 }
 
-/// A request as it came in: its key is taken out of the headers, and so is
-/// what the caller wrote where endpoints read the customer.
+/// A received request whose customer is not identified yet.
+///
+/// Its key and any customer name that the caller gave are removed from the
+/// headers.
 #[derive(Debug)]
-#[must_use = "a request that is not identified is served to nobody"]
+#[must_use = "a request must be identified before it is served"]
 pub struct Arrived {
     key: Result<Option<ApiKey>, ApiKeyError>,
 }
 
 impl Arrived {
-    /// Takes the key out of the headers, whether it counts or not.
+    /// Removes the key from the headers, whether it is valid or not.
     ///
-    /// What goes wrong where it is read and stays: an endpoint, another
-    /// node or a log gets it with the other headers.
+    /// If the key stayed, it would be disclosed to endpoints, other nodes and
+    /// logs together with the other headers.
     pub fn from_headers(headers: &mut HeaderMap, names: &KeyHeaders) -> Self {
         let mut given = headers.get_all(&names.credential).iter();
         let key = match (given.next(), given.next()) {
@@ -58,16 +62,15 @@
         Self { key }
     }
 
-    /// Finds the customer.
+    /// Identifies the customer.
     ///
-    /// Without `customers` the configuration has none, and everybody is
-    /// served. On a public route a key is not needed; one that is known
-    /// still names the customer.
+    /// If `customers` is `None`, the configuration defines no customers and
+    /// every request is served. A public route needs no key; a known key
+    /// still identifies the customer there.
     ///
     /// # Errors
     ///
-    /// [`Denied`] for a key that is missing or not known where one is
-    /// needed.
+    /// [`Denied`] for a missing or unknown key on a route that needs one.
     pub fn identify(
         self,
         customers: Option<&Customers>,
@@ -112,16 +115,16 @@
     }
 }
 
-/// A request whose customer is known, or that needs none.
+/// A request whose customer is identified, or that needs none.
 #[derive(Debug)]
-#[must_use = "a request that is not admitted is served to nobody"]
+#[must_use = "a request must be admitted before it is served"]
 pub struct Identified {
     caller: Option<Caller>,
 }
 
 impl Identified {
-    /// Returns the customer; none where the configuration has none or the
-    /// route is public.
+    /// Returns the customer; `None` if the configuration defines no customers,
+    /// or if the route is public and the request has no known key.
     pub fn caller(&self) -> Option<&Caller> {
         self.caller.as_ref()
     }
@@ -131,7 +134,8 @@
         self.caller.as_ref().map(Caller::customer)
     }
 
-    /// Admits the request, which is counted against its customer's limit.
+    /// Admits the request, which has been counted against the customer's
+    /// limit.
     pub fn admit(self, _: Counted) -> Admitted {
         Admitted {
             customer: self.caller.map(|caller| caller.customer().clone()),
@@ -139,18 +143,20 @@
     }
 }
 
-/// A request that may reach an endpoint.
+/// A request that may be sent to an endpoint.
 ///
-/// It is made of an identified and counted request, or of an item of a job,
-/// whose customer was identified when the job was accepted.
+/// It is created from an identified and counted request, or from an item of a
+/// job, whose customer was identified when the job was accepted.
 #[derive(Clone, Debug)]
 pub struct Admitted {
     customer: Option<Customer>,
 }
 
 impl Admitted {
-    /// Admits an item of an accepted job. Limits do not count items, and
-    /// keys that are taken away end no job.
+    /// Admits an item of an accepted job.
+    ///
+    /// Items do not count against rate limits, and revoking a key does not end
+    /// jobs that were accepted with it.
     pub fn item(customer: Option<Customer>) -> Self {
         Self { customer }
     }
@@ -160,12 +166,13 @@
         self.customer.as_ref()
     }
 
-    /// Writes the customer into the headers for an endpoint and takes out
-    /// whatever else stands there, also in headers that came with an item.
+    /// Writes the customer into the headers for an endpoint, and removes the
+    /// key and any other customer name, including those of an item's own
+    /// headers.
     pub fn write(&self, headers: &mut HeaderMap, names: &KeyHeaders) {
         headers.remove(&names.credential);
         headers.remove(&names.customer);
-        // A checked name has only characters that a header may have.
+        // Names are validated to have only characters that a header allows.
         let name = self.customer.as_ref();
         let value = name.map(|name| HeaderValue::from_str(name.as_str()));
         if let Some(Ok(value)) = value {
--- a/crates/access/tests/access.rs
+++ b/crates/access/tests/access.rs
@@ -1,4 +1,4 @@
-//! Which keys are taken, and what becomes of a request by them.
+//! Tests of key validation and of the identification of requests.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use pomeloslip_access::{
@@ -37,15 +37,15 @@
     headers
 }
 
-/// Returns the customer, or how the request is denied.
-fn judge(
+/// Returns the customer, or the reason for which the request is denied.
+fn identify(
     keys: &[&str],
     public: bool,
     freshness: ConfigFreshness,
 ) -> Result<Option<String>, Denied> {
     let mut headers = headers(keys);
     let arrived = Arrived::from_headers(&mut headers, &names());
-    assert!(headers.is_empty(), "nothing of it goes further");
+    assert!(headers.is_empty(), "no credential is passed on");
     let table = customers();
     let identified = arrived.identify(Some(&table), public, freshness)?;
     Ok(identified.customer().map(ToString::to_string))
@@ -65,14 +65,14 @@
     empty = { &[""], ConfigFreshness::Fresh, Err(true) },
     with_a_space = { &["key a"], ConfigFreshness::Fresh, Err(true) },
 )]
-fn a_key_is_judged_by_what_is_known(
+fn a_key_is_identified_by_the_known_configuration(
     keys: &[&str],
     freshness: ConfigFreshness,
-    wanted: Result<(), bool>,
+    expected: Result<(), bool>,
 ) {
-    let judged = judge(keys, false, freshness);
+    let result = identify(keys, false, freshness);
     let certain = |denied| matches!(denied, Denied::Unknown(_));
-    assert_eq!(judged.map(|_| ()).map_err(certain), wanted);
+    assert_eq!(result.map(|_| ()).map_err(certain), expected);
 }
 
 #[parameterized(
@@ -83,8 +83,8 @@
 )]
 fn a_public_route_needs_no_key(keys: &[&str], customer: Option<&str>) {
     for freshness in [ConfigFreshness::Fresh, ConfigFreshness::Expired] {
-        let judged = judge(keys, true, freshness).expect("served");
-        assert_eq!(judged.as_deref(), customer);
+        let identified = identify(keys, true, freshness).expect("served");
+        assert_eq!(identified.as_deref(), customer);
     }
 }
 
@@ -97,11 +97,10 @@
     assert!(headers.is_empty());
 }
 
-/// Symptom: an item reaches an engine with a key or a made-up customer.
-/// Events: a job whose items carry such headers. Cause: they came with the
-/// item and not with the request.
+/// Guards against passing a key or a forged customer name to an engine: items
+/// of a job have headers of their own, which `from_headers` does not see.
 #[test]
-fn an_item_names_its_customer_whatever_it_brings() {
+fn customer_headers_of_an_item_are_replaced() {
     let mut headers = headers(&["key-a"]);
     let customer = "taevakorv".parse().expect("a name");
     Admitted::item(Some(customer)).write(&mut headers, &names());
@@ -118,12 +117,12 @@
     control = { b"key\n", ApiKeyError::InvalidCharacter },
     not_text = { &[0xff, 0xfe], ApiKeyError::InvalidCharacter },
 )]
-fn what_is_no_key_is_refused(text: &[u8], error: ApiKeyError) {
+fn an_invalid_key_is_rejected(text: &[u8], error: ApiKeyError) {
     assert_eq!(ApiKey::parse(text), Err(error));
 }
 
 #[test]
-fn customers_that_cannot_be_told_apart_are_refused() {
+fn ambiguous_customers_are_rejected() {
     let same = vec![spec("alama", &[]), spec("alama", &[])];
     let error = Customers::new(same).expect_err("refused");
     assert!(matches!(error, CustomersError::SameName(_)), "{error}");
@@ -132,7 +131,7 @@
     assert!(matches!(error, CustomersError::SharedKey(_)), "{error}");
     assert!(!error.to_string().contains("\"k\""));
     let twice = Customers::new(vec![spec("alama", &["k", "k"])]);
-    assert!(twice.is_ok(), "a key may stand twice with its customer");
+    assert!(twice.is_ok(), "a customer may repeat its own key");
     let key = ApiKey::parse(b"k").expect("a key");
     let many = CustomerSpec {
         keys: vec![key; 100_000],
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -19,7 +19,7 @@
 
 use crate::events::EventSplitter;
 
-/// Headers of one hop, which are never passed on.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -31,30 +31,31 @@
     "upgrade",
 ];
 
-/// Says that a client could not be made.
+/// The error for an HTTP client that cannot be built.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClientBuildError;
 
 impl fmt::Display for ClientBuildError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("cannot make a client for the endpoint")
+        f.write_str("cannot build an HTTP client for the endpoint")
     }
 }
 
 impl std::error::Error for ClientBuildError {}
 
-/// Progress of a call.
+/// Progress of a response, reported while it is received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum ResponseProgress {
-    /// The answer is an event stream.
+    /// The response is an event stream.
     Stream,
-    /// An event that carries a part of the answer.
+    /// An event with response data was received.
     Event,
-    /// Bytes of an answer that is no event stream.
+    /// Bytes of a response other than an event stream were received.
     Bytes,
 }
 
-/// What tells one life of an endpoint from another; empty if it does not say.
+/// Identifies one incarnation of an endpoint; fields that the endpoint does
+/// not report are empty.
 ///
 /// # Example
 ///
@@ -62,20 +63,20 @@
 /// use pomeloslip_upstream::EndpointIncarnation;
 ///
 /// let body = br#"{"status":"ok","version":"1.0.0","incarnation":7}"#;
-/// let life = EndpointIncarnation::from_health_response(body);
-/// assert_eq!(life.version, "1.0.0");
-/// assert_ne!(life, EndpointIncarnation::from_health_response(b"ok"));
+/// let reported = EndpointIncarnation::from_health_response(body);
+/// assert_eq!(reported.version, "1.0.0");
+/// assert_ne!(reported, EndpointIncarnation::from_health_response(b"ok"));
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EndpointIncarnation {
-    /// Version of its software.
+    /// Version of the endpoint's software.
     pub version: String,
-    /// Life of its process, as it writes it.
+    /// Incarnation of the endpoint's process, as the endpoint formats it.
     pub incarnation: String,
 }
 
 impl EndpointIncarnation {
-    /// Reads the body of a health page.
+    /// Reads the body of a response to a health check.
     pub fn from_health_response(body: &[u8]) -> Self {
         let body: serde_json::Value =
             serde_json::from_slice(body).unwrap_or_default();
@@ -94,7 +95,7 @@
     }
 }
 
-/// Calls one endpoint; clones share its connections.
+/// HTTP client for one endpoint; clones share connections.
 #[derive(Clone, Debug)]
 pub struct EndpointClient {
     address: HttpAddress,
@@ -104,13 +105,13 @@
     between_bytes: Duration,
 }
 
-/// Where a call stands when it ends early.
+/// Progress of a call, which its outcome reports also on failure.
 struct CallProgress {
     sent_head: bool,
     chunks: u32,
 }
 
-/// How a call ends early.
+/// The reason for which a call ended before its response was complete.
 struct CallFailure {
     kind: OutcomeKind,
     ran: bool,
@@ -127,16 +128,16 @@
     }
 
     fn cancelled() -> Self {
-        Self::new(OutcomeKind::Cancelled, true, "the caller left")
+        Self::new(OutcomeKind::Cancelled, true, "the caller disconnected")
     }
 }
 
 impl EndpointClient {
-    /// Makes a client for the endpoint at an address.
+    /// Creates a client for the endpoint at an address.
     ///
     /// # Errors
     ///
-    /// [`ClientBuildError`] if the HTTP library cannot start.
+    /// [`ClientBuildError`] if the HTTP library cannot build a client.
     pub fn try_new(
         address: HttpAddress,
         timeouts: &TimeoutSettings,
@@ -147,9 +148,9 @@
         Ok(Self {
             address,
             pooled: builder().build().change_context(start)?,
-            // A pooled connection may have gone silent, and a call lost on it
-            // cannot be told from one that ran. Calls that may not be
-            // repeated therefore get a connection of their own.
+            // A pooled connection may have failed silently, and a request lost
+            // on it cannot be distinguished from one that ran. Requests that
+            // must not be repeated therefore use a new connection.
             unpooled: builder()
                 .pool_max_idle_per_host(0)
                 .build()
@@ -165,9 +166,9 @@
         &self.address
     }
 
-    /// Runs a call to its end and sends its frames.
+    /// Runs a call to completion and sends its frames to `answer`.
     ///
-    /// `on_first` learns when the first byte of the body came.
+    /// `on_first` is called when the first byte of the body is received.
     pub async fn run(
         &self,
         request: Request,
@@ -185,7 +186,8 @@
         self.run_with_progress(request, answer, on_progress).await
     }
 
-    /// Runs a call to its end, sends its frames and tells its progress.
+    /// Runs a call to completion, sends its frames to `answer` and reports its
+    /// progress.
     pub async fn run_with_progress(
         &self,
         request: Request,
@@ -203,7 +205,7 @@
             result = transfer => result,
             () = answer.closed() => Err(CallFailure::cancelled()),
             () = tokio::time::sleep_until(deadline) => {
-                let detail = "the deadline passed at the endpoint";
+                let detail = "the deadline passed while the endpoint ran the call";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         };
@@ -225,12 +227,12 @@
                 chunks: progress.chunks,
             },
         };
-        // If the caller has left, nobody needs the end.
+        // A caller that has disconnected does not need the end.
         let _ = answer.send(Frame::End(outcome.clone())).await;
         outcome
     }
 
-    /// Finds out whether a call was cut off by the crash of the endpoint.
+    /// Reclassifies an interrupted call as crashed if the endpoint crashed.
     async fn classify_failure(&self, failure: CallFailure) -> CallFailure {
         let kinds = [OutcomeKind::Broken, OutcomeKind::Truncated];
         if !kinds.contains(&failure.kind)
@@ -311,7 +313,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(send_error(&error)),
             Err(_) => {
-                let detail = "the endpoint sent nothing in time";
+                let detail = "the endpoint sent no response in time";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         }
@@ -326,13 +328,13 @@
             Ok(Err(error)) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                format!("the answer broke: {error}"),
+                format!("the response was interrupted: {error}"),
             )),
-            // The connection went silent: nothing would ever come.
+            // The connection stalled and is not expected to recover.
             Err(_) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                "the answer went silent",
+                "the response stalled",
             )),
         }
     }
@@ -353,21 +355,22 @@
     Ok(())
 }
 
-/// Tells a call that was certainly not sent from one that may have run.
+/// Classifies a failed send: either the request was certainly not sent, or
+/// it may have run.
 fn send_error(error: &reqwest::Error) -> CallFailure {
     if error.is_connect() || error.is_builder() {
         let detail = format!("cannot reach the endpoint: {error}");
         return CallFailure::new(OutcomeKind::NotSent, false, detail);
     }
-    let detail = format!("the connection broke: {error}");
+    let detail = format!("the connection was lost: {error}");
     CallFailure::new(OutcomeKind::Broken, true, detail)
 }
 
 fn deadline(deadline_ms: u64) -> Instant {
-    const FAR: Duration = Duration::from_secs(86_400);
+    const MAX_WAIT: Duration = Duration::from_secs(86_400);
     match deadline_ms {
-        0 => Instant::now() + FAR,
-        ms => Instant::now() + Duration::from_millis(ms).min(FAR),
+        0 => Instant::now() + MAX_WAIT,
+        ms => Instant::now() + Duration::from_millis(ms).min(MAX_WAIT),
     }
 }
 
@@ -393,12 +396,12 @@
 }
 
 impl EndpointClient {
-    /// Gives the endpoint an order.
+    /// Sends an order to the endpoint.
     ///
     /// # Errors
     ///
-    /// A refusal with the endpoint's reason; one that timed out is not
-    /// known to have been obeyed, and orders are repeatable.
+    /// A refusal with the endpoint's reason. An order that timed out may or
+    /// may not have been applied; orders are idempotent and can be repeated.
     pub async fn order(&self, order: &Order) -> Result<(), Refusal> {
         let mut body: serde_json::Value = serde_json::from_slice(&order.body)
             .map_err(|error| {
@@ -413,21 +416,21 @@
         match timeout(self.first_byte, call).await {
             Ok(Ok(reply)) if reply.status().is_success() => Ok(()),
             Ok(Ok(reply)) if reply.status().as_u16() == 409 => {
-                let why = "the endpoint has obeyed a newer order";
+                let why = "the endpoint has applied a newer order";
                 Err(Refusal::new(RefusalKind::StaleFence, why))
             }
             Ok(Ok(reply)) => Err(failed(format!("{}", reply.status()))),
             Ok(Err(error)) => Err(failed(error.to_string())),
-            Err(_) => Err(failed("no answer in time".to_owned())),
+            Err(_) => Err(failed("no response in time".to_owned())),
         }
     }
 
-    /// Asks the endpoint whether it lives.
+    /// Reports whether the endpoint passes a health check.
     pub async fn is_healthy(&self, wait: Duration) -> bool {
         self.health(wait).await.is_some()
     }
 
-    /// Asks the endpoint whether it lives, and which life that is.
+    /// Checks the endpoint's health; returns its incarnation if it is healthy.
     pub async fn health(&self, wait: Duration) -> Option<EndpointIncarnation> {
         let url = self.address.join("/health");
         let ask = async {
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -2,30 +2,30 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Largest event that is passed on, in bytes.
-const EVENT_MAX_BYTES: usize = 4 << 20;
+/// Size of the largest event that is forwarded, in bytes.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// Data of the event that ends a stream of the OpenAI API.
+/// Start of the event that ends a stream of the OpenAI API.
 const END_MARK: &[u8] = b"data: [DONE]";
 
-/// Says that an event is over the limit.
+/// The error for an event that exceeds the size limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventTooLarge;
 
 impl fmt::Display for EventTooLarge {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "an event is over {EVENT_MAX_BYTES} bytes")
+        write!(f, "an event is over {MAX_EVENT_BYTES} bytes")
     }
 }
 
 impl std::error::Error for EventTooLarge {}
 
-/// Cuts an event stream into whole events.
+/// Splits an event stream into whole events.
 ///
-/// A chunk of a connection may end in the middle of an event. Passing such
-/// pieces on would let a broken stream end in half an event, and a resumed
-/// one go on in the middle; whole events are the unit in which an answer is
-/// counted, compared and resumed.
+/// A chunk of a connection may end in the middle of an event. If such pieces
+/// were forwarded, a broken stream could end with a partial event, and a
+/// resumed one could continue in the middle of one. Responses are therefore
+/// counted, compared and resumed in whole events.
 ///
 /// # Example
 ///
@@ -48,16 +48,16 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes of the connection.
+    /// Appends bytes received from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event with its blank line.
+    /// Removes and returns the next whole event including its blank line.
     ///
     /// # Errors
     ///
-    /// [`EventTooLarge`] if none ends within 4 MiB.
+    /// [`EventTooLarge`] if the next event does not end within 4 MiB.
     pub fn next_event(&mut self) -> Result<Option<Bytes>, EventTooLarge> {
         while self
             .buffer
@@ -67,7 +67,7 @@
             self.buffer.advance(1);
         }
         let Some(end) = event_end(&self.buffer) else {
-            if self.buffer.len() > EVENT_MAX_BYTES {
+            if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(EventTooLarge);
             }
             return Ok(None);
@@ -79,29 +79,29 @@
         Ok(Some(event))
     }
 
-    /// Tells whether an event is a comment, by which an engine shows that it
-    /// lives.
+    /// Reports whether an event is a comment, which engines send to keep the
+    /// connection alive.
     #[inline]
     pub fn is_comment(event: &[u8]) -> bool {
         event.first() == Some(&b':')
     }
 
-    /// Tells whether an event carries a part of the answer: it is neither a
-    /// comment nor the end mark.
+    /// Reports whether an event carries response data: it is neither a comment
+    /// nor the end mark.
     #[inline]
     pub fn is_content(event: &[u8]) -> bool {
         !Self::is_comment(event) && !event.starts_with(END_MARK)
     }
 
-    /// Tells whether the end mark was seen. A stream that ends without it
-    /// is not an answer.
+    /// Reports whether the end mark was received. A stream that ends without
+    /// it is incomplete.
     #[inline]
     pub fn has_end_mark(&self) -> bool {
         self.has_end_mark
     }
 }
 
-/// Returns the length up to and with the first blank line.
+/// Returns the length up to and including the first blank line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let lf = find(buffer, b"\n\n").map(|at| at + 2);
     let crlf = find(buffer, b"\r\n\r\n").map(|at| at + 4);
@@ -111,6 +111,8 @@
     }
 }
 
-fn find(buffer: &[u8], mark: &[u8]) -> Option<usize> {
-    buffer.windows(mark.len()).position(|window| window == mark)
+fn find(buffer: &[u8], pattern: &[u8]) -> Option<usize> {
+    buffer
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,10 @@
-//! Calls of endpoints over HTTP.
+//! HTTP client for endpoints.
 //!
-//! [`EndpointClient`] sends one call to one endpoint and passes its answer
-//! on in frames. It keeps three promises that the rest of the system builds
-//! on: an event stream is cut into whole events and counts as an answer only
-//! with its end mark; every wait has a deadline; and the outcome says that a
-//! call did not run only when that is certain.
+//! [`EndpointClient`] sends a request to an endpoint and forwards the response
+//! as frames. It guarantees three properties that the rest of the system
+//! relies on: an event stream is split into whole events and is complete only
+//! with its end mark; every wait has a timeout; and the outcome reports that a
+//! request did not run only if that is certain.
 
 mod client;
 mod events;
--- a/crates/upstream/tests/faults.rs
+++ b/crates/upstream/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Calls of an endpoint through a proxy that injects faults.
+//! Tests of calls through a proxy that injects faults.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -25,8 +25,8 @@
     message::{Frame, Outcome, OutcomeKind, Request},
 };
 
-/// Time in which something that is to happen happens, on any machine.
-const SURELY: Duration = Duration::from_secs(30);
+/// Timeout of events that must happen, generous for slow machines.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 const SIZED: &str = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n0123456789";
 
@@ -35,7 +35,7 @@
     connection: close\r\n\r\n\
     data: 1\n\ndata: 2\n\ndata: [DONE]\n\n";
 
-/// An endpoint that counts what it runs.
+/// An endpoint that counts the requests that it runs.
 #[derive(Clone, Default)]
 struct Endpoint {
     ran: Arc<AtomicU32>,
@@ -55,7 +55,7 @@
         (endpoint, address)
     }
 
-    /// Answers each request without a body until the connection ends.
+    /// Responds to requests without a body until the connection ends.
     async fn serve(self, mut stream: TcpStream, reply: &'static str) {
         let mut head = Vec::new();
         while let Ok(byte) = stream.read_u8().await {
@@ -84,7 +84,8 @@
     client: EndpointClient,
 }
 
-/// `silence_ms` is how long a call may make no progress.
+/// Connects a client to an endpoint through a proxy. `silence_ms` is the
+/// timeout of a call without progress.
 async fn setup(reply: &'static str, silence_ms: u64) -> Setup {
     let (endpoint, address) = Endpoint::start(reply).await;
     let proxy = FaultProxy::start(address, 1).await.unwrap();
@@ -125,11 +126,11 @@
     }
 }
 
-/// Runs a call and returns its end with the bytes that came.
+/// Runs a call and returns its outcome with the received bytes.
 async fn call(client: &EndpointClient, repeatable: bool) -> (Outcome, String) {
     let (answer, mut frames) = Answer::channel();
     let run = client.run(request(repeatable), &answer, || {});
-    let outcome = timeout(SURELY, run).await.unwrap();
+    let outcome = timeout(EVENT_TIMEOUT, run).await.unwrap();
     drop(answer);
     let mut text = String::new();
     while let Some(frame) = frames.recv().await {
@@ -140,11 +141,11 @@
     (outcome, text)
 }
 
-/// Time without progress that calls of healthy connections never reach.
-const PATIENT_MS: u64 = 20_000;
+/// Timeout that calls over healthy connections do not reach.
+const LONG_SILENCE_MS: u64 = 20_000;
 
-/// Time without progress for calls that are sure to run into it.
-const IMPATIENT_MS: u64 = 300;
+/// Timeout for calls that are expected to time out.
+const SHORT_SILENCE_MS: u64 = 300;
 
 fn silent_answer_after(bytes: u64) -> Rule {
     Rule::new(Fault::Silence)
@@ -152,12 +153,12 @@
         .after_bytes(bytes)
 }
 
-/// Symptom: a caller waits for good. Sequence: the endpoint's answer has
-/// begun; the connection loses its track and the rest never comes. Cause: no
-/// limit on the time between two bytes.
+/// Guards against a caller that waits forever: the response has begun, and
+/// the connection drops the remainder silently. Needs a limit on the time
+/// between two bytes.
 #[tokio::test]
 async fn a_silent_answer_ends_as_broken_and_may_have_run() {
-    let setup = setup(SIZED, IMPATIENT_MS).await;
+    let setup = setup(SIZED, SHORT_SILENCE_MS).await;
     setup
         .handle
         .set(vec![silent_answer_after(SIZED.len() as u64 - 4)]);
@@ -168,13 +169,13 @@
     assert_eq!(setup.endpoint.ran(), 1);
 }
 
-/// Symptom: a caller waits for good. Sequence: the call is on its way on a
-/// half-open connection; the endpoint runs it, the answer disappears.
-/// Cause: no limit on the time to the first byte. That it ran cannot be
-/// known here, so nothing else may be said.
+/// Guards against a caller that waits forever: on a half-open connection, the
+/// endpoint runs the call and the response is lost. Needs a limit on the time
+/// to the first byte. The client cannot know whether the call ran, so it must
+/// report that the call may have run.
 #[tokio::test]
 async fn a_silence_before_the_answer_may_have_run() {
-    let setup = setup(SIZED, IMPATIENT_MS).await;
+    let setup = setup(SIZED, SHORT_SILENCE_MS).await;
     setup.handle.set(vec![silent_answer_after(0)]);
     let (outcome, _) = call(&setup.client, true).await;
     assert_eq!(outcome.kind, OutcomeKind::TimedOut);
@@ -182,12 +183,12 @@
     assert_eq!(setup.endpoint.ran(), 1);
 }
 
-/// Symptom: a booking fails as "may have run". Sequence: a connection is
-/// kept open and goes silent; a call that may not be repeated is sent on
-/// it. Cause: it used a kept connection instead of one of its own.
+/// Guards against sending a call that must not be repeated on a pooled
+/// connection that has failed silently: the call would end as "may have run"
+/// although it never ran.
 #[tokio::test]
 async fn a_call_that_may_not_be_repeated_opens_a_connection() {
-    let setup = setup(SIZED, PATIENT_MS).await;
+    let setup = setup(SIZED, LONG_SILENCE_MS).await;
     let (outcome, _) = call(&setup.client, true).await;
     assert_eq!(outcome.kind, OutcomeKind::Complete);
     let silence = Rule::new(Fault::Silence).scope(Scope::Open);
@@ -201,9 +202,9 @@
     assert_eq!(setup.endpoint.ran(), 4);
 }
 
-/// Symptom: half an answer looks like a whole one. Sequence: the connection
-/// breaks in the middle of an answer. Cause: the end of the bytes was taken
-/// for the end of the answer.
+/// Guards against a partial response that looks complete: the connection is
+/// lost in the middle of a response, and the end of the bytes is taken for
+/// the end of the response.
 #[yare::parameterized(
     reset_in_a_body = { SIZED, Fault::Cut, 4, OutcomeKind::Broken },
     closed_in_a_body = { SIZED, Fault::Close, 4, OutcomeKind::Broken },
@@ -219,7 +220,7 @@
 ) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
-        let setup = setup(reply, PATIENT_MS).await;
+        let setup = setup(reply, LONG_SILENCE_MS).await;
         let rule = Rule::new(fault)
             .direction(Direction::ToClient)
             .after_bytes(reply.len() as u64 - missing);
@@ -232,12 +233,12 @@
     });
 }
 
-/// Symptom: a refusal says "did not run" and it ran. Sequence: the
-/// connection is reset before the answer. Cause: only a connection that was
-/// never made proves that nothing was sent.
+/// Guards against a refusal that says "did not run" for a call that ran: a
+/// reset before the response proves nothing. Only a connection that could not
+/// be established proves that nothing was sent.
 #[tokio::test]
 async fn only_a_connection_that_was_not_made_proves_not_sent() {
-    let setup = setup(SIZED, PATIENT_MS).await;
+    let setup = setup(SIZED, LONG_SILENCE_MS).await;
     let cut = Rule::new(Fault::Cut).direction(Direction::ToClient);
     setup.handle.set(vec![cut]);
     let (outcome, _) = call(&setup.client, false).await;
@@ -247,7 +248,7 @@
     let address = setup.proxy.address();
     setup.proxy.stop().await;
     let ran = setup.endpoint.ran();
-    let (outcome, _) = call(&client(address, PATIENT_MS), false).await;
+    let (outcome, _) = call(&client(address, LONG_SILENCE_MS), false).await;
     assert_eq!(outcome.kind, OutcomeKind::NotSent);
     assert!(!outcome.ran);
     assert_eq!(setup.endpoint.ran(), ran);
--- a/crates/upstream/tests/property.rs
+++ b/crates/upstream/tests/property.rs
@@ -1,13 +1,14 @@
-//! Event streams from endpoints: where a connection cuts them is nothing.
+//! Property tests of the event splitter: chunk boundaries do not matter.
 //!
-//! Symptom: an answer has half an event, one twice or none of its end.
-//! Sequence: an endpoint's stream arrives in chunks of any size. Cause, if
-//! it fails: the cut between two chunks was taken for one between events.
+//! They guard against responses with partial, duplicated or missing events,
+//! which occur if the boundary between two chunks of a connection is taken
+//! for one between two events.
 
 use pomeloslip_upstream::EventSplitter;
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Generates cases from a fixed seed; `PROPERTY_FACTOR` multiplies their
+/// number.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -19,7 +20,7 @@
     }
 }
 
-/// Pushes the pieces between the cuts and takes all events after each.
+/// Pushes the chunks between the cuts and collects all events after each.
 fn events(bytes: &[u8], cuts: &[usize]) -> (Vec<Vec<u8>>, bool) {
     let mut splitter = EventSplitter::default();
     let mut found = Vec::new();
@@ -44,7 +45,7 @@
     prop::collection::vec(any::<Index>(), 0..20)
 }
 
-/// A well-formed event and its bytes with one kind of line end.
+/// Generates a well-formed event without its blank line.
 fn event() -> impl Strategy<Value = String> {
     prop_oneof![
         4 => "data: [^\r\n]{0,20}",
@@ -58,7 +59,7 @@
     #![proptest_config(config(2_000))]
 
     #[test]
-    fn any_cut_of_any_bytes_gives_the_same_events(
+    fn chunk_boundaries_do_not_change_the_events(
         text in "[da: \\r\\n\\[\\]DONEä]{0,80}",
         cuts in cuts(),
     ) {
@@ -70,7 +71,7 @@
     }
 
     #[test]
-    fn each_whole_event_comes_out_once_and_no_half_one(
+    fn each_whole_event_is_returned_once_and_no_partial_one(
         sent in prop::collection::vec(event(), 0..12),
         crlf: bool,
         cuts in cuts(),
