--- a/crates/quarantine/src/crash_check.rs
+++ b/crates/quarantine/src/crash_check.rs
@@ -5,19 +5,19 @@
     time::{sleep, timeout},
 };
 
-/// Time between a broken connection and the look at its endpoint, in
-/// milliseconds: a process that ends closes one socket after the other.
-const SETTLE_MS: u64 = 20;
+/// Delay between the loss of a connection and the check of its endpoint, in
+/// milliseconds: a process that ends closes its sockets one by one.
+const CLOSE_DELAY_MS: u64 = 20;
 
-/// Longest wait for a connection to an endpoint that may have crashed, in
-/// milliseconds. A host whose process has ended refuses it at once.
-const CONNECT_MS: u64 = 300;
+/// Timeout of a connection to an endpoint that may have crashed, in
+/// milliseconds. A host whose process has ended refuses connections at once.
+const CONNECT_TIMEOUT_MS: u64 = 300;
 
-/// Tells whether the endpoint at an address has crashed, after a connection
-/// to it broke: its host refuses another one.
+/// Reports whether the endpoint at an address has crashed, after a connection
+/// to it was lost: the host of a crashed endpoint refuses a new connection.
 ///
-/// An endpoint that has only reset a connection takes new ones, and a host
-/// that is cut off or has lost power does not answer.
+/// An endpoint that only reset a connection accepts new ones, and a host that
+/// is partitioned or has lost power does not respond.
 ///
 /// # Example
 ///
@@ -37,9 +37,9 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub async fn has_crashed(address: SocketAddr) -> bool {
-    sleep(Duration::from_millis(SETTLE_MS)).await;
-    let wait = Duration::from_millis(CONNECT_MS);
-    let connected = timeout(wait, TcpStream::connect(address)).await;
+    sleep(Duration::from_millis(CLOSE_DELAY_MS)).await;
+    let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
+    let connected = timeout(limit, TcpStream::connect(address)).await;
     matches!(
         connected,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused
--- a/crates/quarantine/src/keys.rs
+++ b/crates/quarantine/src/keys.rs
@@ -1,13 +1,13 @@
 use base::RequestDigest;
 
-/// Under which keys evidence on a request is kept: its own, and those of the
-/// groups that it belongs to.
+/// The keys under which evidence against a request is recorded: its own
+/// digest, and those of the groups to which it belongs.
 ///
-/// A crash speaks against the request and each of its groups, and it is not
-/// sent while one of them is held. So the items of a job whose contents differ
-/// and that all crash endpoints cost as many of them as a single request
-/// does. A whole answer to any member clears a group: most members are sound
-/// then.
+/// A crash counts against the request and each of its groups, and the request
+/// is not sent while any of them is quarantined. A job whose items have
+/// different contents but all crash endpoints therefore costs no more
+/// endpoints than a single request. A complete response to any member releases
+/// the group, since most of its members are then not poison requests.
 ///
 /// # Example
 ///
@@ -43,7 +43,7 @@
 }
 
 impl EvidenceKeys {
-    /// Adds a group that the request belongs to.
+    /// Adds a group to which the request belongs.
     #[must_use]
     pub fn with_group(mut self, group: RequestDigest) -> Self {
         self.groups.push(group);
@@ -56,13 +56,13 @@
         self.request
     }
 
-    /// Returns the keys of its groups.
+    /// Returns the keys of the groups.
     #[inline]
     pub fn groups(&self) -> &[RequestDigest] {
         &self.groups
     }
 
-    /// Returns all keys, that of the request first.
+    /// Returns all keys, starting with that of the request.
     pub fn all(&self) -> impl Iterator<Item = RequestDigest> {
         std::iter::once(self.request).chain(self.groups.iter().copied())
     }
--- a/crates/quarantine/src/options.rs
+++ b/crates/quarantine/src/options.rs
@@ -1,4 +1,4 @@
-/// When a request is held, and for how long.
+/// Options that decide when a request is quarantined and for how long.
 ///
 /// # Example
 ///
@@ -11,28 +11,29 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineOptions {
-    /// Score from which on a request is held, see [`Crash::score`].
+    /// Minimum score of a request that is quarantined, see [`Crash::score`].
     ///
     /// [`Crash::score`]: crate::Crash::score
     pub quarantine_score: u32,
-    /// How long it is held first.
+    /// Duration of the first quarantine.
     pub initial_hold_ms: u64,
-    /// Each further crash without progress, or trial, multiplies that by this.
+    /// Factor by which each further crash without progress, or each probe,
+    /// multiplies the duration.
     pub hold_factor: u64,
-    /// How long it is held at the most.
+    /// Maximum duration of a quarantine.
     pub max_hold_ms: u64,
-    /// How long a request is remembered after its last crash or trial.
+    /// Retention of a record after its last crash or probe.
     pub retention_ms: u64,
-    /// Requests that are remembered at the most; the ones that have been
-    /// quiet for longest are forgotten first.
+    /// Maximum number of records; the least recently changed ones are evicted
+    /// first.
     pub max_records: usize,
 }
 
 impl Default for QuarantineOptions {
-    /// Three crashes in a row without progress between them, which hardly
-    /// ever happens to a sound request. The first hold ends before callers with a
-    /// minute of patience have gone, so that a request that was held by
-    /// mistake is soon found out.
+    /// Quarantines a request after three consecutive crashes without progress,
+    /// which rarely happen to a harmless request. The first quarantine ends
+    /// before callers with a timeout of a minute give up, so that a request
+    /// that was quarantined by mistake is probed in time.
     fn default() -> Self {
         Self {
             quarantine_score: 6,
@@ -46,8 +47,8 @@
 }
 
 impl QuarantineOptions {
-    /// Returns how long a request is held after so many crashes or probes
-    /// beyond the first hold, in milliseconds.
+    /// Returns the duration of a quarantine in milliseconds, after `level`
+    /// crashes or probes beyond the first quarantine.
     pub fn hold_ms(&self, level: u32) -> u64 {
         let factor = self.hold_factor.saturating_pow(level);
         let hold_ms = self.initial_hold_ms.saturating_mul(factor);
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -15,13 +15,13 @@
 use kv::{KeyValue, Kv};
 use tokio::sync::Notify;
 
-use self::updates::ClearedCase;
 pub use self::updates::CrashRecordUpdate;
+use self::updates::Release;
 use crate::{
     Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, StoredRecord,
     Verdict,
     recent::RecentCrashes,
-    store::{CaseStore, decode},
+    store::{RecordStore, decode},
 };
 
 /// Proof that a request may be sent to an endpoint, once.
@@ -49,41 +49,41 @@
 pub struct Quarantine(Arc<Inner>);
 
 struct Inner {
-    table: Mutex<State>,
+    state: Mutex<State>,
     /// Requests in the table, so that most need no look at it.
-    known: AtomicUsize,
+    record_count: AtomicUsize,
     clock: Arc<dyn Clock>,
     /// One moment by both of the clock's scales.
     started: (Millis, UnixMillis),
-    store: Option<CaseStore>,
-    work: Notify,
+    store: Option<RecordStore>,
+    pending_work: Notify,
 }
 
 struct State {
-    cases: CrashRecordTable,
+    records: CrashRecordTable,
     recent: RecentCrashes,
     /// Requests of which the service does not have all that is known.
     unsaved: IndexSet<RequestDigest>,
     /// Requests that were answered although endpoints had crashed under
     /// them.
-    answered: IndexMap<RequestDigest, Answered>,
+    refutations: IndexMap<RequestDigest, Refutation>,
     /// Requests that are forgotten here and are to be in the service, too,
     /// with the revision of what it has.
-    over: IndexMap<RequestDigest, u64>,
+    expired: IndexMap<RequestDigest, u64>,
     /// Requests that were cleared lately.
-    cleared: IndexMap<RequestDigest, ClearedCase>,
+    released: IndexMap<RequestDigest, Release>,
 }
 
 /// How often a write is tried against other writers of the same case.
-const WRITES_MOST: u32 = 5;
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
 /// When a request may come back whose trial cannot be entered in the
 /// service, in milliseconds.
-const TRIAL_AGAIN_MS: u64 = 1_000;
+const PROBE_RETRY_MS: u64 = 1_000;
 
 /// A whole answer that refutes what the service has of a request.
 #[derive(Clone, Debug)]
-struct Answered {
+struct Refutation {
     /// Event after which the answer began.
     resumed_after: u64,
     /// What the service has, as far as is known.
@@ -99,7 +99,7 @@
         clock: Arc<dyn Clock>,
         options: QuarantineOptions,
     ) -> Self {
-        let store = CaseStore::new(kv, prefix);
+        let store = RecordStore::new(kv, prefix);
         Self::with_store(Some(store), clock, options)
     }
 
@@ -130,31 +130,31 @@
     }
 
     fn with_store(
-        store: Option<CaseStore>,
+        store: Option<RecordStore>,
         clock: Arc<dyn Clock>,
         options: QuarantineOptions,
     ) -> Self {
         let started = (clock.now(), clock.unix());
         Self(Arc::new(Inner {
-            table: Mutex::new(State {
-                cases: CrashRecordTable::new(options),
+            state: Mutex::new(State {
+                records: CrashRecordTable::new(options),
                 recent: RecentCrashes::default(),
                 unsaved: IndexSet::new(),
-                answered: IndexMap::new(),
-                over: IndexMap::new(),
-                cleared: IndexMap::new(),
+                refutations: IndexMap::new(),
+                expired: IndexMap::new(),
+                released: IndexMap::new(),
             }),
-            known: AtomicUsize::new(0),
+            record_count: AtomicUsize::new(0),
             clock,
             started,
             store,
-            work: Notify::new(),
+            pending_work: Notify::new(),
         }))
     }
 
     /// Returns how many requests are remembered.
     pub fn len(&self) -> usize {
-        self.0.known.load(Ordering::Relaxed)
+        self.0.record_count.load(Ordering::Relaxed)
     }
 
     /// Tells whether no request is remembered.
@@ -206,7 +206,7 @@
         }
         let for_ms = match self.verdict(digest).0 {
             Verdict::Quarantined { for_ms } => for_ms,
-            _ => TRIAL_AGAIN_MS,
+            _ => PROBE_RETRY_MS,
         };
         Err(Quarantined { crashes, for_ms })
     }
@@ -215,16 +215,16 @@
     pub fn record_crash(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
         let mut state = self.lock();
         for key in keys.into().all() {
-            let before = state.cases.verdict_at(key, self.now());
-            if state.cases.add_crash(key, crash) {
+            let before = state.records.verdict_at(key, self.now());
+            if state.records.add_crash(key, crash) {
                 state.recent.add(crash.endpoint, crash.ended_at);
                 state.unsaved.insert(key);
                 self.log_standing(&state, key, before);
             }
         }
-        self.note_size(&state);
+        self.update_record_count(&state);
         drop(state);
-        self.0.work.notify_one();
+        self.0.pending_work.notify_one();
     }
 
     /// Takes note of a whole answer to a request. It began after the event
@@ -239,18 +239,19 @@
         }
         let keys = keys().into();
         let mut state = self.lock();
-        let mut has_changed = state.note_answer(keys.request(), resumed_after);
+        let mut has_changed =
+            state.apply_answer(keys.request(), resumed_after);
         for group in keys.groups() {
             // The places in the answers of two members have nothing in
             // common.
-            has_changed |= state.note_answer(*group, 0);
+            has_changed |= state.apply_answer(*group, 0);
         }
         if !has_changed {
             return;
         }
-        self.note_size(&state);
+        self.update_record_count(&state);
         drop(state);
-        self.0.work.notify_one();
+        self.0.pending_work.notify_one();
     }
 
     /// Returns the time of day by which this process dates crashes.
@@ -293,26 +294,26 @@
         for (digest, at) in
             deleted.filter_map(|(key, at)| Some((digest_of(key)?, *at)))
         {
-            state.cases.remove_stored(digest, at);
+            state.records.remove_stored(digest, at);
         }
         if whole {
             let there: IndexSet<RequestDigest> =
                 changed.iter().map(|(digest, _)| *digest).collect();
             state
-                .cases
+                .records
                 .retain_stored(revision, |digest| there.contains(digest));
         }
-        self.note_size(&state);
+        self.update_record_count(&state);
     }
 
     fn verdict(&self, digest: RequestDigest) -> (Verdict, usize) {
         let state = self.lock();
-        let verdict = state.cases.verdict_at(digest, self.now());
-        (verdict, state.cases.crashes(digest))
+        let verdict = state.records.verdict_at(digest, self.now());
+        (verdict, state.records.crashes(digest))
     }
 
     /// Takes what the service has of a request at a revision.
-    fn take(
+    fn apply_read(
         &self,
         digest: RequestDigest,
         stored: Option<StoredRecord>,
@@ -321,9 +322,9 @@
         let mut state = self.lock();
         match stored {
             Some(stored) => self.apply_stored(&mut state, digest, stored),
-            None => state.cases.remove_stored(digest, revision),
+            None => state.records.remove_stored(digest, revision),
         }
-        self.note_size(&state);
+        self.update_record_count(&state);
     }
 
     fn apply_stored(
@@ -333,17 +334,17 @@
         stored: StoredRecord,
     ) {
         let now = self.now();
-        let before = state.cases.verdict_at(digest, now);
-        state.cases.apply_stored(digest, stored, now);
+        let before = state.records.verdict_at(digest, now);
+        state.records.apply_stored(digest, stored, now);
         self.log_standing(state, digest, before);
         // Others go by what is written: a crash that was not worth a write
         // of its own is, now that there is more.
-        let stored_and_unsaved = state.cases.stored_and_unsaved(digest);
+        let stored_and_unsaved = state.records.stored_and_unsaved(digest);
         if stored_and_unsaved
             .is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty())
         {
             state.unsaved.insert(digest);
-            self.0.work.notify_one();
+            self.0.pending_work.notify_one();
         }
     }
 
@@ -353,14 +354,14 @@
         digest: RequestDigest,
         before: Verdict,
     ) {
-        let now = state.cases.verdict_at(digest, self.now());
+        let now = state.records.verdict_at(digest, self.now());
         let is_held = |verdict| matches!(verdict, Verdict::Quarantined { .. });
         if let Verdict::Quarantined { for_ms } = now
             && !is_held(before)
         {
             log::warn!(
                 digest:%,
-                crashes = state.cases.crashes(digest),
+                crashes = state.records.crashes(digest),
                 for_ms;
                 "a request that crashes endpoints is held"
             );
@@ -370,42 +371,44 @@
     fn expire(&self) {
         let mut state = self.lock();
         let now = self.now();
-        state.cases.expire(now);
-        let forgotten = state.cases.take_removed();
-        state.over.extend(forgotten);
+        state.records.expire(now);
+        let forgotten = state.records.take_removed();
+        state.expired.extend(forgotten);
         state.recent.expire(now);
-        self.note_size(&state);
+        self.update_record_count(&state);
     }
 
-    fn note_size(&self, state: &State) {
-        self.0.known.store(state.cases.len(), Ordering::Relaxed);
+    fn update_record_count(&self, state: &State) {
+        self.0
+            .record_count
+            .store(state.records.len(), Ordering::Relaxed);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.0.table.lock().unwrap_or_else(PoisonError::into_inner)
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
     /// Takes note of a whole answer; returns whether it refutes anything.
-    fn note_answer(
+    fn apply_answer(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
     ) -> bool {
         let (has_changed, stored) =
-            self.cases.record_answer(digest, resumed_after);
+            self.records.record_answer(digest, resumed_after);
         if !has_changed {
             return false;
         }
         log::info!(digest:%;
             "a request under which endpoints crashed is answered");
         if let Some(stored) = stored {
-            let answered = Answered {
+            let refutation = Refutation {
                 resumed_after,
                 stored,
             };
-            self.answered.insert(digest, answered);
+            self.refutations.insert(digest, refutation);
         }
         true
     }
--- a/crates/quarantine/src/quarantine/updates.rs
+++ b/crates/quarantine/src/quarantine/updates.rs
@@ -10,15 +10,15 @@
 use crate::{CrashRecord, StoredRecord, Verdict};
 
 /// Requests that one message names.
-const NEWS_MOST: usize = 64;
+const MAX_UPDATES: usize = 64;
 
 /// Requests that were cleared lately and are remembered.
-const CLEARED_MOST: usize = 64;
+const MAX_RELEASES: usize = 64;
 
 /// How long a change is passed on, in milliseconds: longer than it takes to
 /// reach all processes by way of their neighbours. A process that missed it
 /// learns it with the next crash that it sees.
-const NEWS_MS: u64 = 30_000;
+const UPDATE_RETENTION_MS: u64 = 30_000;
 
 /// What one process reports of a request to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -27,13 +27,17 @@
     /// Revision of the key-value service at which it became so.
     revision: u64,
     /// What speaks against it; none if it was cleared.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    case: Option<CrashRecord>,
+    #[serde(
+        default,
+        rename = "case",
+        skip_serializing_if = "Option::is_none"
+    )]
+    record: Option<CrashRecord>,
 }
 
 /// A request that was cleared.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ClearedCase {
+pub(super) struct Release {
     /// Revision of the write that cleared it.
     revision: u64,
     /// When this process learned it.
@@ -61,73 +65,74 @@
     pub fn updates(&self) -> Vec<CrashRecordUpdate> {
         let state = self.lock();
         let now = self.now();
-        let is_new = |at| now.saturating_ms_since(at) < NEWS_MS;
-        let cleared = state.cleared.iter();
-        let cleared = cleared.filter(|(_, cleared)| is_new(cleared.at));
-        let cleared = cleared.map(|(digest, cleared)| CrashRecordUpdate {
+        let is_recent = |at| now.saturating_ms_since(at) < UPDATE_RETENTION_MS;
+        let released = state.released.iter();
+        let released = released.filter(|(_, released)| is_recent(released.at));
+        let released = released.map(|(digest, released)| CrashRecordUpdate {
             digest: *digest,
-            revision: cleared.revision,
-            case: None,
+            revision: released.revision,
+            record: None,
         });
-        let stored = state.cases.stored();
+        let stored = state.records.stored();
         let held = stored.filter(|(digest, stored)| {
-            is_new(stored.case.changed_at())
-                && state.cases.verdict_at(*digest, now) != Verdict::Clear
+            is_recent(stored.record.changed_at())
+                && state.records.verdict_at(*digest, now) != Verdict::Clear
         });
         let held = held.map(|(digest, stored)| CrashRecordUpdate {
             digest,
             revision: stored.revision,
-            case: Some(stored.case.clone()),
+            record: Some(stored.record.clone()),
         });
-        held.chain(cleared).take(NEWS_MOST).collect()
+        held.chain(released).take(MAX_UPDATES).collect()
     }
 
     /// Takes in what another process has reported.
-    pub fn apply_updates(&self, news: Vec<CrashRecordUpdate>) {
-        if news.is_empty() {
+    pub fn apply_updates(&self, updates: Vec<CrashRecordUpdate>) {
+        if updates.is_empty() {
             return;
         }
         let mut state = self.lock();
         for CrashRecordUpdate {
             digest,
             revision,
-            case,
-        } in news
+            record,
+        } in updates
         {
-            let cleared = state.cleared.get(&digest);
-            if cleared.is_some_and(|cleared| cleared.revision >= revision) {
+            let released = state.released.get(&digest);
+            if released.is_some_and(|released| released.revision >= revision) {
                 continue;
             }
-            match case {
+            match record {
                 // Two processes that pass on a case that has run out would
                 // never forget it.
-                Some(case) if state.cases.is_unusable(&case, self.now()) => {}
-                Some(case) => {
-                    let stored = StoredRecord { case, revision };
+                Some(record)
+                    if state.records.is_unusable(&record, self.now()) => {}
+                Some(record) => {
+                    let stored = StoredRecord { record, revision };
                     self.apply_stored(&mut state, digest, stored);
                 }
                 None => {
-                    state.cases.remove_stored(digest, revision);
-                    state.note_cleared(digest, revision, self.now());
+                    state.records.remove_stored(digest, revision);
+                    state.note_released(digest, revision, self.now());
                 }
             }
         }
-        self.note_size(&state);
+        self.update_record_count(&state);
     }
 }
 
 impl State {
     /// Remembers that a request was cleared at a revision.
-    pub(super) fn note_cleared(
+    pub(super) fn note_released(
         &mut self,
         digest: RequestDigest,
         revision: u64,
         at: UnixMillis,
     ) {
-        self.cleared.shift_remove(&digest);
-        self.cleared.insert(digest, ClearedCase { revision, at });
-        if self.cleared.len() > CLEARED_MOST {
-            self.cleared.shift_remove_index(0);
+        self.released.shift_remove(&digest);
+        self.released.insert(digest, Release { revision, at });
+        if self.released.len() > MAX_RELEASES {
+            self.released.shift_remove_index(0);
         }
     }
 }
--- a/crates/quarantine/src/recent.rs
+++ b/crates/quarantine/src/recent.rs
@@ -4,47 +4,49 @@
 
 use crate::CrashedEndpoint;
 
-/// Endpoints that crash at about the same time when it is hardly a request
-/// that does it, but the loss of a rack or of a failure domain.
-const TOGETHER: usize = 4;
+/// Number of endpoints that crash at about the same time from which on the
+/// likely cause is the loss of a rack or failure domain, not a request.
+const MIN_CORRELATED_CRASHES: usize = 4;
 
-/// Time within which crashes count as one event, in milliseconds.
-const TOGETHER_MS: u64 = 50;
+/// Time within which crashes count as correlated, in milliseconds.
+const CORRELATION_WINDOW_MS: u64 = 50;
 
-/// Crashes that are remembered, in the order in which they were seen.
-const REMEMBERED_MOST: usize = 256;
+/// Maximum number of recent crashes that are kept.
+const MAX_RECENT_CRASHES: usize = 256;
 
-/// How long a crash is remembered, in milliseconds.
-const REMEMBERED_MS: u64 = 10_000;
+/// Retention of a recent crash, in milliseconds.
+const RETENTION_MS: u64 = 10_000;
 
-/// The endpoints whose crashes this node has seen lately.
+/// Recent crashes that this node detected, in the order of detection.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCrashes(VecDeque<(CrashedEndpoint, UnixMillis)>);
 
 impl RecentCrashes {
     pub(crate) fn add(&mut self, endpoint: CrashedEndpoint, at: UnixMillis) {
-        let is_known = |(known, then): &(CrashedEndpoint, UnixMillis)| {
-            *known == endpoint && then.abs_diff_ms(at) <= TOGETHER_MS
+        let is_known = |(known, known_at): &(CrashedEndpoint, UnixMillis)| {
+            *known == endpoint
+                && known_at.abs_diff_ms(at) <= CORRELATION_WINDOW_MS
         };
         if self.0.iter().any(is_known) {
             return;
         }
-        if self.0.len() >= REMEMBERED_MOST {
+        if self.0.len() >= MAX_RECENT_CRASHES {
             self.0.pop_front();
         }
         self.0.push_back((endpoint, at));
     }
 
-    /// Tells whether many endpoints crashed about a moment.
-    pub(crate) fn came_with_others(&self, at: UnixMillis) -> bool {
-        let is_near = |other: UnixMillis| other.abs_diff_ms(at) <= TOGETHER_MS;
+    /// Reports whether many endpoints crashed at about the given time.
+    pub(crate) fn is_correlated(&self, at: UnixMillis) -> bool {
+        let is_near =
+            |other: UnixMillis| other.abs_diff_ms(at) <= CORRELATION_WINDOW_MS;
         let near = self.0.iter().filter(|(_, other)| is_near(*other));
-        near.count() >= TOGETHER
+        near.count() >= MIN_CORRELATED_CRASHES
     }
 
     pub(crate) fn expire(&mut self, now: UnixMillis) {
         let is_expired =
-            |at: UnixMillis| now.saturating_ms_since(at) >= REMEMBERED_MS;
+            |at: UnixMillis| now.saturating_ms_since(at) >= RETENTION_MS;
         while self.0.front().is_some_and(|(_, at)| is_expired(*at)) {
             self.0.pop_front();
         }
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -3,17 +3,17 @@
 
 use crate::Crash;
 
-/// Crashes that are remembered of one request. More of them change nothing
-/// about what is to be done with it.
-const CRASHES_KEPT: usize = 8;
+/// Maximum number of crashes in one record. Further crashes would not change
+/// the verdict on the request.
+const MAX_CRASHES: usize = 8;
 
-/// What is known of one request under which endpoints have crashed.
+/// The crashes of endpoints that occurred while they ran one request.
 ///
 /// # Example
 ///
 /// ```
 /// use base::UnixMillis;
-/// use pomeloslip_quarantine::{CrashRecord, Crash, CrashedEndpoint};
+/// use pomeloslip_quarantine::{Crash, CrashRecord, CrashedEndpoint};
 ///
 /// let crash = |endpoint, began_ms| Crash {
 ///     endpoint: CrashedEndpoint::new(endpoint),
@@ -22,80 +22,81 @@
 ///     resumed_after: 0,
 ///     reached: 0,
 /// };
-/// let mut case = CrashRecord::default();
-/// assert!(case.add(crash(1, 1_000)));
-/// // Another run was cut off at the same time: one event may have ended
-/// // both endpoints.
-/// assert!(case.add(crash(2, 1_010)));
-/// assert_eq!(case.evidence().len(), 1);
-/// assert!(case.add(crash(3, 1_500)));
-/// assert_eq!(case.evidence().len(), 2);
+/// let mut record = CrashRecord::default();
+/// assert!(record.add(crash(1, 1_000)));
+/// // Runs that overlap count once, since a single event may have ended both
+/// // endpoints.
+/// assert!(record.add(crash(2, 1_010)));
+/// assert_eq!(record.evidence().len(), 1);
+/// assert!(record.add(crash(3, 1_500)));
+/// assert_eq!(record.evidence().len(), 2);
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CrashRecord {
-    /// In the order in which the endpoints crashed.
+    /// Ordered by the time of the crash.
     crashes: Vec<Crash>,
-    /// How often the request was let through to find out whether it still
+    /// Number of probes: single sends that test whether the request still
     /// crashes endpoints.
     #[serde(rename = "trials")]
     probes: u32,
-    /// When it was let through last.
+    /// Time of the last probe.
     #[serde(rename = "tried_at")]
     probed_at: Option<UnixMillis>,
 }
 
 impl CrashRecord {
-    /// Returns the crashes, the oldest first.
+    /// Returns the crashes, oldest first.
     #[inline]
     pub fn crashes(&self) -> &[Crash] {
         &self.crashes
     }
 
-    /// Returns how often the request was let through on trial.
+    /// Returns the number of probes.
     #[inline]
     pub fn probes(&self) -> u32 {
         self.probes
     }
 
-    /// Returns when it was let through on trial last.
+    /// Returns the time of the last probe.
     #[inline]
     pub fn probed_at(&self) -> Option<UnixMillis> {
         self.probed_at
     }
 
-    /// Returns when the case last changed.
+    /// Returns the time of the last crash or probe.
     pub fn changed_at(&self) -> UnixMillis {
         let crashed_at = self.crashes.last().map(|crash| crash.ended_at);
         crashed_at.max(self.probed_at).unwrap_or_default()
     }
 
-    /// Tells whether a crash is among those of this case.
+    /// Reports whether the record contains a crash.
     pub fn contains(&self, crash: &Crash) -> bool {
         self.crashes.iter().any(|known| known.is_same(crash))
     }
 
-    /// Adds a crash, and returns whether that changes the case.
+    /// Adds a crash, and reports whether the record changed.
     ///
-    /// Of several runs of the request that one crash has cut off, the one
-    /// that got furthest counts: the others would have, too.
+    /// If one crash interrupted several runs of the request, only the run
+    /// with the most progress is recorded, since the others would have got as
+    /// far.
     pub fn add(&mut self, crash: Crash) -> bool {
         let same = self.crashes.iter().position(|known| known.is_same(&crash));
-        if let Some(place) = same {
-            if self.crashes[place].progress() >= crash.progress() {
+        if let Some(index) = same {
+            if self.crashes[index].progress() >= crash.progress() {
                 return false;
             }
-            self.crashes.remove(place);
+            self.crashes.remove(index);
         }
         let before = |known: &Crash| known.ended_at <= crash.ended_at;
-        let place = self.crashes.partition_point(before);
-        self.crashes.insert(place, crash);
-        self.drop_surplus();
+        let index = self.crashes.partition_point(before);
+        self.crashes.insert(index, crash);
+        self.evict_surplus();
         true
     }
 
-    /// Adds what another one knows of the same request, and returns whether
-    /// anything of it was new.
+    /// Merges another record of the same request, and reports whether this
+    /// record changed.
     pub fn merge(&mut self, other: &CrashRecord) -> bool {
         let before = self.clone();
         for crash in &other.crashes {
@@ -106,21 +107,22 @@
         *self != before
     }
 
-    /// Takes note that the request is let through on trial.
+    /// Records the start of a probe.
     pub fn begin_probe(&mut self, now: UnixMillis) {
         self.probes += 1;
         self.probed_at = Some(now);
     }
 
-    /// Drops the crashes that a whole answer shows not to be the request's
-    /// doing, and returns whether none is left. The answer began after
-    /// `resumed_after`; what lies before was not run again.
-    pub fn refute(&mut self, resumed_after: u64) -> bool {
+    /// Removes the crashes that a complete response refutes, and reports
+    /// whether none is left. The response was resumed after `resumed_after`;
+    /// a crash before that point is not refuted, since that part of the
+    /// response did not run again.
+    pub fn remove_refuted(&mut self, resumed_after: u64) -> bool {
         self.crashes.retain(|crash| crash.reached < resumed_after);
         self.crashes.is_empty()
     }
 
-    /// Returns what this case has beyond another one.
+    /// Returns the crashes of this record that another one lacks.
     #[must_use]
     pub fn difference(&self, other: &CrashRecord) -> CrashRecord {
         let is_known = |crash: &Crash| {
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Returns the crashes that speak against the request: one after the
-    /// other, none of them refuted by another run.
+    /// Returns the crashes that count as evidence against the request: those
+    /// that do not overlap and that no other run refutes.
     pub fn evidence(&self) -> Vec<&Crash> {
         let mut evidence: Vec<&Crash> = Vec::new();
         for crash in &self.crashes {
@@ -153,10 +155,10 @@
         self.crashes.iter().any(|other| other.refutes(crash))
     }
 
-    /// Forgets crashes beyond those that are kept: first those that are no
-    /// evidence, else the oldest.
-    fn drop_surplus(&mut self) {
-        while self.crashes.len() > CRASHES_KEPT {
+    /// Evicts crashes over [`MAX_CRASHES`]: first those that are not evidence,
+    /// then the oldest.
+    fn evict_surplus(&mut self) {
+        while self.crashes.len() > MAX_CRASHES {
             let evidence = self.evidence();
             let is_surplus = |crash: &Crash| {
                 !evidence.iter().any(|kept| kept.is_same(crash))
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -7,29 +7,30 @@
 
 use crate::{CrashRecord, StoredRecord};
 
-/// Longest wait for one call.
-const CALL_MOST: Duration = Duration::from_millis(1_000);
+/// Timeout of one call to the key-value service.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What one write of a case came to.
+/// The result of a conditional write of a record.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Written {
-    /// It is done, at this revision.
+pub(crate) enum WriteResult {
+    /// The write succeeded, at this revision.
     Done(u64),
-    /// Another writer was faster, or the outcome is not known. This is what
-    /// the service has now, as of a revision.
-    Changed(Option<StoredRecord>, u64),
+    /// Another write came first, or the outcome is unknown. Holds the stored
+    /// record, if there is one, and the revision at which it was read.
+    Conflict(Option<StoredRecord>, u64),
 }
 
-/// Keeps cases in the key-value service.
+/// Stores crash records in the key-value service.
 ///
-/// Not under leases: those may run out while the service is away, and the
-/// requests would crash endpoints again after each outage.
-pub(crate) struct CaseStore {
+/// Records have no leases, since leases may expire during an outage of the
+/// key-value service, and poison requests would then crash endpoints again
+/// after each outage.
+pub(crate) struct RecordStore {
     kv: Arc<dyn Kv>,
     prefix: String,
 }
 
-impl CaseStore {
+impl RecordStore {
     pub(crate) fn new(kv: Arc<dyn Kv>, prefix: &str) -> Self {
         Self {
             kv,
@@ -45,19 +46,20 @@
         &self.prefix
     }
 
-    /// Returns the request whose case a key holds.
+    /// Returns the digest of the request whose record a key holds.
     pub(crate) fn digest_of(&self, key: &str) -> Option<RequestDigest> {
         key.strip_prefix(&self.prefix)?.parse().ok()
     }
 
-    /// Writes a case that is now at a revision; 0 means that there is none.
+    /// Writes a record if the stored one is still at revision `before`; 0 means
+    /// that none is stored.
     pub(crate) async fn put(
         &self,
         digest: RequestDigest,
         before: u64,
-        case: &CrashRecord,
-    ) -> Result<Written, Report<KvError>> {
-        let value = serde_json::to_vec(case)
+        record: &CrashRecord,
+    ) -> Result<WriteResult, Report<KvError>> {
+        let value = serde_json::to_vec(record)
             .map_err(|_| Report::new(KvError::Invalid))?;
         let put = Op::Put {
             key: self.key(digest),
@@ -67,12 +69,12 @@
         self.write(digest, before, put).await
     }
 
-    /// Removes a case that is now at a revision.
+    /// Deletes a record if the stored one is still at revision `before`.
     pub(crate) async fn delete(
         &self,
         digest: RequestDigest,
         before: u64,
-    ) -> Result<Written, Report<KvError>> {
+    ) -> Result<WriteResult, Report<KvError>> {
         let delete = Op::Delete {
             key: self.key(digest),
         };
@@ -84,7 +86,7 @@
         digest: RequestDigest,
         before: u64,
         op: Op,
-    ) -> Result<Written, Report<KvError>> {
+    ) -> Result<WriteResult, Report<KvError>> {
         let txn = Txn {
             compares: vec![Compare::ModRevision {
                 key: self.key(digest),
@@ -93,13 +95,13 @@
             success: vec![op],
             failure: Vec::new(),
         };
-        let written = timeout(CALL_MOST, self.kv.txn(txn)).await;
+        let written = timeout(CALL_TIMEOUT, self.kv.txn(txn)).await;
         let written = written.unwrap_or_else(|_| {
             Err(Report::new(KvError::Unknown).attach("no answer in time"))
         });
         match written {
             Ok(reply) if reply.succeeded => {
-                return Ok(Written::Done(reply.revision));
+                return Ok(WriteResult::Done(reply.revision));
             }
             Ok(_) => {}
             Err(report) if *report.current_context() == KvError::Unknown => {}
@@ -108,18 +110,18 @@
         self.read(digest).await
     }
 
-    /// Reads what the service has of a request.
+    /// Reads the stored record of a request.
     pub(crate) async fn read(
         &self,
         digest: RequestDigest,
-    ) -> Result<Written, Report<KvError>> {
+    ) -> Result<WriteResult, Report<KvError>> {
         let key = self.key(digest);
-        let reply = timeout(CALL_MOST, self.kv.get(&key)).await;
+        let reply = timeout(CALL_TIMEOUT, self.kv.get(&key)).await;
         let reply = reply.unwrap_or_else(|_| {
             Err(Report::new(KvError::NotDone).attach("no answer in time"))
         })?;
         let stored = reply.kvs.first().map(decode);
-        Ok(Written::Changed(stored, reply.revision))
+        Ok(WriteResult::Conflict(stored, reply.revision))
     }
 
     fn key(&self, digest: RequestDigest) -> String {
@@ -127,16 +129,16 @@
     }
 }
 
-/// Decodes a case; one that cannot be read counts as empty, so that the next
-/// crash writes it anew.
+/// Decodes a record; an invalid one counts as empty, so that the next crash
+/// replaces it.
 pub(crate) fn decode(kv: &KeyValue) -> StoredRecord {
-    let case = serde_json::from_slice(&kv.value).unwrap_or_else(|error| {
+    let record = serde_json::from_slice(&kv.value).unwrap_or_else(|error| {
         log::warn!(key = kv.key.as_str(), error:%;
-            "what is known of a request that crashes endpoints cannot be read");
+            "cannot decode a stored crash record");
         CrashRecord::default()
     });
     StoredRecord {
-        case,
+        record,
         revision: kv.mod_revision,
     }
 }
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -3,48 +3,49 @@
 
 use crate::{Crash, CrashRecord, QuarantineOptions};
 
-/// Score that lengthens a hold by one step: that of a crash without progress.
+/// Score that lengthens a quarantine by one level: that of a crash without
+/// progress.
 const SCORE_PER_LEVEL: u32 = 2;
 
-/// How much older than its arrival here a report of another node may claim
-/// to be, in milliseconds: the time that reports take to arrive, and some
-/// seconds by which the clocks of two machines differ.
-const OLDER_MOST_MS: u64 = 10_000;
+/// Maximum difference between the time in a report of another node and the
+/// time of its arrival, in milliseconds. Covers the propagation delay and a
+/// clock skew of some seconds between two machines.
+const MAX_REPORT_AGE_MS: u64 = 10_000;
 
-/// Whether a request may be sent to an endpoint.
+/// The decision on whether a request may be sent to an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// The request may be sent.
     Clear,
-    /// It is held for so long.
+    /// The request is quarantined.
     Quarantined {
-        /// Time until it may be tried again, in milliseconds.
+        /// Time until a probe is due, in milliseconds.
         for_ms: u64,
     },
-    /// It was held, and may be let through once to find out whether it still
-    /// crashes endpoints.
+    /// The quarantine is over, and the request may be sent once as a probe that
+    /// tests whether it still crashes endpoints.
     ProbeDue,
 }
 
-/// A case as the key-value service has it.
+/// A crash record as stored in the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredRecord {
-    /// The case.
-    pub case: CrashRecord,
-    /// Revision of its last write.
+    /// The crash record.
+    pub record: CrashRecord,
+    /// Revision of the last write.
     pub revision: u64,
 }
 
-/// The requests under which endpoints have crashed, as one node knows them.
+/// One node's crash records of all requests during which endpoints crashed.
 ///
-/// Decides without I/O whether one may be sent.
+/// Decides without I/O whether a request may be sent.
 ///
 /// # Example
 ///
 /// ```
 /// use base::{RequestContent, RequestDigest, UnixMillis};
 /// use pomeloslip_quarantine::{
-///     CrashRecordTable, Crash, CrashedEndpoint, QuarantineOptions, Verdict,
+///     Crash, CrashRecordTable, CrashedEndpoint, QuarantineOptions, Verdict,
 /// };
 ///
 /// let digest = RequestDigest::of(RequestContent {
@@ -69,42 +70,42 @@
 ///     };
 ///     table.add_crash(digest, crash);
 /// }
-/// let held = table.verdict_at(digest, UnixMillis::new(2_100));
-/// assert_eq!(held, Verdict::Quarantined { for_ms: 10_000 });
+/// let verdict = table.verdict_at(digest, UnixMillis::new(2_100));
+/// assert_eq!(verdict, Verdict::Quarantined { for_ms: 10_000 });
 /// let due = table.verdict_at(digest, UnixMillis::new(12_100));
 /// assert_eq!(due, Verdict::ProbeDue);
 /// ```
 #[derive(Debug)]
 pub struct CrashRecordTable {
     options: QuarantineOptions,
-    cases: IndexMap<RequestDigest, Entry>,
-    forgotten: Vec<(RequestDigest, u64)>,
+    records: IndexMap<RequestDigest, Entry>,
+    removed: Vec<(RequestDigest, u64)>,
 }
 
 #[derive(Debug, Default)]
 struct Entry {
-    /// All that is known.
-    case: CrashRecord,
-    /// What this node has seen and the service may not have yet.
+    /// Union of `unsaved` and `stored`.
+    record: CrashRecord,
+    /// Crashes and probes of this node that may not be stored yet.
     unsaved: CrashRecord,
-    /// As the service has it.
+    /// The record as stored in the key-value service.
     stored: Option<StoredRecord>,
-    /// When this node learned what is newest of it.
-    learned_at: UnixMillis,
+    /// Time at which this node received the latest new information.
+    updated_at: UnixMillis,
 }
 
 impl Entry {
-    /// Returns when something happened that another node has dated.
+    /// Limits a time that another node reported to a plausible range.
     ///
-    /// A clock that is hours ahead would else hold a request for hours, and
-    /// one that is hours behind would have it tried again without a pause.
-    fn bounded(&self, dated: UnixMillis) -> UnixMillis {
-        let earliest = self.learned_at.saturating_sub_ms(OLDER_MOST_MS);
-        dated.clamp(earliest, self.learned_at)
+    /// Otherwise a clock that is hours ahead would quarantine a request for
+    /// hours, and one that is hours behind would allow probes without a pause.
+    fn clamp_time(&self, reported: UnixMillis) -> UnixMillis {
+        let earliest = self.updated_at.saturating_sub_ms(MAX_REPORT_AGE_MS);
+        reported.clamp(earliest, self.updated_at)
     }
 
     fn changed_at(&self) -> UnixMillis {
-        self.bounded(self.case.changed_at())
+        self.clamp_time(self.record.changed_at())
     }
 
     fn revision(&self) -> u64 {
@@ -112,74 +113,75 @@
     }
 
     fn refresh(&mut self) {
-        let mut case = self.unsaved.clone();
+        let mut record = self.unsaved.clone();
         if let Some(stored) = &self.stored {
-            case.merge(&stored.case);
+            record.merge(&stored.record);
         }
-        self.case = case;
+        self.record = record;
     }
 
-    /// Takes note of a moment at which something new was learned.
-    fn learned(&mut self, now: UnixMillis) {
-        self.learned_at = self.learned_at.max(now);
+    /// Updates the time of the latest new information.
+    fn touch(&mut self, now: UnixMillis) {
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
 impl CrashRecordTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub fn new(options: QuarantineOptions) -> Self {
         Self {
             options,
-            cases: IndexMap::new(),
-            forgotten: Vec::new(),
+            records: IndexMap::new(),
+            removed: Vec::new(),
         }
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests with a record.
     #[inline]
     pub fn len(&self) -> usize {
-        self.cases.len()
+        self.records.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Reports whether no request has a record.
     #[inline]
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty()
+        self.records.is_empty()
     }
 
-    /// Returns the cases that the service has, as far as is known.
+    /// Returns the records that are stored in the key-value service, as far as
+    /// this node knows.
     pub fn stored(
         &self,
     ) -> impl Iterator<Item = (RequestDigest, &StoredRecord)> {
-        let cases = self.cases.iter();
-        cases.filter_map(|(digest, entry)| {
+        let records = self.records.iter();
+        records.filter_map(|(digest, entry)| {
             Some((*digest, entry.stored.as_ref()?))
         })
     }
 
-    /// Tells whether a request is remembered.
+    /// Reports whether a request has a record.
     pub fn contains(&self, digest: RequestDigest) -> bool {
-        self.cases.contains_key(&digest)
+        self.records.contains_key(&digest)
     }
 
-    /// Returns whether a request may be sent.
+    /// Returns the verdict on a request at the given time.
     pub fn verdict_at(
         &self,
         digest: RequestDigest,
         now: UnixMillis,
     ) -> Verdict {
-        let Some(entry) = self.cases.get(&digest) else {
+        let Some(entry) = self.records.get(&digest) else {
             return Verdict::Clear;
         };
-        let evidence = entry.case.evidence();
+        let evidence = entry.record.evidence();
         let score: u32 = evidence.iter().map(|crash| crash.score()).sum();
         let surplus = score.checked_sub(self.options.quarantine_score);
         let (Some(last), Some(surplus)) = (evidence.last(), surplus) else {
             return Verdict::Clear;
         };
-        let since = Some(last.ended_at).max(entry.case.probed_at());
-        let since = entry.bounded(since.unwrap_or_default()).min(now);
-        let level = entry.case.probes().max(surplus / SCORE_PER_LEVEL);
+        let since = Some(last.ended_at).max(entry.record.probed_at());
+        let since = entry.clamp_time(since.unwrap_or_default()).min(now);
+        let level = entry.record.probes().max(surplus / SCORE_PER_LEVEL);
         let until = since.saturating_add_ms(self.options.hold_ms(level));
         match until.saturating_ms_since(now) {
             0 => Verdict::ProbeDue,
@@ -187,50 +189,50 @@
         }
     }
 
-    /// Returns how many crashes speak against a request.
+    /// Returns the number of crashes that are evidence against a request.
     pub fn crashes(&self, digest: RequestDigest) -> usize {
-        let entry = self.cases.get(&digest);
-        entry.map_or(0, |entry| entry.case.evidence().len())
+        let entry = self.records.get(&digest);
+        entry.map_or(0, |entry| entry.record.evidence().len())
     }
 
-    /// Returns what the service has of a request, and what this node knows
-    /// beyond that.
+    /// Returns the stored record of a request, and the changes of this node
+    /// that are not stored yet.
     pub fn stored_and_unsaved(
         &self,
         digest: RequestDigest,
     ) -> Option<(Option<StoredRecord>, CrashRecord)> {
-        let entry = self.cases.get(&digest)?;
+        let entry = self.records.get(&digest)?;
         Some((entry.stored.clone(), entry.unsaved.clone()))
     }
 
-    /// Takes note that a request is let through on trial.
+    /// Records the start of a probe.
     pub fn begin_probe(&mut self, digest: RequestDigest, now: UnixMillis) {
-        if self.cases.contains_key(&digest) {
+        if self.records.contains_key(&digest) {
             self.change(digest, |entry| {
                 entry.unsaved.begin_probe(now);
-                entry.learned(now);
+                entry.touch(now);
             });
         }
     }
 
-    /// Adds a crash that this node has seen, and returns whether it was not
-    /// known.
+    /// Adds a crash that this node detected, and reports whether the crash was
+    /// new.
     pub fn add_crash(&mut self, digest: RequestDigest, crash: Crash) -> bool {
         self.change(digest, |entry| {
-            let mut known = entry.case.clone();
+            let mut known = entry.record.clone();
             let is_new = known.add(crash) && entry.unsaved.add(crash);
             if is_new {
-                entry.learned(crash.ended_at);
+                entry.touch(crash.ended_at);
             }
             is_new
         })
     }
 
-    /// Takes a case as the service has it; an older one than is known
-    /// changes nothing.
+    /// Applies a record as stored in the key-value service. A revision older
+    /// than the known one changes nothing.
     ///
-    /// What other nodes have dated counts from `now` at the latest, and as
-    /// little older than that as their clocks can explain.
+    /// Times that other nodes reported are limited to `now`, and to the
+    /// earliest time before it that clock skew and propagation can explain.
     pub fn apply_stored(
         &mut self,
         digest: RequestDigest,
@@ -239,21 +241,21 @@
     ) {
         self.change(digest, |entry| {
             if stored.revision > entry.revision() {
-                let is_news = entry.case.clone().merge(&stored.case);
-                entry.unsaved = entry.unsaved.difference(&stored.case);
+                let is_new = entry.record.clone().merge(&stored.record);
+                entry.unsaved = entry.unsaved.difference(&stored.record);
                 entry.stored = Some(stored);
-                if is_news {
-                    entry.learned(now);
+                if is_new {
+                    entry.touch(now);
                 }
             }
         });
     }
 
-    /// Takes note that the service has no case any more since a revision:
-    /// the request was answered, or its case has run out. What this node has
-    /// seen since stays.
+    /// Removes a stored record that was deleted at a revision, because the
+    /// request completed or the record expired. Unsaved changes of this node
+    /// stay.
     pub fn remove_stored(&mut self, digest: RequestDigest, revision: u64) {
-        if !self.cases.contains_key(&digest) {
+        if !self.records.contains_key(&digest) {
             return;
         }
         self.change(digest, |entry| {
@@ -263,104 +265,103 @@
         });
     }
 
-    /// Keeps only those cases of the service that are named.
+    /// Removes the stored records for which `is_present` returns `false`, as of
+    /// a revision.
     pub fn retain_stored(
         &mut self,
         revision: u64,
-        is_there: impl Fn(&RequestDigest) -> bool,
+        is_present: impl Fn(&RequestDigest) -> bool,
     ) {
-        let gone = self.cases.keys().filter(|digest| !is_there(digest));
-        for digest in gone.copied().collect::<Vec<_>>() {
+        let missing = self.records.keys().filter(|digest| !is_present(digest));
+        for digest in missing.copied().collect::<Vec<_>>() {
             self.remove_stored(digest, revision);
         }
     }
 
-    /// Takes note of a whole answer. Returns whether that changes what
-    /// speaks against the request, and what the service has of it.
+    /// Applies a complete response to a request. Returns whether it refutes any
+    /// crash, and the stored record before the change.
     pub fn record_answer(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
     ) -> (bool, Option<StoredRecord>) {
-        if !self.cases.contains_key(&digest) {
+        if !self.records.contains_key(&digest) {
             return (false, None);
         }
         self.change(digest, |entry| {
-            let before = entry.case.crashes().len();
+            let before = entry.record.crashes().len();
             let stored = entry.stored.clone();
-            entry.unsaved.refute(resumed_after);
+            entry.unsaved.remove_refuted(resumed_after);
             if let Some(stored) = &mut entry.stored {
-                stored.case.refute(resumed_after);
+                stored.record.remove_refuted(resumed_after);
             }
             entry.refresh();
-            (entry.case.crashes().len() < before, stored)
+            (entry.record.crashes().len() < before, stored)
         })
     }
 
-    /// Tells whether a case that another node reports is not worth learning:
-    /// it has been quiet for so long that it is forgotten, or is dated so
-    /// far ahead that nobody would forget it.
+    /// Reports whether a record of another node must be ignored: it has
+    /// expired, or is dated so far in the future that it would not expire.
     pub fn is_unusable(&self, record: &CrashRecord, now: UnixMillis) -> bool {
         let changed_at = record.changed_at();
-        let quiet_ms = now.saturating_ms_since(changed_at);
-        quiet_ms >= self.options.retention_ms
-            || changed_at.saturating_ms_since(now) > OLDER_MOST_MS
+        let age_ms = now.saturating_ms_since(changed_at);
+        age_ms >= self.options.retention_ms
+            || changed_at.saturating_ms_since(now) > MAX_REPORT_AGE_MS
     }
 
-    /// Forgets requests that have been quiet for long.
+    /// Removes expired records.
     pub fn expire(&mut self, now: UnixMillis) {
         let retention_ms = self.options.retention_ms;
         let is_expired = |entry: &Entry| {
             now.saturating_ms_since(entry.changed_at()) >= retention_ms
         };
-        let cases = self.cases.iter();
-        let over = cases.filter(|(_, entry)| is_expired(entry));
-        let over: Vec<RequestDigest> = over.map(|(d, _)| *d).collect();
-        for digest in over {
-            self.forget(digest);
+        let records = self.records.iter();
+        let expired = records.filter(|(_, entry)| is_expired(entry));
+        let expired: Vec<RequestDigest> = expired.map(|(d, _)| *d).collect();
+        for digest in expired {
+            self.remove(digest);
         }
     }
 
-    /// Returns the requests that were forgotten here and that the service
-    /// has, with the revision of what it has.
+    /// Takes the requests whose records were removed here but are still stored,
+    /// with the revisions of the stored records.
     pub fn take_removed(&mut self) -> Vec<(RequestDigest, u64)> {
-        std::mem::take(&mut self.forgotten)
+        std::mem::take(&mut self.removed)
     }
 
-    /// Changes what is known of a request; without a crash that is left, it
-    /// is forgotten.
+    /// Changes the entry of a request; an entry without crashes is removed.
     fn change<T>(
         &mut self,
         digest: RequestDigest,
         change: impl FnOnce(&mut Entry) -> T,
     ) -> T {
-        let known = self.cases.swap_remove(&digest);
-        let mut entry = known.unwrap_or_default();
+        let existing = self.records.swap_remove(&digest);
+        let mut entry = existing.unwrap_or_default();
         let result = change(&mut entry);
         entry.refresh();
-        if !entry.case.crashes().is_empty() {
-            self.make_room();
-            self.cases.insert(digest, entry);
+        if !entry.record.crashes().is_empty() {
+            self.evict_oldest();
+            self.records.insert(digest, entry);
         }
         result
     }
 
-    /// Forgets what has been quiet for longest if there is no room.
-    fn make_room(&mut self) {
-        while self.cases.len() >= self.options.max_records {
-            let quiet = self.cases.iter();
-            let quiet = quiet.min_by_key(|(_, entry)| entry.changed_at());
-            let Some(digest) = quiet.map(|(digest, _)| *digest) else {
+    /// Evicts the least recently changed records if the table is full.
+    fn evict_oldest(&mut self) {
+        while self.records.len() >= self.options.max_records {
+            let oldest = self.records.iter();
+            let oldest = oldest.min_by_key(|(_, entry)| entry.changed_at());
+            let Some(digest) = oldest.map(|(digest, _)| *digest) else {
                 return;
             };
-            self.forget(digest);
+            self.remove(digest);
         }
     }
 
-    fn forget(&mut self, digest: RequestDigest) {
-        let entry = self.cases.swap_remove(&digest);
+    fn remove(&mut self, digest: RequestDigest) {
+        let entry = self.records.swap_remove(&digest);
         let stored = entry.and_then(|entry| entry.stored);
         let revision = stored.map(|stored| stored.revision);
-        self.forgotten.extend(revision.map(|at| (digest, at)));
+        self.removed.extend(revision.map(|at| (digest, at)));
     }
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -252,13 +252,16 @@
     let options = QuarantineOptions::default();
     let now_ms = 2 * HOURS_MS;
     let mut table = learned(HOURS_MS, now_ms);
-    let Some((Some(StoredRecord { mut case, .. }), _)) =
+    let Some((Some(StoredRecord { mut record, .. }), _)) =
         table.stored_and_unsaved(digest("bad"))
     else {
         panic!("learned");
     };
-    case.begin_probe(at(HOURS_MS));
-    let stored = StoredRecord { case, revision: 8 };
+    record.begin_probe(at(HOURS_MS));
+    let stored = StoredRecord {
+        record,
+        revision: 8,
+    };
     table.apply_stored(digest("bad"), stored, at(now_ms));
     let held_ms = options.hold_ms(1) - 10_000;
     assert!(is_held(&table, digest("bad"), now_ms + held_ms - 1));
@@ -299,23 +302,23 @@
 /// Guards against a case of a few bytes for each of a thousand crashes.
 #[test]
 fn a_case_keeps_few_crashes_and_those_that_count() {
-    let mut case = CrashRecord::default();
+    let mut record = CrashRecord::default();
     for number in 1..=3 {
-        case.add(crash(number, 1_000 * number, 100));
+        record.add(crash(number, 1_000 * number, 100));
     }
     for endpoint in 10..60 {
-        case.add(crash(endpoint, 3_000 + endpoint, 200));
+        record.add(crash(endpoint, 3_000 + endpoint, 200));
     }
-    assert!(case.crashes().len() <= 8);
-    assert_eq!(case.evidence().len(), 3);
+    assert!(record.crashes().len() <= 8);
+    assert_eq!(record.evidence().len(), 3);
 }
 
 fn stored(crashes: &[Crash], revision: u64) -> StoredRecord {
-    let mut case = CrashRecord::default();
+    let mut record = CrashRecord::default();
     for crash in crashes {
-        case.add(*crash);
+        record.add(*crash);
     }
-    StoredRecord { case, revision }
+    StoredRecord { record, revision }
 }
 
 #[test]
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -306,16 +306,16 @@
             Verdict::Quarantined { .. } => false,
             Verdict::ProbeDue => {
                 let stored = self.store.get(&request.digest).cloned();
-                let Some(StoredRecord { mut case, .. }) = stored else {
+                let Some(StoredRecord { mut record, .. }) = stored else {
                     return true;
                 };
                 // The trial of another node, which this one has not heard of.
-                let known = case.probed_at().unwrap_or_default();
+                let known = record.probed_at().unwrap_or_default();
                 if now.saturating_ms_since(known) < 1_000 {
                     return false;
                 }
-                case.begin_probe(now);
-                self.write(node, request.digest, Some(case));
+                record.begin_probe(now);
+                self.write(node, request.digest, Some(record));
                 true
             }
         }
@@ -437,9 +437,9 @@
         let digest = run.request.digest;
         if self.nodes[run.node].add_crash(digest, crash) {
             let stored = self.store.get(&digest).cloned();
-            let mut case = stored.map(|s| s.case).unwrap_or_default();
-            if case.add(crash) {
-                self.write(run.node, digest, Some(case));
+            let mut record = stored.map(|s| s.record).unwrap_or_default();
+            if record.add(crash) {
+                self.write(run.node, digest, Some(record));
             }
         }
         let request = Request {
@@ -455,11 +455,11 @@
         &mut self,
         writer: usize,
         digest: RequestDigest,
-        case: Option<CrashRecord>,
+        record: Option<CrashRecord>,
     ) {
         self.revision += 1;
         let revision = self.revision;
-        let stored = case.map(|case| StoredRecord { case, revision });
+        let stored = record.map(|record| StoredRecord { record, revision });
         match &stored {
             Some(stored) => self.store.insert(digest, stored.clone()),
             None => self.store.remove(&digest),
