--- a/crates/access/tests/access.rs
+++ b/crates/access/tests/access.rs
@@ -53,8 +53,12 @@
 
 #[parameterized(
     known = { &["key-a"], ConfigFreshness::Fresh, Ok(()) },
-    known_by_an_old_configuration = { &["key-a"], ConfigFreshness::Stale, Ok(()) },
-    known_but_not_confirmed = { &["key-a"], ConfigFreshness::Expired, Err(false) },
+    known_by_an_old_configuration = {
+        &["key-a"], ConfigFreshness::Stale, Ok(())
+    },
+    known_but_not_confirmed = {
+        &["key-a"], ConfigFreshness::Expired, Err(false)
+    },
     unknown = { &["key-b"], ConfigFreshness::Fresh, Err(true) },
     unknown_to_an_old_configuration = {
         &["key-b"], ConfigFreshness::Stale, Err(false)
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,44 +1,45 @@
-//! Keeps requests that crash the endpoints that run them from reaching more
-//! of them.
+//! Quarantine for poison requests, which crash the endpoints that run them.
 //!
-//! A request whose content makes an engine crash is sent again: by the
-//! system, which takes the loss of an endpoint for an accident, and by its
-//! caller, with a new id and to any node. Without a memory of the request's
-//! content each try ends one more endpoint, with all that runs there.
+//! A request whose content crashes an engine is sent again: by the system,
+//! which retries requests after the loss of an endpoint, and by its caller,
+//! with a new id and to any node. Unless the request's content is remembered,
+//! each retry crashes another endpoint with all requests that run there.
 //!
-//! The same loss of an endpoint hits requests that were merely running, and
-//! these are to be served by another one. So a [`Crash`] is evidence, not
-//! proof. [`CrashRecord`] holds what speaks against one request, [`CrashRecordTable`]
-//! decides by it without I/O:
+//! The loss of an endpoint also interrupts harmless requests, and these must
+//! be served by another endpoint. A [`Crash`] is therefore evidence, not
+//! proof. A [`CrashRecord`] holds the evidence against one request, and a
+//! [`CrashRecordTable`] decides by it without I/O:
 //!
-//! - Only crashes one after the other count. Runs that overlap may have been
-//!   ended by one event.
-//! - A crash counts half if the request had got on before it.
-//! - A run that gets well past the point of another crash refutes that one, a
-//!   whole answer refutes all.
-//! - Crashes of several endpoints at once are hardly a request's doing. They
-//!   are shared with other nodes only if more is known of the request.
+//! - Only crashes of runs that do not overlap count. Overlapping runs may have
+//!   been interrupted by one event.
+//! - A crash counts half if the request had made progress before it.
+//! - A run that gets well past the point of another crash refutes that crash;
+//!   a complete response refutes all crashes.
+//! - Crashes of several endpoints at once are rarely caused by a request. They
+//!   are shared with other nodes only if there is further evidence.
+//! - Items of a job share evidence ([`EvidenceKeys`]), since many of them may
+//!   crash endpoints, each with a content of its own.
+//! - Calendar times that other nodes report are limited by the time at which
+//!   the report arrived, since clocks may differ by seconds.
 //!
-//! - Items of a job share evidence ([`EvidenceKeys`]): many of them may crash
-//!   endpoints, each with a content of its own.
-//! - Times of day that other nodes report are bounded by the time at which
-//!   the report arrived, as their clocks may be seconds off.
+//! After three crashes a request is quarantined, and then sent once as a probe
+//! to correct a mistake: a harmless request completes and is released. Each
+//! further crash or probe makes the quarantine longer. [`Quarantine`] does
+//! this for a process and shares its records with other processes through the
+//! key-value service, so that a quarantine applies on every node and survives
+//! restarts. Each send needs a [`SendPermit`], so that no path to an endpoint
+//! can omit the check.
 //!
-//! After three crashes a request is held, and then let through once, on
-//! trial, to correct a mistake: a sound request is answered and cleared. Each
-//! further crash or trial makes the hold longer. [`Quarantine`] does this for
-//! a process and shares it with others through the key-value service, so
-//! that it holds on every node and after restarts. A [`SendPermit`] is needed
-//! for each send, so that no path to an endpoint can leave out the check.
+//! # Rejected alternatives
 //!
-//! # What was rejected
-//!
-//! Counting crashes alone: a long batch item next to such requests collects
-//! three crashes within seconds. Letting off whoever ran next to a request
-//! against which more speaks: two requests that both crash endpoints let each
-//! other off. Judging by the first crash: most requests
-//! that are cut off are sound. A memory in each node: a fleet of `n` nodes
-//! would lose three times `n` endpoints.
+//! - Counting crashes alone: a long batch item that runs next to poison
+//!   requests collects three crashes within seconds.
+//! - Exonerating requests that ran next to one with more evidence against it:
+//!   two poison requests exonerate each other.
+//! - Quarantining after the first crash: most interrupted requests are
+//!   harmless.
+//! - Separate records in each node: a fleet of `n` nodes would lose three
+//!   times `n` endpoints.
 
 mod crash;
 mod crash_check;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -24,37 +24,39 @@
     store::{RecordStore, decode},
 };
 
-/// Proof that a request may be sent to an endpoint, once.
+/// Permission to send a request to an endpoint once.
 #[derive(Debug)]
 pub struct SendPermit(());
 
-/// Says that a request is not to be sent.
+/// The error for a request that is quarantined and must not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Quarantined {
-    /// How many crashes speak against it.
+    /// Number of crashes that are evidence against the request.
     pub crashes: usize,
-    /// When it may be tried again, in milliseconds from now.
+    /// Time until the request may be sent again, in milliseconds.
     pub for_ms: u64,
 }
 
-/// Keeps requests that crash endpoints from reaching more of them.
+/// Quarantines poison requests, which crash the endpoints that run them.
 ///
-/// Clones share one state. All processes that use one prefix of the
-/// key-value service share what they know: each writes the crashes that it
-/// sees. It learns those of the others from whoever follows the service for
-/// it ([`Self::apply`]), or from its neighbours ([`Self::apply_updates`]).
+/// Clones share one state. All processes that use the same prefix of the
+/// key-value service share their crash records: each process writes the
+/// crashes that it detects, and receives those of the others from a watch of
+/// the key-value service ([`Self::apply`]) or from its peers
+/// ([`Self::apply_updates`]).
 ///
-/// While no endpoint has crashed, a request costs one look at a counter.
+/// While there are no crash records, the check of a request reads only one
+/// atomic counter.
 #[derive(Clone)]
 pub struct Quarantine(Arc<Inner>);
 
 struct Inner {
     state: Mutex<State>,
-    /// Requests in the table, so that most need no look at it.
+    /// Number of records in the table, for a check without the lock.
     record_count: AtomicUsize,
     clock: Arc<dyn Clock>,
-    /// One moment by both of the clock's scales.
-    started: (Millis, UnixMillis),
+    /// The same instant on the monotonic and the calendar scale.
+    started_at: (Millis, UnixMillis),
     store: Option<RecordStore>,
     pending_work: Notify,
 }
@@ -62,37 +64,36 @@
 struct State {
     records: CrashRecordTable,
     recent: RecentCrashes,
-    /// Requests of which the service does not have all that is known.
+    /// Requests with changes that are not in the key-value service yet.
     unsaved: IndexSet<RequestDigest>,
-    /// Requests that were answered although endpoints had crashed under
-    /// them.
+    /// Complete responses whose refutations are not written yet.
     refutations: IndexMap<RequestDigest, Refutation>,
-    /// Requests that are forgotten here and are to be in the service, too,
-    /// with the revision of what it has.
+    /// Requests whose records were removed here and must be deleted from the
+    /// key-value service, with the revisions of the stored records.
     expired: IndexMap<RequestDigest, u64>,
-    /// Requests that were cleared lately.
+    /// Requests that were recently released.
     released: IndexMap<RequestDigest, Release>,
 }
 
-/// How often a write is tried against other writers of the same case.
+/// Maximum number of attempts to write a record that others write, too.
 const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// When a request may come back whose trial cannot be entered in the
+/// Delay until the next attempt if a probe cannot be recorded in the key-value
 /// service, in milliseconds.
 const PROBE_RETRY_MS: u64 = 1_000;
 
-/// A whole answer that refutes what the service has of a request.
+/// A complete response that refutes crashes of a stored record.
 #[derive(Clone, Debug)]
 struct Refutation {
-    /// Event after which the answer began.
+    /// Event after which the response was resumed; 0 for a full response.
     resumed_after: u64,
-    /// What the service has, as far as is known.
+    /// The stored record, as far as this process knows.
     stored: StoredRecord,
 }
 
 impl Quarantine {
-    /// Makes a quarantine that shares what it knows through the keys below
-    /// `prefix`; [`run`](Self::run) does the writing.
+    /// Creates a quarantine that shares its records through the keys below
+    /// `prefix`. [`run`](Self::run) writes the records.
     pub fn new(
         kv: Arc<dyn Kv>,
         prefix: &str,
@@ -103,7 +104,8 @@
         Self::with_store(Some(store), clock, options)
     }
 
-    /// Makes a quarantine that knows what this process sees.
+    /// Creates a quarantine that uses only the crashes that this process
+    /// detects.
     ///
     /// # Example
     ///
@@ -134,7 +136,7 @@
         clock: Arc<dyn Clock>,
         options: QuarantineOptions,
     ) -> Self {
-        let started = (clock.now(), clock.unix());
+        let started_at = (clock.now(), clock.unix());
         Self(Arc::new(Inner {
             state: Mutex::new(State {
                 records: CrashRecordTable::new(options),
@@ -146,29 +148,29 @@
             }),
             record_count: AtomicUsize::new(0),
             clock,
-            started,
+            started_at,
             store,
             pending_work: Notify::new(),
         }))
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests with a crash record.
     pub fn len(&self) -> usize {
         self.0.record_count.load(Ordering::Relaxed)
     }
 
-    /// Tells whether no request is remembered.
+    /// Reports whether no request has a crash record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Lets a request pass that no endpoint has crashed under, or that is
-    /// due for a trial.
+    /// Admits a request unless it is quarantined; a request whose probe is due
+    /// is admitted once.
     ///
     /// # Errors
     ///
-    /// [`Quarantined`] for a request that has crashed too many endpoints, or is of
-    /// a group that has.
+    /// [`Quarantined`] for a request that crashed too many endpoints, or that
+    /// belongs to a group that did.
     pub async fn admit<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
@@ -177,9 +179,9 @@
             return Ok(SendPermit(()));
         }
         let keys = keys().into();
-        let held = keys.all().filter_map(|key| self.held(key));
-        if let Some(held) = held.max_by_key(|held| held.for_ms) {
-            return Err(held);
+        let quarantined = keys.all().filter_map(|key| self.quarantined(key));
+        if let Some(longest) = quarantined.max_by_key(|q| q.for_ms) {
+            return Err(longest);
         }
         for key in keys.all() {
             if self.verdict(key).0 == Verdict::ProbeDue {
@@ -189,7 +191,7 @@
         Ok(SendPermit(()))
     }
 
-    fn held(&self, key: RequestDigest) -> Option<Quarantined> {
+    fn quarantined(&self, key: RequestDigest) -> Option<Quarantined> {
         match self.verdict(key) {
             (Verdict::Quarantined { for_ms }, crashes) => {
                 Some(Quarantined { crashes, for_ms })
@@ -211,7 +213,7 @@
         Err(Quarantined { crashes, for_ms })
     }
 
-    /// Takes note that an endpoint has crashed while it ran a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub fn record_crash(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
         let mut state = self.lock();
         for key in keys.into().all() {
@@ -227,8 +229,8 @@
         self.0.pending_work.notify_one();
     }
 
-    /// Takes note of a whole answer to a request. It began after the event
-    /// `resumed_after`, 0 for the first one.
+    /// Records a complete response to a request. The response was resumed
+    /// after the event `resumed_after`, which is 0 for a full response.
     pub fn record_answer<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
@@ -242,8 +244,7 @@
         let mut has_changed =
             state.apply_answer(keys.request(), resumed_after);
         for group in keys.groups() {
-            // The places in the answers of two members have nothing in
-            // common.
+            // Positions in the responses of two members are not comparable.
             has_changed |= state.apply_answer(*group, 0);
         }
         if !has_changed {
@@ -254,20 +255,21 @@
         self.0.pending_work.notify_one();
     }
 
-    /// Returns the time of day by which this process dates crashes.
+    /// Returns the calendar time with which this process dates crashes.
     ///
-    /// It goes on from the time of day at the start and does not follow the
-    /// clock when that is set, so that the dates of one process stay in
-    /// order.
+    /// The time advances monotonically from the calendar time at the start of
+    /// the process and ignores adjustments of the clock, so that the times of
+    /// one process stay ordered.
     pub fn now(&self) -> UnixMillis {
-        let (started, at) = self.0.started;
-        let since = self.0.clock.now().saturating_ms_since(started);
-        at.saturating_add_ms(since)
+        let (started, unix) = self.0.started_at;
+        let elapsed = self.0.clock.now().saturating_ms_since(started);
+        unix.saturating_add_ms(elapsed)
     }
 
-    /// Takes in changes of the key-value service up to a revision; `whole`
-    /// says that `changed` are all keys that there are. Keys that are not
-    /// below the prefix are passed over.
+    /// Applies changes of the key-value service up to a revision.
+    ///
+    /// `whole` means that `changed` is a full snapshot of all keys. Keys that
+    /// are not below the prefix are ignored.
     pub fn apply(
         &self,
         changed: &[KeyValue],
@@ -297,11 +299,11 @@
             state.records.remove_stored(digest, at);
         }
         if whole {
-            let there: IndexSet<RequestDigest> =
+            let present: IndexSet<RequestDigest> =
                 changed.iter().map(|(digest, _)| *digest).collect();
             state
                 .records
-                .retain_stored(revision, |digest| there.contains(digest));
+                .retain_stored(revision, |digest| present.contains(digest));
         }
         self.update_record_count(&state);
     }
@@ -312,7 +314,7 @@
         (verdict, state.records.crashes(digest))
     }
 
-    /// Takes what the service has of a request at a revision.
+    /// Applies the stored record of a request as read at a revision.
     fn apply_read(
         &self,
         digest: RequestDigest,
@@ -337,8 +339,8 @@
         let before = state.records.verdict_at(digest, now);
         state.records.apply_stored(digest, stored, now);
         self.log_standing(state, digest, before);
-        // Others go by what is written: a crash that was not worth a write
-        // of its own is, now that there is more.
+        // Other processes decide by the stored record: a crash that was not
+        // written on its own is written now that there is further evidence.
         let stored_and_unsaved = state.records.stored_and_unsaved(digest);
         if stored_and_unsaved
             .is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty())
@@ -390,7 +392,7 @@
 }
 
 impl State {
-    /// Takes note of a whole answer; returns whether it refutes anything.
+    /// Applies a complete response; reports whether it refutes any crash.
     fn apply_answer(
         &mut self,
         digest: RequestDigest,
--- a/crates/quarantine/src/quarantine/probe.rs
+++ b/crates/quarantine/src/quarantine/probe.rs
@@ -1,4 +1,4 @@
-//! Lets a held request through once.
+//! Admits a quarantined request once as a probe.
 
 use base::RequestDigest;
 
@@ -6,7 +6,8 @@
 use crate::{StoredRecord, Verdict, store::WriteResult};
 
 impl Quarantine {
-    /// Enters a trial, so that no other node lets the request through.
+    /// Records the start of a probe, so that no other node probes the request
+    /// at the same time.
     pub(super) async fn begin_probe(&self, digest: RequestDigest) -> bool {
         let Some(store) = &self.0.store else {
             return self.begin_local_trial(digest);
@@ -39,7 +40,7 @@
                 }
                 Err(report) => {
                     log::info!(digest:%, error:% = report.current_context();
-                        "a trial of a held request cannot be entered");
+                        "cannot record the probe of a quarantined request");
                     return false;
                 }
             }
--- a/crates/quarantine/src/quarantine/updates.rs
+++ b/crates/quarantine/src/quarantine/updates.rs
@@ -1,5 +1,5 @@
-//! Shares what is known with other processes that do not follow the
-//! key-value service.
+//! Shares crash records with processes that do not watch the key-value
+//! service.
 
 use base::{RequestDigest, UnixMillis};
 use error_stack::Report;
@@ -9,24 +9,24 @@
 use super::{Quarantine, State};
 use crate::{CrashRecord, StoredRecord, Verdict};
 
-/// Requests that one message names.
+/// Maximum number of updates in one message.
 const MAX_UPDATES: usize = 64;
 
-/// Requests that were cleared lately and are remembered.
+/// Maximum number of recently released requests that are kept.
 const MAX_RELEASES: usize = 64;
 
-/// How long a change is passed on, in milliseconds: longer than it takes to
-/// reach all processes by way of their neighbours. A process that missed it
-/// learns it with the next crash that it sees.
+/// Time for which a change is propagated, in milliseconds. It exceeds the time
+/// that the change needs to reach all processes from peer to peer. A process
+/// that misses the change receives it with the next crash that it detects.
 const UPDATE_RETENTION_MS: u64 = 30_000;
 
-/// What one process reports of a request to another.
+/// A change of a crash record, which one process sends to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CrashRecordUpdate {
     digest: RequestDigest,
-    /// Revision of the key-value service at which it became so.
+    /// Revision of the key-value service at which the change was written.
     revision: u64,
-    /// What speaks against it; none if it was cleared.
+    /// The crash record; `None` if the request was released.
     #[serde(
         default,
         rename = "case",
@@ -35,18 +35,18 @@
     record: Option<CrashRecord>,
 }
 
-/// A request that was cleared.
+/// The release of a request from the quarantine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Release {
-    /// Revision of the write that cleared it.
+    /// Revision of the write that released the request.
     revision: u64,
-    /// When this process learned it.
+    /// Time at which this process received the release.
     at: UnixMillis,
 }
 
 impl Quarantine {
-    /// Reads what the key-value service has. A process does so once, when it
-    /// starts, if nobody follows the service for it.
+    /// Reads all records from the key-value service. A process calls this once
+    /// at its start if it has no watch of the key-value service.
     ///
     /// # Errors
     ///
@@ -60,8 +60,8 @@
         Ok(())
     }
 
-    /// Returns what other processes have to know: the requests that are held
-    /// and those that were cleared.
+    /// Returns the updates for other processes: quarantined requests and
+    /// recent releases.
     pub fn updates(&self) -> Vec<CrashRecordUpdate> {
         let state = self.lock();
         let now = self.now();
@@ -74,19 +74,20 @@
             record: None,
         });
         let stored = state.records.stored();
-        let held = stored.filter(|(digest, stored)| {
+        let quarantined = stored.filter(|(digest, stored)| {
             is_recent(stored.record.changed_at())
                 && state.records.verdict_at(*digest, now) != Verdict::Clear
         });
-        let held = held.map(|(digest, stored)| CrashRecordUpdate {
-            digest,
-            revision: stored.revision,
-            record: Some(stored.record.clone()),
-        });
-        held.chain(released).take(MAX_UPDATES).collect()
+        let quarantined =
+            quarantined.map(|(digest, stored)| CrashRecordUpdate {
+                digest,
+                revision: stored.revision,
+                record: Some(stored.record.clone()),
+            });
+        quarantined.chain(released).take(MAX_UPDATES).collect()
     }
 
-    /// Takes in what another process has reported.
+    /// Applies updates of another process.
     pub fn apply_updates(&self, updates: Vec<CrashRecordUpdate>) {
         if updates.is_empty() {
             return;
@@ -103,8 +104,8 @@
                 continue;
             }
             match record {
-                // Two processes that pass on a case that has run out would
-                // never forget it.
+                // Otherwise two processes would propagate an expired record to
+                // each other forever.
                 Some(record)
                     if state.records.is_unusable(&record, self.now()) => {}
                 Some(record) => {
@@ -122,7 +123,7 @@
 }
 
 impl State {
-    /// Remembers that a request was cleared at a revision.
+    /// Records the release of a request at a revision.
     pub(super) fn note_released(
         &mut self,
         digest: RequestDigest,
--- a/crates/quarantine/src/quarantine/write.rs
+++ b/crates/quarantine/src/quarantine/write.rs
@@ -1,4 +1,4 @@
-//! Writes what this process sees to the key-value service.
+//! Writes the changes of this process to the key-value service.
 
 use std::time::Duration;
 
@@ -14,27 +14,28 @@
     store::{RecordStore, WriteResult},
 };
 
-/// Pause after a failed write, in milliseconds.
+/// Backoff after a failed write, in milliseconds.
 const WRITE_BACKOFF_MS: u64 = 1_000;
 
-/// Writes of a node within a second, so that the loss of many endpoints does
-/// not crowd out what others write.
+/// Rate limit of a node's writes per second, so that the loss of many
+/// endpoints does not displace the writes of others.
 const MAX_WRITES_PER_S: f64 = 8.0;
 
-/// Writes of a node at once.
+/// Burst of a node's writes.
 const WRITE_BURST: u32 = 32;
 
-/// Crashes from which on what is known of a request is written in any case.
+/// Number of crashes from which on a record is written even if the crashes are
+/// correlated with those of other endpoints.
 const MIN_CRASHES_TO_WRITE: usize = 2;
 
-/// Time between a crash and its entry in the service, in milliseconds. When
-/// it is over, it is known whether other endpoints crashed with that one.
+/// Delay between a crash and the write of its record, in milliseconds. After
+/// the delay, it is known whether other endpoints crashed at the same time.
 const CORRELATION_DELAY_MS: u64 = 60;
 
-/// Time between two looks for cases that have run out, in milliseconds.
+/// Interval between checks for expired records, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 10_000;
 
-/// A change that the key-value service does not have yet.
+/// A write to the key-value service that is pending.
 #[derive(Clone, Debug)]
 enum Work {
     Save(RequestDigest),
@@ -42,8 +43,8 @@
     Remove(RequestDigest, u64),
 }
 
-/// Takes out of a case what a whole answer refutes. Returns the revision at
-/// which that removed it, if it did.
+/// Removes the crashes that a complete response refutes from the stored
+/// record. Returns the revision of the write if that deleted the record.
 async fn refute(
     store: &RecordStore,
     digest: RequestDigest,
@@ -70,11 +71,11 @@
             WriteResult::Conflict(current, _) => current,
         };
     }
-    Err(Report::new(KvError::NotDone).attach("other writers were faster"))
+    Err(Report::new(KvError::NotDone).attach("too many conflicting writes"))
 }
 
 impl Quarantine {
-    /// Writes what this node sees, until the process ends.
+    /// Writes the changes of this process until the process ends.
     pub async fn run(self) {
         let now = self.0.clock.now();
         let mut writes = TokenBucket::new(MAX_WRITES_PER_S, WRITE_BURST, now);
@@ -90,7 +91,7 @@
                 }
                 if let Err(report) = self.perform(&work).await {
                     log::info!(error:% = report.current_context();
-                        "what is known of a crash is not written yet");
+                        "cannot write a crash record; retrying");
                     self.requeue(work);
                     sleep(Duration::from_millis(WRITE_BACKOFF_MS)).await;
                 }
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Takes what is to be written next: first what speaks most against a
-    /// request.
+    /// Takes the next write: refutations and deletions first, then the record
+    /// with the most evidence.
     fn next_work(&self) -> Option<Work> {
         let mut state = self.lock();
         if let Some((digest, refutation)) = state.refutations.pop() {
@@ -146,7 +147,7 @@
                 Ok(())
             }
             Work::Remove(digest, revision) => {
-                // A case that has changed meanwhile stays.
+                // A record that has changed meanwhile stays.
                 store.delete(*digest, *revision).await.map(|_| ())
             }
         }
@@ -178,27 +179,28 @@
                 }
             }
         }
-        Err(Report::new(KvError::NotDone).attach("other writers were faster"))
+        Err(Report::new(KvError::NotDone)
+            .attach("too many conflicting writes"))
     }
 
-    /// Returns what the service has of a request and what it lacks; none if
-    /// that is not worth a write.
+    /// Returns the stored record of a request and the changes that it lacks,
+    /// or `None` if the changes should not be written.
     fn changes_to_save(
         &self,
         digest: RequestDigest,
     ) -> Option<(Option<StoredRecord>, CrashRecord)> {
         let state = self.lock();
         let (stored, unsaved) = state.records.stored_and_unsaved(digest)?;
-        let is_accident =
+        let is_correlated =
             |crash: &Crash| state.recent.is_correlated(crash.ended_at);
-        let is_worth_it = stored.is_some()
+        let should_write = stored.is_some()
             || state.records.crashes(digest) >= MIN_CRASHES_TO_WRITE
-            || !unsaved.crashes().iter().all(is_accident);
-        is_worth_it.then_some((stored, unsaved))
+            || !unsaved.crashes().iter().all(is_correlated);
+        should_write.then_some((stored, unsaved))
     }
 
-    /// Takes note of a write. If the request was answered meanwhile, what
-    /// was written is refuted.
+    /// Applies a finished write. If the request completed meanwhile, the
+    /// written record is refuted.
     fn finish_save(
         &self,
         digest: RequestDigest,
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -51,8 +51,8 @@
         key.strip_prefix(&self.prefix)?.parse().ok()
     }
 
-    /// Writes a record if the stored one is still at revision `before`; 0 means
-    /// that none is stored.
+    /// Writes a record if the stored one is still at revision `before`; 0
+    /// means that none is stored.
     pub(crate) async fn put(
         &self,
         digest: RequestDigest,
@@ -97,7 +97,7 @@
         };
         let written = timeout(CALL_TIMEOUT, self.kv.txn(txn)).await;
         let written = written.unwrap_or_else(|_| {
-            Err(Report::new(KvError::Unknown).attach("no answer in time"))
+            Err(Report::new(KvError::Unknown).attach("no response in time"))
         });
         match written {
             Ok(reply) if reply.succeeded => {
@@ -118,7 +118,7 @@
         let key = self.key(digest);
         let reply = timeout(CALL_TIMEOUT, self.kv.get(&key)).await;
         let reply = reply.unwrap_or_else(|_| {
-            Err(Report::new(KvError::NotDone).attach("no answer in time"))
+            Err(Report::new(KvError::NotDone).attach("no response in time"))
         })?;
         let stored = reply.kvs.first().map(decode);
         Ok(WriteResult::Conflict(stored, reply.revision))
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -22,8 +22,8 @@
         /// Time until a probe is due, in milliseconds.
         for_ms: u64,
     },
-    /// The quarantine is over, and the request may be sent once as a probe that
-    /// tests whether it still crashes endpoints.
+    /// The quarantine is over, and the request may be sent once as a probe
+    /// that tests whether it still crashes endpoints.
     ProbeDue,
 }
 
@@ -265,8 +265,8 @@
         });
     }
 
-    /// Removes the stored records for which `is_present` returns `false`, as of
-    /// a revision.
+    /// Removes the stored records for which `is_present` returns `false`, as
+    /// of a revision.
     pub fn retain_stored(
         &mut self,
         revision: u64,
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Applies a complete response to a request. Returns whether it refutes any
-    /// crash, and the stored record before the change.
+    /// Applies a complete response to a request. Returns whether it refutes
+    /// any crash, and the stored record before the change.
     pub fn record_answer(
         &mut self,
         digest: RequestDigest,
@@ -323,8 +323,8 @@
         }
     }
 
-    /// Takes the requests whose records were removed here but are still stored,
-    /// with the revisions of the stored records.
+    /// Takes the requests whose records were removed here but are still
+    /// stored, with the revisions of the stored records.
     pub fn take_removed(&mut self) -> Vec<(RequestDigest, u64)> {
         std::mem::take(&mut self.removed)
     }
--- a/crates/quarantine/tests/days.rs
+++ b/crates/quarantine/tests/days.rs
@@ -1,104 +1,115 @@
-//! Days of fleets with requests that crash endpoints and endpoints that are
-//! killed, drawn by seed. `QUARANTINE_SEEDS` sets how many are played.
+//! Simulations of fleets with poison requests and killed endpoints, generated
+//! from seeds. `QUARANTINE_SEEDS` sets the number of simulations.
 
 mod world;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use world::{Plan, World};
+use world::{Scenario, World};
 
-/// Times that a request may be sent again once it has crashed three
-/// endpoints and all nodes have had the time to hear of it.
-const RETRIES_MOST: usize = 3;
+/// Maximum number of sends of a request after it crashed three endpoints and
+/// its record had the time to reach all nodes.
+const MAX_LATE_SENDS: usize = 3;
 
-/// Length of a day.
-const SECONDS: u64 = 60;
+/// Duration of a simulation, in seconds.
+const DURATION_S: u64 = 60;
 
-/// Shortest mean life of endpoints that are killed one by one, in seconds.
-/// Half of them are killed at once as often.
-const LIFE_S: f64 = 30.0;
+/// Minimum mean lifetime of endpoints that are killed one by one, in seconds.
+/// Simultaneous kills of up to half of the fleet shorten the lifetime by as
+/// much again.
+const MIN_LIFETIME_S: f64 = 30.0;
 
 fn seeds(default: u64) -> u64 {
-    let given = std::env::var("QUARANTINE_SEEDS").ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(default)
+    let value = std::env::var("QUARANTINE_SEEDS").ok();
+    value.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn plan(seed: u64) -> Plan {
+fn scenario(seed: u64) -> Scenario {
     let mut random = StdRng::seed_from_u64(seed ^ 0x5eed);
     let endpoints = random.random_range(4..=40);
-    Plan {
+    Scenario {
         nodes: random.random_range(1..=12),
         endpoints,
         kills_per_s: 0.0,
         killed_at_once: 0,
-        killed_each_ms: 15_000,
-        crashers: 0,
-        crasher_pause_ms: random.random_range(30..=3_000),
+        kill_interval_ms: 15_000,
+        poison_requests: 0,
+        poison_pause_ms: random.random_range(30..=3_000),
         crash_after_ms: {
-            let least = random.random_range(10..=200);
-            (least, least + random.random_range(0..=150))
+            let min = random.random_range(10..=200);
+            (min, min + random.random_range(0..=150))
         },
         callers: endpoints * random.random_range(1..=7),
         run_ms: (200, random.random_range(400..=5_000)),
         contents: [0, 1, 5, 100][random.random_range(0..4)],
         replaced_after_ms: random.random_range(500..=4_000),
-        spread_ms: random.random_range(50..=900),
-        clocks_off_ms: 0,
-        node_life_s: 0,
+        max_propagation_ms: random.random_range(50..=900),
+        max_clock_skew_ms: 0,
+        node_lifetime_s: 0,
     }
 }
 
-/// How far clocks are off on days on which they are, in milliseconds.
-const CLOCKS_OFF_MS: u64 = 4_000;
+/// Maximum clock skew in simulations with skewed clocks, in milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 4_000;
 
-/// Mean time between two restarts of a node on such days, in seconds.
-const NODE_LIFE_S: u64 = 20;
+/// Mean time between two restarts of a node in such simulations, in seconds.
+const NODE_LIFETIME_S: u64 = 20;
 
-/// Guards against requests that reach one endpoint after the other, on any
-/// fleet and at any pace.
+/// Guards against poison requests that crash one endpoint after the other, for
+/// varying fleets and request rates.
 #[test]
-fn requests_that_crash_endpoints_are_held() {
+fn poison_requests_are_quarantined() {
     for seed in 0..seeds(60) {
-        let plan = Plan {
-            crashers: 1 + (seed % 3) as usize,
-            ..plan(seed)
+        let scenario = Scenario {
+            poison_requests: 1 + (seed % 3) as usize,
+            ..scenario(seed)
         };
-        let day = World::new(plan, seed).play(SECONDS);
-        let most = day.late_sends.iter().max().copied().unwrap_or(0);
-        assert!(most <= RETRIES_MOST, "seed {seed}: {day:?} {plan:?}");
+        let report = World::new(scenario, seed).run(DURATION_S);
+        let max = report.late_sends.iter().max().copied().unwrap_or(0);
+        assert!(
+            max <= MAX_LATE_SENDS,
+            "seed {seed}: {report:?} {scenario:?}"
+        );
     }
 }
 
-/// Guards against requests that are held since endpoints were killed under
-/// them, one by one and half of them at once.
+/// Guards against quarantining harmless requests whose endpoints were killed,
+/// one by one or up to half of the fleet at once.
 #[test]
-fn requests_at_killed_endpoints_are_not_held() {
+fn requests_at_killed_endpoints_are_not_quarantined() {
     for seed in 0..seeds(60) {
-        let plan = plan(seed);
+        let scenario = scenario(seed);
         let mut random = StdRng::seed_from_u64(seed ^ 0xdead);
-        let endpoints = plan.endpoints as f64;
-        let plan = Plan {
-            kills_per_s: random.random_range(0.0..endpoints / LIFE_S),
-            killed_at_once: random.random_range(0..=plan.endpoints / 2),
-            ..plan
+        let endpoints = scenario.endpoints as f64;
+        let scenario = Scenario {
+            kills_per_s: random.random_range(0.0..endpoints / MIN_LIFETIME_S),
+            killed_at_once: random.random_range(0..=scenario.endpoints / 2),
+            ..scenario
         };
-        let day = World::new(plan, seed).play(SECONDS);
-        assert_eq!(day.held, 0, "seed {seed}: {day:?} {plan:?}");
+        let report = World::new(scenario, seed).run(DURATION_S);
+        assert_eq!(
+            report.quarantined, 0,
+            "seed {seed}: {report:?} {scenario:?}"
+        );
     }
 }
 
-/// Guards against requests that reach one endpoint after the other since the
-/// clocks of the nodes differ by seconds, and by others after each restart.
+/// Guards against poison requests that crash one endpoint after the other
+/// because the clocks of nodes differ by seconds and change with each
+/// restart.
 #[test]
-fn requests_that_crash_endpoints_are_held_by_clocks_that_differ() {
+fn poison_requests_are_quarantined_despite_clock_skew() {
     for seed in 0..seeds(60) {
-        let plan = Plan {
-            crashers: 1 + (seed % 3) as usize,
-            clocks_off_ms: CLOCKS_OFF_MS,
-            node_life_s: NODE_LIFE_S,
-            ..plan(seed)
+        let scenario = Scenario {
+            poison_requests: 1 + (seed % 3) as usize,
+            max_clock_skew_ms: MAX_CLOCK_SKEW_MS,
+            node_lifetime_s: NODE_LIFETIME_S,
+            ..scenario(seed)
         };
-        let day = World::new(plan, seed).play(SECONDS);
-        let most = day.late_sends.iter().max().copied().unwrap_or(0);
-        assert!(most <= RETRIES_MOST, "seed {seed}: {day:?} {plan:?}");
+        let report = World::new(scenario, seed).run(DURATION_S);
+        let max = report.late_sends.iter().max().copied().unwrap_or(0);
+        assert!(
+            max <= MAX_LATE_SENDS,
+            "seed {seed}: {report:?} {scenario:?}"
+        );
     }
 }
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -1,5 +1,4 @@
-//! Several processes that share what they know through the key-value
-//! service.
+//! Tests of processes that share crash records through the key-value service.
 
 use std::{
     sync::{
@@ -16,7 +15,7 @@
 };
 use tokio::time::{sleep, timeout};
 
-/// A clock that a test sets.
+/// A clock that the test sets.
 #[derive(Default)]
 struct SetClock(AtomicU64);
 
@@ -38,8 +37,8 @@
 
 const PREFIX: &str = "t/";
 
-/// Follows the service for a node, as the feeds of a fleet do.
-async fn follow(kv: Memory, node: Quarantine) {
+/// Watches the key-value service for a node, as the feeds of a fleet do.
+async fn watch(kv: Memory, node: Quarantine) {
     loop {
         let Ok(read) = kv.get_prefix(PREFIX, 0).await else {
             sleep(Duration::from_millis(10)).await;
@@ -80,27 +79,27 @@
     }
 
     fn add(&mut self) -> Quarantine {
-        let node = self.alone();
+        let node = self.unwatched();
         tokio::spawn(node.clone().run());
-        tokio::spawn(follow(self.kv.clone(), node.clone()));
+        tokio::spawn(watch(self.kv.clone(), node.clone()));
         self.nodes.push(node.clone());
         node
     }
 
-    /// Makes a process that nobody follows the service for.
-    fn alone(&self) -> Quarantine {
+    /// Creates a process without a watch of the key-value service.
+    fn unwatched(&self) -> Quarantine {
         let kv: Arc<dyn Kv> = Arc::new(self.kv.clone());
         let options = QuarantineOptions::default();
         Quarantine::new(kv, PREFIX, self.clock.clone(), options)
     }
 
-    fn pass(&self, ms: u64) {
+    fn advance_ms(&self, ms: u64) {
         self.clock.0.fetch_add(ms, Ordering::Relaxed);
     }
 
-    /// Has one node see a crash after a run of 100 ms, now.
+    /// Records a crash at one node, after a run of 100 ms that ends now.
     fn crash(&self, node: usize, endpoint: u64) {
-        self.pass(1_000);
+        self.advance_ms(1_000);
         let ended_at = self.clock.unix();
         let crash = Crash {
             endpoint: CrashedEndpoint::new(endpoint),
@@ -112,30 +111,30 @@
         self.nodes[node].record_crash(bad(), crash);
     }
 
-    async fn is_held(&self, node: usize) -> bool {
+    async fn is_quarantined(&self, node: usize) -> bool {
         self.nodes[node].admit(bad).await.is_err()
     }
 
-    async fn until_all_hold(&self) {
+    async fn wait_until_all_quarantine(&self) {
         let wait = async {
             for node in 0..self.nodes.len() {
-                while !self.is_held(node).await {
+                while !self.is_quarantined(node).await {
                     sleep(Duration::from_millis(5)).await;
                 }
             }
         };
         let wait = timeout(Duration::from_secs(10), wait).await;
-        wait.expect("all nodes hold the request");
+        wait.expect("all nodes quarantine the request");
     }
 
-    async fn until_all_forget(&self) {
+    async fn wait_until_all_release(&self) {
         let wait = async {
             while self.nodes.iter().any(|node| !node.is_empty()) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
         let wait = timeout(Duration::from_secs(10), wait).await;
-        wait.expect("all nodes forget the request");
+        wait.expect("all nodes release the request");
     }
 
     async fn stored(&self) -> usize {
@@ -155,37 +154,37 @@
 }
 
 /// Guards against a fleet in which each node loses three endpoints before it
-/// holds a request.
+/// quarantines a request.
 #[tokio::test]
-async fn crashes_that_three_nodes_see_hold_a_request_on_all() {
+async fn crashes_at_three_nodes_quarantine_a_request_on_all() {
     let fleet = Fleet::start(5);
     for node in 0..3 {
         fleet.crash(node, node as u64);
     }
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
     assert_eq!(fleet.stored().await, 1);
 }
 
-/// Guards against requests that crash three endpoints again after each
+/// Guards against poison requests that crash three endpoints again after each
 /// restart of the fleet.
 #[tokio::test]
-async fn a_process_that_starts_later_holds_it_too() {
+async fn a_process_that_starts_later_quarantines_the_request() {
     let mut fleet = Fleet::start(1);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
     while fleet.stored().await == 0 {
         sleep(Duration::from_millis(5)).await;
     }
     fleet.add();
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
 
-/// Guards against crashes that are forgotten, or counted twice, as the
-/// answer of the service is lost.
+/// Guards against crashes that are lost or counted twice because a response of
+/// the key-value service is lost.
 #[tokio::test]
-async fn writes_whose_answers_are_lost_count_once() {
+async fn writes_whose_responses_are_lost_count_once() {
     let fleet = Fleet::start(2);
     // The first write is the grant of the lease.
     fleet.kv.script_writes([
@@ -198,76 +197,77 @@
         fleet.crash(0, endpoint);
     }
     sleep(Duration::from_millis(300)).await;
-    assert!(!fleet.is_held(1).await);
+    assert!(!fleet.is_quarantined(1).await);
     fleet.crash(1, 2);
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
 
-/// Guards against a fleet that loses one endpoint a node when a hold ends.
+/// Guards against a fleet in which each node loses an endpoint when a
+/// quarantine ends.
 #[tokio::test]
-async fn one_node_alone_tries_a_held_request_again() {
+async fn only_one_node_probes_a_quarantined_request() {
     let fleet = Fleet::start(4);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    fleet.until_all_hold().await;
-    fleet.pass(QuarantineOptions::default().initial_hold_ms);
-    let tries = fleet.nodes.iter().map(|node| node.admit(bad));
+    fleet.wait_until_all_quarantine().await;
+    fleet.advance_ms(QuarantineOptions::default().initial_hold_ms);
+    let attempts = fleet.nodes.iter().map(|node| node.admit(bad));
     let mut admitted = 0;
-    for tried in tries {
-        admitted += u32::from(tried.await.is_ok());
+    for attempt in attempts {
+        admitted += u32::from(attempt.await.is_ok());
     }
     assert_eq!(admitted, 1);
     fleet.crash(2, 7);
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
 
-/// Guards against a sound request that stays held though a trial has shown
-/// that it is.
+/// Guards against a harmless request that stays quarantined although its probe
+/// completed.
 #[tokio::test]
-async fn an_answer_to_a_trial_clears_the_request_everywhere() {
+async fn a_completed_probe_releases_the_request_everywhere() {
     let fleet = Fleet::start(3);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    fleet.until_all_hold().await;
-    fleet.pass(QuarantineOptions::default().initial_hold_ms);
-    assert!(!fleet.is_held(1).await);
+    fleet.wait_until_all_quarantine().await;
+    fleet.advance_ms(QuarantineOptions::default().initial_hold_ms);
+    assert!(!fleet.is_quarantined(1).await);
     fleet.nodes[1].record_answer(bad, 0);
-    fleet.until_all_forget().await;
+    fleet.wait_until_all_release().await;
     assert_eq!(fleet.stored().await, 0);
 }
 
-/// Guards against probes that nobody else hears of.
+/// Guards against probes that other nodes do not know of.
 #[tokio::test]
-async fn without_the_service_a_held_request_stays_held() {
+async fn a_request_stays_quarantined_without_the_key_value_service() {
     let fleet = Fleet::start(2);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
     fleet.kv.set_down(true);
-    fleet.pass(QuarantineOptions::default().initial_hold_ms);
-    assert!(fleet.is_held(0).await);
-    assert!(fleet.is_held(1).await);
+    fleet.advance_ms(QuarantineOptions::default().initial_hold_ms);
+    assert!(fleet.is_quarantined(0).await);
+    assert!(fleet.is_quarantined(1).await);
 }
 
-/// Guards against a crash that is lost as the service was away when it
-/// happened.
+/// Guards against losing a crash that occurred during an outage of the
+/// key-value service.
 #[tokio::test]
-async fn what_was_seen_in_an_outage_is_written_after_it() {
+async fn crashes_during_an_outage_are_written_after_it() {
     let fleet = Fleet::start(2);
     fleet.kv.set_down(true);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
     }
-    assert!(fleet.is_held(0).await, "by what the node has seen itself");
+    assert!(fleet.is_quarantined(0).await, "by the node's own crashes");
     fleet.kv.set_down(false);
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
 
-/// Guards against a write for each request that is cut off when a rack is
-/// lost.
+/// Guards against a write for each request that the loss of a rack
+/// interrupts.
 #[tokio::test]
 async fn the_loss_of_many_endpoints_at_once_writes_nothing() {
     let fleet = Fleet::start(1);
@@ -293,10 +293,9 @@
     assert_eq!(fleet.stored().await, 0);
 }
 
-/// Guards against processes that follow nothing and lose three endpoints
-/// each.
+/// Guards against processes without a watch that lose three endpoints each.
 #[tokio::test]
-async fn neighbours_tell_each_other_of_held_requests() {
+async fn peers_share_quarantined_requests() {
     let fleet = Fleet::start(1);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
@@ -304,11 +303,11 @@
     while fleet.nodes[0].updates().is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
-    let [near, far] = [0, 1].map(|_| fleet.alone());
+    let [near, far] = [0, 1].map(|_| fleet.unwatched());
     near.apply_updates(fleet.nodes[0].updates());
     far.apply_updates(near.updates());
     assert!(far.admit(bad).await.is_err());
-    // Once it is cleared, what others still tell brings it back nowhere.
+    // After the release, stale updates of peers do not restore the record.
     let stale = far.updates();
     fleet.nodes[0].record_answer(bad, 0);
     while fleet.stored().await > 0 {
@@ -321,10 +320,9 @@
     assert!(far.admit(bad).await.is_ok());
 }
 
-/// Guards against two processes that keep a request held for each other
-/// after its time.
+/// Guards against two processes that restore each other's expired records.
 #[tokio::test]
-async fn news_of_what_has_run_out_is_not_taken() {
+async fn expired_updates_are_ignored() {
     let fleet = Fleet::start(1);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
@@ -333,16 +331,16 @@
         sleep(Duration::from_millis(5)).await;
     }
     let old = fleet.nodes[0].updates();
-    fleet.pass(QuarantineOptions::default().retention_ms);
-    let other = fleet.alone();
+    fleet.advance_ms(QuarantineOptions::default().retention_ms);
+    let other = fleet.unwatched();
     other.apply_updates(old);
     assert!(other.is_empty());
 }
 
-/// Guards against requests that crash endpoints again after an outage of the
-/// service in which leases run out.
+/// Guards against poison requests that crash endpoints again after an outage
+/// of the key-value service in which leases expire.
 #[tokio::test]
-async fn a_request_stays_held_when_leases_run_out() {
+async fn a_request_stays_quarantined_when_leases_expire() {
     let mut fleet = Fleet::start(1);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
@@ -352,12 +350,12 @@
     }
     fleet.kv.step_ms(3_600_000);
     fleet.add();
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
 
-/// Guards against keys that nobody removes.
+/// Guards against records that are never removed.
 #[tokio::test(start_paused = true)]
-async fn what_has_run_out_is_removed_from_the_service() {
+async fn expired_records_are_removed_from_the_key_value_service() {
     let fleet = Fleet::start(3);
     for endpoint in 0..3 {
         fleet.crash(0, endpoint);
@@ -365,17 +363,17 @@
     while fleet.stored().await == 0 {
         sleep(Duration::from_millis(5)).await;
     }
-    fleet.pass(QuarantineOptions::default().retention_ms);
+    fleet.advance_ms(QuarantineOptions::default().retention_ms);
     while fleet.stored().await > 0 {
         sleep(Duration::from_millis(5)).await;
     }
-    fleet.until_all_forget().await;
+    fleet.wait_until_all_release().await;
 }
 
-/// Guards against a crash that only the node counts that has seen it, as it
-/// came with those of other endpoints.
+/// Guards against a crash that counts only at the node that detected it,
+/// because it was correlated with crashes of other endpoints.
 #[tokio::test]
-async fn a_crash_that_came_with_others_is_shared_once_there_is_more() {
+async fn a_correlated_crash_is_shared_with_further_evidence() {
     let fleet = Fleet::start(2);
     let ended_at = fleet.clock.unix();
     for endpoint in 10..16 {
@@ -392,5 +390,5 @@
     assert_eq!(fleet.stored().await, 0);
     fleet.crash(1, 1);
     fleet.crash(1, 2);
-    fleet.until_all_hold().await;
+    fleet.wait_until_all_quarantine().await;
 }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -1,4 +1,4 @@
-//! What speaks against a request, and what does not.
+//! Tests of which crashes count as evidence against a request.
 
 use base::{RequestContent, RequestDigest, UnixMillis};
 use pomeloslip_quarantine::{
@@ -21,7 +21,7 @@
     UnixMillis::new(1_000_000 + ms)
 }
 
-/// A run of `ran_ms` that ended without progress.
+/// Returns a crash after a run of `ran_ms` without progress.
 fn crash(endpoint: u64, ended_ms: u64, ran_ms: u64) -> Crash {
     Crash {
         endpoint: CrashedEndpoint::new(endpoint),
@@ -36,19 +36,19 @@
     CrashRecordTable::new(QuarantineOptions::default())
 }
 
-/// Adds crashes one second apart, each of another endpoint.
-fn crash_times(
+/// Adds crashes of different endpoints, one second apart.
+fn add_crashes(
     table: &mut CrashRecordTable,
     digest: RequestDigest,
-    times: u64,
+    count: u64,
 ) {
-    for number in 1..=times {
+    for number in 1..=count {
         let ended_ms = number * 1_000;
         table.add_crash(digest, crash(number, ended_ms, 100));
     }
 }
 
-fn is_held(
+fn is_quarantined(
     table: &CrashRecordTable,
     digest: RequestDigest,
     now_ms: u64,
@@ -66,15 +66,15 @@
     three = { 3, true },
     four = { 4, true },
 )]
-fn a_request_is_held_after_three_crashes(crashes: u64, held: bool) {
+fn a_request_is_quarantined_after_three_crashes(crashes: u64, expected: bool) {
     let mut table = table();
-    crash_times(&mut table, digest("bad"), crashes);
-    assert_eq!(is_held(&table, digest("bad"), 5_000), held);
-    assert!(!is_held(&table, digest("good"), 5_000));
+    add_crashes(&mut table, digest("bad"), crashes);
+    assert_eq!(is_quarantined(&table, digest("bad"), 5_000), expected);
+    assert!(!is_quarantined(&table, digest("good"), 5_000));
 }
 
-/// Guards against requests that are held since many endpoints were lost at
-/// the same time while each ran a copy of them.
+/// Guards against quarantining a request because many endpoints that each ran
+/// a copy of it were lost at the same time.
 #[test]
 fn crashes_at_the_same_time_count_once() {
     let mut table = table();
@@ -82,14 +82,14 @@
         let ended_ms = 1_000 + endpoint * 20;
         table.add_crash(digest("popular"), crash(endpoint, ended_ms, 300));
     }
-    assert!(!is_held(&table, digest("popular"), 1_200));
+    assert!(!is_quarantined(&table, digest("popular"), 1_200));
     assert_eq!(table.crashes(digest("popular")), 1);
 }
 
-/// Guards against a request that is held for crashes that its next run got
-/// well past, as that of a long item does next to one that crashes endpoints.
+/// Guards against quarantining a request for crashes that its next run got
+/// well past, such as those of a long item that runs next to a poison request.
 #[test]
-fn a_run_that_goes_on_for_longer_refutes_a_crash() {
+fn a_longer_run_refutes_a_crash() {
     let mut table = table();
     for number in 1..=6 {
         let reached = number * 20;
@@ -100,11 +100,11 @@
         };
         table.add_crash(digest("item"), run);
     }
-    assert!(!is_held(&table, digest("item"), 24_100));
+    assert!(!is_quarantined(&table, digest("item"), 24_100));
 }
 
-/// Guards against a request that is never held since each run of its stream
-/// begins behind the one before, and gets a little further.
+/// Guards against a poison request that is never quarantined because each run
+/// of its stream resumes after the previous one and gets a little further.
 #[test]
 fn little_progress_between_crashes_refutes_nothing() {
     let mut table = table();
@@ -116,11 +116,11 @@
         };
         table.add_crash(digest("bad"), run);
     }
-    assert!(is_held(&table, digest("bad"), 6_100));
+    assert!(is_quarantined(&table, digest("bad"), 6_100));
 }
 
-/// Guards against a request that is held for crashes at all points of its
-/// answer, of which a request that crashes endpoints has one.
+/// Guards against quarantining a request for crashes at various points of its
+/// response; a poison request always crashes at the same point.
 #[test]
 fn a_longer_run_refutes_crashes_before_and_after_it() {
     let mut table = table();
@@ -134,10 +134,10 @@
     assert_eq!(table.crashes(digest("popular")), 1);
 }
 
-/// Guards against a request that is blamed for a crash as one of its copies
-/// had just begun, while another one had run there for long.
+/// Guards against counting a crash at full weight because one copy of the
+/// request had just started, while another copy had made progress there.
 #[test]
-fn the_copy_that_got_furthest_counts() {
+fn the_copy_with_most_progress_counts() {
     let mut table = table();
     for number in 1..=3 {
         let just_begun = crash(number, 1_000 * number, 10);
@@ -148,15 +148,15 @@
         table.add_crash(digest("popular"), just_begun);
         table.add_crash(digest("popular"), far);
     }
-    assert!(!is_held(&table, digest("popular"), 3_100));
+    assert!(!is_quarantined(&table, digest("popular"), 3_100));
 }
 
-/// Guards against an item that is held since it ran next to one that crashes
-/// endpoints, each time for a moment in which it did get on.
+/// Guards against quarantining an item that ran next to a poison request and
+/// made progress before each crash.
 #[test]
-fn three_crashes_before_which_a_request_got_on_do_not_hold_it() {
+fn three_crashes_with_progress_do_not_quarantine() {
     let mut table = table();
-    crash_times(&mut table, digest("bad"), 3);
+    add_crashes(&mut table, digest("bad"), 3);
     for number in 1..=3 {
         let run = Crash {
             resumed_after: 10 * number - 10,
@@ -165,35 +165,36 @@
         };
         table.add_crash(digest("near"), run);
     }
-    assert!(is_held(&table, digest("bad"), 3_100));
-    assert!(!is_held(&table, digest("near"), 3_100));
+    assert!(is_quarantined(&table, digest("bad"), 3_100));
+    assert!(!is_quarantined(&table, digest("near"), 3_100));
 }
 
-/// Guards against sound requests that are held: a whole answer is proof.
+/// Guards against quarantining harmless requests: a complete response refutes
+/// all crashes.
 #[test]
-fn an_answer_clears_a_request() {
+fn a_complete_response_releases_a_request() {
     let mut table = table();
-    crash_times(&mut table, digest("sound"), 3);
+    add_crashes(&mut table, digest("sound"), 3);
     table.record_answer(digest("sound"), 0);
     assert_eq!(table.verdict_at(digest("sound"), at(3_100)), Verdict::Clear);
     assert!(table.is_empty());
 }
 
-/// Guards against a request that is cleared by the rest of an answer, though
-/// the part that crashes endpoints was not run again.
+/// Guards against a poison request that is released by the remainder of a
+/// response, although the part that crashes endpoints did not run again.
 #[test]
-fn the_rest_of_an_answer_clears_nothing_before_it() {
+fn a_resumed_response_refutes_no_earlier_crash() {
     let mut table = table();
-    crash_times(&mut table, digest("bad"), 3);
+    add_crashes(&mut table, digest("bad"), 3);
     assert!(!table.record_answer(digest("bad"), 5).0);
-    assert!(is_held(&table, digest("bad"), 3_100));
+    assert!(is_quarantined(&table, digest("bad"), 3_100));
 }
 
 #[test]
-fn each_crash_and_each_trial_lengthens_the_hold() {
+fn each_crash_and_each_probe_lengthens_the_quarantine() {
     let options = QuarantineOptions::default();
     let mut table = table();
-    crash_times(&mut table, digest("bad"), 3);
+    add_crashes(&mut table, digest("bad"), 3);
     let first = at(3_000).saturating_add_ms(options.initial_hold_ms);
     assert_eq!(table.verdict_at(digest("bad"), first), Verdict::ProbeDue);
     table.begin_probe(digest("bad"), first);
@@ -217,11 +218,12 @@
     );
 }
 
-/// How far off the clock of a node that was never set may be.
-const HOURS_MS: u64 = 3 * 3_600_000;
+/// Skew of a clock that was never set, in milliseconds.
+const LARGE_SKEW_MS: u64 = 3 * 3_600_000;
 
-/// Learns three crashes of another node whose clock shows `dated_ms`.
-fn learned(dated_ms: u64, now_ms: u64) -> CrashRecordTable {
+/// Returns a table with three crashes that another node reported with times
+/// from `dated_ms` on.
+fn table_with_reported(dated_ms: u64, now_ms: u64) -> CrashRecordTable {
     let mut table = table();
     let crashes =
         [0, 1_000, 2_000].map(|after| crash(after, dated_ms + after, 100));
@@ -229,14 +231,14 @@
     table
 }
 
-/// Guards against a hold of hours, and a case that never ends, since the
-/// clock of the node that saw the crashes was hours ahead.
+/// Guards against a quarantine of hours and a record that never expires,
+/// because the clock of the node that detected the crashes was hours ahead.
 #[test]
-fn a_clock_that_is_hours_ahead_holds_no_request_for_hours() {
+fn a_clock_hours_ahead_does_not_extend_the_quarantine() {
     let options = QuarantineOptions::default();
-    let mut table = learned(HOURS_MS, 5_000);
+    let mut table = table_with_reported(LARGE_SKEW_MS, 5_000);
     let due_ms = 5_000 + options.initial_hold_ms;
-    assert!(is_held(&table, digest("bad"), due_ms - 1));
+    assert!(is_quarantined(&table, digest("bad"), due_ms - 1));
     assert_eq!(
         table.verdict_at(digest("bad"), at(due_ms)),
         Verdict::ProbeDue
@@ -245,53 +247,60 @@
     assert!(table.is_empty());
 }
 
-/// Guards against sends without a pause since the clock of the node that
-/// entered a trial was hours behind.
+/// Guards against sends without a pause because the clock of the node that
+/// recorded a probe was hours behind.
 #[test]
-fn a_clock_that_is_hours_behind_ends_no_hold() {
+fn a_clock_hours_behind_does_not_end_the_quarantine() {
     let options = QuarantineOptions::default();
-    let now_ms = 2 * HOURS_MS;
-    let mut table = learned(HOURS_MS, now_ms);
+    let now_ms = 2 * LARGE_SKEW_MS;
+    let mut table = table_with_reported(LARGE_SKEW_MS, now_ms);
     let Some((Some(StoredRecord { mut record, .. }), _)) =
         table.stored_and_unsaved(digest("bad"))
     else {
-        panic!("learned");
+        panic!("the record is stored");
     };
-    record.begin_probe(at(HOURS_MS));
+    record.begin_probe(at(LARGE_SKEW_MS));
     let stored = StoredRecord {
         record,
         revision: 8,
     };
     table.apply_stored(digest("bad"), stored, at(now_ms));
-    let held_ms = options.hold_ms(1) - 10_000;
-    assert!(is_held(&table, digest("bad"), now_ms + held_ms - 1));
+    let quarantined_ms = options.hold_ms(1) - 10_000;
+    assert!(is_quarantined(
+        &table,
+        digest("bad"),
+        now_ms + quarantined_ms - 1
+    ));
 }
 
-/// Guards against a hold without end by the clock of another node.
+/// Guards against an endless quarantine because of another node's clock.
 #[test]
-fn a_crash_in_the_future_is_held_against_a_request_from_now_on() {
+fn a_crash_in_the_future_counts_from_now() {
     let mut table = table();
-    crash_times(&mut table, digest("bad"), 3);
-    let held = table.verdict_at(digest("bad"), at(0));
+    add_crashes(&mut table, digest("bad"), 3);
+    let verdict = table.verdict_at(digest("bad"), at(0));
     let for_ms = QuarantineOptions::default().initial_hold_ms;
-    assert_eq!(held, Verdict::Quarantined { for_ms });
+    assert_eq!(verdict, Verdict::Quarantined { for_ms });
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_runs_out() {
+fn records_are_bounded_and_expire() {
     let options = QuarantineOptions {
         max_records: 10,
         ..QuarantineOptions::default()
     };
     let mut table = CrashRecordTable::new(options);
-    crash_times(&mut table, digest("first"), 3);
+    add_crashes(&mut table, digest("first"), 3);
     for number in 0..50 {
         let name = format!("request {number}");
         let crash = crash(100 + number, 10_000 + number, 100);
         table.add_crash(digest(&name), crash);
     }
     assert_eq!(table.len(), 10);
-    assert!(!table.contains(digest("first")), "the quietest goes first");
+    assert!(
+        !table.contains(digest("first")),
+        "the oldest record is evicted first"
+    );
     assert!(table.contains(digest("request 49")));
     table.expire(at(10_049 + options.retention_ms - 1));
     assert!(table.contains(digest("request 49")));
@@ -299,9 +308,9 @@
     assert!(table.is_empty());
 }
 
-/// Guards against a case of a few bytes for each of a thousand crashes.
+/// Guards against a record that grows with each of a thousand crashes.
 #[test]
-fn a_case_keeps_few_crashes_and_those_that_count() {
+fn a_record_keeps_few_crashes_and_all_evidence() {
     let mut record = CrashRecord::default();
     for number in 1..=3 {
         record.add(crash(number, 1_000 * number, 100));
@@ -322,24 +331,24 @@
 }
 
 #[test]
-fn what_other_nodes_saw_counts_together_with_what_this_one_saw() {
+fn crashes_of_other_nodes_and_of_this_one_add_up() {
     let mut table = table();
     table.add_crash(digest("bad"), crash(1, 1_000, 100));
     let others = [crash(2, 2_000, 100), crash(3, 3_000, 100)];
     table.apply_stored(digest("bad"), stored(&others, 7), at(3_000));
-    assert!(is_held(&table, digest("bad"), 3_100));
-    // An older write that arrives late brings nothing back.
+    assert!(is_quarantined(&table, digest("bad"), 3_100));
+    // A delayed older write changes nothing.
     table.apply_stored(digest("bad"), stored(&others[..1], 6), at(3_100));
-    assert!(is_held(&table, digest("bad"), 3_100));
+    assert!(is_quarantined(&table, digest("bad"), 3_100));
 }
 
 #[test]
-fn a_case_that_is_gone_from_the_service_leaves_what_was_seen_here() {
+fn deleting_a_stored_record_keeps_unsaved_crashes() {
     let mut table = table();
     let others = [crash(2, 2_000, 100), crash(3, 3_000, 100)];
     table.apply_stored(digest("bad"), stored(&others, 7), at(3_000));
     table.add_crash(digest("bad"), crash(4, 4_000, 100));
-    assert!(is_held(&table, digest("bad"), 4_100));
+    assert!(is_quarantined(&table, digest("bad"), 4_100));
     table.remove_stored(digest("bad"), 8);
     assert_eq!(table.crashes(digest("bad")), 1);
     table.apply_stored(digest("gone"), stored(&others, 9), at(4_100));
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet on a stepped clock: nodes that send requests, endpoints that run
-//! them, a store that nodes hear of after a while.
+//! Simulated fleet on a stepped clock: nodes that send requests, endpoints
+//! that run them, and a store whose changes reach the nodes with a delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,62 +13,65 @@
 /// One step of the clock, in milliseconds.
 pub(crate) const STEP_MS: u64 = 5;
 
-/// How a fleet is made and what happens to it.
+/// Parameters of a simulated fleet and of its failures.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct Scenario {
     pub(crate) nodes: usize,
     pub(crate) endpoints: usize,
-    /// Endpoints that are killed a second, one at a time.
+    /// Rate at which single endpoints are killed, per second.
     pub(crate) kills_per_s: f64,
-    /// Endpoints that are killed at the same moment.
+    /// Number of endpoints that are killed at the same time.
     pub(crate) killed_at_once: usize,
-    /// Time between two such moments, in milliseconds.
-    pub(crate) killed_each_ms: u64,
-    /// Requests whose content crashes endpoints.
-    pub(crate) crashers: usize,
-    /// Time between two sends of each of them, in milliseconds.
-    pub(crate) crasher_pause_ms: u64,
-    /// Time from the begin of their run to the crash, in milliseconds.
+    /// Interval of such simultaneous kills, in milliseconds.
+    pub(crate) kill_interval_ms: u64,
+    /// Number of poison requests.
+    pub(crate) poison_requests: usize,
+    /// Mean time between two sends of a poison request, in milliseconds.
+    pub(crate) poison_pause_ms: u64,
+    /// Range of the time from the start of its run to the crash, in
+    /// milliseconds.
     pub(crate) crash_after_ms: (u64, u64),
-    /// Sound requests that are under way at any time.
+    /// Number of harmless requests in flight at any time.
     pub(crate) callers: usize,
-    /// How long sound requests run, in milliseconds.
+    /// Range of the durations of harmless requests, in milliseconds.
     pub(crate) run_ms: (u64, u64),
-    /// Contents that sound requests are drawn from; 0 for one of its own for
-    /// each.
+    /// Number of distinct contents of harmless requests; 0 gives each request
+    /// a content of its own.
     pub(crate) contents: u64,
-    /// Time after which an endpoint that ended is replaced, in milliseconds.
+    /// Delay until a failed endpoint is replaced, in milliseconds.
     pub(crate) replaced_after_ms: u64,
-    /// Longest time until a node hears of a write, in milliseconds.
-    pub(crate) spread_ms: u64,
-    /// How far the time of day of a node is off at the most, in
-    /// milliseconds. It is another one after each restart.
-    pub(crate) clocks_off_ms: u64,
-    /// Mean time between two restarts of one node, in seconds; 0 for none.
-    pub(crate) node_life_s: u64,
+    /// Maximum delay until a write reaches a node, in milliseconds.
+    pub(crate) max_propagation_ms: u64,
+    /// Maximum clock skew of a node, in milliseconds. The skew changes with
+    /// each restart.
+    pub(crate) max_clock_skew_ms: u64,
+    /// Mean time between two restarts of a node, in seconds; 0 disables
+    /// restarts.
+    pub(crate) node_lifetime_s: u64,
 }
 
-/// What a day came to.
+/// Results of a simulation.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Day {
-    /// Sends of each crasher later than the bound after its third crash.
+pub(crate) struct Report {
+    /// Sends of each poison request later than [`PROPAGATION_LIMIT_MS`] after
+    /// its third crash.
     pub(crate) late_sends: Vec<usize>,
-    /// Crashes by each crasher.
+    /// Crashes caused by each poison request.
     pub(crate) crashes: Vec<usize>,
-    /// Sound requests that were answered.
+    /// Harmless requests that completed.
     pub(crate) answered: usize,
-    /// Sound requests that were held at some time.
-    pub(crate) held: usize,
-    /// Sound requests that were cut off at least once.
-    pub(crate) cut_off: usize,
+    /// Harmless requests that were quarantined at some time.
+    pub(crate) quarantined: usize,
+    /// Harmless requests that were interrupted at least once.
+    pub(crate) interrupted: usize,
 }
 
-/// Time after a third crash in which all nodes are to hear of it, in
+/// Time after a third crash within which its record must reach all nodes, in
 /// milliseconds.
-const HEARD_MS: u64 = 3_000;
+const PROPAGATION_LIMIT_MS: u64 = 3_000;
 
-/// Attempts of a sound request and of its caller together.
-const ATTEMPTS_MOST: u32 = 12;
+/// Maximum number of attempts of a harmless request, including its caller's.
+const MAX_ATTEMPTS: u32 = 12;
 
 struct Running {
     request: Request,
@@ -83,29 +86,30 @@
     digest: RequestDigest,
     kind: Kind,
     attempts: u32,
-    was_held: bool,
-    was_cut_off: bool,
-    /// Milliseconds of the run that are done.
+    was_quarantined: bool,
+    was_interrupted: bool,
+    /// Length of the response so far, in milliseconds of run time.
     done_ms: u64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
-    Crasher { number: usize, after_ms: u64 },
-    Sound { lasts_ms: u64 },
+    Poison { number: usize, after_ms: u64 },
+    Harmless { duration_ms: u64 },
 }
 
-/// Writes that a node hears of: when, and at which revision.
-type News = BTreeMap<(u64, u64), (RequestDigest, Option<StoredRecord>)>;
+/// Writes on their way to a node, by time of arrival and revision.
+type PendingWrites =
+    BTreeMap<(u64, u64), (RequestDigest, Option<StoredRecord>)>;
 
 pub(crate) struct World {
-    plan: Plan,
+    scenario: Scenario,
     random: StdRng,
     now_ms: u64,
     nodes: Vec<CrashRecordTable>,
-    /// Time of day of each node less the true one.
-    clocks_ms: Vec<i64>,
-    news: Vec<News>,
+    /// Clock skew of each node.
+    clock_skews_ms: Vec<i64>,
+    pending: Vec<PendingWrites>,
     store: BTreeMap<RequestDigest, StoredRecord>,
     revision: u64,
     alive: BTreeSet<u64>,
@@ -116,12 +120,12 @@
     next_content: u64,
     third_crash_ms: Vec<Option<u64>>,
     next_send_ms: Vec<u64>,
-    day: Day,
+    report: Report,
 }
 
-fn clock_off(plan: &Plan, random: &mut StdRng) -> i64 {
-    let most = plan.clocks_off_ms as i64;
-    random.random_range(-most..=most)
+fn random_skew(scenario: &Scenario, random: &mut StdRng) -> i64 {
+    let max = scenario.max_clock_skew_ms as i64;
+    random.random_range(-max..=max)
 }
 
 fn digest(kind: &str, number: u64) -> RequestDigest {
@@ -135,75 +139,77 @@
 }
 
 impl World {
-    pub(crate) fn new(plan: Plan, seed: u64) -> Self {
+    pub(crate) fn new(scenario: Scenario, seed: u64) -> Self {
         let options = QuarantineOptions::default();
         let node = |_| CrashRecordTable::new(options);
         let mut random = StdRng::seed_from_u64(seed);
-        let clocks = (0..plan.nodes).map(|_| clock_off(&plan, &mut random));
+        let clocks =
+            (0..scenario.nodes).map(|_| random_skew(&scenario, &mut random));
         let mut world = Self {
-            plan,
-            clocks_ms: clocks.collect(),
+            scenario,
+            clock_skews_ms: clocks.collect(),
             random,
             now_ms: 1_000_000,
-            nodes: (0..plan.nodes).map(node).collect(),
-            news: vec![BTreeMap::new(); plan.nodes],
+            nodes: (0..scenario.nodes).map(node).collect(),
+            pending: vec![BTreeMap::new(); scenario.nodes],
             store: BTreeMap::new(),
             revision: 0,
-            alive: (0..plan.endpoints as u64).collect(),
+            alive: (0..scenario.endpoints as u64).collect(),
             replacements: Vec::new(),
-            next_endpoint: plan.endpoints as u64,
+            next_endpoint: scenario.endpoints as u64,
             running: Vec::new(),
             waiting: Vec::new(),
             next_content: 0,
-            third_crash_ms: vec![None; plan.crashers],
-            next_send_ms: vec![1_000_000; plan.crashers],
-            day: Day {
-                late_sends: vec![0; plan.crashers],
-                crashes: vec![0; plan.crashers],
-                ..Day::default()
+            third_crash_ms: vec![None; scenario.poison_requests],
+            next_send_ms: vec![1_000_000; scenario.poison_requests],
+            report: Report {
+                late_sends: vec![0; scenario.poison_requests],
+                crashes: vec![0; scenario.poison_requests],
+                ..Report::default()
             },
         };
-        for _ in 0..plan.callers {
-            world.call();
+        for _ in 0..scenario.callers {
+            world.start_request();
         }
         world
     }
 
-    /// Plays so many seconds and returns what they came to.
-    pub(crate) fn play(mut self, seconds: u64) -> Day {
+    /// Simulates the given number of seconds and returns the results.
+    pub(crate) fn run(mut self, seconds: u64) -> Report {
         let until_ms = self.now_ms + seconds * 1_000;
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
-            self.hear();
+            self.deliver_writes();
             self.restart_nodes();
-            self.replace();
+            self.start_replacements();
             self.kill();
             self.end_runs();
-            self.send_crashers();
+            self.send_poison_requests();
             self.send_waiting();
         }
-        self.day
+        self.report
     }
 
-    /// Returns the time of day at a node.
+    /// Returns the calendar time of a node's clock.
     fn unix_of(&self, node: usize) -> UnixMillis {
         UnixMillis::new(
-            self.now_ms.saturating_add_signed(self.clocks_ms[node]),
+            self.now_ms.saturating_add_signed(self.clock_skews_ms[node]),
         )
     }
 
-    /// Has nodes forget what they know and read the store anew.
+    /// Restarts nodes, which lose their state and read the store again.
     fn restart_nodes(&mut self) {
-        if self.plan.node_life_s == 0 {
+        if self.scenario.node_lifetime_s == 0 {
             return;
         }
-        let life_ms = self.plan.node_life_s as f64 * 1_000.0;
-        for node in 0..self.plan.nodes {
-            if !self.random.random_bool(STEP_MS as f64 / life_ms) {
+        let lifetime_ms = self.scenario.node_lifetime_s as f64 * 1_000.0;
+        for node in 0..self.scenario.nodes {
+            if !self.random.random_bool(STEP_MS as f64 / lifetime_ms) {
                 continue;
             }
-            self.clocks_ms[node] = clock_off(&self.plan, &mut self.random);
-            self.news[node].clear();
+            self.clock_skews_ms[node] =
+                random_skew(&self.scenario, &mut self.random);
+            self.pending[node].clear();
             self.nodes[node] =
                 CrashRecordTable::new(QuarantineOptions::default());
             let now = self.unix_of(node);
@@ -213,11 +219,11 @@
         }
     }
 
-    /// Has another sound request begin.
-    fn call(&mut self) {
-        let (least, most) = self.plan.run_ms;
-        let lasts_ms = self.random.random_range(least..=most);
-        let content = match self.plan.contents {
+    /// Starts another harmless request.
+    fn start_request(&mut self) {
+        let (min, max) = self.scenario.run_ms;
+        let duration_ms = self.random.random_range(min..=max);
+        let content = match self.scenario.contents {
             0 => {
                 self.next_content += 1;
                 self.next_content
@@ -226,34 +232,34 @@
         };
         let request = Request {
             digest: digest("sound", content),
-            kind: Kind::Sound { lasts_ms },
+            kind: Kind::Harmless { duration_ms },
             attempts: 0,
-            was_held: false,
-            was_cut_off: false,
+            was_quarantined: false,
+            was_interrupted: false,
             done_ms: 0,
         };
         let pause_ms = self.random.random_range(0..200);
         self.waiting.push((self.now_ms + pause_ms, request));
     }
 
-    fn send_crashers(&mut self) {
-        for number in 0..self.plan.crashers {
+    fn send_poison_requests(&mut self) {
+        for number in 0..self.scenario.poison_requests {
             if self.now_ms < self.next_send_ms[number] {
                 continue;
             }
-            let pause_ms = self.plan.crasher_pause_ms;
+            let pause_ms = self.scenario.poison_pause_ms;
             let pause_ms = self.random.random_range(1..=2 * pause_ms);
             self.next_send_ms[number] = self.now_ms + pause_ms;
-            let (least, most) = self.plan.crash_after_ms;
+            let (min, max) = self.scenario.crash_after_ms;
             let request = Request {
                 digest: digest("crasher", number as u64),
-                kind: Kind::Crasher {
+                kind: Kind::Poison {
                     number,
-                    after_ms: self.random.random_range(least..=most),
+                    after_ms: self.random.random_range(min..=max),
                 },
                 attempts: 0,
-                was_held: false,
-                was_cut_off: false,
+                was_quarantined: false,
+                was_interrupted: false,
                 done_ms: 0,
             };
             self.send(request);
@@ -273,20 +279,20 @@
     }
 
     fn send(&mut self, mut request: Request) {
-        let node = self.random.random_range(0..self.plan.nodes);
-        if !self.may_send(node, &request) {
-            request.was_held = true;
-            return self.try_again(request, 300);
+        let node = self.random.random_range(0..self.scenario.nodes);
+        if !self.is_admitted(node, &request) {
+            request.was_quarantined = true;
+            return self.retry(request, 300);
         }
         let at = self.random.random_range(0..self.alive.len().max(1));
         let Some(endpoint) = self.alive.iter().nth(at).copied() else {
-            return self.try_again(request, 100);
+            return self.retry(request, 100);
         };
-        if let Kind::Crasher { number, .. } = request.kind
+        if let Kind::Poison { number, .. } = request.kind
             && let Some(third_ms) = self.third_crash_ms[number]
-            && self.now_ms > third_ms + HEARD_MS
+            && self.now_ms > third_ms + PROPAGATION_LIMIT_MS
         {
-            self.day.late_sends[number] += 1;
+            self.report.late_sends[number] += 1;
         }
         request.attempts += 1;
         self.running.push(Running {
@@ -298,8 +304,9 @@
         });
     }
 
-    /// Asks the node, and enters a trial in the store if it is due.
-    fn may_send(&mut self, node: usize, request: &Request) -> bool {
+    /// Returns whether the node admits a request; records a probe in the store
+    /// if one is due.
+    fn is_admitted(&mut self, node: usize, request: &Request) -> bool {
         let now = self.unix_of(node);
         match self.nodes[node].verdict_at(request.digest, now) {
             Verdict::Clear => true,
@@ -309,7 +316,7 @@
                 let Some(StoredRecord { mut record, .. }) = stored else {
                     return true;
                 };
-                // The trial of another node, which this one has not heard of.
+                // Another node's probe may not have reached this node yet.
                 let known = record.probed_at().unwrap_or_default();
                 if now.saturating_ms_since(known) < 1_000 {
                     return false;
@@ -321,24 +328,24 @@
         }
     }
 
-    fn try_again(&mut self, request: Request, pause_ms: u64) {
+    fn retry(&mut self, request: Request, pause_ms: u64) {
         match request.kind {
-            Kind::Sound { .. } if request.attempts < ATTEMPTS_MOST => {
+            Kind::Harmless { .. } if request.attempts < MAX_ATTEMPTS => {
                 self.waiting.push((self.now_ms + pause_ms, request));
             }
-            Kind::Sound { .. } => {
+            Kind::Harmless { .. } => {
                 self.count(&request, false);
-                self.call();
+                self.start_request();
             }
-            // Its caller sends it again anyway.
-            Kind::Crasher { .. } => {}
+            // The sender repeats poison requests by itself.
+            Kind::Poison { .. } => {}
         }
     }
 
     fn count(&mut self, request: &Request, answered: bool) {
-        self.day.answered += usize::from(answered);
-        self.day.held += usize::from(request.was_held);
-        self.day.cut_off += usize::from(request.was_cut_off);
+        self.report.answered += usize::from(answered);
+        self.report.quarantined += usize::from(request.was_quarantined);
+        self.report.interrupted += usize::from(request.was_interrupted);
     }
 
     fn end_runs(&mut self) {
@@ -348,11 +355,11 @@
         for (at, run) in self.running.iter().enumerate() {
             let ran_ms = now_ms - run.began_ms;
             match run.request.kind {
-                Kind::Crasher { number, after_ms } if ran_ms >= after_ms => {
+                Kind::Poison { number, after_ms } if ran_ms >= after_ms => {
                     crashed.push((run.endpoint, number));
                 }
-                Kind::Sound { lasts_ms }
-                    if run.resumed_after + ran_ms >= lasts_ms =>
+                Kind::Harmless { duration_ms }
+                    if run.resumed_after + ran_ms >= duration_ms =>
                 {
                     answered.push(at);
                 }
@@ -361,20 +368,20 @@
         }
         for at in answered.into_iter().rev() {
             let run = self.running.swap_remove(at);
-            self.answer(&run);
+            self.complete(&run);
         }
         for (endpoint, number) in crashed {
             if self.alive.contains(&endpoint) {
-                self.end(endpoint);
-                self.day.crashes[number] += 1;
-                if self.day.crashes[number] == 3 {
+                self.fail_endpoint(endpoint);
+                self.report.crashes[number] += 1;
+                if self.report.crashes[number] == 3 {
                     self.third_crash_ms[number] = Some(now_ms);
                 }
             }
         }
     }
 
-    fn answer(&mut self, run: &Running) {
+    fn complete(&mut self, run: &Running) {
         let digest = run.request.digest;
         let (changed, stored) =
             self.nodes[run.node].record_answer(digest, run.resumed_after);
@@ -382,50 +389,50 @@
             self.write(run.node, digest, None);
         }
         self.count(&run.request, true);
-        self.call();
+        self.start_request();
     }
 
     fn kill(&mut self) {
-        let chance = self.plan.kills_per_s * STEP_MS as f64 / 1_000.0;
+        let chance = self.scenario.kills_per_s * STEP_MS as f64 / 1_000.0;
         if self.random.random_bool(chance.min(1.0)) {
-            self.kill_some(1);
+            self.kill_random(1);
         }
-        if self.now_ms % self.plan.killed_each_ms < STEP_MS {
-            self.kill_some(self.plan.killed_at_once);
+        if self.now_ms % self.scenario.kill_interval_ms < STEP_MS {
+            self.kill_random(self.scenario.killed_at_once);
         }
     }
 
-    fn kill_some(&mut self, count: usize) {
+    fn kill_random(&mut self, count: usize) {
         for _ in 0..count {
             let at = self.random.random_range(0..self.alive.len().max(1));
             if let Some(endpoint) = self.alive.iter().nth(at).copied() {
-                self.end(endpoint);
+                self.fail_endpoint(endpoint);
             }
         }
     }
 
-    /// Ends an endpoint and all runs there.
-    fn end(&mut self, endpoint: u64) {
+    /// Fails an endpoint and interrupts all of its runs.
+    fn fail_endpoint(&mut self, endpoint: u64) {
         self.alive.remove(&endpoint);
         self.replacements
-            .push(self.now_ms + self.plan.replaced_after_ms);
+            .push(self.now_ms + self.scenario.replaced_after_ms);
         let running = std::mem::take(&mut self.running);
-        let (cut_off, others) = running
+        let (interrupted, others) = running
             .into_iter()
             .partition(|run| run.endpoint == endpoint);
         self.running = others;
-        let cut_off: Vec<Running> = cut_off;
-        for run in cut_off {
-            self.cut_off(run);
+        let interrupted: Vec<Running> = interrupted;
+        for run in interrupted {
+            self.interrupt(run);
         }
     }
 
-    fn cut_off(&mut self, run: Running) {
+    fn interrupt(&mut self, run: Running) {
         let ran_ms = self.now_ms - run.began_ms;
-        // What crashes an endpoint produces nothing before.
+        // A poison request crashes its endpoint before any progress.
         let progress_ms = match run.request.kind {
-            Kind::Sound { .. } => ran_ms.saturating_sub(FIRST_EVENT_MS),
-            Kind::Crasher { .. } => 0,
+            Kind::Harmless { .. } => ran_ms.saturating_sub(FIRST_EVENT_MS),
+            Kind::Poison { .. } => 0,
         };
         let crash = Crash {
             endpoint: CrashedEndpoint::new(run.endpoint),
@@ -443,14 +450,14 @@
             }
         }
         let request = Request {
-            was_cut_off: true,
+            was_interrupted: true,
             done_ms: crash.reached,
             ..run.request
         };
-        self.try_again(request, 10);
+        self.retry(request, 10);
     }
 
-    /// Writes a case, or removes it, and has all nodes hear of it.
+    /// Writes or deletes a record and propagates the change to all nodes.
     fn write(
         &mut self,
         writer: usize,
@@ -464,23 +471,25 @@
             Some(stored) => self.store.insert(digest, stored.clone()),
             None => self.store.remove(&digest),
         };
-        for node in 0..self.plan.nodes {
+        for node in 0..self.scenario.nodes {
             let delay_ms = match node == writer {
                 true => 0,
-                false => self.random.random_range(0..=self.plan.spread_ms),
+                false => self
+                    .random
+                    .random_range(0..=self.scenario.max_propagation_ms),
             };
             let at = (self.now_ms + delay_ms, revision);
-            self.news[node].insert(at, (digest, stored.clone()));
+            self.pending[node].insert(at, (digest, stored.clone()));
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver_writes(&mut self) {
         let now_ms = self.now_ms;
         for number in 0..self.nodes.len() {
             let now = self.unix_of(number);
-            let (node, news) =
-                (&mut self.nodes[number], &mut self.news[number]);
-            while let Some(first) = news.first_entry()
+            let (node, pending) =
+                (&mut self.nodes[number], &mut self.pending[number]);
+            while let Some(first) = pending.first_entry()
                 && first.key().0 <= now_ms
             {
                 let ((_, revision), (digest, stored)) = first.remove_entry();
@@ -492,7 +501,7 @@
         }
     }
 
-    fn replace(&mut self) {
+    fn start_replacements(&mut self) {
         let now_ms = self.now_ms;
         let due = |at: &u64| *at <= now_ms;
         let count = self.replacements.iter().filter(|at| due(at)).count();
@@ -504,5 +513,5 @@
     }
 }
 
-/// Time from the begin of a run to its first event, in milliseconds.
+/// Time from the start of a run to its first event, in milliseconds.
 const FIRST_EVENT_MS: u64 = 40;
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -205,7 +205,7 @@
             result = transfer => result,
             () = answer.closed() => Err(CallFailure::cancelled()),
             () = tokio::time::sleep_until(deadline) => {
-                let detail = "the deadline passed while the endpoint ran the call";
+                let detail = "the deadline passed during the call";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         };
