--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -224,7 +224,7 @@
                 self.log_standing(&state, key, before);
             }
         }
-        self.update_record_count(&state);
+        self.update_len(&state);
         drop(state);
         self.0.pending_work.notify_one();
     }
@@ -250,7 +250,7 @@
         if !has_changed {
             return;
         }
-        self.update_record_count(&state);
+        self.update_len(&state);
         drop(state);
         self.0.pending_work.notify_one();
     }
@@ -305,7 +305,7 @@
                 .records
                 .retain_stored(revision, |digest| present.contains(digest));
         }
-        self.update_record_count(&state);
+        self.update_len(&state);
     }
 
     fn verdict(&self, digest: RequestDigest) -> (Verdict, usize) {
@@ -326,7 +326,7 @@
             Some(stored) => self.apply_stored(&mut state, digest, stored),
             None => state.records.remove_stored(digest, revision),
         }
-        self.update_record_count(&state);
+        self.update_len(&state);
     }
 
     fn apply_stored(
@@ -377,10 +377,10 @@
         let forgotten = state.records.take_removed();
         state.expired.extend(forgotten);
         state.recent.expire(now);
-        self.update_record_count(&state);
+        self.update_len(&state);
     }
 
-    fn update_record_count(&self, state: &State) {
+    fn update_len(&self, state: &State) {
         self.0
             .record_count
             .store(state.records.len(), Ordering::Relaxed);
--- a/crates/quarantine/src/quarantine/updates.rs
+++ b/crates/quarantine/src/quarantine/updates.rs
@@ -1,5 +1,5 @@
-//! Shares crash records with processes that do not watch the key-value
-//! service.
+//! Shares crash records with other processes that do not watch the
+//! key-value service.
 
 use base::{RequestDigest, UnixMillis};
 use error_stack::Report;
@@ -15,9 +15,9 @@
 /// Maximum number of recently released requests that are kept.
 const MAX_RELEASES: usize = 64;
 
-/// Time for which a change is propagated, in milliseconds. It exceeds the time
-/// that the change needs to reach all processes from peer to peer. A process
-/// that misses the change receives it with the next crash that it detects.
+/// Time for which a change is propagated, in milliseconds: longer than it takes
+/// to reach all processes from peer to peer. A process that misses the change
+/// receives it with the next crash that it detects.
 const UPDATE_RETENTION_MS: u64 = 30_000;
 
 /// A change of a crash record, which one process sends to another.
@@ -27,11 +27,8 @@
     /// Revision of the key-value service at which the change was written.
     revision: u64,
     /// The crash record; `None` if the request was released.
-    #[serde(
-        default,
-        rename = "case",
-        skip_serializing_if = "Option::is_none"
-    )]
+    #[serde(rename = "case")]
+    #[serde(default, skip_serializing_if = "Option::is_none")]
     record: Option<CrashRecord>,
 }
 
@@ -45,8 +42,8 @@
 }
 
 impl Quarantine {
-    /// Reads all records from the key-value service. A process calls this once
-    /// at its start if it has no watch of the key-value service.
+    /// Reads all records from the key-value service. A process that has no
+    /// watch of the key-value service does so once, when it starts.
     ///
     /// # Errors
     ///
@@ -65,26 +62,25 @@
     pub fn updates(&self) -> Vec<CrashRecordUpdate> {
         let state = self.lock();
         let now = self.now();
-        let is_recent = |at| now.saturating_ms_since(at) < UPDATE_RETENTION_MS;
+        let is_new = |at| now.saturating_ms_since(at) < UPDATE_RETENTION_MS;
         let released = state.released.iter();
-        let released = released.filter(|(_, released)| is_recent(released.at));
+        let released = released.filter(|(_, released)| is_new(released.at));
         let released = released.map(|(digest, released)| CrashRecordUpdate {
             digest: *digest,
             revision: released.revision,
             record: None,
         });
         let stored = state.records.stored();
-        let quarantined = stored.filter(|(digest, stored)| {
-            is_recent(stored.record.changed_at())
+        let blocked = stored.filter(|(digest, stored)| {
+            is_new(stored.record.changed_at())
                 && state.records.verdict_at(*digest, now) != Verdict::Clear
         });
-        let quarantined =
-            quarantined.map(|(digest, stored)| CrashRecordUpdate {
-                digest,
-                revision: stored.revision,
-                record: Some(stored.record.clone()),
-            });
-        quarantined.chain(released).take(MAX_UPDATES).collect()
+        let blocked = blocked.map(|(digest, stored)| CrashRecordUpdate {
+            digest,
+            revision: stored.revision,
+            record: Some(stored.record.clone()),
+        });
+        blocked.chain(released).take(MAX_UPDATES).collect()
     }
 
     /// Applies updates of another process.
@@ -104,8 +100,8 @@
                 continue;
             }
             match record {
-                // Otherwise two processes would propagate an expired record to
-                // each other forever.
+                // Two processes that exchange an expired record would otherwise
+                // never forget it.
                 Some(record)
                     if state.records.is_unusable(&record, self.now()) => {}
                 Some(record) => {
@@ -118,12 +114,12 @@
                 }
             }
         }
-        self.update_record_count(&state);
+        self.update_len(&state);
     }
 }
 
 impl State {
-    /// Records the release of a request at a revision.
+    /// Remembers that a request was released at a revision.
     pub(super) fn note_released(
         &mut self,
         digest: RequestDigest,
