--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -62,7 +62,9 @@
         digest: impl Fn() -> RequestDigest,
     ) {
         match result.outcome {
-            ItemOutcome::Answered => self.quarantine.record_answer(digest, 0),
+            ItemOutcome::Answered => {
+                self.quarantine.record_response(digest, 0)
+            }
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
                 let ledger = self.ledger();
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -79,7 +79,7 @@
     pub(crate) fn completed(&self) {
         if let Some(call) = &self.call {
             call.quarantine
-                .record_answer(|| call.digest, call.resumed_after);
+                .record_response(|| call.digest, call.resumed_after);
         }
     }
 
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -46,7 +46,7 @@
 impl RunObserver for RunNotifier {
     fn answered(&self, run: &Run) {
         self.quarantine
-            .record_answer(|| run.evidence_keys(), run.resumed_after());
+            .record_response(|| run.evidence_keys(), run.resumed_after());
     }
 
     fn cut_off(&self, run: &Run) {
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -221,7 +221,7 @@
             if state.records.add_crash(key, crash) {
                 state.recent.add(crash.endpoint, crash.ended_at);
                 state.unsaved.insert(key);
-                self.log_standing(&state, key, before);
+                self.log_if_quarantined(&state, key, before);
             }
         }
         self.update_len(&state);
@@ -231,7 +231,7 @@
 
     /// Records a complete response to a request. The response was resumed
     /// after the event `resumed_after`, which is 0 for a full response.
-    pub fn record_answer<K: Into<EvidenceKeys>>(
+    pub fn record_response<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
         resumed_after: u64,
@@ -242,10 +242,10 @@
         let keys = keys().into();
         let mut state = self.lock();
         let mut has_changed =
-            state.apply_answer(keys.request(), resumed_after);
+            state.apply_response(keys.request(), resumed_after);
         for group in keys.groups() {
             // Positions in the responses of two members are not comparable.
-            has_changed |= state.apply_answer(*group, 0);
+            has_changed |= state.apply_response(*group, 0);
         }
         if !has_changed {
             return;
@@ -268,14 +268,14 @@
 
     /// Applies changes of the key-value service up to a revision.
     ///
-    /// `whole` means that `changed` is a full snapshot of all keys. Keys that
+    /// `is_snapshot` means that `changed` holds all existing keys. Keys that
     /// are not below the prefix are ignored.
     pub fn apply(
         &self,
         changed: &[KeyValue],
         deleted: &[(String, u64)],
         revision: u64,
-        whole: bool,
+        is_snapshot: bool,
     ) {
         let Some(store) = &self.0.store else {
             return;
@@ -298,7 +298,7 @@
         {
             state.records.remove_stored(digest, at);
         }
-        if whole {
+        if is_snapshot {
             let present: IndexSet<RequestDigest> =
                 changed.iter().map(|(digest, _)| *digest).collect();
             state
@@ -338,7 +338,7 @@
         let now = self.now();
         let before = state.records.verdict_at(digest, now);
         state.records.apply_stored(digest, stored, now);
-        self.log_standing(state, digest, before);
+        self.log_if_quarantined(state, digest, before);
         // Other processes decide by the stored record: a crash that was not
         // written on its own is written now that there is further evidence.
         let stored_and_unsaved = state.records.stored_and_unsaved(digest);
@@ -350,16 +350,17 @@
         }
     }
 
-    fn log_standing(
+    fn log_if_quarantined(
         &self,
         state: &State,
         digest: RequestDigest,
         before: Verdict,
     ) {
         let now = state.records.verdict_at(digest, self.now());
-        let is_held = |verdict| matches!(verdict, Verdict::Quarantined { .. });
+        let is_quarantined =
+            |verdict| matches!(verdict, Verdict::Quarantined { .. });
         if let Verdict::Quarantined { for_ms } = now
-            && !is_held(before)
+            && !is_quarantined(before)
         {
             log::warn!(
                 digest:%,
@@ -374,8 +375,8 @@
         let mut state = self.lock();
         let now = self.now();
         state.records.expire(now);
-        let forgotten = state.records.take_removed();
-        state.expired.extend(forgotten);
+        let removed = state.records.take_removed();
+        state.expired.extend(removed);
         state.recent.expire(now);
         self.update_len(&state);
     }
@@ -393,13 +394,13 @@
 
 impl State {
     /// Applies a complete response; reports whether it refutes any crash.
-    fn apply_answer(
+    fn apply_response(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
     ) -> bool {
         let (has_changed, stored) =
-            self.records.record_answer(digest, resumed_after);
+            self.records.record_response(digest, resumed_after);
         if !has_changed {
             return false;
         }
--- a/crates/quarantine/src/quarantine/probe.rs
+++ b/crates/quarantine/src/quarantine/probe.rs
@@ -10,7 +10,7 @@
     /// at the same time.
     pub(super) async fn begin_probe(&self, digest: RequestDigest) -> bool {
         let Some(store) = &self.0.store else {
-            return self.begin_local_trial(digest);
+            return self.begin_local_probe(digest);
         };
         for _ in 0..MAX_WRITE_ATTEMPTS {
             let (stored, unsaved) = {
@@ -48,7 +48,7 @@
         false
     }
 
-    fn begin_local_trial(&self, digest: RequestDigest) -> bool {
+    fn begin_local_probe(&self, digest: RequestDigest) -> bool {
         let mut state = self.lock();
         let now = self.now();
         let is_due =
--- a/crates/quarantine/src/quarantine/write.rs
+++ b/crates/quarantine/src/quarantine/write.rs
@@ -37,7 +37,7 @@
 
 /// A write to the key-value service that is pending.
 #[derive(Clone, Debug)]
-enum Work {
+enum PendingWrite {
     Save(RequestDigest),
     Refute(RequestDigest, Refutation),
     Remove(RequestDigest, u64),
@@ -101,44 +101,47 @@
 
     /// Takes the next write: refutations and deletions first, then the record
     /// with the most evidence.
-    fn next_work(&self) -> Option<Work> {
+    fn next_work(&self) -> Option<PendingWrite> {
         let mut state = self.lock();
         if let Some((digest, refutation)) = state.refutations.pop() {
-            return Some(Work::Refute(digest, refutation));
+            return Some(PendingWrite::Refute(digest, refutation));
         }
         if let Some((digest, revision)) = state.expired.pop() {
-            return Some(Work::Remove(digest, revision));
+            return Some(PendingWrite::Remove(digest, revision));
         }
         let unsaved = state.unsaved.iter();
         let digest =
             unsaved.max_by_key(|digest| state.records.crashes(**digest));
         let digest = *digest?;
         state.unsaved.swap_remove(&digest);
-        Some(Work::Save(digest))
+        Some(PendingWrite::Save(digest))
     }
 
-    fn requeue(&self, work: Work) {
+    fn requeue(&self, work: PendingWrite) {
         let mut state = self.lock();
         match work {
-            Work::Save(digest) => {
+            PendingWrite::Save(digest) => {
                 state.unsaved.insert(digest);
             }
-            Work::Refute(digest, refutation) => {
+            PendingWrite::Refute(digest, refutation) => {
                 state.refutations.entry(digest).or_insert(refutation);
             }
-            Work::Remove(digest, revision) => {
+            PendingWrite::Remove(digest, revision) => {
                 state.expired.insert(digest, revision);
             }
         }
     }
 
-    async fn perform(&self, work: &Work) -> Result<(), Report<KvError>> {
+    async fn perform(
+        &self,
+        work: &PendingWrite,
+    ) -> Result<(), Report<KvError>> {
         let Some(store) = &self.0.store else {
             return Ok(());
         };
         match work {
-            Work::Save(digest) => self.save(store, *digest).await,
-            Work::Refute(digest, refutation) => {
+            PendingWrite::Save(digest) => self.save(store, *digest).await,
+            PendingWrite::Refute(digest, refutation) => {
                 let released = refute(store, *digest, refutation).await?;
                 if let Some(revision) = released {
                     let at = self.now();
@@ -146,7 +149,7 @@
                 }
                 Ok(())
             }
-            Work::Remove(digest, revision) => {
+            PendingWrite::Remove(digest, revision) => {
                 // A record that has changed meanwhile stays.
                 store.delete(*digest, *revision).await.map(|_| ())
             }
--- a/crates/quarantine/src/record.rs
+++ b/crates/quarantine/src/record.rs
@@ -130,15 +130,15 @@
                 known.is_same(crash) && known.progress() >= crash.progress()
             })
         };
-        let rest = self.crashes.iter().filter(|crash| !is_known(crash));
+        let remainder = self.crashes.iter().filter(|crash| !is_known(crash));
         CrashRecord {
-            crashes: rest.copied().collect(),
+            crashes: remainder.copied().collect(),
             ..CrashRecord::default()
         }
     }
 
     /// Returns the crashes that count as evidence against the request: those
-    /// that do not overlap and that no other run refutes.
+    /// whose runs do not overlap and that no other run refutes.
     pub fn evidence(&self) -> Vec<&Crash> {
         let mut evidence: Vec<&Crash> = Vec::new();
         for crash in &self.crashes {
--- a/crates/quarantine/src/table.rs
+++ b/crates/quarantine/src/table.rs
@@ -280,7 +280,7 @@
 
     /// Applies a complete response to a request. Returns whether it refutes
     /// any crash, and the stored record before the change.
-    pub fn record_answer(
+    pub fn record_response(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -233,7 +233,7 @@
     fleet.wait_until_all_quarantine().await;
     fleet.advance_ms(QuarantineOptions::default().initial_hold_ms);
     assert!(!fleet.is_quarantined(1).await);
-    fleet.nodes[1].record_answer(bad, 0);
+    fleet.nodes[1].record_response(bad, 0);
     fleet.wait_until_all_release().await;
     assert_eq!(fleet.stored().await, 0);
 }
@@ -309,7 +309,7 @@
     assert!(far.admit(bad).await.is_err());
     // After the release, stale updates of peers do not restore the record.
     let stale = far.updates();
-    fleet.nodes[0].record_answer(bad, 0);
+    fleet.nodes[0].record_response(bad, 0);
     while fleet.stored().await > 0 {
         sleep(Duration::from_millis(5)).await;
     }
--- a/crates/quarantine/tests/table.rs
+++ b/crates/quarantine/tests/table.rs
@@ -175,7 +175,7 @@
 fn a_complete_response_releases_a_request() {
     let mut table = table();
     add_crashes(&mut table, digest("sound"), 3);
-    table.record_answer(digest("sound"), 0);
+    table.record_response(digest("sound"), 0);
     assert_eq!(table.verdict_at(digest("sound"), at(3_100)), Verdict::Clear);
     assert!(table.is_empty());
 }
@@ -186,7 +186,7 @@
 fn a_resumed_response_refutes_no_earlier_crash() {
     let mut table = table();
     add_crashes(&mut table, digest("bad"), 3);
-    assert!(!table.record_answer(digest("bad"), 5).0);
+    assert!(!table.record_response(digest("bad"), 5).0);
     assert!(is_quarantined(&table, digest("bad"), 3_100));
 }
 
--- a/crates/quarantine/tests/world/mod.rs
+++ b/crates/quarantine/tests/world/mod.rs
@@ -384,7 +384,7 @@
     fn complete(&mut self, run: &Running) {
         let digest = run.request.digest;
         let (changed, stored) =
-            self.nodes[run.node].record_answer(digest, run.resumed_after);
+            self.nodes[run.node].record_response(digest, run.resumed_after);
         if changed && stored.is_some() {
             self.write(run.node, digest, None);
         }
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -101,13 +101,13 @@
     address: HttpAddress,
     pooled: Client,
     unpooled: Client,
-    first_byte: Duration,
-    between_bytes: Duration,
+    first_byte_timeout: Duration,
+    between_bytes_timeout: Duration,
 }
 
 /// Progress of a call, which its outcome reports also on failure.
 struct CallProgress {
-    sent_head: bool,
+    has_sent_head: bool,
     chunks: u32,
 }
 
@@ -144,19 +144,21 @@
     ) -> Result<Self, Report<ClientBuildError>> {
         let connect = Duration::from_millis(timeouts.connect_ms);
         let builder = || Client::builder().connect_timeout(connect);
-        let start = ClientBuildError;
+        let error = ClientBuildError;
         Ok(Self {
             address,
-            pooled: builder().build().change_context(start)?,
+            pooled: builder().build().change_context(error)?,
             // A pooled connection may have failed silently, and a request lost
             // on it cannot be distinguished from one that ran. Requests that
             // must not be repeated therefore use a new connection.
             unpooled: builder()
                 .pool_max_idle_per_host(0)
                 .build()
-                .change_context(start)?,
-            first_byte: Duration::from_millis(timeouts.first_byte_ms),
-            between_bytes: Duration::from_millis(timeouts.between_bytes_ms),
+                .change_context(error)?,
+            first_byte_timeout: Duration::from_millis(timeouts.first_byte_ms),
+            between_bytes_timeout: Duration::from_millis(
+                timeouts.between_bytes_ms,
+            ),
         })
     }
 
@@ -195,7 +197,7 @@
         on_progress: impl FnMut(ResponseProgress),
     ) -> Outcome {
         let mut progress = CallProgress {
-            sent_head: false,
+            has_sent_head: false,
             chunks: 0,
         };
         let deadline = deadline(request.deadline_ms);
@@ -222,7 +224,7 @@
             },
             Err(failure) => Outcome {
                 kind: failure.kind,
-                ran: failure.ran || progress.sent_head,
+                ran: failure.ran || progress.has_sent_head,
                 detail: failure.detail,
                 chunks: progress.chunks,
             },
@@ -260,7 +262,7 @@
             .send(head)
             .await
             .map_err(|_| CallFailure::cancelled())?;
-        progress.sent_head = true;
+        progress.has_sent_head = true;
         if is_event_stream(&response) {
             let mut events = EventSplitter::default();
             on_progress(ResponseProgress::Stream);
@@ -309,9 +311,9 @@
         call = call
             .header("x-request-id", request.request_id.as_str())
             .body(request.body);
-        match timeout(self.first_byte, call.send()).await {
+        match timeout(self.first_byte_timeout, call.send()).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) => Err(send_error(&error)),
+            Ok(Err(error)) => Err(classify_send_error(&error)),
             Err(_) => {
                 let detail = "the endpoint sent no response in time";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
@@ -323,7 +325,7 @@
         &self,
         response: &mut Response,
     ) -> Result<Option<Bytes>, CallFailure> {
-        match timeout(self.between_bytes, response.chunk()).await {
+        match timeout(self.between_bytes_timeout, response.chunk()).await {
             Ok(Ok(bytes)) => Ok(bytes),
             Ok(Err(error)) => Err(CallFailure::new(
                 OutcomeKind::Broken,
@@ -357,7 +359,7 @@
 
 /// Classifies a failed send: either the request was certainly not sent, or
 /// it may have run.
-fn send_error(error: &reqwest::Error) -> CallFailure {
+fn classify_send_error(error: &reqwest::Error) -> CallFailure {
     if error.is_connect() || error.is_builder() {
         let detail = format!("cannot reach the endpoint: {error}");
         return CallFailure::new(OutcomeKind::NotSent, false, detail);
@@ -413,7 +415,7 @@
         let call = self.unpooled.post(url).json(&body).send();
         let failed =
             |detail: String| Refusal::new(RefusalKind::Failed, detail);
-        match timeout(self.first_byte, call).await {
+        match timeout(self.first_byte_timeout, call).await {
             Ok(Ok(reply)) if reply.status().is_success() => Ok(()),
             Ok(Ok(reply)) if reply.status().as_u16() == 409 => {
                 let why = "the endpoint has applied a newer order";
@@ -433,7 +435,7 @@
     /// Checks the endpoint's health; returns its incarnation if it is healthy.
     pub async fn health(&self, wait: Duration) -> Option<EndpointIncarnation> {
         let url = self.address.join("/health");
-        let ask = async {
+        let check = async {
             let reply = self.unpooled.get(url).send().await.ok()?;
             if !reply.status().is_success() {
                 return None;
@@ -441,6 +443,6 @@
             let body = reply.bytes().await.ok()?;
             Some(EndpointIncarnation::from_health_response(&body))
         };
-        timeout(wait, ask).await.ok().flatten()
+        timeout(wait, check).await.ok().flatten()
     }
 }
