--- a/crates/ledger/src/machine.rs
+++ b/crates/ledger/src/machine.rs
@@ -8,20 +8,20 @@
     Action, Event, LedgerStatus, Moment, Options,
     commit::Commit,
     job::{Grant, GrantKey, Job, JobKey},
+    lease::{Lease, OwnershipState},
     record::partition_of,
-    risk::Pace,
-    tenure::{Lease, Tenure},
+    risk::Throughput,
 };
 
-/// One partition of the jobs.
+/// State of one partition of the jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Partition {
-    pub(crate) tenure: Tenure,
+    pub(crate) ownership: OwnershipState,
     pub(crate) list_at: Millis,
-    pub(crate) listing: bool,
-    /// The marks were read once in this tenure.
-    pub(crate) listed: bool,
-    /// Jobs whose record is being read.
+    pub(crate) is_listing: bool,
+    /// The markers were read at least once since the partition was acquired.
+    pub(crate) was_listed: bool,
+    /// Jobs whose records are being read.
     pub(crate) loading: BTreeSet<JobId>,
     pub(crate) commit: Option<Commit>,
     pub(crate) commit_at: Millis,
@@ -35,29 +35,30 @@
     pub(crate) member: String,
     pub(crate) options: Options,
     pub(crate) lease: Option<Lease>,
-    pub(crate) joining: bool,
+    pub(crate) is_joining: bool,
     pub(crate) join_at: Millis,
     pub(crate) renew_at: Millis,
-    pub(crate) looking: bool,
-    pub(crate) look_at: Millis,
-    pub(crate) seen_revision: u64,
+    pub(crate) is_reading_membership: bool,
+    pub(crate) read_membership_at: Millis,
+    pub(crate) last_read_revision: u64,
     pub(crate) members: Vec<String>,
-    /// Place in `members` of the one that each partition belongs to.
+    /// Index in `members` of the assigned owner of each partition.
     pub(crate) assigned: Vec<usize>,
     pub(crate) partitions: Vec<Partition>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) by_id: HashMap<JobId, JobKey>,
     pub(crate) by_due: BTreeSet<(UnixMillis, JobKey)>,
     pub(crate) grants: SlotMap<GrantKey, Grant>,
-    /// Makes the numbers of grants of two processes differ.
+    /// Makes the grant numbers of two processes differ.
     pub(crate) salt: u64,
-    /// Lives of the companions, by machine.
+    /// Incarnations of the companions, by VM.
     pub(crate) vms: IndexMap<VmId, u64>,
-    /// Service that each customer got, in items.
-    pub(crate) shares: HashMap<Customer, u64>,
+    /// Start tag of each customer's next grant: the service it has received,
+    /// in items.
+    pub(crate) next_start_tags: HashMap<Customer, u64>,
     pub(crate) virtual_time: u64,
-    pub(crate) waiting_bytes: usize,
-    pub(crate) pace: Pace,
+    pub(crate) pending_result_bytes: usize,
+    pub(crate) throughput: Throughput,
     pub(crate) commits: u64,
     pub(crate) actions: Vec<Action>,
     last_tick: Millis,
@@ -65,8 +66,8 @@
 }
 
 impl Ledger {
-    /// Makes the ledger of one life of a process. `member` names that life;
-    /// `salt` is a random number that no other life has drawn.
+    /// Creates the ledger of one process incarnation. `member` identifies the
+    /// incarnation; `salt` is a random number unique to it.
     pub fn new(
         member: impl Into<String>,
         salt: u64,
@@ -79,12 +80,12 @@
             member: member.into(),
             options,
             lease: None,
-            joining: false,
+            is_joining: false,
             join_at: Millis::new(0),
             renew_at: Millis::new(0),
-            looking: false,
-            look_at: Millis::new(0),
-            seen_revision: 0,
+            is_reading_membership: false,
+            read_membership_at: Millis::new(0),
+            last_read_revision: 0,
             members: Vec::new(),
             assigned: Vec::new(),
             partitions,
@@ -94,10 +95,10 @@
             grants: SlotMap::with_key(),
             salt,
             vms: IndexMap::new(),
-            shares: HashMap::new(),
+            next_start_tags: HashMap::new(),
             virtual_time: 0,
-            waiting_bytes: 0,
-            pace: Pace::default(),
+            pending_result_bytes: 0,
+            throughput: Throughput::default(),
             commits: 0,
             actions: Vec::new(),
             last_tick: Millis::new(0),
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Takes note of an event and returns what to do, in order.
+    /// Processes an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, moment: Moment, event: Event) -> Vec<Action> {
         self.random ^= moment.random;
         match event {
@@ -118,11 +119,11 @@
                 lease,
                 alive,
             } => self.on_renewed(moment, sent_at, lease, alive),
-            Event::Looked {
+            Event::MembershipRead {
                 revision,
                 members,
                 owners,
-            } => self.on_looked(moment, revision, members, &owners),
+            } => self.on_membership_read(moment, revision, members, &owners),
             Event::Claimed {
                 partition,
                 lease,
@@ -134,15 +135,15 @@
             Event::Listed {
                 partition,
                 fence,
-                marks,
-            } => self.on_listed(moment, partition, fence, marks),
+                markers,
+            } => self.on_listed(moment, partition, fence, markers),
             Event::Loaded {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
                 found,
-            } => self.on_loaded(partition, fence, &job, mark, found),
+            } => self.on_loaded(partition, fence, &job, marker, found),
             Event::Stored { commit, chunks } => {
                 self.on_stored(moment, commit, chunks);
             }
@@ -158,39 +159,40 @@
 
     /// Returns the partitions that are owned.
     pub fn partitions(&self) -> Vec<u32> {
-        let owned = |partition: &Partition| partition.tenure.fence().is_some();
+        let owned =
+            |partition: &Partition| partition.ownership.fence().is_some();
         (0..self.options.partitions)
             .filter(|number| owned(&self.partitions[*number as usize]))
             .collect()
     }
 
-    /// Returns what a person needs to see.
+    /// Returns a summary for operators.
     pub fn status(&self) -> LedgerStatus {
         let jobs = || self.jobs.values().filter(|job| self.is_owned(job));
         LedgerStatus {
             partitions: self.partitions().len(),
             open_jobs: jobs().count(),
-            jobs_at_risk: jobs().filter(|job| job.wants_risk).count(),
+            jobs_at_risk: jobs().filter(|job| job.is_at_risk).count(),
             grants: self.grants.len(),
-            results_waiting: jobs().map(|job| job.pending.len()).sum(),
+            pending_results: jobs().map(|job| job.pending.len()).sum(),
         }
     }
 
-    /// Returns the record of an open job of an owned partition, as last
-    /// read or committed.
+    /// Returns the record of an open job of an owned partition, as last read
+    /// or committed.
     pub fn job(&self, id: &JobId) -> Option<&crate::JobRecord> {
         let job = self.jobs.get(*self.by_id.get(id)?)?;
         Some(&job.record)
     }
 
-    /// Returns the lease that the partitions are owned under.
+    /// Returns the lease under which partitions are owned.
     pub fn lease(&self) -> Option<i64> {
         self.lease.map(|lease| lease.id)
     }
 
-    /// Makes the ledger look for a job at the next tick, if it owns its
-    /// partition.
-    pub fn poke(&mut self, job: &JobId) {
+    /// Requests that the markers of the job's partition are listed at the next
+    /// tick, if the partition is owned.
+    pub fn request_listing(&mut self, job: &JobId) {
         let number = partition_of(job, self.options.partitions);
         if let Some(partition) = self.partitions.get_mut(number as usize) {
             partition.list_at = Millis::new(0);
@@ -199,64 +201,66 @@
 
     fn tick(&mut self, moment: Moment) {
         let now = moment.now;
-        self.forgive_pause(now);
-        self.keep_lease(now);
-        self.look(now);
+        self.extend_grants_after_pause(now);
+        self.maintain_lease(now);
+        self.read_membership(now);
         self.expire_grants(now);
-        self.assess(moment);
+        self.assess_risk(moment);
         for number in 0..self.options.partitions {
-            self.keep_partition(now, number);
-            self.step_commit(moment, number);
+            self.maintain_partition(now, number);
+            self.advance_commit(moment, number);
         }
         let lines = self.jobs.values().flat_map(|job| job.pending.values());
-        self.waiting_bytes = lines.map(|settled| settled.line.len()).sum();
+        self.pending_result_bytes = lines.map(|line| line.bytes.len()).sum();
     }
 
-    /// Puts off the end of all grants after a pause of this process: it was
-    /// the owner that did not listen, not the companions that were silent.
-    fn forgive_pause(&mut self, now: Millis) {
+    /// Extends all grants after a pause of this process, since renewals from
+    /// the companions could not be received meanwhile.
+    fn extend_grants_after_pause(&mut self, now: Millis) {
         let gap_ms = now.saturating_ms_since(self.last_tick);
         self.last_tick = now;
         if gap_ms <= self.options.grant_ttl_ms / 4 {
             return;
         }
         for grant in self.grants.values_mut() {
-            grant.ends = grant.ends.saturating_add_ms(gap_ms);
+            grant.expires_at = grant.expires_at.saturating_add_ms(gap_ms);
         }
     }
 
-    /// Tells whether the lease surely holds. What is sent meanwhile is
-    /// fenced all the same.
-    pub(crate) fn is_safe(&self, now: Millis) -> bool {
+    /// Reports whether this member certainly holds a lease. Writes are fenced
+    /// in any case.
+    pub(crate) fn has_valid_lease(&self, now: Millis) -> bool {
         let margin_ms = self.options.lease_margin_ms;
         self.lease
-            .is_some_and(|lease| lease.is_safe(now, margin_ms))
+            .is_some_and(|lease| lease.is_valid(now, margin_ms))
     }
 
-    /// Tells whether a job was read under the present tenure.
+    /// Reports whether a job was read under the current ownership of its
+    /// partition.
     pub(crate) fn is_owned(&self, job: &Job) -> bool {
-        let tenure = self.partitions[job.partition as usize].tenure;
-        tenure.fence() == Some(job.fence)
+        let ownership = self.partitions[job.partition as usize].ownership;
+        ownership.fence() == Some(job.fence)
     }
 
     pub(crate) fn partition(&mut self, number: u32) -> &mut Partition {
         &mut self.partitions[number as usize]
     }
 
-    /// Forgets a job and its grants.
-    pub(crate) fn drop_job(&mut self, key: JobKey) {
+    /// Removes a job and its grants.
+    pub(crate) fn remove_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else {
             return;
         };
         self.by_id.remove(&job.record.id);
         self.by_due.remove(&(job.record.due, key));
-        for grant in job.held().values() {
+        for grant in job.granted().values() {
             self.grants.remove(*grant);
         }
     }
 
-    /// Draws a random number (SplitMix64 over the callers' numbers).
-    pub(crate) fn draw(&mut self) -> u64 {
+    /// Returns a random number (SplitMix64, seeded by the caller's random
+    /// numbers).
+    pub(crate) fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.random;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -264,18 +268,18 @@
         z ^ (z >> 31)
     }
 
-    /// Returns a moment between three and five quarters of a span from now.
-    pub(crate) fn around(&mut self, now: Millis, span_ms: u64) -> Millis {
-        let spread = self.draw() % (span_ms / 2).max(1);
+    /// Returns a time between 3/4 and 5/4 of a span from now.
+    pub(crate) fn jittered(&mut self, now: Millis, span_ms: u64) -> Millis {
+        let spread = self.next_random() % (span_ms / 2).max(1);
         now.saturating_add_ms(span_ms - span_ms / 4 + spread)
     }
 
-    /// Returns when to try again after some failures: drawn evenly below a
-    /// ceiling that doubles, so that owners do not come back together.
+    /// Returns the time of the next retry: random below a ceiling that doubles
+    /// with each failure, so that owners do not retry in step.
     pub(crate) fn backoff(&mut self, now: Millis, failures: u32) -> Millis {
         const BASE_MS: u64 = 20;
-        const CAP_MS: u64 = 2_000;
-        let ceiling_ms = (BASE_MS << failures.min(10)).min(CAP_MS);
-        now.saturating_add_ms(1 + self.draw() % ceiling_ms)
+        const MAX_MS: u64 = 2_000;
+        let ceiling_ms = (BASE_MS << failures.min(10)).min(MAX_MS);
+        now.saturating_add_ms(1 + self.next_random() % ceiling_ms)
     }
 }
--- a/crates/ledger/src/ownership.rs
+++ b/crates/ledger/src/ownership.rs
@@ -1,20 +1,21 @@
-//! Lease, members, and the partitions owned.
+//! Lease, membership and ownership of partitions.
 
 use base::{JobId, Millis};
 
 use crate::{
-    Action, Ledger, MarkSeen, Moment, OwnerSeen, RecordSeen, assign,
+    Action, Ledger, Moment, OpenJobMarker, PartitionOwner, VersionedRecord,
+    assign,
     job::{Job, JobKey},
+    lease::{Lease, OwnershipState},
     machine::Partition,
-    tenure::{Lease, Tenure},
 };
 
 impl Ledger {
-    pub(crate) fn keep_lease(&mut self, now: Millis) {
+    pub(crate) fn maintain_lease(&mut self, now: Millis) {
         match &mut self.lease {
             Some(lease) if lease.wants_renewal(now) => {
                 if now >= self.renew_at {
-                    lease.renewing = true;
+                    lease.is_renewing = true;
                     let lease = lease.id;
                     self.actions.push(Action::Renew { lease });
                 }
@@ -26,26 +27,30 @@
 
     fn join(&mut self, now: Millis) {
         let others = self.members.iter().filter(|m| **m != self.member);
-        let has_place = others.count() < self.options.members_max;
-        let knows = self.seen_revision > 0;
-        if knows && has_place && !self.joining && now >= self.join_at {
-            self.joining = true;
+        let has_capacity = others.count() < self.options.members_max;
+        let has_seen_members = self.last_read_revision > 0;
+        if has_seen_members
+            && has_capacity
+            && !self.is_joining
+            && now >= self.join_at
+        {
+            self.is_joining = true;
             let ttl_s = self.options.lease_ttl_s;
             self.actions.push(Action::Join { ttl_s });
         }
     }
 
-    pub(crate) fn look(&mut self, now: Millis) {
-        if self.looking || now < self.look_at {
+    pub(crate) fn read_membership(&mut self, now: Millis) {
+        if self.is_reading_membership || now < self.read_membership_at {
             return;
         }
-        self.looking = true;
-        let interval_ms = match self.lease.is_some() || self.joining {
-            true => self.options.look_interval_ms,
-            false => self.options.idle_look_interval_ms,
+        self.is_reading_membership = true;
+        let interval_ms = match self.lease.is_some() || self.is_joining {
+            true => self.options.membership_interval_ms,
+            false => self.options.idle_membership_interval_ms,
         };
-        self.look_at = self.around(now, interval_ms);
-        self.actions.push(Action::Look);
+        self.read_membership_at = self.jittered(now, interval_ms);
+        self.actions.push(Action::ReadMembership);
     }
 
     pub(crate) fn on_joined(
@@ -55,17 +60,17 @@
         lease: Option<i64>,
     ) {
         let now = moment.now;
-        self.joining = false;
+        self.is_joining = false;
         match lease {
             Some(id) => {
                 let ttl_s = self.options.lease_ttl_s;
                 self.lease = Some(Lease::new(id, ttl_s, sent_at));
-                self.look_at = now;
-                self.look(now);
+                self.read_membership_at = now;
+                self.read_membership(now);
             }
             None => {
-                let pause_ms = self.options.look_interval_ms;
-                self.join_at = self.around(now, pause_ms);
+                let delay_ms = self.options.membership_interval_ms;
+                self.join_at = self.jittered(now, delay_ms);
             }
         }
     }
@@ -80,42 +85,44 @@
         let Some(lease) = self.lease.as_mut().filter(|l| l.id == id) else {
             return;
         };
-        lease.renewing = false;
+        lease.is_renewing = false;
         match alive {
             Some(true) => lease.sent_at = lease.sent_at.max(sent_at),
             Some(false) => self.lose_lease(moment.now),
             None => {
-                let pause_ms = lease.ttl_ms / 12;
-                self.renew_at = self.around(moment.now, pause_ms);
+                let delay_ms = lease.ttl_ms / 12;
+                self.renew_at = self.jittered(moment.now, delay_ms);
             }
         }
     }
 
     fn lose_lease(&mut self, now: Millis) {
         self.lease = None;
-        self.join_at = self.around(now, self.options.look_interval_ms / 4);
-        self.look_at = now;
+        self.join_at =
+            self.jittered(now, self.options.membership_interval_ms / 4);
+        self.read_membership_at = now;
         for number in 0..self.options.partitions {
-            if self.partition(number).tenure != Tenure::Unowned {
-                self.lose(number);
+            if self.partition(number).ownership != OwnershipState::Unowned {
+                self.lose_partition(number);
             }
         }
     }
 
-    /// Ends a tenure. Results stay, for the case that the partition comes
-    /// back before anybody else has it; their jobs are read anew then.
-    fn lose(&mut self, number: u32) {
+    /// Ends the ownership of a partition but keeps its results, in case the
+    /// partition is acquired again before another entry claims it; its jobs
+    /// are read again then.
+    fn lose_partition(&mut self, number: u32) {
         *self.partition(number) = Partition {
-            tenure: Tenure::Lost,
+            ownership: OwnershipState::Lost,
             ..Partition::default()
         };
     }
 
-    /// Ends a tenure and forgets its jobs.
-    fn leave(&mut self, number: u32) {
+    /// Ends the ownership of a partition and drops its jobs.
+    fn drop_partition(&mut self, number: u32) {
         *self.partition(number) = Partition::default();
         for key in self.jobs_of(number) {
-            self.drop_job(key);
+            self.remove_job(key);
         }
     }
 
@@ -126,20 +133,21 @@
         self.jobs.iter().filter_map(of).collect()
     }
 
-    pub(crate) fn on_looked(
+    pub(crate) fn on_membership_read(
         &mut self,
         moment: Moment,
         revision: Option<u64>,
         mut members: Vec<String>,
-        owners: &[OwnerSeen],
+        owners: &[PartitionOwner],
     ) {
-        self.looking = false;
-        // A view that was delayed says nothing of what is now.
-        let Some(revision) = revision.filter(|r| *r >= self.seen_revision)
+        self.is_reading_membership = false;
+        // Ignores a delayed read that is older than the last one.
+        let Some(revision) =
+            revision.filter(|r| *r >= self.last_read_revision)
         else {
             return;
         };
-        self.seen_revision = revision;
+        self.last_read_revision = revision;
         members.sort_unstable();
         if members != self.members {
             self.members = members;
@@ -149,40 +157,43 @@
         }
         for number in 0..self.options.partitions {
             let owner = owners.iter().find(|o| o.partition == number);
-            self.see_owner(moment.now, number, revision, owner);
+            self.apply_owner(moment.now, number, revision, owner);
             self.claim_or_release(moment.now, number, owner);
         }
-        self.keep_lease(moment.now);
+        self.maintain_lease(moment.now);
     }
 
-    fn see_owner(
+    fn apply_owner(
         &mut self,
         now: Millis,
         number: u32,
         revision: u64,
-        owner: Option<&OwnerSeen>,
+        owner: Option<&PartitionOwner>,
     ) {
         let lease = self.lease.map(|lease| lease.id);
-        let is_mine = |owner: &&OwnerSeen| {
+        let is_mine = |owner: &&PartitionOwner| {
             owner.member == self.member && Some(owner.lease) == lease
         };
         let mine = owner.filter(is_mine).map(|owner| owner.fence);
-        let tenure = self.partition(number).tenure;
-        match (tenure.fence(), mine) {
-            // The answer to a claim was lost, or an old copy of a claim
-            // made the key once more.
-            (None, Some(fence)) => self.begin(now, number, fence),
+        let ownership = self.partition(number).ownership;
+        match (ownership.fence(), mine) {
+            // The response to a claim was lost, or a delayed copy of a claim
+            // created the key again.
+            (None, Some(fence)) => self.begin_ownership(now, number, fence),
             (Some(known), Some(fence)) if fence > known => {
-                self.begin(now, number, fence);
+                self.begin_ownership(now, number, fence);
             }
             (Some(_), Some(_)) => {}
             (Some(known), None) if revision < known => {}
-            (Some(_), None) if owner.is_some() => self.leave(number),
-            (Some(_), None) => self.lose(number),
+            (Some(_), None) if owner.is_some() => self.drop_partition(number),
+            (Some(_), None) => self.lose_partition(number),
             (None, None) => {
-                let waits = tenure == Tenure::Acquiring;
-                if owner.is_some() && !waits && tenure != Tenure::Unowned {
-                    self.leave(number);
+                let is_acquiring = ownership == OwnershipState::Acquiring;
+                if owner.is_some()
+                    && !is_acquiring
+                    && ownership != OwnershipState::Unowned
+                {
+                    self.drop_partition(number);
                 }
             }
         }
@@ -192,7 +203,7 @@
         &mut self,
         now: Millis,
         number: u32,
-        owner: Option<&OwnerSeen>,
+        owner: Option<&PartitionOwner>,
     ) {
         let assigned = self.assigned.get(number as usize);
         let Some(member) = assigned.and_then(|at| self.members.get(*at))
@@ -201,27 +212,29 @@
         };
         let is_mine = *member == self.member;
         let is_member = self.members.contains(&self.member);
-        let tenure = self.partition(number).tenure;
-        match tenure {
-            Tenure::Unowned | Tenure::Lost
-                if is_mine && owner.is_none() && self.is_safe(now) =>
+        let ownership = self.partition(number).ownership;
+        match ownership {
+            OwnershipState::Unowned | OwnershipState::Lost
+                if is_mine && owner.is_none() && self.has_valid_lease(now) =>
             {
                 let Some(lease) = self.lease.map(|lease| lease.id) else {
                     return;
                 };
-                self.partition(number).tenure = Tenure::Acquiring;
+                self.partition(number).ownership = OwnershipState::Acquiring;
                 let partition = number;
                 self.actions.push(Action::Claim { partition, lease });
             }
-            Tenure::Loading { fence } | Tenure::Owned { fence }
+            OwnershipState::Loading { fence }
+            | OwnershipState::Owned { fence }
                 if is_member && !is_mine =>
             {
                 let until = now.saturating_add_ms(self.options.grant_ttl_ms);
-                self.partition(number).tenure =
-                    Tenure::Releasing { fence, until };
+                self.partition(number).ownership =
+                    OwnershipState::Draining { fence, until };
             }
-            Tenure::Releasing { fence, .. } if is_mine => {
-                self.partition(number).tenure = Tenure::Owned { fence };
+            OwnershipState::Draining { fence, .. } if is_mine => {
+                self.partition(number).ownership =
+                    OwnershipState::Owned { fence };
             }
             _ => {}
         }
@@ -234,64 +247,70 @@
         lease: i64,
         fence: Option<u64>,
     ) {
-        let is_current = self.lease.is_some_and(|held| held.id == lease);
-        let waits = self.partition(number).tenure == Tenure::Acquiring;
-        if !is_current || !waits {
+        let is_current = self.lease.is_some_and(|current| current.id == lease);
+        let is_acquiring =
+            self.partition(number).ownership == OwnershipState::Acquiring;
+        if !is_current || !is_acquiring {
             return;
         }
         match fence {
-            Some(fence) => self.begin(moment.now, number, fence),
+            Some(fence) => self.begin_ownership(moment.now, number, fence),
             None => {
-                self.partition(number).tenure = Tenure::Lost;
-                self.look_at = moment.now;
+                self.partition(number).ownership = OwnershipState::Lost;
+                self.read_membership_at = moment.now;
             }
         }
     }
 
-    fn begin(&mut self, now: Millis, number: u32, fence: u64) {
+    fn begin_ownership(&mut self, now: Millis, number: u32, fence: u64) {
         let interval_ms = self.options.commit_interval_ms;
-        let commit_at = self.around(now, interval_ms);
+        let commit_at = self.jittered(now, interval_ms);
         *self.partition(number) = Partition {
-            tenure: Tenure::Loading { fence },
+            ownership: OwnershipState::Loading { fence },
             commit_at,
             ..Partition::default()
         };
-        self.keep_partition(now, number);
+        self.maintain_partition(now, number);
     }
 
-    /// Lists the marks when it is time, and hands a partition over.
-    pub(crate) fn keep_partition(&mut self, now: Millis, number: u32) {
-        let tenure = self.partition(number).tenure;
-        if let Tenure::Releasing { fence, until } = tenure
-            && (now >= until || self.is_quiet(number))
+    /// Lists the markers if a read is due, and releases a partition that has
+    /// drained.
+    pub(crate) fn maintain_partition(&mut self, now: Millis, number: u32) {
+        let ownership = self.partition(number).ownership;
+        if let OwnershipState::Draining { fence, until } = ownership
+            && (now >= until || self.is_idle(number))
         {
-            self.partition(number).tenure = Tenure::Leaving { fence };
+            self.partition(number).ownership =
+                OwnershipState::DeletingKey { fence };
             let partition = number;
             self.actions.push(Action::Release { partition, fence });
             return;
         }
-        let Some(fence) = tenure.commits() else {
+        let Some(fence) = ownership.fence_for_commits() else {
             return;
         };
         let partition = self.partition(number);
-        if !partition.listing && now >= partition.list_at {
-            partition.listing = true;
+        if !partition.is_listing && now >= partition.list_at {
+            partition.is_listing = true;
             let partition = number;
             self.actions.push(Action::List { partition, fence });
         }
     }
 
-    /// Tells whether nothing of a partition runs or waits.
-    fn is_quiet(&self, number: u32) -> bool {
+    /// Reports whether a partition has no commit, pending results or grants.
+    fn is_idle(&self, number: u32) -> bool {
         let partition = &self.partitions[number as usize];
         let mut jobs = self.jobs.values().filter(|j| j.partition == number);
         partition.commit.is_none()
-            && jobs.all(|job| job.pending.is_empty() && job.held().is_empty())
+            && jobs
+                .all(|job| job.pending.is_empty() && job.granted().is_empty())
     }
 
     pub(crate) fn on_released(&mut self, number: u32, fence: u64) {
-        if self.partition(number).tenure == (Tenure::Leaving { fence }) {
-            self.leave(number);
+        if self.partition(number).ownership
+            == (OwnershipState::DeletingKey { fence })
+        {
+            self.drop_partition(number);
         }
     }
 
@@ -300,45 +319,52 @@
         moment: Moment,
         number: u32,
         fence: u64,
-        marks: Option<Vec<MarkSeen>>,
+        markers: Option<Vec<OpenJobMarker>>,
     ) {
         let interval_ms = self.options.list_interval_ms;
-        let list_at = self.around(moment.now, interval_ms);
+        let list_at = self.jittered(moment.now, interval_ms);
         let partition = self.partition(number);
-        if partition.tenure.commits() != Some(fence) {
+        if partition.ownership.fence_for_commits() != Some(fence) {
             return;
         }
-        partition.listing = false;
+        partition.is_listing = false;
         partition.list_at = list_at;
-        let Some(marks) = marks else {
+        let Some(markers) = markers else {
             return;
         };
-        partition.listed = true;
-        self.drop_unmarked(number, &marks);
-        for mark in marks {
+        partition.was_listed = true;
+        self.drop_jobs_without_marker(number, &markers);
+        for marker in markers {
             let known = self
                 .by_id
-                .get(&mark.job)
+                .get(&marker.job)
                 .and_then(|key| self.jobs.get(*key))
-                .is_some_and(|j| j.fence == fence && j.mark >= mark.revision);
+                .is_some_and(|j| {
+                    j.fence == fence && j.marker >= marker.revision
+                });
             if !known {
-                self.load(number, fence, mark.job, mark.revision);
+                self.load(number, fence, marker.job, marker.revision);
             }
         }
-        self.settle_in(number);
+        self.finish_loading(number);
     }
 
-    /// Forgets jobs that ended without this process knowing: by a commit of
-    /// unknown outcome, or by another owner.
-    fn drop_unmarked(&mut self, number: u32, marks: &[MarkSeen]) {
+    /// Drops jobs that ended without the knowledge of this process: by a
+    /// commit of unknown outcome, or by another owner.
+    fn drop_jobs_without_marker(
+        &mut self,
+        number: u32,
+        markers: &[OpenJobMarker],
+    ) {
         let marked: std::collections::HashSet<&JobId> =
-            marks.iter().map(|mark| &mark.job).collect();
+            markers.iter().map(|marker| &marker.job).collect();
         for key in self.jobs_of(number) {
             let is_marked = marked.contains(&self.jobs[key].record.id);
             let commit = &self.partitions[number as usize].commit;
-            let commits = commit.as_ref().is_some_and(|c| c.has(key));
-            if !is_marked && !commits {
-                self.drop_job(key);
+            let is_committing =
+                commit.as_ref().is_some_and(|c| c.includes(key));
+            if !is_marked && !is_committing {
+                self.remove_job(key);
             }
         }
     }
@@ -348,14 +374,14 @@
         number: u32,
         fence: u64,
         job: JobId,
-        mark: u64,
+        marker: u64,
     ) {
         if self.partition(number).loading.insert(job.clone()) {
             self.actions.push(Action::Load {
                 partition: number,
                 fence,
                 job,
-                mark,
+                marker,
             });
         }
     }
@@ -365,36 +391,37 @@
         number: u32,
         fence: u64,
         id: &JobId,
-        mark: u64,
-        found: Result<Option<Box<RecordSeen>>, ()>,
+        marker: u64,
+        found: Result<Option<Box<VersionedRecord>>, ()>,
     ) {
-        if self.partition(number).tenure.commits() != Some(fence) {
+        if self.partition(number).ownership.fence_for_commits() != Some(fence)
+        {
             return;
         }
         self.partition(number).loading.remove(id);
         match found {
-            // The next list asks for it again.
+            // The next listing of the markers retries the read.
             Err(()) => {}
             Ok(Some(seen)) if seen.record.is_open() => {
-                self.take_record(number, fence, mark, *seen);
+                self.adopt_record(number, fence, marker, *seen);
             }
             Ok(_) => {
                 if let Some(key) = self.by_id.get(id).copied() {
-                    self.drop_job(key);
+                    self.remove_job(key);
                 }
             }
         }
-        self.settle_in(number);
+        self.finish_loading(number);
     }
 
-    fn take_record(
+    fn adopt_record(
         &mut self,
         number: u32,
         fence: u64,
-        mark: u64,
-        seen: RecordSeen,
+        marker: u64,
+        seen: VersionedRecord,
     ) {
-        let RecordSeen { record, revision } = seen;
+        let VersionedRecord { record, revision } = seen;
         let key = match self.by_id.get(&record.id) {
             Some(key) => *key,
             None => {
@@ -409,18 +436,18 @@
         if let Some(job) = self.jobs.get_mut(key) {
             job.adopt(record, revision);
             job.fence = fence;
-            job.mark = job.mark.max(mark);
+            job.marker = job.marker.max(marker);
         }
     }
 
-    /// Ends the loading once every open job has been read.
-    fn settle_in(&mut self, number: u32) {
+    /// Completes the loading of a partition once every open job has been read.
+    fn finish_loading(&mut self, number: u32) {
         let partition = self.partition(number);
-        if let Tenure::Loading { fence } = partition.tenure
-            && partition.listed
+        if let OwnershipState::Loading { fence } = partition.ownership
+            && partition.was_listed
             && partition.loading.is_empty()
         {
-            partition.tenure = Tenure::Owned { fence };
+            partition.ownership = OwnershipState::Owned { fence };
         }
     }
 }
--- a/crates/ledger/tests/world/service.rs
+++ b/crates/ledger/tests/simulation/fake_kv.rs
@@ -1,4 +1,4 @@
-//! The fake service, and what must hold of it after each step.
+//! Fake key-value service that checks the invariants after each commit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,34 +8,34 @@
     mvcc::{Store, Transaction},
 };
 use pomeloslip_ledger::{
-    Action, Chunk, CommitId, Event, JobRecord, JobState, MarkSeen, OwnerSeen,
-    Part, RecordSeen, WriteAction, WriteOutcome, partition_of,
+    Action, Chunk, CommitId, Event, JobRecord, JobState, OpenJobMarker, Part,
+    PartitionOwner, VersionedRecord, WriteAction, WriteOutcome, partition_of,
 };
 
-use super::{Seen, job_id};
+use super::{RunStats, job_id};
 
 const PARTITIONS: u32 = 4;
 
-/// The key-value service with a list of what each commit made visible.
+/// The key-value service and the results that each commit made visible.
 #[derive(Default)]
-pub(crate) struct Service {
+pub(crate) struct FakeKv {
     pub(crate) down_until: u64,
     store: Store,
     now: u64,
-    /// The blob that each committed item is in.
+    /// Blob that holds each committed item.
     committed: BTreeMap<JobId, BTreeMap<u32, String>>,
     pages: BTreeMap<JobId, Vec<Chunk>>,
-    seen: Seen,
+    stats: RunStats,
 }
 
-/// The event after a call whose answer is lost.
+/// Returns the event for a call whose response is lost.
 pub(crate) fn failed(action: &Action, sent_at: u64) -> Event {
     failure(action, sent_at, WriteOutcome::Unknown)
 }
 
-/// The event after a call that was refused.
+/// Returns the event for a call that was refused without effect.
 pub(crate) fn refused(action: &Action, sent_at: u64) -> Event {
-    failure(action, sent_at, WriteOutcome::NotDone)
+    failure(action, sent_at, WriteOutcome::NotApplied)
 }
 
 fn failure(action: &Action, sent_at: u64, outcome: WriteOutcome) -> Event {
@@ -50,7 +50,7 @@
             lease,
             alive: None,
         },
-        Action::Look => Event::Looked {
+        Action::ReadMembership => Event::MembershipRead {
             revision: None,
             members: vec![],
             owners: vec![],
@@ -66,18 +66,18 @@
         Action::List { partition, fence } => Event::Listed {
             partition,
             fence,
-            marks: None,
+            markers: None,
         },
         Action::Load {
             partition,
             fence,
             job,
-            mark,
+            marker,
         } => Event::Loaded {
             partition,
             fence,
             job,
-            mark,
+            marker,
             found: Err(()),
         },
         Action::Store { commit, .. } => Event::Stored {
@@ -96,7 +96,7 @@
     }
 }
 
-/// The event after parts were stored. A chunk's blob id stands for its
+/// Returns the event for stored parts. The blob ID of a chunk encodes its
 /// content: `id|job index,job index`.
 pub(crate) fn stored(commit: CommitId, parts: &[Part], fails: bool) -> Event {
     let chunk = |part: &Part| {
@@ -159,7 +159,7 @@
     key.rsplit('/').next().unwrap_or_default().to_owned()
 }
 
-impl Service {
+impl FakeKv {
     pub(crate) fn expire(&mut self, now: u64) {
         self.now = now;
         self.store.expire(Millis::new(now));
@@ -178,18 +178,18 @@
         self.txn(txn).expect("a read")
     }
 
-    fn record(&mut self, job: &JobId) -> Option<RecordSeen> {
+    fn record(&mut self, job: &JobId) -> Option<VersionedRecord> {
         let key = job_key(job);
         let reply = self.read(vec![Op::Get { key }]);
         let kv = found(reply).pop()?;
         let record = serde_json::from_slice(&kv.value).expect("a record");
-        Some(RecordSeen {
+        Some(VersionedRecord {
             record,
             revision: kv.mod_revision,
         })
     }
 
-    /// Does a call; an error is a broken promise.
+    /// Carries out a call; an error is a violated invariant.
     pub(crate) fn call(
         &mut self,
         member: &str,
@@ -207,7 +207,7 @@
                     alive: Some(kept.is_ok()),
                 }
             }
-            Action::Look => self.look(),
+            Action::ReadMembership => self.read_membership(),
             Action::Claim { partition, lease } => {
                 self.claim(member, partition, lease)
             }
@@ -226,27 +226,29 @@
             Action::List { partition, fence } => {
                 let reply =
                     self.read(vec![get(&format!("open/{partition:05}/"))]);
-                let mark = |kv: KeyValue| MarkSeen {
+                let marker = |kv: KeyValue| OpenJobMarker {
                     job: last(&kv.key).parse().expect("a job id"),
                     revision: kv.mod_revision,
                 };
                 Event::Listed {
                     partition,
                     fence,
-                    marks: Some(found(reply).into_iter().map(mark).collect()),
+                    markers: Some(
+                        found(reply).into_iter().map(marker).collect(),
+                    ),
                 }
             }
             Action::Load {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             } => Event::Loaded {
                 found: Ok(self.record(&job).map(Box::new)),
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             },
             Action::Write(write) => return self.write(member, write),
             Action::ReadBack { commit, jobs, .. } => Event::ReadBack {
@@ -271,19 +273,19 @@
         }
     }
 
-    fn look(&mut self) -> Event {
+    fn read_membership(&mut self) -> Event {
         let reply = self.read(vec![get("entries/"), get("owners/")]);
         let revision = Some(reply.revision);
         let (members, owners): (Vec<_>, Vec<_>) = found(reply)
             .into_iter()
             .partition(|kv| kv.key.starts_with("entries/"));
-        let owner = |kv: KeyValue| OwnerSeen {
+        let owner = |kv: KeyValue| PartitionOwner {
             partition: last(&kv.key).parse().expect("a number"),
             member: text(&kv),
             lease: kv.lease.map_or(0, |lease| lease.0),
             fence: kv.create_revision,
         };
-        Event::Looked {
+        Event::MembershipRead {
             revision,
             members: members.iter().map(|kv| last(&kv.key)).collect(),
             owners: owners.into_iter().map(owner).collect(),
@@ -336,11 +338,11 @@
         let owner = owner.map(|kv| text(&kv));
         let reply = self.txn(txn).expect("a valid transaction");
         let outcome = match reply.succeeded {
-            true => WriteOutcome::Done(reply.revision),
-            false => WriteOutcome::Refused,
+            true => WriteOutcome::Applied(reply.revision),
+            false => WriteOutcome::Conflict,
         };
         if reply.succeeded {
-            self.seen.commits += 1;
+            self.stats.commits += 1;
             if owner.as_deref() != Some(member) {
                 return Err(format!(
                     "{member} committed to partition {} of {owner:?}",
@@ -354,13 +356,13 @@
                 self.check(&next.record)?;
             }
         } else if owner.as_deref() != Some(member) {
-            self.seen.refused_stale += 1;
+            self.stats.refused_stale += 1;
         }
         let commit = write.commit;
         Ok(Event::Written { commit, outcome })
     }
 
-    /// Looks at all that a record makes visible.
+    /// Checks all items that a record makes visible.
     fn check(&mut self, record: &JobRecord) -> Result<(), String> {
         let id = &record.id;
         let paged = self.pages.get(id).into_iter().flatten();
@@ -431,10 +433,11 @@
         self.read(vec![put(job_key(&id), value, None), marked]);
     }
 
-    /// Cancels a job as another entry does: by a compare of its revision.
+    /// Cancels a job as another entry would. The read and the write are atomic
+    /// here, which stands in for a compare of the revision.
     pub(crate) fn cancel(&mut self, number: u64) {
         let id = job_id(number);
-        let Some(RecordSeen { mut record, .. }) = self.record(&id) else {
+        let Some(VersionedRecord { mut record, .. }) = self.record(&id) else {
             return;
         };
         if record.state == JobState::InProgress {
@@ -456,21 +459,21 @@
         found(reply).len() as u64 == jobs && self.open_jobs().is_empty()
     }
 
-    /// Checks every job once more, when all have ended.
-    pub(crate) fn check_end(mut self) -> Result<Seen, String> {
+    /// Checks every job once more after all have ended.
+    pub(crate) fn check_end(mut self) -> Result<RunStats, String> {
         let reply = self.read(vec![get("jobs/")]);
         for kv in found(reply) {
             let record: JobRecord =
                 serde_json::from_slice(&kv.value).expect("a record");
             self.check(&record)?;
             match record.state {
-                JobState::Completed if record.left() == 0 => {
-                    self.seen.completed_jobs += 1;
+                JobState::Completed if record.remaining_items() == 0 => {
+                    self.stats.completed_jobs += 1;
                 }
-                JobState::Cancelled => self.seen.cancelled_jobs += 1,
+                JobState::Cancelled => self.stats.cancelled_jobs += 1,
                 state => return Err(format!("{} is {state:?}", record.id)),
             }
         }
-        Ok(self.seen)
+        Ok(self.stats)
     }
 }
