--- a/crates/jobs/src/bulk.rs
+++ b/crates/jobs/src/bulk.rs
@@ -5,7 +5,7 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use crate::{JobHead, JobKey};
+use crate::{JobKey, JobManifest};
 
 /// A value as it is passed around; inputs and results are shared, not copied.
 pub type BulkValue = Arc<Vec<u8>>;
@@ -20,7 +20,12 @@
 /// call to the key-value service, no more.
 pub trait Siblings: Send + Sync + 'static {
     /// Asks the node that is most likely to have a value.
-    fn read(&self, job: &JobKey, head: &JobHead, key: &str) -> BulkFuture;
+    fn read(
+        &self,
+        job: &JobKey,
+        manifest: &JobManifest,
+        key: &str,
+    ) -> BulkFuture;
 }
 
 /// Asks nobody.
@@ -28,7 +33,7 @@
 pub struct NoSiblings;
 
 impl Siblings for NoSiblings {
-    fn read(&self, _: &JobKey, _: &JobHead, _: &str) -> BulkFuture {
+    fn read(&self, _: &JobKey, _: &JobManifest, _: &str) -> BulkFuture {
         Box::pin(ready(None))
     }
 }
--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -5,7 +5,7 @@
 pub enum JobError {
     /// The id cannot name a job.
     Id,
-    /// Stored bytes are not what they should be.
+    /// StoredManifest bytes are not what they should be.
     Encoding,
     /// The job is larger than one call of the key-value service holds.
     TooLarge,
--- a/crates/jobs/src/index.rs
+++ b/crates/jobs/src/index.rs
@@ -5,7 +5,7 @@
 use base::{Millis, UnixMillis};
 use indexmap::IndexMap;
 
-use crate::{Backlog, Members, Stored, record::JobKey};
+use crate::{Backlog, Members, StoredManifest, record::JobKey};
 
 /// Jobs by key, the open ones also by owner and due time, the closed ones
 /// also by when they were submitted.
@@ -23,12 +23,12 @@
 
 #[derive(Debug)]
 struct Known {
-    stored: Stored,
+    stored: StoredManifest,
     /// When it was last seen to change.
     changed_at: Millis,
 }
 
-/// The open jobs whose heads name one owner.
+/// The open jobs whose manifests name one owner.
 #[derive(Debug, Default)]
 struct OpenJobs {
     keys: BTreeSet<JobKey>,
@@ -36,7 +36,7 @@
 }
 
 impl JobIndex {
-    pub(crate) fn get(&self, job: &JobKey) -> Option<&Stored> {
+    pub(crate) fn get(&self, job: &JobKey) -> Option<&StoredManifest> {
         self.jobs.get(job).map(|known| &known.stored)
     }
 
@@ -49,17 +49,22 @@
         self.jobs.get(job).map(|known| known.changed_at)
     }
 
-    pub(crate) fn put(&mut self, job: JobKey, stored: Stored, now: Millis) {
+    pub(crate) fn put(
+        &mut self,
+        job: JobKey,
+        stored: StoredManifest,
+        now: Millis,
+    ) {
         self.remove(&job);
-        let head = &stored.head;
-        if head.is_closed() {
-            self.closed.insert((head.submitted_at, job.clone()));
+        let manifest = &stored.manifest;
+        if manifest.is_closed() {
+            self.closed.insert((manifest.submitted_at, job.clone()));
         } else {
-            self.open_by_due.insert((head.due_at, job.clone()));
-            let owner = head.owner.clone();
+            self.open_by_due.insert((manifest.due_at, job.clone()));
+            let owner = manifest.owner.clone();
             let open = self.open_by_owner.entry(owner).or_default();
             open.keys.insert(job.clone());
-            open.open_items += stored.head.open_items();
+            open.open_items += stored.manifest.open_items();
         }
         let changed_at = now;
         self.jobs.insert(job, Known { stored, changed_at });
@@ -69,17 +74,17 @@
         let Some(Known { stored, .. }) = self.jobs.swap_remove(job) else {
             return;
         };
-        let head = &stored.head;
-        if head.is_closed() {
-            self.closed.remove(&(head.submitted_at, job.clone()));
+        let manifest = &stored.manifest;
+        if manifest.is_closed() {
+            self.closed.remove(&(manifest.submitted_at, job.clone()));
             return;
         }
-        self.open_by_due.remove(&(head.due_at, job.clone()));
-        if let Some(open) = self.open_by_owner.get_mut(&head.owner) {
+        self.open_by_due.remove(&(manifest.due_at, job.clone()));
+        if let Some(open) = self.open_by_owner.get_mut(&manifest.owner) {
             open.keys.remove(job);
-            open.open_items -= stored.head.open_items();
+            open.open_items -= stored.manifest.open_items();
             if open.keys.is_empty() {
-                self.open_by_owner.swap_remove(&head.owner);
+                self.open_by_owner.swap_remove(&manifest.owner);
             }
         }
     }
@@ -89,17 +94,17 @@
         self.jobs.keys()
     }
 
-    /// Returns the open jobs that a node runs: those whose heads name it,
+    /// Returns the open jobs that a node runs: those whose manifests name it,
     /// and its part of those whose owners are no members.
     pub(crate) fn open_of(
         &self,
         members: &Members,
         node: &str,
-    ) -> Vec<(JobKey, Stored)> {
+    ) -> Vec<(JobKey, StoredManifest)> {
         let named = self.open_by_owner.get(node).into_iter();
         let named = named.filter(|_| members.has(node));
         let orphaned = self.orphaned(members).filter(|(job, stored)| {
-            members.owner(job, &stored.head) == Some(node)
+            members.owner(job, &stored.manifest) == Some(node)
         });
         let named = named.flat_map(|open| self.all(&open.keys));
         named.chain(orphaned).map(cloned).collect()
@@ -109,7 +114,7 @@
     fn orphaned<'a>(
         &'a self,
         members: &'a Members,
-    ) -> impl Iterator<Item = (&'a JobKey, &'a Stored)> {
+    ) -> impl Iterator<Item = (&'a JobKey, &'a StoredManifest)> {
         let owners = self.open_by_owner.iter();
         owners
             .filter(|(owner, _)| !members.has(owner))
@@ -119,12 +124,15 @@
     fn all<'a>(
         &'a self,
         keys: &'a BTreeSet<JobKey>,
-    ) -> impl Iterator<Item = (&'a JobKey, &'a Stored)> {
+    ) -> impl Iterator<Item = (&'a JobKey, &'a StoredManifest)> {
         keys.iter().filter_map(|key| Some((key, self.get(key)?)))
     }
 
     /// Returns the open jobs that were due before a moment.
-    pub(crate) fn overdue(&self, now: UnixMillis) -> Vec<(JobKey, Stored)> {
+    pub(crate) fn overdue(
+        &self,
+        now: UnixMillis,
+    ) -> Vec<(JobKey, StoredManifest)> {
         let due = self.open_by_due.iter();
         let due = due.take_while(|(due_at, _)| *due_at < now);
         due.filter_map(|(_, key)| Some((key, self.get(key)?)))
@@ -136,7 +144,7 @@
     pub(crate) fn closed_before(
         &self,
         moment: UnixMillis,
-    ) -> Vec<(JobKey, Stored)> {
+    ) -> Vec<(JobKey, StoredManifest)> {
         let old = self.closed.iter();
         let old = old.take_while(|(submitted_at, _)| *submitted_at < moment);
         old.filter_map(|(_, key)| Some((key, self.get(key)?)))
@@ -153,14 +161,16 @@
             }
         }
         for (job, stored) in self.orphaned(members) {
-            if let Some(owner) = members.owner(job, &stored.head) {
-                backlog.add(owner, stored.head.open_items());
+            if let Some(owner) = members.owner(job, &stored.manifest) {
+                backlog.add(owner, stored.manifest.open_items());
             }
         }
         backlog
     }
 }
 
-fn cloned((job, stored): (&JobKey, &Stored)) -> (JobKey, Stored) {
+fn cloned(
+    (job, stored): (&JobKey, &StoredManifest),
+) -> (JobKey, StoredManifest) {
     (job.clone(), stored.clone())
 }
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -13,9 +13,9 @@
 use crate::{
     BulkCache, JobError, NoSiblings, Siblings,
     record::{
-        ItemInput, ItemResult, JobHead, JobKey, decode_head, encode_head,
-        encode_inputs, encode_results, head_key, input_key, output_key,
-        progress_key,
+        ItemInput, ItemResult, JobKey, JobManifest, decode_manifest,
+        encode_inputs, encode_manifest, encode_results, input_key,
+        manifest_key, output_key, progress_key,
     },
 };
 
@@ -40,11 +40,11 @@
     pub items: Vec<ItemInput>,
 }
 
-/// A head with the revision that changes are compared with.
+/// A manifest with the revision that changes are compared with.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Stored {
-    /// The head.
-    pub head: JobHead,
+pub struct StoredManifest {
+    /// The manifest.
+    pub manifest: JobManifest,
     /// Revision of its last write.
     pub revision: u64,
 }
@@ -52,7 +52,7 @@
 /// Keeps jobs in the key-value service.
 ///
 /// Accepting, listing and ending are one compare-and-swap each on the job's
-/// head. A write whose answer is lost is read back, so that no call is done
+/// manifest. A write whose answer is lost is read back, so that no call is done
 /// twice and none is taken for done that was not.
 #[derive(Clone)]
 pub struct Ledger {
@@ -79,15 +79,15 @@
 enum Proof {
     /// The service answered the call.
     Answered,
-    /// The answer was lost, and the head reads as the write makes it.
+    /// The answer was lost, and the manifest reads as the write makes it.
     ///
-    /// That proves what the head says, but not whose write it was: two nodes
-    /// that list the same items write the same head, each with the texts of
+    /// That proves what the manifest says, but not whose write it was: two nodes
+    /// that list the same items write the same manifest, each with the texts of
     /// its own runs.
     ReadBack,
 }
 
-/// Values in one call beside the head; the service takes 32 rows.
+/// Values in one call beside the manifest; the service takes 32 rows.
 const CHUNKS_MOST: usize = 24;
 
 /// Part of a value's largest size that a chunk fills, in percent: the table
@@ -130,10 +130,10 @@
     pub async fn accept(
         &self,
         job: NewJob,
-    ) -> Result<Stored, Report<JobError>> {
+    ) -> Result<StoredManifest, Report<JobError>> {
         let chunks = self.chunks(&job.items)?;
         let customer = job.customer.clone();
-        let head = JobHead {
+        let manifest = JobManifest {
             submitted_at: job.submitted_at,
             host: job.host,
             path: job.path,
@@ -150,18 +150,19 @@
                 .saturating_add_ms(job.terms.give_up_in_ms),
             customer: job.customer,
         };
-        let mut success = vec![put(head_key(&job.key), encode_head(&head)?)];
+        let mut success =
+            vec![put(manifest_key(&job.key), encode_manifest(&manifest)?)];
         let mut bulk = Vec::new();
         for (number, chunk) in chunks.into_iter().enumerate() {
-            let key = input_key(&job.key, &head, number as u32);
+            let key = input_key(&job.key, &manifest, number as u32);
             bulk.push((key.clone(), Arc::new(chunk.clone())));
             success.push(put(key, chunk));
         }
-        let txn = guarded(head_key(&job.key), 0, success);
-        let new = head.clone();
+        let txn = guarded(manifest_key(&job.key), 0, success);
+        let new = manifest.clone();
         let outcome = self
-            .commit(&self.kv, &job.key, txn, move |reply| Stored {
-                head: new.clone(),
+            .commit(&self.kv, &job.key, txn, move |reply| StoredManifest {
+                manifest: new.clone(),
                 revision: reply.revision,
             })
             .await?;
@@ -173,7 +174,7 @@
             // It was there before: the same job, sent again.
             Outcome::Superseded => {
                 let stored = self.read(&job.key).await?;
-                match stored.head.belongs_to(customer.as_ref()) {
+                match stored.manifest.belongs_to(customer.as_ref()) {
                     true => Ok(stored),
                     false => Err(Report::new(JobError::Conflict)),
                 }
@@ -181,13 +182,18 @@
         }
     }
 
-    /// Returns the head and the inputs of a job as this node has written
-    /// them, the head first; none if it does not keep them any more.
-    pub fn accepted_rows(&self, job: &JobKey, stored: &Stored) -> Option<Txn> {
-        let head = &stored.head;
-        let mut success = vec![put(head_key(job), encode_head(head).ok()?)];
-        for number in 0..head.input_chunks {
-            let key = input_key(job, head, number);
+    /// Returns the manifest and the inputs of a job as this node has written
+    /// them, the manifest first; none if it does not keep them any more.
+    pub fn accepted_rows(
+        &self,
+        job: &JobKey,
+        stored: &StoredManifest,
+    ) -> Option<Txn> {
+        let manifest = &stored.manifest;
+        let mut success =
+            vec![put(manifest_key(job), encode_manifest(manifest).ok()?)];
+        for number in 0..manifest.input_chunks {
+            let key = input_key(job, manifest, number);
             let value = self.cache.get(&key)?;
             success.push(put(key, value.to_vec()));
         }
@@ -197,7 +203,7 @@
         })
     }
 
-    /// Reads the head of a job.
+    /// Reads the manifest of a job.
     ///
     /// # Errors
     ///
@@ -206,13 +212,13 @@
     pub async fn read(
         &self,
         job: &JobKey,
-    ) -> Result<Stored, Report<JobError>> {
-        let reply = self.kv.get(&head_key(job)).await;
+    ) -> Result<StoredManifest, Report<JobError>> {
+        let reply = self.kv.get(&manifest_key(job)).await;
         let reply = reply.change_context(JobError::NotDone)?;
         find_head(&reply)?.ok_or_else(|| Report::new(JobError::Unknown))
     }
 
-    /// Reads the head of a job for callers of a customer, who learn nothing
+    /// Reads the manifest of a job for callers of a customer, who learn nothing
     /// of the jobs of others.
     ///
     /// # Errors
@@ -222,9 +228,9 @@
         &self,
         job: &JobKey,
         customer: Option<&Customer>,
-    ) -> Result<Stored, Report<JobError>> {
+    ) -> Result<StoredManifest, Report<JobError>> {
         let stored = self.read(job).await?;
-        match stored.head.belongs_to(customer) {
+        match stored.manifest.belongs_to(customer) {
             true => Ok(stored),
             false => Err(Report::new(JobError::Unknown)),
         }
@@ -242,13 +248,16 @@
     ) -> Result<(), Report<JobError>> {
         loop {
             let stored = self.read_for(job, customer).await?;
-            let Stored { mut head, revision } = stored;
-            if head.ended {
+            let StoredManifest {
+                mut manifest,
+                revision,
+            } = stored;
+            if manifest.ended {
                 return Ok(());
             }
-            head.ended = true;
-            let row = put(head_key(job), encode_head(&head)?);
-            let txn = guarded(head_key(job), revision, vec![row]);
+            manifest.ended = true;
+            let row = put(manifest_key(job), encode_manifest(&manifest)?);
+            let txn = guarded(manifest_key(job), revision, vec![row]);
             let outcome = self.commit(&self.kv, job, txn, |_| ()).await?;
             if let Outcome::Done(_) = outcome {
                 return Ok(());
@@ -258,41 +267,41 @@
 
     /// Lists results after those that `before` has, with the strikes.
     ///
-    /// `before` is the head as the caller knows it. If another writer was
-    /// faster, nothing is written and the head as it is now is returned in
+    /// `before` is the manifest as the caller knows it. If another writer was
+    /// faster, nothing is written and the manifest as it is now is returned in
     /// `Err` of the inner result.
     ///
     /// # Errors
     ///
     /// [`JobError::NotDone`] and [`JobError::Open`] as for all writes; after
-    /// both the caller reads the head before it lists again.
+    /// both the caller reads the manifest before it lists again.
     pub async fn list(
         &self,
         job: &JobKey,
-        before: &Stored,
+        before: &StoredManifest,
         numbers: &[u32],
         results: &[ItemResult],
         strikes: &indexmap::IndexMap<u32, crate::Strikes>,
-    ) -> Result<Result<Stored, Stored>, Report<JobError>> {
-        let mut head = before.head.clone();
-        let first = head.listed.len() as u32;
-        head.listed.extend_from_slice(numbers);
-        head.strikes.clone_from(strikes);
+    ) -> Result<Result<StoredManifest, StoredManifest>, Report<JobError>> {
+        let mut manifest = before.manifest.clone();
+        let first = manifest.listed.len() as u32;
+        manifest.listed.extend_from_slice(numbers);
+        manifest.strikes.clone_from(strikes);
         let mut rows = Vec::new();
         let mut bulk = Vec::new();
         if !results.is_empty() {
-            let key = output_key(job, &head, first);
-            head.output_chunks.push(first);
+            let key = output_key(job, &manifest, first);
+            manifest.output_chunks.push(first);
             let bytes = encode_results(results)?;
             bulk.push((key.clone(), Arc::new(bytes.clone())));
             rows.push(put(key, bytes));
         }
-        rows.push(put(head_key(job), encode_head(&head)?));
-        let txn = guarded(head_key(job), before.revision, rows);
-        let new = head.clone();
+        rows.push(put(manifest_key(job), encode_manifest(&manifest)?));
+        let txn = guarded(manifest_key(job), before.revision, rows);
+        let new = manifest.clone();
         let outcome = self
-            .commit(&self.patient, job, txn, move |reply| Stored {
-                head: new.clone(),
+            .commit(&self.patient, job, txn, move |reply| StoredManifest {
+                manifest: new.clone(),
                 revision: reply.revision,
             })
             .await?;
@@ -307,7 +316,7 @@
 
     /// Moves a job to another node.
     ///
-    /// Returns the head as it is now: moved, or as a faster writer left it.
+    /// Returns the manifest as it is now: moved, or as a faster writer left it.
     ///
     /// # Errors
     ///
@@ -315,16 +324,16 @@
     pub async fn reassign(
         &self,
         job: &JobKey,
-        before: &Stored,
+        before: &StoredManifest,
         owner: &str,
-    ) -> Result<Stored, Report<JobError>> {
-        let mut head = before.head.clone();
-        owner.clone_into(&mut head.owner);
-        let row = put(head_key(job), encode_head(&head)?);
-        let txn = guarded(head_key(job), before.revision, vec![row]);
+    ) -> Result<StoredManifest, Report<JobError>> {
+        let mut manifest = before.manifest.clone();
+        owner.clone_into(&mut manifest.owner);
+        let row = put(manifest_key(job), encode_manifest(&manifest)?);
+        let txn = guarded(manifest_key(job), before.revision, vec![row]);
         let outcome = self
-            .commit(&self.patient, job, txn, move |reply| Stored {
-                head: head.clone(),
+            .commit(&self.patient, job, txn, move |reply| StoredManifest {
+                manifest: manifest.clone(),
                 revision: reply.revision,
             })
             .await?;
@@ -334,42 +343,43 @@
         }
     }
 
-    /// Removes a job with all that belongs to it, its head last: whoever is
-    /// interrupted leaves a head by which another one finishes.
+    /// Removes a job with all that belongs to it, its manifest last: whoever is
+    /// interrupted leaves a manifest by which another one finishes.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if the service is away, or if the head has
+    /// [`JobError::NotDone`] if the service is away, or if the manifest has
     /// changed meanwhile.
     pub async fn remove(
         &self,
         job: &JobKey,
-        stored: &Stored,
+        stored: &StoredManifest,
     ) -> Result<(), Report<JobError>> {
-        let head = &stored.head;
-        let inputs = (0..head.input_chunks).map(|n| input_key(job, head, n));
-        let outputs = head.output_chunks.iter();
-        let outputs = outputs.map(|n| output_key(job, head, *n));
-        let progress = progress_key(job, head.submitted_at);
+        let manifest = &stored.manifest;
+        let inputs =
+            (0..manifest.input_chunks).map(|n| input_key(job, manifest, n));
+        let outputs = manifest.output_chunks.iter();
+        let outputs = outputs.map(|n| output_key(job, manifest, *n));
+        let progress = progress_key(job, manifest.submitted_at);
         let progress = std::iter::once(progress);
         let bulk: Vec<String> =
             inputs.chain(outputs).chain(progress).collect();
         for keys in bulk.chunks(CHUNKS_MOST) {
             self.delete(job, stored, keys).await?;
         }
-        self.delete(job, stored, &[head_key(job)]).await
+        self.delete(job, stored, &[manifest_key(job)]).await
     }
 
-    /// Deletes keys as long as the head is what the caller knows. Deleting
+    /// Deletes keys as long as the manifest is what the caller knows. Deleting
     /// twice does no harm, so that a lost answer needs no reading back.
     async fn delete(
         &self,
         job: &JobKey,
-        stored: &Stored,
+        stored: &StoredManifest,
         keys: &[String],
     ) -> Result<(), Report<JobError>> {
         let rows = keys.iter().map(|key| Op::Delete { key: key.clone() });
-        let txn = guarded(head_key(job), stored.revision, rows.collect());
+        let txn = guarded(manifest_key(job), stored.revision, rows.collect());
         let reply = self.patient.txn(txn).await;
         match reply.change_context(JobError::NotDone)?.succeeded {
             true => Ok(()),
@@ -407,8 +417,8 @@
 
     /// Writes until the outcome is known or the time is up.
     ///
-    /// A write whose answer is lost is found again by the head that it made:
-    /// each write changes the head, so that one that reads as wanted has been
+    /// A write whose answer is lost is found again by the manifest that it made:
+    /// each write changes the manifest, so that one that reads as wanted has been
     /// written, by this node or by another that wanted the same.
     async fn commit<T: Send + 'static>(
         &self,
@@ -417,9 +427,11 @@
         txn: Txn,
         answered: impl Fn(&TxnReply) -> T + Send + Clone,
     ) -> Result<Outcome<(T, Proof)>, Report<JobError>> {
-        let expected = head_value(&txn, &head_key(job));
+        let expected = head_value(&txn, &manifest_key(job));
         let before = compared_revision(&txn);
-        let read_back = Op::Get { key: head_key(job) };
+        let read_back = Op::Get {
+            key: manifest_key(job),
+        };
         let decided = answered.clone();
         let decide = move |found: &GetReply| match found.kvs.first() {
             Some(kv) if Some(&kv.value) == expected.as_ref() => {
@@ -507,12 +519,12 @@
     }
 }
 
-fn find_head(reply: &GetReply) -> Result<Option<Stored>, JobError> {
+fn find_head(reply: &GetReply) -> Result<Option<StoredManifest>, JobError> {
     let Some(kv) = reply.kvs.first() else {
         return Ok(None);
     };
-    Ok(Some(Stored {
-        head: decode_head(&kv.value)?,
+    Ok(Some(StoredManifest {
+        manifest: decode_manifest(&kv.value)?,
         revision: kv.mod_revision,
     }))
 }
--- a/crates/jobs/src/ledger/values.rs
+++ b/crates/jobs/src/ledger/values.rs
@@ -1,4 +1,4 @@
-//! Inputs, results and progress of items, beside the heads.
+//! Inputs, results and progress of items, beside the manifests.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::{
     BulkValue, JobError,
     record::{
-        BULK_PREFIX, ItemInput, ItemProgress, ItemResult, JobHead, JobKey,
+        BULK_PREFIX, ItemInput, ItemProgress, ItemResult, JobKey, JobManifest,
         JobProgress, decode_inputs, decode_progress, decode_results,
         encode_progress, input_key, output_key, progress_key,
     },
@@ -25,15 +25,15 @@
     pub async fn inputs(
         &self,
         job: &JobKey,
-        head: &JobHead,
+        manifest: &JobManifest,
     ) -> Result<Vec<ItemInput>, Report<JobError>> {
-        let mut items = Vec::with_capacity(head.total as usize);
-        for chunk in 0..head.input_chunks {
-            let key = input_key(job, head, chunk);
-            let value = self.bulk(job, head, &key).await?;
+        let mut items = Vec::with_capacity(manifest.total as usize);
+        for chunk in 0..manifest.input_chunks {
+            let key = input_key(job, manifest, chunk);
+            let value = self.bulk(job, manifest, &key).await?;
             items.extend(decode_inputs(&value)?);
         }
-        match items.len() == head.total as usize {
+        match items.len() == manifest.total as usize {
             true => Ok(items),
             false => Err(Report::new(JobError::Unknown)),
         }
@@ -47,11 +47,11 @@
     pub async fn results(
         &self,
         job: &JobKey,
-        head: &JobHead,
+        manifest: &JobManifest,
         first_position: u32,
     ) -> Result<Vec<ItemResult>, Report<JobError>> {
-        let key = output_key(job, head, first_position);
-        let value = self.bulk(job, head, &key).await?;
+        let key = output_key(job, manifest, first_position);
+        let value = self.bulk(job, manifest, &key).await?;
         Ok(decode_results(&value)?)
     }
 
@@ -60,13 +60,13 @@
     async fn bulk(
         &self,
         job: &JobKey,
-        head: &JobHead,
+        manifest: &JobManifest,
         key: &str,
     ) -> Result<BulkValue, Report<JobError>> {
         if let Some(value) = self.cache.get(key) {
             return Ok(value);
         }
-        let value = match self.siblings.read(job, head, key).await {
+        let value = match self.siblings.read(job, manifest, key).await {
             Some(value) => value,
             None => Arc::new(self.bulk_of_service(key).await?),
         };
@@ -172,9 +172,9 @@
     pub async fn progress(
         &self,
         job: &JobKey,
-        head: &JobHead,
+        manifest: &JobManifest,
     ) -> Result<Vec<ItemProgress>, Report<JobError>> {
-        let key = progress_key(job, head.submitted_at);
+        let key = progress_key(job, manifest.submitted_at);
         let reply = self.kv.get(&key).await;
         let reply = reply.change_context(JobError::NotDone)?;
         match reply.kvs.first() {
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,9 +1,9 @@
 //! Batch jobs kept in the key-value service, and their runs.
 //!
-//! A job is a small [`JobHead`] that the nodes follow that run items, its
+//! A job is a small [`JobManifest`] that the nodes follow that run items, its
 //! inputs and its results in chunks. The [`Ledger`] makes each change one
-//! compare-and-swap on the head. A [`JobView`] follows all heads; other nodes
-//! ask for the [`Heads`] that their callers want. On the nodes that run items,
+//! compare-and-swap on the manifest. A [`JobView`] follows all manifests; other nodes
+//! ask for the [`ManifestSource`] that their callers want. On the nodes that run items,
 //! a [`Plan`] shares jobs and endpoints between those nodes and decides what
 //! starts and what gives way, and a [`Runner`] carries it out.
 //!
@@ -15,9 +15,9 @@
 mod bulk;
 mod error;
 mod gate;
-mod heads;
 mod index;
 mod ledger;
+mod manifests;
 mod members;
 mod online;
 mod order;
@@ -36,8 +36,10 @@
     bulk::{BulkCache, BulkFuture, BulkValue, NoSiblings, Siblings},
     error::JobError,
     gate::{GateInput, GateOptions, GateOrder, decide},
-    heads::{HeadFuture, Heads, KnownHead, ViewHeads},
-    ledger::{Ledger, NewJob, Stored},
+    ledger::{Ledger, NewJob, StoredManifest},
+    manifests::{
+        KnownManifest, ManifestFuture, ManifestSource, ViewManifests,
+    },
     members::{Backlog, Members, NodeRecord, Roster},
     online::{
         FRONT_LOAD_LIFE_MS, FrontUpdate, OnlineLoad, OthersUpdate, Stamp,
@@ -48,14 +50,14 @@
     plan::Plan,
     planner::{Planner, Plans, batch_services},
     record::{
-        HEAD_PREFIX, ItemInput, ItemProgress, ItemResult, ItemState, JobHead,
-        JobKey, JobProgress, NODE_PREFIX, Strikes, WATCHED_PREFIX,
-        decode_head, decode_inputs, decode_new_job, decode_progress,
-        decode_results, encode_head, encode_inputs, encode_new_job,
-        encode_progress, encode_results, head_key, input_key, merge_strikes,
-        output_key, progress_key,
+        ItemInput, ItemProgress, ItemResult, ItemState, JobKey, JobManifest,
+        JobProgress, MANIFEST_PREFIX, NODE_PREFIX, Strikes, WATCHED_PREFIX,
+        decode_inputs, decode_manifest, decode_new_job, decode_progress,
+        decode_results, encode_inputs, encode_manifest, encode_new_job,
+        encode_progress, encode_results, input_key, manifest_key,
+        merge_strikes, output_key, progress_key,
     },
     run::{ItemForwarder, ItemRun, Progress, RunEnd},
     runner::{Probe, ProbeFuture, Runner, RunnerOptions, RunnerParts, Stop},
-    view::{JobView, decode_head_row},
+    view::{JobView, decode_manifest_row},
 };
--- a/crates/jobs/src/heads.rs
+++ b/crates/jobs/src/manifests.rs
@@ -3,53 +3,53 @@
 use base::{Clock, Millis};
 use tokio::time;
 
-use crate::{JobKey, JobView, Stored};
+use crate::{JobKey, JobView, StoredManifest};
 
-/// A head and how old the knowledge is that it comes from.
+/// A manifest and how old the knowledge is that it comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KnownHead {
-    /// The head.
-    pub stored: Stored,
+pub struct KnownManifest {
+    /// The manifest.
+    pub stored: StoredManifest,
     /// Since when it may lack changes, in milliseconds.
     pub age_ms: u64,
 }
 
-/// The answer to a question for a head.
-pub type HeadFuture<'a> =
-    Pin<Box<dyn Future<Output = Option<KnownHead>> + Send + 'a>>;
+/// The answer to a question for a manifest.
+pub type ManifestFuture<'a> =
+    Pin<Box<dyn Future<Output = Option<KnownManifest>> + Send + 'a>>;
 
-/// Knows the heads of jobs, or whom to ask for them.
-pub trait Heads: Send + Sync + 'static {
-    /// Returns the head of a job; none if it is not known. For one that is
+/// Knows the manifests of jobs, or whom to ask for them.
+pub trait ManifestSource: Send + Sync + 'static {
+    /// Returns the manifest of a job; none if it is not known. For one that is
     /// newer than the revision `after` it waits for up to `wait_ms`.
     fn read<'a>(
         &'a self,
         job: &'a JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> HeadFuture<'a>;
+    ) -> ManifestFuture<'a>;
 
-    /// Takes in a head that this node wrote or read itself.
-    fn note(&self, job: &JobKey, stored: &Stored);
+    /// Takes in a manifest that this node wrote or read itself.
+    fn note(&self, job: &JobKey, stored: &StoredManifest);
 }
 
-/// The heads of a node that follows all jobs.
+/// The manifests of a node that follows all jobs.
 #[derive(Clone)]
-pub struct ViewHeads {
+pub struct ViewManifests {
     view: JobView,
     clock: Arc<dyn Clock>,
 }
 
-impl ViewHeads {
-    /// Reads heads from a view.
+impl ViewManifests {
+    /// Reads manifests from a view.
     pub fn new(view: JobView, clock: Arc<dyn Clock>) -> Self {
         Self { view, clock }
     }
 
-    fn known(&self, job: &JobKey, now: Millis) -> Option<KnownHead> {
+    fn known(&self, job: &JobKey, now: Millis) -> Option<KnownManifest> {
         let stored = self.view.get(job)?;
         let age_ms = self.view.age_ms(now);
-        Some(KnownHead { stored, age_ms })
+        Some(KnownManifest { stored, age_ms })
     }
 
     async fn wait(
@@ -57,7 +57,7 @@
         job: &JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> Option<KnownHead> {
+    ) -> Option<KnownManifest> {
         let until = self.clock.now().saturating_add_ms(wait_ms);
         let mut changes = self.view.subscribe();
         loop {
@@ -78,17 +78,17 @@
     }
 }
 
-impl Heads for ViewHeads {
+impl ManifestSource for ViewManifests {
     fn read<'a>(
         &'a self,
         job: &'a JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> HeadFuture<'a> {
+    ) -> ManifestFuture<'a> {
         Box::pin(self.wait(job, after, wait_ms))
     }
 
-    fn note(&self, job: &JobKey, stored: &Stored) {
+    fn note(&self, job: &JobKey, stored: &StoredManifest) {
         self.view.learn(job, stored, self.clock.now());
     }
 }
--- a/crates/jobs/src/members.rs
+++ b/crates/jobs/src/members.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{JobHead, JobKey};
+use crate::{JobKey, JobManifest};
 
 /// A node, as it tells of itself.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -92,16 +92,16 @@
 
     /// Returns the node that runs the items of a job.
     ///
-    /// It is the one that the head names. If that is not there any more,
+    /// It is the one that the manifest names. If that is not there any more,
     /// all nodes agree on another by rendezvous hashing, without a write:
     /// the jobs of a lost node spread over the others.
     pub fn owner<'a>(
         &'a self,
         job: &JobKey,
-        head: &'a JobHead,
+        manifest: &'a JobManifest,
     ) -> Option<&'a str> {
-        if self.has(&head.owner) {
-            return Some(&head.owner);
+        if self.has(&manifest.owner) {
+            return Some(&manifest.owner);
         }
         let hash = stable_hash(&[job.as_str()]);
         let best = (0..self.len()).max_by_key(|at| self.rank(*at, hash))?;
@@ -163,15 +163,15 @@
     /// Counts the open items of some jobs.
     pub fn of<'a>(
         members: &Members,
-        jobs: impl IntoIterator<Item = (&'a JobKey, &'a JobHead)>,
+        jobs: impl IntoIterator<Item = (&'a JobKey, &'a JobManifest)>,
     ) -> Self {
         let mut backlog = Self::default();
-        for (job, head) in jobs {
-            if head.is_closed() {
+        for (job, manifest) in jobs {
+            if manifest.is_closed() {
                 continue;
             }
-            if let Some(owner) = members.owner(job, head) {
-                backlog.add(owner, head.open_items());
+            if let Some(owner) = members.owner(job, manifest) {
+                backlog.add(owner, manifest.open_items());
             }
         }
         backlog
--- a/crates/jobs/src/page.rs
+++ b/crates/jobs/src/page.rs
@@ -5,7 +5,7 @@
 use tokio::time;
 
 use crate::{
-    Heads, JobError, KnownHead, Ledger, Stored,
+    JobError, KnownManifest, Ledger, ManifestSource, StoredManifest,
     record::{ItemResult, JobKey},
 };
 
@@ -22,12 +22,12 @@
 
 /// Reads results for callers.
 ///
-/// Heads are taken from whoever knows them while that is young enough:
+/// ManifestSource are taken from whoever knows them while that is young enough:
 /// a caller that saw a result at another node must find it here within a
 /// second, and older knowledge could still lack it.
 pub struct PageReader {
     ledger: Ledger,
-    heads: Arc<dyn Heads>,
+    manifests: Arc<dyn ManifestSource>,
     clock: Arc<dyn Clock>,
 }
 
@@ -46,12 +46,12 @@
     /// Makes a reader.
     pub fn new(
         ledger: Ledger,
-        heads: Arc<dyn Heads>,
+        manifests: Arc<dyn ManifestSource>,
         clock: Arc<dyn Clock>,
     ) -> Self {
         Self {
             ledger,
-            heads,
+            manifests,
             clock,
         }
     }
@@ -80,17 +80,17 @@
                 Some(_) => until.saturating_ms_since(looked_at),
                 None => 0,
             };
-            let news = self.heads.read(job, known, left_ms).await;
+            let news = self.manifests.read(job, known, left_ms).await;
             let stored = self.settle(job, customer, after, news).await?;
-            let head = &stored.head;
-            if (after as usize) < head.listed.len() {
+            let manifest = &stored.manifest;
+            if (after as usize) < manifest.listed.len() {
                 return self.collect(job, &stored, after).await;
             }
             let now = self.clock.now();
             let left_ms = until.saturating_ms_since(now);
-            if head.is_closed() || left_ms == 0 {
+            if manifest.is_closed() || left_ms == 0 {
                 return Ok(Page {
-                    total: head.total,
+                    total: manifest.total,
                     next: after,
                     results: Vec::new(),
                 });
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns a head that is new enough to tell what is not at `after`: the
+    /// Returns a manifest that is new enough to tell what is not at `after`: the
     /// one that was found, or else the service's.
     ///
     /// The job of another customer is looked up as an unknown one is: an
@@ -115,33 +115,35 @@
         job: &JobKey,
         customer: Option<&Customer>,
         after: u32,
-        found: Option<KnownHead>,
-    ) -> Result<Stored, Report<JobError>> {
-        let own = found.filter(|found| found.stored.head.belongs_to(customer));
-        if let Some(KnownHead { stored, age_ms }) = own {
-            let has = (after as usize) < stored.head.listed.len();
-            let listed = stored.head.listed.len() as u32;
+        found: Option<KnownManifest>,
+    ) -> Result<StoredManifest, Report<JobError>> {
+        let own =
+            found.filter(|found| found.stored.manifest.belongs_to(customer));
+        if let Some(KnownManifest { stored, age_ms }) = own {
+            let has = (after as usize) < stored.manifest.listed.len();
+            let listed = stored.manifest.listed.len() as u32;
             let is_young = age_ms <= KNOWN_AGE_MS;
-            if has || is_young || listed == stored.head.total {
+            if has || is_young || listed == stored.manifest.total {
                 return Ok(stored);
             }
         }
         let stored = self.ledger.read_for(job, customer).await?;
-        self.heads.note(job, &stored);
+        self.manifests.note(job, &stored);
         Ok(stored)
     }
 
     async fn collect(
         &self,
         job: &JobKey,
-        stored: &Stored,
+        stored: &StoredManifest,
         after: u32,
     ) -> Result<Page, Report<JobError>> {
         let mut results: Vec<ItemResult> = Vec::new();
         let mut next = after;
         let mut bytes = 0;
-        while let Some(first) = stored.head.chunk_of(next) {
-            let chunk = self.ledger.results(job, &stored.head, first).await?;
+        while let Some(first) = stored.manifest.chunk_of(next) {
+            let chunk =
+                self.ledger.results(job, &stored.manifest, first).await?;
             for result in chunk.into_iter().skip((next - first) as usize) {
                 bytes += result.output.len();
                 if bytes > PAGE_BYTES && !results.is_empty() {
@@ -155,7 +157,7 @@
             }
         }
         Ok(Page {
-            total: stored.head.total,
+            total: stored.manifest.total,
             next,
             results,
         })
--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/plan.rs
@@ -3,7 +3,7 @@
 use fleet::{Endpoint, LifeKey};
 use indexmap::IndexMap;
 
-use crate::{JobHead, JobKey, Members, NodeRecord, ring::Ring};
+use crate::{JobKey, JobManifest, Members, NodeRecord, ring::Ring};
 
 /// Shares the endpoints between the nodes that run items.
 ///
@@ -175,8 +175,8 @@
     }
 
     /// Tells whether this node runs the items of a job.
-    pub fn owns_job(&self, job: &JobKey, head: &JobHead) -> bool {
-        self.members.owner(job, head) == Some(&self.node)
+    pub fn owns_job(&self, job: &JobKey, manifest: &JobManifest) -> bool {
+        self.members.owner(job, manifest) == Some(&self.node)
     }
 
     /// Returns the node that uses an endpoint.
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -133,7 +133,7 @@
 /// whoever writes.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct JobHead {
+pub struct JobManifest {
     /// When the job arrived.
     pub submitted_at: UnixMillis,
     /// Host that it was sent to.
@@ -163,7 +163,7 @@
     pub customer: Option<Customer>,
 }
 
-impl JobHead {
+impl JobManifest {
     /// Tells whether callers of a customer may know of the job.
     ///
     /// A job without a customer was accepted where nobody needs a key, and
@@ -196,16 +196,16 @@
 
 /// Common start of the keys that every node watches.
 pub const WATCHED_PREFIX: &str = "jobs/";
-/// Common start of the heads.
-pub const HEAD_PREFIX: &str = "jobs/h/";
+/// Common start of the manifests.
+pub const MANIFEST_PREFIX: &str = "jobs/h/";
 /// Common start of the entries of nodes.
 pub const NODE_PREFIX: &str = "jobs/n/";
 /// Common start of the keys of inputs, results and progress of items.
 pub(crate) const BULK_PREFIX: &str = "bulk/";
 
-/// Returns the key of a job's head.
-pub fn head_key(job: &JobKey) -> String {
-    format!("{HEAD_PREFIX}{job}")
+/// Returns the key of a job's manifest.
+pub fn manifest_key(job: &JobKey) -> String {
+    format!("{MANIFEST_PREFIX}{job}")
 }
 
 /// Returns the key of a chunk of a job's inputs.
@@ -213,14 +213,14 @@
 /// The time of submission is part of it: a job that is sent again after its
 /// removal is a new one, and what nodes have kept of the old one must not be
 /// taken for its own.
-pub fn input_key(job: &JobKey, head: &JobHead, chunk: u32) -> String {
-    let submitted_ms = head.submitted_at.as_ms();
+pub fn input_key(job: &JobKey, manifest: &JobManifest, chunk: u32) -> String {
+    let submitted_ms = manifest.submitted_at.as_ms();
     format!("bulk/in/{job}/{submitted_ms}/{chunk:06}")
 }
 
 /// Returns the key of a chunk of a job's results; see [`input_key`].
-pub fn output_key(job: &JobKey, head: &JobHead, first: u32) -> String {
-    let submitted_ms = head.submitted_at.as_ms();
+pub fn output_key(job: &JobKey, manifest: &JobManifest, first: u32) -> String {
+    let submitted_ms = manifest.submitted_at.as_ms();
     format!("bulk/out/{job}/{submitted_ms}/{first:06}")
 }
 
@@ -235,8 +235,8 @@
 /// # Errors
 ///
 /// [`JobError::Encoding`], which a record of this type does not cause.
-pub fn encode_head(head: &JobHead) -> Result<Vec<u8>, JobError> {
-    serde_json::to_vec(head).map_err(|_| JobError::Encoding)
+pub fn encode_manifest(manifest: &JobManifest) -> Result<Vec<u8>, JobError> {
+    serde_json::to_vec(manifest).map_err(|_| JobError::Encoding)
 }
 
 /// Decodes the record of a job.
@@ -244,7 +244,7 @@
 /// # Errors
 ///
 /// [`JobError::Encoding`] if the bytes are no such record.
-pub fn decode_head(bytes: &[u8]) -> Result<JobHead, JobError> {
+pub fn decode_manifest(bytes: &[u8]) -> Result<JobManifest, JobError> {
     serde_json::from_slice(bytes).map_err(|_| JobError::Encoding)
 }
 
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -28,8 +28,8 @@
     save::Loaded,
 };
 use crate::{
-    GateOptions, ItemForwarder, JobError, JobHead, JobView, Ledger,
-    OnlineLoad, Pace, Plan, Plans, RunEnd, Stored,
+    GateOptions, ItemForwarder, JobError, JobManifest, JobView, Ledger,
+    OnlineLoad, Pace, Plan, Plans, RunEnd, StoredManifest,
     record::{ItemResult, ItemState, JobKey},
 };
 
@@ -195,9 +195,12 @@
     Inputs(JobKey, Result<Loaded, Report<JobError>>),
     Saved(Result<(), Report<JobError>>),
     Ended(RunId, RunEnd),
-    Listed(JobKey, Result<Result<Stored, Stored>, Report<JobError>>),
+    Listed(
+        JobKey,
+        Result<Result<StoredManifest, StoredManifest>, Report<JobError>>,
+    ),
     Probed(LifeKey, Option<LoadReport>),
-    Moved(JobKey, Result<Stored, Report<JobError>>),
+    Moved(JobKey, Result<StoredManifest, Report<JobError>>),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
@@ -332,8 +335,8 @@
                 None => {
                     log::info!(
                         job = key.as_str(),
-                        items = stored.head.total,
-                        listed = stored.head.listed.len(),
+                        items = stored.manifest.total,
+                        listed = stored.manifest.listed.len(),
                         revision = stored.revision;
                         "a job is taken up"
                     );
@@ -359,9 +362,9 @@
         let mut moved = Vec::new();
         for (key, job) in &mut self.jobs {
             let known = self.runner.parts.view.get(key);
-            let closed = known.as_ref().is_none_or(|s| s.head.is_closed());
+            let closed = known.as_ref().is_none_or(|s| s.manifest.is_closed());
             let owned =
-                known.is_some_and(|known| plan.owns_job(key, &known.head));
+                known.is_some_and(|known| plan.owns_job(key, &known.manifest));
             if !owned && !job.moved && !closed {
                 moved.push(key.clone());
             }
@@ -421,12 +424,12 @@
             let Inputs::Loaded(inputs) = &job.inputs else {
                 continue;
             };
-            let head = &job.stored.head;
-            let over = unix > head.give_up_at.saturating_add_ms(margin_ms);
+            let manifest = &job.stored.manifest;
+            let over = unix > manifest.give_up_at.saturating_add_ms(margin_ms);
             let gone = config
                 .as_ref()
                 .as_ref()
-                .is_some_and(|config| route_of(config, head).is_none());
+                .is_some_and(|config| route_of(config, manifest).is_none());
             if !over && !gone {
                 continue;
             }
@@ -454,7 +457,7 @@
 
     /// Starts the removal of closed jobs whose time to be read is over.
     ///
-    /// Without it heads pile up in the key-value service and in the memory
+    /// Without it manifests pile up in the key-value service and in the memory
     /// of every node, a gigabyte a day at one job a second.
     fn remove_expired(&mut self, plan: &Plan) {
         let now = self.now();
@@ -466,7 +469,7 @@
         let kept_ms = self.runner.options.kept_ms;
         let before = unix.saturating_sub_ms(kept_ms);
         let mut expired = self.runner.parts.view.closed_before(before);
-        expired.retain(|(key, stored)| plan.owns_job(key, &stored.head));
+        expired.retain(|(key, stored)| plan.owns_job(key, &stored.manifest));
         expired.truncate(REMOVALS_MOST);
         let ledger = self.runner.parts.ledger.clone();
         tokio::spawn(async move {
@@ -505,7 +508,10 @@
     }
 }
 
-fn route_of<'a>(config: &'a Config, head: &JobHead) -> Option<&'a Arc<Route>> {
-    let route = config.routes.find(&head.host, &head.path)?;
+fn route_of<'a>(
+    config: &'a Config,
+    manifest: &JobManifest,
+) -> Option<&'a Arc<Route>> {
+    let route = config.routes.find(&manifest.host, &manifest.path)?;
     (route.kind() == RouteKind::Batch).then_some(route)
 }
--- a/crates/jobs/src/runner/active.rs
+++ b/crates/jobs/src/runner/active.rs
@@ -7,14 +7,14 @@
 
 use super::RunId;
 use crate::{
-    Progress, Stored,
+    Progress, StoredManifest,
     record::{
         ItemInput, ItemProgress, ItemResult, ItemState, Strikes, merge_strikes,
     },
 };
 
 pub(super) struct Active {
-    pub(super) stored: Stored,
+    pub(super) stored: StoredManifest,
     pub(super) inputs: Inputs,
     pub(super) items: Vec<Item>,
     pub(super) pending: Vec<(u32, ItemResult)>,
@@ -64,10 +64,10 @@
 }
 
 impl Active {
-    pub(super) fn new(stored: Stored) -> Self {
-        let total = stored.head.total as usize;
+    pub(super) fn new(stored: StoredManifest) -> Self {
+        let total = stored.manifest.total as usize;
         let mut job = Self {
-            strikes: stored.head.strikes.clone(),
+            strikes: stored.manifest.strikes.clone(),
             stored,
             inputs: Inputs::Missing,
             items: vec![Item::default(); total],
@@ -148,33 +148,33 @@
         }
     }
 
-    /// Takes a newer head; what it lists is done, whoever listed it.
-    pub(super) fn renew(&mut self, stored: Stored) {
+    /// Takes a newer manifest; what it lists is done, whoever listed it.
+    pub(super) fn renew(&mut self, stored: StoredManifest) {
         if stored.revision < self.stored.revision {
             return;
         }
-        merge_strikes(&mut self.strikes, &stored.head.strikes);
+        merge_strikes(&mut self.strikes, &stored.manifest.strikes);
         self.stored = stored;
         self.mark_listed();
     }
 
-    /// Tells whether something waits to be listed or counted in the head.
+    /// Tells whether something waits to be listed or counted in the manifest.
     ///
-    /// Compared with the head and not flagged: a flag that is cleared as a
+    /// Compared with the manifest and not flagged: a flag that is cleared as a
     /// write begins forgets a strike whose write is lost, and a node that
     /// takes the job up then runs a hopeless item more often than allowed.
     pub(super) fn has_to_commit(&self) -> bool {
-        let counted = self.strikes == self.stored.head.strikes;
+        let counted = self.strikes == self.stored.manifest.strikes;
         !self.pending.is_empty() || !counted
     }
 
     pub(super) fn mark_listed(&mut self) {
-        for number in &self.stored.head.listed {
+        for number in &self.stored.manifest.listed {
             if let Some(item) = self.items.get_mut(*number as usize) {
                 item.state = Phase::Done;
             }
         }
-        let listed = &self.stored.head.listed;
+        let listed = &self.stored.manifest.listed;
         self.pending.retain(|(number, _)| !listed.contains(number));
     }
 
@@ -194,7 +194,7 @@
         };
         // The text lives on in the result alone.
         item.progress = Progress::default();
-        let listed = self.stored.head.listed.contains(&number);
+        let listed = self.stored.manifest.listed.contains(&number);
         let waits = self.pending.iter().any(|(known, _)| *known == number);
         if listed || waits {
             return;
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -12,8 +12,8 @@
     route_of,
 };
 use crate::{
-    GateInput, GateOrder, ItemRun, JobHead, Plan, PreemptRank, Rest, Urgency,
-    decide, record::JobKey,
+    GateInput, GateOrder, ItemRun, JobManifest, Plan, PreemptRank, Rest,
+    Urgency, decide, record::JobKey,
 };
 
 /// Age of a run before its endpoint's report counts it, in milliseconds:
@@ -164,7 +164,7 @@
         };
         let rest_ms = self.rest_of_run(job, run).expected_ms;
         rest_ms <= NEARLY_DONE_MS
-            && self.would_be_late(&job.stored.head, rest_ms)
+            && self.would_be_late(&job.stored.manifest, rest_ms)
     }
 
     /// Estimates how long an item still takes that has run for `ran_ms`.
@@ -188,14 +188,18 @@
         let ran_ms = job.items[number as usize].run_ms;
         let rest = self.rest(job, number, ran_ms);
         let unix = self.runner.parts.clock.unix();
-        Urgency::new(job.stored.head.due_at, rest, unix)
+        Urgency::new(job.stored.manifest.due_at, rest, unix)
     }
 
     /// Tells whether work of `rest_ms` is only just in time. What is late
     /// already is not urgent any more: it must not hold up what is not.
-    pub(super) fn would_be_late(&self, head: &JobHead, rest_ms: u64) -> bool {
+    pub(super) fn would_be_late(
+        &self,
+        manifest: &JobManifest,
+        rest_ms: u64,
+    ) -> bool {
         let unix = self.runner.parts.clock.unix();
-        let left_ms = head.due_at.saturating_ms_since(unix);
+        let left_ms = manifest.due_at.saturating_ms_since(unix);
         let needed_ms =
             rest_ms * URGENT_PERCENT / 100 + self.runner.options.commit_ms;
         left_ms > rest_ms && left_ms < needed_ms
@@ -211,7 +215,7 @@
             let job = self.jobs.get(&run.job)?;
             let item = &job.items[run.item as usize];
             let has_events = item.progress.last_id().is_some();
-            let due_at = job.stored.head.due_at;
+            let due_at = job.stored.manifest.due_at;
             let rest = self.rest_of_run(job, run);
             let urgency = Urgency::new(due_at, rest, unix);
             Some(PreemptRank::new(has_events, urgency))
@@ -254,8 +258,8 @@
             if job.moved || !matches!(job.inputs, Inputs::Loaded(_)) {
                 continue;
             }
-            let head = &job.stored.head;
-            let leads_here = route_of(config, head).is_some_and(|route| {
+            let manifest = &job.stored.manifest;
+            let leads_here = route_of(config, manifest).is_some_and(|route| {
                 let mut all = route.destinations().iter();
                 all.any(|d| d.service == *service && d.weight > 0)
             });
@@ -292,7 +296,7 @@
         let Inputs::Loaded(inputs) = &job.inputs else {
             return false;
         };
-        let Some(route) = route_of(config, &job.stored.head) else {
+        let Some(route) = route_of(config, &job.stored.manifest) else {
             return false;
         };
         let id = RunId(self.next_run);
@@ -301,8 +305,8 @@
         let run = ItemRun {
             input: inputs[number as usize].clone(),
             job: key.clone(),
-            host: job.stored.head.host.clone(),
-            customer: job.stored.head.customer.clone(),
+            host: job.stored.manifest.host.clone(),
+            customer: job.stored.manifest.customer.clone(),
             route: route.clone(),
             endpoint: endpoint.clone(),
             progress: item.progress.clone(),
--- a/crates/jobs/src/runner/even.rs
+++ b/crates/jobs/src/runner/even.rs
@@ -4,7 +4,9 @@
 use error_stack::Report;
 
 use super::{Event, Work};
-use crate::{Backlog, JobError, Members, Plan, Stored, record::JobKey};
+use crate::{
+    Backlog, JobError, Members, Plan, StoredManifest, record::JobKey,
+};
 
 /// Open items that another node must have beyond twice one's own before a
 /// job is taken from it: about one job, so that none goes back and forth.
@@ -45,9 +47,9 @@
         };
         log::info!(
             job = key.as_str(),
-            from = members.owner(&key, &before.head).unwrap_or_default(),
-            listed = before.head.listed.len(),
-            total = before.head.total,
+            from = members.owner(&key, &before.manifest).unwrap_or_default(),
+            listed = before.manifest.listed.len(),
+            total = before.manifest.total,
             mine;
             "a job is taken from another node"
         );
@@ -71,7 +73,7 @@
         plan: &Plan,
         mine: u32,
         now: Millis,
-    ) -> Option<(JobKey, Stored)> {
+    ) -> Option<(JobKey, StoredManifest)> {
         if mine > LITTLE_TO_DO_ITEMS {
             return None;
         }
@@ -86,7 +88,7 @@
             let unix = self.runner.parts.clock.unix();
             let overdue = view.overdue(unix).into_iter();
             let mut of_others = overdue.filter(|(key, stored)| {
-                members.owner(key, &stored.head) != Some(me)
+                members.owner(key, &stored.manifest) != Some(me)
             });
             of_others
                 .find(|(key, _)| view.unchanged_ms(key, now) > LEFT_LYING_MS)
@@ -107,7 +109,7 @@
         members: &Members,
         backlog: &Backlog,
         mine: u32,
-    ) -> Option<(JobKey, Stored)> {
+    ) -> Option<(JobKey, StoredManifest)> {
         let draw = stable_hash(&[&self.runner.parts.node]);
         let drawn = members.draw(mix(draw ^ self.now().as_ms()));
         let loads =
@@ -119,16 +121,16 @@
         }
         let mut movable = self.runner.parts.view.open_of(members, other);
         movable.retain(|(_, stored)| {
-            let head = &stored.head;
-            head.listed.is_empty() && mine + 2 * head.total <= theirs
+            let manifest = &stored.manifest;
+            manifest.listed.is_empty() && mine + 2 * manifest.total <= theirs
         });
-        movable.into_iter().max_by_key(|(_, s)| s.head.due_at)
+        movable.into_iter().max_by_key(|(_, s)| s.manifest.due_at)
     }
 
     pub(super) fn take_moved(
         &mut self,
         key: &JobKey,
-        moved: Result<Stored, Report<JobError>>,
+        moved: Result<StoredManifest, Report<JobError>>,
     ) {
         self.moving = None;
         match moved {
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -13,7 +13,7 @@
     save::Loaded,
 };
 use crate::{
-    JobError, RunEnd, Stored,
+    JobError, RunEnd, StoredManifest,
     record::{ItemState, JobKey, Strikes},
 };
 
@@ -83,7 +83,7 @@
         let most = config
             .as_ref()
             .as_ref()
-            .and_then(|config| route_of(config, &job.stored.head))
+            .and_then(|config| route_of(config, &job.stored.manifest))
             .map_or(1, |route| route.max_attempts());
         let strikes = job.strikes.entry(number).or_default();
         match end {
@@ -96,7 +96,7 @@
         let hopeless = strikes.rejections > 0 || strikes.errors >= most;
         let ran_ms = run.started.elapsed().as_millis() as u64;
         let unix = self.runner.parts.clock.unix();
-        let head = &job.stored.head;
+        let manifest = &job.stored.manifest;
         log::info!(
             request_id = inputs[number as usize].id.as_str(),
             job = run.job.as_str(),
@@ -105,8 +105,8 @@
             ran_ms,
             errors = strikes.errors,
             pauses = job.items[number as usize].pauses,
-            age_ms = unix.saturating_ms_since(head.submitted_at),
-            late_ms = unix.saturating_ms_since(head.due_at),
+            age_ms = unix.saturating_ms_since(manifest.submitted_at),
+            late_ms = unix.saturating_ms_since(manifest.due_at),
             events = job.items[number as usize].progress.events();
             "a run of an item ended"
         );
@@ -144,7 +144,10 @@
     pub(super) fn take_listed(
         &mut self,
         key: &JobKey,
-        listed: Result<Result<Stored, Stored>, Report<JobError>>,
+        listed: Result<
+            Result<StoredManifest, StoredManifest>,
+            Report<JobError>,
+        >,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -153,13 +156,13 @@
         let stored = match listed {
             Ok(Ok(stored)) => {
                 let unix = self.runner.parts.clock.unix();
-                let before = job.stored.head.listed.len();
+                let before = job.stored.manifest.listed.len();
                 log::info!(
                     job = key.as_str(),
-                    new = stored.head.listed.len().saturating_sub(before),
-                    late_ms = unix.saturating_ms_since(stored.head.due_at),
-                    listed = stored.head.listed.len(),
-                    total = stored.head.total,
+                    new = stored.manifest.listed.len().saturating_sub(before),
+                    late_ms = unix.saturating_ms_since(stored.manifest.due_at),
+                    listed = stored.manifest.listed.len(),
+                    total = stored.manifest.total,
                     revision = stored.revision;
                     "results are listed"
                 );
--- a/crates/jobs/src/runner/save.rs
+++ b/crates/jobs/src/runner/save.rs
@@ -6,7 +6,7 @@
 
 use super::{Event, Work, active::Inputs};
 use crate::{
-    JobError, JobHead, Ledger,
+    JobError, JobManifest, Ledger,
     record::{ItemInput, ItemProgress, JobKey, JobProgress},
 };
 
@@ -30,16 +30,16 @@
             }
             job.inputs = Inputs::Loading;
             let ledger = self.runner.parts.ledger.clone();
-            let (key, head) = (key.clone(), job.stored.head.clone());
+            let (key, manifest) = (key.clone(), job.stored.manifest.clone());
             // Of a job younger than the pause between two saves nothing is
             // saved yet, unless another node had it, and the read is spared.
-            let age_ms = unix.saturating_ms_since(head.submitted_at);
+            let age_ms = unix.saturating_ms_since(manifest.submitted_at);
             let is_new = age_ms < self.runner.options.save_ms
-                && head.owner == self.runner.parts.node
+                && manifest.owner == self.runner.parts.node
                 && job.settled_at == Millis::default();
             let sender = self.sender.clone();
             tokio::spawn(async move {
-                let loaded = load(&ledger, &key, &head, is_new).await;
+                let loaded = load(&ledger, &key, &manifest, is_new).await;
                 let _ = sender.send(Event::Inputs(key, loaded));
             });
         }
@@ -60,7 +60,7 @@
             Some(JobProgress {
                 job: key.clone(),
                 items: job.take_unsaved()?,
-                submitted_at: job.stored.head.submitted_at,
+                submitted_at: job.stored.manifest.submitted_at,
             })
         });
         let jobs: Vec<JobProgress> = unsaved.collect();
@@ -103,7 +103,7 @@
                 progress.push(JobProgress {
                     job: key.clone(),
                     items,
-                    submitted_at: job.stored.head.submitted_at,
+                    submitted_at: job.stored.manifest.submitted_at,
                 });
             }
         }
@@ -136,13 +136,13 @@
 async fn load(
     ledger: &Ledger,
     key: &JobKey,
-    head: &JobHead,
+    manifest: &JobManifest,
     is_new: bool,
 ) -> Result<Loaded, Report<JobError>> {
-    let inputs = ledger.inputs(key, head).await?;
+    let inputs = ledger.inputs(key, manifest).await?;
     let progress = match is_new {
         true => Vec::new(),
-        false => ledger.progress(key, head).await?,
+        false => ledger.progress(key, manifest).await?,
     };
     Ok(Loaded { inputs, progress })
 }
--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/view.rs
@@ -6,9 +6,9 @@
 use tokio::sync::watch;
 
 use crate::{
-    Backlog, JobHead, Members, NodeRecord, Roster, Stored,
+    Backlog, JobManifest, Members, NodeRecord, Roster, StoredManifest,
     index::JobIndex,
-    record::{HEAD_PREFIX, JobKey, NODE_PREFIX, decode_head},
+    record::{JobKey, MANIFEST_PREFIX, NODE_PREFIX, decode_manifest},
 };
 
 /// What one node knows of all jobs and of the nodes that run items.
@@ -108,8 +108,8 @@
         inner.roster = None;
     }
 
-    /// Takes in a head that this node wrote or read itself.
-    pub fn learn(&self, job: &JobKey, stored: &Stored, now: Millis) {
+    /// Takes in a manifest that this node wrote or read itself.
+    pub fn learn(&self, job: &JobKey, stored: &StoredManifest, now: Millis) {
         let mut inner = self.lock();
         if stored.revision <= inner.jobs.revision(job) {
             return;
@@ -119,8 +119,8 @@
         self.changed();
     }
 
-    /// Returns the head of a job.
-    pub fn get(&self, job: &JobKey) -> Option<Stored> {
+    /// Returns the manifest of a job.
+    pub fn get(&self, job: &JobKey) -> Option<StoredManifest> {
         self.lock().jobs.get(job).cloned()
     }
 
@@ -129,9 +129,9 @@
         &self,
         job: &JobKey,
         customer: Option<&Customer>,
-    ) -> Option<Stored> {
+    ) -> Option<StoredManifest> {
         let stored = self.get(job);
-        stored.filter(|stored| stored.head.belongs_to(customer))
+        stored.filter(|stored| stored.manifest.belongs_to(customer))
     }
 
     /// Returns the open jobs that a node runs.
@@ -139,17 +139,20 @@
         &self,
         members: &Members,
         node: &str,
-    ) -> Vec<(JobKey, Stored)> {
+    ) -> Vec<(JobKey, StoredManifest)> {
         self.lock().jobs.open_of(members, node)
     }
 
     /// Returns the open jobs that were due before a moment.
-    pub fn overdue(&self, now: UnixMillis) -> Vec<(JobKey, Stored)> {
+    pub fn overdue(&self, now: UnixMillis) -> Vec<(JobKey, StoredManifest)> {
         self.lock().jobs.overdue(now)
     }
 
     /// Returns the closed jobs that were submitted before a moment.
-    pub fn closed_before(&self, moment: UnixMillis) -> Vec<(JobKey, Stored)> {
+    pub fn closed_before(
+        &self,
+        moment: UnixMillis,
+    ) -> Vec<(JobKey, StoredManifest)> {
         self.lock().jobs.closed_before(moment)
     }
 
@@ -224,8 +227,11 @@
         if revision <= self.jobs.revision(&key) {
             return;
         }
-        match decode_head(&kv.value) {
-            Ok(head) => self.jobs.put(key, Stored { head, revision }, now),
+        match decode_manifest(&kv.value) {
+            Ok(manifest) => {
+                self.jobs
+                    .put(key, StoredManifest { manifest, revision }, now)
+            }
             Err(error) => {
                 log::warn!(key = kv.key.as_str(), error:%;
                     "a job cannot be read");
@@ -259,11 +265,14 @@
 }
 
 fn job_key(key: &str) -> Option<JobKey> {
-    key.strip_prefix(HEAD_PREFIX)?.parse().ok()
+    key.strip_prefix(MANIFEST_PREFIX)?.parse().ok()
 }
 
-/// Reads the head of a job as the key-value service keeps it; none of
+/// Reads the manifest of a job as the key-value service keeps it; none of
 /// another key or value.
-pub fn decode_head_row(key: &str, value: &[u8]) -> Option<(JobKey, JobHead)> {
-    Some((job_key(key)?, decode_head(value).ok()?))
+pub fn decode_manifest_row(
+    key: &str,
+    value: &[u8],
+) -> Option<(JobKey, JobManifest)> {
+    Some((job_key(key)?, decode_manifest(value).ok()?))
 }
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use kv::{Kv, Memory, WriteFault};
 use pomeloslip_jobs::{
-    BulkFuture, ItemProgress, ItemResult, JobError, JobHead, JobKey,
+    BulkFuture, ItemProgress, ItemResult, JobError, JobKey, JobManifest,
     JobProgress, NewJob, Siblings, Strikes, encode_inputs,
 };
 use yare::parameterized;
@@ -23,11 +23,14 @@
         ..job("j", 0)
     };
     let stored = ledger.accept(new.clone()).await.expect("accepted");
-    assert!(stored.head.input_chunks > 1);
-    assert_eq!(stored.head.total, 50);
+    assert!(stored.manifest.input_chunks > 1);
+    assert_eq!(stored.manifest.total, 50);
     let read = ledger.read(&key("j")).await.expect("read");
-    assert_eq!(read.head, stored.head);
-    let inputs = ledger.inputs(&key("j"), &read.head).await.expect("inputs");
+    assert_eq!(read.manifest, stored.manifest);
+    let inputs = ledger
+        .inputs(&key("j"), &read.manifest)
+        .await
+        .expect("inputs");
     assert_eq!(inputs, new.items);
 }
 
@@ -43,12 +46,12 @@
         ..job("j", 3)
     };
     let second = two.accept(again).await.expect("accepted");
-    assert_eq!(first.head, second.head);
+    assert_eq!(first.manifest, second.manifest);
 }
 
 /// Symptom: a job that was accepted before there were customers is refused
 /// when it is sent again, or one customer gets the job of another. Events: a
-/// head without a customer, and one of another customer, under the id of a new
+/// manifest without a customer, and one of another customer, under the id of a new
 /// job. Cause: what is not known was taken for a difference, or ignored.
 #[tokio::test]
 async fn a_job_sent_again_has_to_be_of_the_same_customer() {
@@ -56,7 +59,7 @@
     let ledger = ledger(&kv);
     let of = |name: &str| Some(name.parse().expect("a name"));
     let old = ledger.accept(job("old", 1)).await.expect("accepted");
-    let text = serde_json::to_string(&old.head).expect("json");
+    let text = serde_json::to_string(&old.manifest).expect("json");
     assert!(!text.contains("customer"), "as heads were before: {text}");
     let again = NewJob {
         customer: of("alama"),
@@ -88,7 +91,10 @@
     kv.script_writes([fault]);
     let ledger = ledger(&kv);
     ledger.accept(job("j", 3)).await.expect("accepted");
-    assert_eq!(ledger.read(&key("j")).await.expect("read").head.total, 3);
+    assert_eq!(
+        ledger.read(&key("j")).await.expect("read").manifest.total,
+        3
+    );
 }
 
 /// A refusal that says that nothing was kept must be true.
@@ -128,15 +134,15 @@
             .await;
         stored = listed.expect("written").expect("no other writer");
     }
-    assert_eq!(stored.head.listed, [2, 0, 3, 1]);
-    assert!(stored.head.is_closed());
+    assert_eq!(stored.manifest.listed, [2, 0, 3, 1]);
+    assert!(stored.manifest.is_closed());
     // Another node's ledger, which has nothing in memory.
     let other = common::ledger(&kv);
-    let second = other.results(&key("j"), &stored.head, 2).await;
+    let second = other.results(&key("j"), &stored.manifest, 2).await;
     let second = second.expect("results");
     assert_eq!(second, [result(3), result(1)]);
-    assert_eq!(stored.head.chunk_of(3), Some(2));
-    assert_eq!(stored.head.chunk_of(4), None);
+    assert_eq!(stored.manifest.chunk_of(3), Some(2));
+    assert_eq!(stored.manifest.chunk_of(4), None);
 }
 
 /// Symptom: an item stands at two positions. Events: two nodes think that a
@@ -156,7 +162,7 @@
         .list(&key("j"), &before, &[0], &[result(0)], &none)
         .await;
     let now = second.expect("written").expect_err("superseded");
-    assert_eq!(now.head.listed, [0]);
+    assert_eq!(now.manifest.listed, [0]);
 }
 
 /// Symptom: a result is listed twice after a lost answer. Events: the write
@@ -173,7 +179,7 @@
         .list(&key("j"), &before, &[1], &[result(1)], &none)
         .await;
     let stored = listed.expect("known").expect("its own write");
-    assert_eq!(stored.head.listed, [1]);
+    assert_eq!(stored.manifest.listed, [1]);
 }
 
 #[tokio::test]
@@ -193,8 +199,8 @@
     let listed = ledger.list(&key("j"), &before, &[], &[], &strikes).await;
     listed.expect("written").expect("listed");
     let read = ledger.read(&key("j")).await.expect("read");
-    assert_eq!(read.head.strikes, strikes);
-    assert!(read.head.output_chunks.is_empty());
+    assert_eq!(read.manifest.strikes, strikes);
+    assert!(read.manifest.output_chunks.is_empty());
 }
 
 #[tokio::test]
@@ -207,7 +213,7 @@
     ledger.end(&key("j"), None).await.expect("ended again");
     let twice = ledger.read(&key("j")).await.expect("read");
     assert_eq!(once, twice);
-    assert!(twice.head.is_closed());
+    assert!(twice.manifest.is_closed());
     let unknown = ledger.end(&key("k"), None).await.expect_err("unknown");
     assert_eq!(*unknown.current_context(), JobError::Unknown);
 }
@@ -270,19 +276,20 @@
 async fn progress_is_read_as_it_was_saved_last() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
-    let head = ledger.accept(job("j", 3)).await.expect("accepted").head;
-    let none = ledger.progress(&key("j"), &head).await.expect("read");
+    let manifest =
+        ledger.accept(job("j", 3)).await.expect("accepted").manifest;
+    let none = ledger.progress(&key("j"), &manifest).await.expect("read");
     assert_eq!(none, []);
     for output in ["a", "a\nb"] {
         let items = vec![progress(0, output), progress(2, "")];
         let jobs = [saved("j", items)];
         ledger.save_progress(&jobs).await.expect("saved");
     }
-    let read = ledger.progress(&key("j"), &head).await.expect("read");
+    let read = ledger.progress(&key("j"), &manifest).await.expect("read");
     assert_eq!(read, [progress(0, "a\nb"), progress(2, "")]);
-    let again = JobHead {
+    let again = JobManifest {
         submitted_at: UnixMillis::new(200_000),
-        ..head
+        ..manifest
     };
     let other = ledger.progress(&key("j"), &again).await.expect("read");
     assert_eq!(other, [], "of a job that was sent again after its removal");
@@ -295,7 +302,8 @@
 async fn progress_that_does_not_fit_leaves_the_rest_whole() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
-    let head = ledger.accept(job("j", 3)).await.expect("accepted").head;
+    let manifest =
+        ledger.accept(job("j", 3)).await.expect("accepted").manifest;
     let long = "x".repeat(VALUE_BYTES / 2);
     let many = |job: usize| {
         let items = (0..3).map(|number| progress(number, &long));
@@ -304,7 +312,7 @@
     let jobs: Vec<_> = (0..40).map(many).collect();
     ledger.save_progress(&jobs).await.expect("saved");
     for JobProgress { job, items, .. } in &jobs {
-        let read = ledger.progress(job, &head).await.expect("read");
+        let read = ledger.progress(job, &manifest).await.expect("read");
         assert_eq!(read, items[..1], "{job}");
     }
 }
@@ -317,7 +325,7 @@
     let jobs = [saved("j", vec![progress(0, "a")])];
     ledger.save_progress(&jobs).await.expect("saved");
     ledger.remove(&key("j"), &stored).await.expect("removed");
-    let left = ledger.progress(&key("j"), &stored.head).await;
+    let left = ledger.progress(&key("j"), &stored.manifest).await;
     assert_eq!(left.expect("read"), []);
 }
 
@@ -330,7 +338,7 @@
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let none = IndexMap::new();
-    let mut heads = Vec::new();
+    let mut manifests = Vec::new();
     for (submitted_ms, number) in [(1_000, 0), (200_000, 1)] {
         let new = NewJob {
             submitted_at: UnixMillis::new(submitted_ms),
@@ -342,19 +350,19 @@
             .list(&key("j"), &stored, &[number], &results, &none)
             .await;
         let stored = listed.expect("written").expect("listed");
-        let read = ledger.results(&key("j"), &stored.head, 0).await;
+        let read = ledger.results(&key("j"), &stored.manifest, 0).await;
         assert_eq!(read.expect("results"), results);
         ledger.remove(&key("j"), &stored).await.expect("removed");
-        heads.push(stored.head);
+        manifests.push(stored.manifest);
     }
-    assert_eq!(heads.len(), 2);
+    assert_eq!(manifests.len(), 2);
 }
 
 /// Another node that has one value.
 struct OneValue(&'static str, Vec<u8>);
 
 impl Siblings for OneValue {
-    fn read(&self, _: &JobKey, _: &JobHead, key: &str) -> BulkFuture {
+    fn read(&self, _: &JobKey, _: &JobManifest, key: &str) -> BulkFuture {
         let value = Arc::new(self.1.clone());
         let found = key.starts_with(self.0).then_some(value);
         Box::pin(std::future::ready(found))
@@ -371,7 +379,7 @@
         let ledger = ledger(&kv).with_siblings(Arc::default(), other);
         let before = kv.counts().reads;
         for _ in 0..2 {
-            let read = ledger.inputs(&key("j"), &stored.head).await;
+            let read = ledger.inputs(&key("j"), &stored.manifest).await;
             assert_eq!(read.expect("inputs"), items(2, 100));
         }
         assert_eq!(kv.counts().reads - before, calls, "{prefix}");
@@ -381,9 +389,9 @@
 /// Symptom: a position of a job showed one output at one front and another
 /// at the next. Events: a write of results is lost on its way; meanwhile
 /// another node lists the same items, with the texts of runs of its own; the
-/// first node reads the head back, finds it as it wanted it and keeps its
-/// own texts for other nodes. Cause: two heads that list the same items are
-/// alike, so that a head alone does not prove whose results were written.
+/// first node reads the manifest back, finds it as it wanted it and keeps its
+/// own texts for other nodes. Cause: two manifests that list the same items are
+/// alike, so that a manifest alone does not prove whose results were written.
 #[tokio::test]
 async fn results_that_another_writer_listed_are_not_kept_as_own() {
     let kv = Memory::default();
@@ -403,10 +411,10 @@
     let lost = two.list(&job, &stored, &[0], &by_two, &none);
     let faster = one.list(&job, &stored, &[0], &by_one, &none);
     let (lost, faster) = tokio::join!(lost, faster);
-    let head = faster.expect("written").expect("the first").head;
-    assert_eq!(lost.expect("read back").expect("found").head, head);
+    let manifest = faster.expect("written").expect("the first").manifest;
+    assert_eq!(lost.expect("read back").expect("found").manifest, manifest);
     for reader in [one, two, ledger(&kv)] {
-        let read = reader.results(&job, &head, 0).await.expect("results");
+        let read = reader.results(&job, &manifest, 0).await.expect("results");
         assert_eq!(read, by_one);
     }
 }
--- a/crates/jobs/tests/model.rs
+++ b/crates/jobs/tests/model.rs
@@ -10,7 +10,7 @@
 use common::{job, key, ledger, result};
 use indexmap::IndexMap;
 use kv::{Memory, WriteFault};
-use pomeloslip_jobs::{ItemResult, Ledger, NoSiblings, Stored};
+use pomeloslip_jobs::{ItemResult, Ledger, NoSiblings, StoredManifest};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const ITEMS: u32 = 12;
@@ -19,7 +19,7 @@
 /// A writer with what it believes, which may be out of date.
 struct Writer {
     ledger: Ledger,
-    known: Stored,
+    known: StoredManifest,
 }
 
 fn fault(random: &mut StdRng) -> WriteFault {
@@ -31,10 +31,14 @@
     }
 }
 
-async fn read_all(ledger: &Ledger, head: &Stored) -> Vec<ItemResult> {
+async fn read_all(
+    ledger: &Ledger,
+    manifest: &StoredManifest,
+) -> Vec<ItemResult> {
     let mut all = Vec::new();
-    for first in &head.head.output_chunks {
-        let chunk = ledger.results(&key("j"), &head.head, *first).await;
+    for first in &manifest.manifest.output_chunks {
+        let chunk =
+            ledger.results(&key("j"), &manifest.manifest, *first).await;
         all.extend(chunk.expect("a listed chunk is there"));
     }
     all
@@ -62,7 +66,7 @@
             writer.known = read.expect("read");
         }
         let numbers: Vec<u32> = (0..ITEMS)
-            .filter(|n| !writer.known.head.listed.contains(n))
+            .filter(|n| !writer.known.manifest.listed.contains(n))
             .filter(|_| random.random_bool(0.3))
             .collect();
         if numbers.is_empty() {
@@ -113,10 +117,10 @@
 async fn check(
     ledger: &Ledger,
     seen: &mut Vec<ItemResult>,
-) -> Result<Stored, String> {
+) -> Result<StoredManifest, String> {
     let now = ledger.read(&key("j")).await.expect("read");
     let all = read_all(ledger, &now).await;
-    if all.len() != now.head.listed.len() {
+    if all.len() != now.manifest.listed.len() {
         return Err("head and chunks disagree".to_owned());
     }
     if !all.starts_with(seen) {
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -8,7 +8,7 @@
     RouteKind, RouteTable,
 };
 use pomeloslip_jobs::{
-    Backlog, JobHead, JobKey, Members, NodeRecord, Plan, Planner,
+    Backlog, JobKey, JobManifest, Members, NodeRecord, Plan, Planner,
 };
 use yare::parameterized;
 
@@ -41,8 +41,8 @@
     all
 }
 
-fn head(owner: &str, total: u32) -> JobHead {
-    JobHead {
+fn manifest(owner: &str, total: u32) -> JobManifest {
+    JobManifest {
         submitted_at: UnixMillis::new(0),
         host: String::new(),
         path: String::new(),
@@ -118,7 +118,7 @@
 #[test]
 fn jobs_of_a_lost_node_spread_over_the_others() {
     let members = Members::new(["a", "b", "c"].map(|n| node(n, "x")));
-    let lost = head("gone", 3);
+    let lost = manifest("gone", 3);
     let mut owners: Vec<String> = (0..60)
         .map(|number| {
             let job: JobKey = format!("job-{number}").parse().expect("key");
@@ -136,18 +136,18 @@
 fn the_named_node_owns_a_job_as_long_as_it_is_there() {
     let job: JobKey = "job".parse().expect("key");
     let members = Members::new([node("a", "x"), node("b", "x")]);
-    assert_eq!(members.owner(&job, &head("b", 1)), Some("b"));
+    assert_eq!(members.owner(&job, &manifest("b", 1)), Some("b"));
     let fewer = Members::new([node("a", "x")]);
-    assert_eq!(fewer.owner(&job, &head("b", 1)), Some("a"));
-    assert_eq!(Members::default().owner(&job, &head("b", 1)), None);
+    assert_eq!(fewer.owner(&job, &manifest("b", 1)), Some("a"));
+    assert_eq!(Members::default().owner(&job, &manifest("b", 1)), None);
 }
 
 #[test]
 fn a_new_job_goes_to_the_node_with_the_least_open_items() {
     let members = Members::new([node("a", "x"), node("b", "x")]);
-    let jobs: Vec<(JobKey, JobHead)> = [("1", "a", 9), ("2", "b", 4)]
+    let jobs: Vec<(JobKey, JobManifest)> = [("1", "a", 9), ("2", "b", 4)]
         .map(|(key, owner, total)| {
-            (key.parse().expect("key"), head(owner, total))
+            (key.parse().expect("key"), manifest(owner, total))
         })
         .into();
     let backlog = Backlog::of(&members, jobs.iter().map(|(k, h)| (k, h)));
@@ -184,11 +184,11 @@
     let nodes = (0..32).map(|at| node(&format!("node-{at:02}"), "a"));
     let members = Members::new(nodes);
     // Every other node has a job of ten items.
-    let busy: Vec<(JobKey, JobHead)> = (0..32)
+    let busy: Vec<(JobKey, JobManifest)> = (0..32)
         .step_by(2)
         .map(|at| {
             let key = format!("old-{at}").parse().expect("key");
-            (key, head(&format!("node-{at:02}"), 10))
+            (key, manifest(&format!("node-{at:02}"), 10))
         })
         .collect();
     let backlog = Backlog::of(&members, busy.iter().map(|(k, h)| (k, h)));
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -6,7 +6,7 @@
 
 use base::{Millis, stable_hash};
 use indexmap::{IndexMap, IndexSet};
-use jobs::HEAD_PREFIX;
+use jobs::MANIFEST_PREFIX;
 use kv::{Event, GetReply, KeyValue};
 use tokio::sync::watch;
 
@@ -40,7 +40,7 @@
     fn has(self, key: &str) -> bool {
         match self {
             Self::All => true,
-            Self::WithoutHeads => !key.starts_with(HEAD_PREFIX),
+            Self::WithoutHeads => !key.starts_with(MANIFEST_PREFIX),
         }
     }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -16,7 +16,7 @@
 };
 use hyper::body::Incoming;
 use jobs::{
-    Heads, JobError, JobKey, JobView, Ledger, NewJob, PageReader,
+    JobError, JobKey, JobView, Ledger, ManifestSource, NewJob, PageReader,
     ReportedBacklogs,
 };
 use limits::Verdict;
@@ -80,7 +80,7 @@
         let view = base.view.clone();
         let ledger = base.ledger.clone();
         let clock = outside.cluster.clock().clone();
-        let heads: Arc<dyn Heads> =
+        let heads: Arc<dyn ManifestSource> =
             Arc::new(PeerHeads::new(view.clone(), clock.clone()));
         let pages = PageReader::new(ledger.clone(), heads.clone(), clock);
         let (stage, receiver) = stage::channel(Stopping::No);
@@ -155,7 +155,7 @@
     ledger: Ledger,
     intake: JobIntake,
     pages: PageReader,
-    heads: Arc<dyn Heads>,
+    heads: Arc<dyn ManifestSource>,
     backlogs: Arc<ReportedBacklogs>,
     view: JobView,
     quota: QuotaClient,
@@ -500,12 +500,12 @@
         // The number of inputs never changes, so that any known head will do.
         let known = self.heads.read(job, None, 0).await;
         let known = known.map(|known| known.stored);
-        let own = known.filter(|known| known.head.belongs_to(customer));
+        let own = known.filter(|known| known.manifest.belongs_to(customer));
         let stored = match own {
             Some(stored) => stored,
             None => self.ledger.read_for(job, customer).await?,
         };
-        let inputs = self.ledger.inputs(job, &stored.head).await?;
+        let inputs = self.ledger.inputs(job, &stored.manifest).await?;
         let found = inputs.into_iter().find(|input| input.id == item);
         found
             .map(|input| input.body)
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -1,7 +1,9 @@
 use std::{sync::Arc, time::Duration};
 
 use error_stack::Report;
-use jobs::{Heads, JobError, JobView, Ledger, NewJob, Stored};
+use jobs::{
+    JobError, JobView, Ledger, ManifestSource, NewJob, StoredManifest,
+};
 use tokio::{task::JoinHandle, time};
 
 use crate::{
@@ -22,18 +24,18 @@
 pub(crate) struct JobIntake {
     ledger: Ledger,
     view: JobView,
-    heads: Arc<dyn Heads>,
+    heads: Arc<dyn ManifestSource>,
     spool: SpoolClient,
     push: JobPush,
 }
 
-type Entering = JoinHandle<Result<Stored, Report<JobError>>>;
+type Entering = JoinHandle<Result<StoredManifest, Report<JobError>>>;
 
 impl JobIntake {
     pub(crate) fn new(
         ledger: Ledger,
         view: JobView,
-        heads: Arc<dyn Heads>,
+        heads: Arc<dyn ManifestSource>,
         disk_losses: u32,
     ) -> Self {
         Self {
--- a/crates/node/src/job_heads.rs
+++ b/crates/node/src/job_heads.rs
@@ -1,4 +1,4 @@
-//! Heads of jobs as fronts ask for them.
+//! Manifests of jobs as fronts ask for them.
 //!
 //! Workers follow the heads of all jobs, fronts do not: of a fleet with
 //! hundreds of changes a second a front needs those few that its callers ask
@@ -16,8 +16,9 @@
 use http::{Response, StatusCode, Uri};
 use indexmap::IndexMap;
 use jobs::{
-    HeadFuture, Heads, JobKey, JobView, KnownHead, NodeRecord, Stored,
-    ViewHeads, decode_head, encode_head,
+    JobKey, JobView, KnownManifest, ManifestFuture, ManifestSource,
+    NodeRecord, StoredManifest, ViewManifests, decode_manifest,
+    encode_manifest,
 };
 use pass::{AnswerBody, Fetch, Pool};
 use serde::{Deserialize, Serialize};
@@ -37,7 +38,7 @@
 /// How long a worker that did not answer is not asked again, in milliseconds.
 const AGAIN_MS: u64 = 3_000;
 
-/// Heads that a front remembers, so that it knows whom to ask for news.
+/// Manifests that a front remembers, so that it knows whom to ask for news.
 const REMEMBERED_MOST: usize = 256;
 
 /// Workers that are asked for one head, one after the other.
@@ -59,11 +60,11 @@
 
 /// Answers questions for heads.
 #[derive(Clone)]
-pub(crate) struct HeadAnswers(ViewHeads);
+pub(crate) struct HeadAnswers(ViewManifests);
 
 impl HeadAnswers {
     pub(crate) fn new(view: JobView, clock: Arc<dyn Clock>) -> Self {
-        Self(ViewHeads::new(view, clock))
+        Self(ViewManifests::new(view, clock))
     }
 
     pub(crate) async fn answer(self, uri: Uri) -> Response<AnswerBody> {
@@ -86,25 +87,25 @@
     }
 }
 
-fn encode(known: &KnownHead) -> Option<Bytes> {
+fn encode(known: &KnownManifest) -> Option<Bytes> {
     let wire = WireKnown {
         revision: known.stored.revision,
         age_ms: known.age_ms,
     };
     let mut bytes = serde_json::to_vec(&wire).ok()?;
     bytes.push(SEPARATOR);
-    bytes.extend(encode_head(&known.stored.head).ok()?);
+    bytes.extend(encode_manifest(&known.stored.manifest).ok()?);
     Some(Bytes::from(bytes))
 }
 
-fn decode(bytes: &[u8]) -> Option<KnownHead> {
+fn decode(bytes: &[u8]) -> Option<KnownManifest> {
     let end = bytes.iter().position(|byte| *byte == SEPARATOR)?;
     let (wire, head) = bytes.split_at(end);
     let wire: WireKnown = serde_json::from_slice(wire).ok()?;
-    let head = decode_head(&head[1..]).ok()?;
-    Some(KnownHead {
-        stored: Stored {
-            head,
+    let head = decode_manifest(&head[1..]).ok()?;
+    Some(KnownManifest {
+        stored: StoredManifest {
+            manifest: head,
             revision: wire.revision,
         },
         age_ms: wire.age_ms,
@@ -121,8 +122,8 @@
 
 #[derive(Default)]
 struct State {
-    /// Heads that were read lately, the oldest first.
-    remembered: IndexMap<JobKey, Stored>,
+    /// Manifests that were read lately, the oldest first.
+    remembered: IndexMap<JobKey, StoredManifest>,
     silent: IndexMap<String, Millis>,
 }
 
@@ -141,7 +142,7 @@
         job: &JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> Option<KnownHead> {
+    ) -> Option<KnownManifest> {
         for worker in self.workers_for(job) {
             match self.ask(&worker, job, after, wait_ms).await {
                 Ok(known) => {
@@ -166,7 +167,8 @@
             .silent
             .retain(|_, at| now.saturating_ms_since(*at) < AGAIN_MS);
         let known = state.remembered.get(job);
-        let owner = known.and_then(|stored| members.owner(job, &stored.head));
+        let owner =
+            known.and_then(|stored| members.owner(job, &stored.manifest));
         let nodes = members.nodes();
         let draw = stable_hash(&[job.as_str()]);
         let drawn = (0..ASKED_MOST as u64).filter_map(|nth| {
@@ -191,7 +193,7 @@
         job: &JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> Result<Option<KnownHead>, ()> {
+    ) -> Result<Option<KnownManifest>, ()> {
         let peer = peer::endpoint_of(worker).ok_or(())?;
         let after = after.map(|after| format!("&after={after}"));
         let after = after.unwrap_or_default();
@@ -220,17 +222,17 @@
     }
 }
 
-impl Heads for PeerHeads {
+impl ManifestSource for PeerHeads {
     fn read<'a>(
         &'a self,
         job: &'a JobKey,
         after: Option<u64>,
         wait_ms: u64,
-    ) -> HeadFuture<'a> {
+    ) -> ManifestFuture<'a> {
         Box::pin(self.ask_workers(job, after, wait_ms))
     }
 
-    fn note(&self, job: &JobKey, stored: &Stored) {
+    fn note(&self, job: &JobKey, stored: &StoredManifest) {
         let mut state = self.lock();
         let known = state.remembered.get(job);
         if known.is_some_and(|known| known.revision >= stored.revision) {
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -10,7 +10,9 @@
 use base::Clock;
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
-use jobs::{BulkCache, JobKey, JobView, Ledger, Stored, decode_head_row};
+use jobs::{
+    BulkCache, JobKey, JobView, Ledger, StoredManifest, decode_manifest_row,
+};
 use kv::Op;
 use pass::{AnswerBody, Fetch, Pool, read_body};
 use tokio::time;
@@ -45,24 +47,28 @@
     }
 
     /// Sends a job that this node has just accepted, without waiting.
-    pub(crate) fn send(&self, job: &JobKey, stored: &Stored) {
+    pub(crate) fn send(&self, job: &JobKey, stored: &StoredManifest) {
         let push = self.clone();
         let (job, stored) = (job.clone(), stored.clone());
         tokio::spawn(async move {
             if push.try_send(&job, &stored).await.is_none() {
                 log::info!(
                     request_id = job.as_str(),
-                    owner = stored.head.owner.as_str();
+                    owner = stored.manifest.owner.as_str();
                     "a new job is not sent to its worker, which reads it"
                 );
             }
         });
     }
 
-    async fn try_send(&self, job: &JobKey, stored: &Stored) -> Option<()> {
+    async fn try_send(
+        &self,
+        job: &JobKey,
+        stored: &StoredManifest,
+    ) -> Option<()> {
         let rows = self.ledger.accepted_rows(job, stored)?;
         let members = self.view.members();
-        let owner = members.get(&stored.head.owner)?;
+        let owner = members.get(&stored.manifest.owner)?;
         let peer = peer::endpoint_of(owner)?;
         let path = format!("{PUSH_PATH}{}", stored.revision);
         let mut request = peer::question(&peer, &path)?;
@@ -118,14 +124,17 @@
         let Op::Put { key, value, .. } = rows.next()? else {
             return None;
         };
-        let (job, head) = decode_head_row(&key, &value)?;
+        let (job, head) = decode_manifest_row(&key, &value)?;
         // Inputs before the head: the job is taken up as it is known.
         for row in rows {
             if let Op::Put { key, value, .. } = row {
                 self.cache.keep(&key, &Arc::new(value));
             }
         }
-        let stored = Stored { head, revision };
+        let stored = StoredManifest {
+            manifest: head,
+            revision,
+        };
         self.view.learn(&job, &stored, self.clock.now());
         Some(())
     }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -356,7 +356,7 @@
     /// front waits, and a kept job counts as one of which nothing is known.
     fn known_customer(&self, key: &JobKey) -> Option<Option<Customer>> {
         if let Some(stored) = self.view.get(key) {
-            return Some(stored.head.customer);
+            return Some(stored.manifest.customer);
         }
         self.lock().get(key)?.customer.clone()
     }
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/siblings.rs
@@ -10,7 +10,7 @@
 use http::{Response, StatusCode};
 use indexmap::IndexMap;
 use jobs::{
-    BulkCache, BulkFuture, BulkValue, JobHead, JobKey, JobView, Ledger,
+    BulkCache, BulkFuture, BulkValue, JobKey, JobManifest, JobView, Ledger,
     NodeRecord, Siblings,
 };
 use pass::{AnswerBody, Fetch, Pool};
@@ -61,7 +61,7 @@
         }
     }
 
-    fn owner(&self, job: &JobKey, head: &JobHead) -> Option<NodeRecord> {
+    fn owner(&self, job: &JobKey, head: &JobManifest) -> Option<NodeRecord> {
         let members = self.view.members();
         let owner = members.owner(job, head)?;
         let now = self.clock.now();
@@ -75,7 +75,7 @@
 }
 
 impl Siblings for PeerBulk {
-    fn read(&self, job: &JobKey, head: &JobHead, key: &str) -> BulkFuture {
+    fn read(&self, job: &JobKey, head: &JobManifest, key: &str) -> BulkFuture {
         let Some(owner) = self.owner(job, head) else {
             return Box::pin(std::future::ready(None));
         };
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -11,8 +11,8 @@
 };
 use fleet::EndpointRecord;
 use jobs::{
-    ItemProgress, RunnerOptions, decode_head, decode_progress,
-    encode_progress, head_key, progress_key,
+    ItemProgress, RunnerOptions, decode_manifest, decode_progress,
+    encode_progress, manifest_key, progress_key,
 };
 use kv::{Kv, Memory, Op, Txn};
 use tokio::time::{sleep, timeout};
@@ -244,8 +244,8 @@
 /// Returns the key under which the progress of a job is saved.
 async fn saved_at(kv: &Memory, job: &str) -> String {
     let job = job.parse().expect("key");
-    let found = kv.get(&head_key(&job)).await.expect("read");
-    let head = decode_head(&found.kvs[0].value).expect("a head");
+    let found = kv.get(&manifest_key(&job)).await.expect("read");
+    let head = decode_manifest(&found.kvs[0].value).expect("a head");
     progress_key(&job, head.submitted_at)
 }
 
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -4,7 +4,10 @@
 
 use base::{Millis, SteppedClock, UnixMillis};
 use indexmap::IndexMap;
-use jobs::{Heads, JobHead, JobKey, JobView, KnownHead, NodeRecord, Stored};
+use jobs::{
+    JobKey, JobManifest, JobView, KnownManifest, ManifestSource, NodeRecord,
+    StoredManifest,
+};
 
 use super::{HeadAnswers, PeerHeads, decode, encode};
 
@@ -19,9 +22,9 @@
     }
 }
 
-fn stored(owner: &str, revision: u64) -> Stored {
-    Stored {
-        head: JobHead {
+fn stored(owner: &str, revision: u64) -> StoredManifest {
+    StoredManifest {
+        manifest: JobManifest {
             submitted_at: UnixMillis::new(1_000),
             host: "a.example".to_owned(),
             path: "/batch/1".to_owned(),
@@ -52,7 +55,7 @@
 
 #[test]
 fn a_head_arrives_as_it_was_sent() {
-    let known = KnownHead {
+    let known = KnownManifest {
         stored: stored("worker-1", 7),
         age_ms: 120,
     };
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -5,7 +5,7 @@
 use base::{SteppedClock, UnixMillis, timer::Timer};
 use fleet::BatchTerms;
 use jobs::{
-    BulkCache, ItemInput, JobView, Ledger, NewJob, NoSiblings, Stored,
+    BulkCache, ItemInput, JobView, Ledger, NewJob, NoSiblings, StoredManifest,
 };
 use kv::{Kv, Memory};
 
@@ -43,7 +43,7 @@
 }
 
 /// Accepts a job and returns what its front sends to the worker.
-async fn accepted() -> (Stored, Vec<u8>) {
+async fn accepted() -> (StoredManifest, Vec<u8>) {
     let kv = Memory::default();
     let timer = Timer::new(kv.clock().clone());
     let cache: Arc<BulkCache> = Arc::default();
@@ -71,7 +71,7 @@
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
         .with_siblings(worker.cache, Arc::new(NoSiblings));
-    let inputs = ledger.inputs(&key, &stored.head).await.expect("there");
+    let inputs = ledger.inputs(&key, &stored.manifest).await.expect("there");
     assert_eq!(inputs, job().items);
 }
 
