--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobError {
     /// The id cannot name a job.
-    Id,
+    InvalidId,
     /// StoredManifest bytes are not what they should be.
     Encoding,
     /// The job is larger than one call of the key-value service holds.
@@ -17,19 +17,19 @@
     NotDone,
     /// The answer of the key-value service is lost; the call may have taken
     /// effect.
-    Open,
+    OutcomeUnknown,
 }
 
 impl fmt::Display for JobError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            JobError::Id => "the id cannot name a job",
+            JobError::InvalidId => "the id cannot name a job",
             JobError::Encoding => "stored bytes are no such record",
             JobError::TooLarge => "the job is too large",
             JobError::Unknown => "there is no such job",
             JobError::Conflict => "the id names a job of another customer",
             JobError::NotDone => "the key-value service did not do the call",
-            JobError::Open => "the call may have taken effect",
+            JobError::OutcomeUnknown => "the call may have taken effect",
         })
     }
 }
--- a/crates/jobs/src/gate.rs
+++ b/crates/jobs/src/gate.rs
@@ -4,13 +4,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GateOptions {
     /// Items started at one look, so that two looks see their effect.
-    pub starts_most: u32,
+    pub max_starts: u32,
 }
 
 impl Default for GateOptions {
     /// Four starts a look fill an idle engine in a tenth of a second.
     fn default() -> Self {
-        Self { starts_most: 4 }
+        Self { max_starts: 4 }
     }
 }
 
@@ -88,7 +88,7 @@
     }
     let room = allowed - input.mine;
     GateOrder {
-        start: room.min(options.starts_most),
+        start: room.min(options.max_starts),
         preempt: 0,
     }
 }
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -13,9 +13,9 @@
 use crate::{
     BulkCache, JobError, NoSiblings, Siblings,
     record::{
-        ItemInput, ItemResult, JobKey, JobManifest, decode_manifest,
-        encode_inputs, encode_manifest, encode_results, input_key,
-        manifest_key, output_key, progress_key,
+        ItemInput, ItemResult, JobKey, JobManifest, checkpoint_key,
+        decode_manifest, encode_inputs, encode_manifest, encode_results,
+        input_key, manifest_key, output_key,
     },
 };
 
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if nothing was kept, [`JobError::Open`] if that
+    /// [`JobError::NotDone`] if nothing was kept, [`JobError::OutcomeUnknown`] if that
     /// is not known, [`JobError::TooLarge`] for a job that never fits,
     /// [`JobError::Conflict`] if another customer has a job of this id.
     pub async fn accept(
@@ -141,7 +141,7 @@
             input_chunks: chunks.len() as u32,
             listed: Vec::new(),
             output_chunks: Vec::new(),
-            strikes: indexmap::IndexMap::new(),
+            failed_attempts: indexmap::IndexMap::new(),
             ended: false,
             owner: job.owner,
             due_at: job.submitted_at.saturating_add_ms(job.terms.due_in_ms),
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     ///
-    /// As [`read_for`](Self::read_for), and [`JobError::Open`].
+    /// As [`read_for`](Self::read_for), and [`JobError::OutcomeUnknown`].
     pub async fn end(
         &self,
         job: &JobKey,
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Lists results after those that `before` has, with the strikes.
+    /// Lists results after those that `before` has, with the failed_attempts.
     ///
     /// `before` is the manifest as the caller knows it. If another writer was
     /// faster, nothing is written and the manifest as it is now is returned in
@@ -273,7 +273,7 @@
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] and [`JobError::Open`] as for all writes; after
+    /// [`JobError::NotDone`] and [`JobError::OutcomeUnknown`] as for all writes; after
     /// both the caller reads the manifest before it lists again.
     pub async fn list(
         &self,
@@ -281,12 +281,12 @@
         before: &StoredManifest,
         numbers: &[u32],
         results: &[ItemResult],
-        strikes: &indexmap::IndexMap<u32, crate::Strikes>,
+        failed_attempts: &indexmap::IndexMap<u32, crate::FailedAttempts>,
     ) -> Result<Result<StoredManifest, StoredManifest>, Report<JobError>> {
         let mut manifest = before.manifest.clone();
         let first = manifest.listed.len() as u32;
         manifest.listed.extend_from_slice(numbers);
-        manifest.strikes.clone_from(strikes);
+        manifest.failed_attempts.clone_from(failed_attempts);
         let mut rows = Vec::new();
         let mut bulk = Vec::new();
         if !results.is_empty() {
@@ -360,7 +360,7 @@
             (0..manifest.input_chunks).map(|n| input_key(job, manifest, n));
         let outputs = manifest.output_chunks.iter();
         let outputs = outputs.map(|n| output_key(job, manifest, *n));
-        let progress = progress_key(job, manifest.submitted_at);
+        let progress = checkpoint_key(job, manifest.submitted_at);
         let progress = std::iter::once(progress);
         let bulk: Vec<String> =
             inputs.chain(outputs).chain(progress).collect();
@@ -457,7 +457,7 @@
             .await;
         outcome.map_err(|report| {
             let error = match report.current_context() {
-                KvError::Unknown => JobError::Open,
+                KvError::Unknown => JobError::OutcomeUnknown,
                 KvError::Invalid => JobError::TooLarge,
                 _ => JobError::NotDone,
             };
--- a/crates/jobs/src/ledger/values.rs
+++ b/crates/jobs/src/ledger/values.rs
@@ -9,9 +9,10 @@
 use crate::{
     BulkValue, JobError,
     record::{
-        BULK_PREFIX, ItemInput, ItemProgress, ItemResult, JobKey, JobManifest,
-        JobProgress, decode_inputs, decode_progress, decode_results,
-        encode_progress, input_key, output_key, progress_key,
+        BULK_PREFIX, ItemCheckpoint, ItemInput, ItemResult, JobCheckpoint,
+        JobKey, JobManifest, checkpoint_key, decode_checkpoints,
+        decode_inputs, decode_results, encode_checkpoints, input_key,
+        output_key,
     },
 };
 
@@ -129,22 +130,22 @@
     /// # Errors
     ///
     /// [`JobError::NotDone`] if the service is away.
-    pub async fn save_progress(
+    pub async fn save_checkpoints(
         &self,
-        jobs: &[JobProgress],
+        jobs: &[JobCheckpoint],
     ) -> Result<(), Report<JobError>> {
         let most = self.value_bytes * FILL_PERCENT / 100;
         let mut rows = Vec::new();
         let mut bytes = 0;
         for progress in jobs {
             let items = fitting(&progress.items, most);
-            let value = encode_progress(items)?;
+            let value = encode_checkpoints(items)?;
             if rows.len() == CHUNKS_MOST || bytes + value.len() > most {
                 self.put_all(std::mem::take(&mut rows)).await?;
                 bytes = 0;
             }
             bytes += value.len();
-            let key = progress_key(&progress.job, progress.submitted_at);
+            let key = checkpoint_key(&progress.job, progress.submitted_at);
             rows.push(put(key, value));
         }
         match rows.is_empty() {
@@ -173,23 +174,23 @@
         &self,
         job: &JobKey,
         manifest: &JobManifest,
-    ) -> Result<Vec<ItemProgress>, Report<JobError>> {
-        let key = progress_key(job, manifest.submitted_at);
+    ) -> Result<Vec<ItemCheckpoint>, Report<JobError>> {
+        let key = checkpoint_key(job, manifest.submitted_at);
         let reply = self.kv.get(&key).await;
         let reply = reply.change_context(JobError::NotDone)?;
         match reply.kvs.first() {
-            Some(kv) => Ok(decode_progress(&kv.value)?),
+            Some(kv) => Ok(decode_checkpoints(&kv.value)?),
             None => Ok(Vec::new()),
         }
     }
 }
 
 /// Returns as many of the first items as a value holds.
-fn fitting(items: &[ItemProgress], most: usize) -> &[ItemProgress] {
+fn fitting(items: &[ItemCheckpoint], most: usize) -> &[ItemCheckpoint] {
     /// Names, numbers and quotes of the table's row.
     const ROW_BYTES: usize = 96;
     let mut bytes = 0;
-    let fits = |item: &&ItemProgress| {
+    let fits = |item: &&ItemCheckpoint| {
         bytes += ROW_BYTES + item.output.len();
         bytes <= most
     };
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -36,7 +36,7 @@
         let fits = (1..=KEY_MOST_BYTES).contains(&text.len());
         match fits && text.bytes().all(plain) {
             true => Ok(Self(text.to_owned())),
-            false => Err(JobError::Id),
+            false => Err(JobError::InvalidId),
         }
     }
 }
@@ -88,7 +88,7 @@
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(default, deny_unknown_fields)]
-pub struct Strikes {
+pub struct FailedAttempts {
     /// Errors of endpoints while they ran it.
     pub errors: u32,
     /// Answers that say it can never be done.
@@ -105,18 +105,18 @@
 ///
 /// ```
 /// use indexmap::IndexMap;
-/// use pomeloslip_jobs::{Strikes, merge_strikes};
+/// use pomeloslip_jobs::{FailedAttempts, merge_failed_attempts};
 ///
-/// let errors = |errors| Strikes { errors, ..Strikes::default() };
+/// let errors = |errors| FailedAttempts { errors, ..FailedAttempts::default() };
 /// let mut own = IndexMap::from([(0, errors(1)), (1, errors(2))]);
-/// merge_strikes(&mut own, &IndexMap::from([(0, errors(3)), (2, errors(1))]));
+/// merge_failed_attempts(&mut own, &IndexMap::from([(0, errors(3)), (2, errors(1))]));
 /// assert_eq!(own[&0], errors(3));
 /// assert_eq!(own[&1], errors(2));
 /// assert_eq!(own[&2], errors(1));
 /// ```
-pub fn merge_strikes(
-    own: &mut IndexMap<u32, Strikes>,
-    other: &IndexMap<u32, Strikes>,
+pub fn merge_failed_attempts(
+    own: &mut IndexMap<u32, FailedAttempts>,
+    other: &IndexMap<u32, FailedAttempts>,
 ) {
     for (number, counted) in other {
         let own = own.entry(*number).or_default();
@@ -149,7 +149,8 @@
     /// First position of each chunk of results.
     pub output_chunks: Vec<u32>,
     /// What was counted against single items.
-    pub strikes: IndexMap<u32, Strikes>,
+    #[serde(rename = "strikes")]
+    pub failed_attempts: IndexMap<u32, FailedAttempts>,
     /// Whether the caller ended it.
     pub ended: bool,
     /// Node that runs the items as long as it is there.
@@ -226,7 +227,7 @@
 
 /// Returns the key of what the unfinished items of a job have produced; see
 /// [`input_key`].
-pub fn progress_key(job: &JobKey, submitted_at: UnixMillis) -> String {
+pub fn checkpoint_key(job: &JobKey, submitted_at: UnixMillis) -> String {
     format!("bulk/run/{job}/{}", submitted_at.as_ms())
 }
 
@@ -253,7 +254,7 @@
 /// It is one chain of events from the first on, so that whoever takes the
 /// item up goes on after the last of them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct ItemProgress {
+pub struct ItemCheckpoint {
     /// Number of the item.
     pub number: u32,
     /// Id of the last whole event.
@@ -268,18 +269,18 @@
 
 /// The progress of one job.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct JobProgress {
+pub struct JobCheckpoint {
     /// The job.
     pub job: JobKey,
     /// When it was submitted.
     pub submitted_at: UnixMillis,
     /// Its unfinished items that have produced something.
-    pub items: Vec<ItemProgress>,
+    pub items: Vec<ItemCheckpoint>,
 }
 
 /// What stands of an item's progress beside its output.
 #[derive(Serialize, Deserialize)]
-struct ProgressEntry {
+struct CheckpointEntry {
     number: u32,
     last_id: u64,
     events: u64,
@@ -459,10 +460,12 @@
 /// # Errors
 ///
 /// [`JobError::Encoding`], which progress does not cause.
-pub fn encode_progress(items: &[ItemProgress]) -> Result<Vec<u8>, JobError> {
-    let table: Vec<ProgressEntry> = items
+pub fn encode_checkpoints(
+    items: &[ItemCheckpoint],
+) -> Result<Vec<u8>, JobError> {
+    let table: Vec<CheckpointEntry> = items
         .iter()
-        .map(|item| ProgressEntry {
+        .map(|item| CheckpointEntry {
             number: item.number,
             last_id: item.last_id,
             events: item.events,
@@ -473,16 +476,18 @@
     join(&table, items.iter().map(|item| item.output.as_bytes()))
 }
 
-/// Decodes what [`encode_progress`] made.
+/// Decodes what [`encode_checkpoints`] made.
 ///
 /// # Errors
 ///
 /// [`JobError::Encoding`] if the bytes are something else.
-pub fn decode_progress(bytes: &[u8]) -> Result<Vec<ItemProgress>, JobError> {
-    let (table, mut rest) = split::<ProgressEntry>(bytes)?;
+pub fn decode_checkpoints(
+    bytes: &[u8],
+) -> Result<Vec<ItemCheckpoint>, JobError> {
+    let (table, mut rest) = split::<CheckpointEntry>(bytes)?;
     let mut items = Vec::with_capacity(table.len());
     for entry in table {
-        items.push(ItemProgress {
+        items.push(ItemCheckpoint {
             number: entry.number,
             last_id: entry.last_id,
             events: entry.events,
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -12,7 +12,7 @@
 use pass::{EventSplitter, Exchange, Failure, Forwarder, Inbound};
 use tokio::time;
 
-use crate::record::{ItemInput, ItemProgress, JobKey};
+use crate::record::{ItemCheckpoint, ItemInput, JobKey};
 
 /// What a run has produced so far; it outlives the run, so that the item
 /// goes on elsewhere after its last event.
@@ -28,7 +28,7 @@
 
 impl Progress {
     /// Goes on from what was saved.
-    pub fn restore(saved: &ItemProgress) -> Self {
+    pub fn restore(saved: &ItemCheckpoint) -> Self {
         Self(Arc::new(Mutex::new(Produced {
             output: saved.output.clone(),
             events: saved.events,
@@ -38,9 +38,9 @@
 
     /// Returns what is worth saving of an item: none before its first event,
     /// and none of streams without ids, which cannot be taken up.
-    pub fn save(&self, number: u32, ran_ms: u64) -> Option<ItemProgress> {
+    pub fn save(&self, number: u32, ran_ms: u64) -> Option<ItemCheckpoint> {
         let produced = self.lock();
-        Some(ItemProgress {
+        Some(ItemCheckpoint {
             number,
             last_id: produced.last_id?,
             events: produced.events,
@@ -87,7 +87,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The output is whole.
     Complete,
     /// The endpoint says that the item can never be done.
@@ -137,20 +137,20 @@
 impl ItemRun {
     /// Runs the item to its end, or until the future is dropped, which
     /// closes the connection and so stops the endpoint's work.
-    pub async fn run(self, forwarder: &ItemForwarder) -> RunEnd {
+    pub async fn run(self, forwarder: &ItemForwarder) -> RunOutcome {
         let Some(request) = self.request(forwarder).map(Arc::new) else {
-            return RunEnd::Rejected;
+            return RunOutcome::Rejected;
         };
         let after = self.progress.last_id();
         let wait = Duration::from_millis(STALL_MS);
         let offer = forwarder.offer(&request, &self.endpoint, after, wait);
         match offer.await {
             Ok(exchange) => self.read(exchange, after).await,
-            Err(Failure::Broken | Failure::Silent) => RunEnd::Broken,
-            Err(Failure::WrongId) => RunEnd::Broken,
-            Err(Failure::NotSealed(_)) => RunEnd::Broken,
-            Err(Failure::Held { for_ms }) => RunEnd::Held { for_ms },
-            Err(_) => RunEnd::NotRun,
+            Err(Failure::Broken | Failure::Silent) => RunOutcome::Broken,
+            Err(Failure::WrongId) => RunOutcome::Broken,
+            Err(Failure::NotSealed(_)) => RunOutcome::Broken,
+            Err(Failure::Held { for_ms }) => RunOutcome::Held { for_ms },
+            Err(_) => RunOutcome::NotRun,
         }
     }
 
@@ -180,11 +180,15 @@
         Some(inbound.with_wait_ms(RUN_MOST_MS))
     }
 
-    async fn read(self, mut exchange: Exchange, after: Option<u64>) -> RunEnd {
+    async fn read(
+        self,
+        mut exchange: Exchange,
+        after: Option<u64>,
+    ) -> RunOutcome {
         match exchange.status() {
             status if status.is_success() => {}
-            StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Rejected,
-            status => return RunEnd::Error(status),
+            StatusCode::UNPROCESSABLE_ENTITY => return RunOutcome::Rejected,
+            status => return RunOutcome::Error(status),
         }
         let mut splitter = EventSplitter::new(after);
         let stall = Duration::from_millis(STALL_MS);
@@ -199,13 +203,13 @@
                     exchange.advance_to(splitter.last_id().unwrap_or(0));
                 }
                 Ok(None) if !splitter.is_inside_event() => {
-                    return RunEnd::Complete;
+                    return RunOutcome::Complete;
                 }
                 Ok(None) => {
                     exchange.cut_off();
-                    return RunEnd::Broken;
+                    return RunOutcome::Broken;
                 }
-                Ok(Some(Err(_))) | Err(_) => return RunEnd::Broken,
+                Ok(Some(Err(_))) | Err(_) => return RunOutcome::Broken,
             }
         }
     }
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -29,7 +29,7 @@
 };
 use crate::{
     GateOptions, ItemForwarder, JobError, JobManifest, JobView, Ledger,
-    OnlineLoad, Pace, Plan, Plans, RunEnd, StoredManifest,
+    OnlineLoad, Pace, Plan, Plans, RunOutcome, StoredManifest,
     record::{ItemResult, ItemState, JobKey},
 };
 
@@ -47,26 +47,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerOptions {
     /// Time between two looks at all work.
-    pub tick_ms: u64,
+    pub tick_interval_ms: u64,
     /// Time between two questions for one endpoint's load.
-    pub probe_ms: u64,
+    pub probe_interval_ms: u64,
     /// Oldest load report by which items start.
-    pub report_age_ms: u64,
+    pub max_report_age_ms: u64,
     /// Shortest time between two commits of one job.
-    pub commit_ms: u64,
+    pub commit_interval_ms: u64,
     /// Oldest view of the jobs by which items start.
-    pub view_age_ms: u64,
+    pub max_view_age_ms: u64,
     /// Time between two looks at whether jobs are spread evenly.
-    pub even_out_ms: u64,
+    pub rebalance_interval_ms: u64,
     /// Time between two saves of what unfinished items have produced.
-    pub save_ms: u64,
+    pub checkpoint_interval_ms: u64,
     /// Pause of an item after a failed run.
-    pub retry_ms: u64,
+    pub retry_backoff_ms: u64,
     /// How long after its time an item is given up, for clocks that differ.
     pub give_up_margin_ms: u64,
     /// How long a job stays readable after its submission, and at least as
     /// long as it is open.
-    pub kept_ms: u64,
+    pub retention_ms: u64,
     /// The gate at each endpoint.
     pub gate: GateOptions,
 }
@@ -80,16 +80,16 @@
     /// Clocks may differ by seconds.
     fn default() -> Self {
         Self {
-            tick_ms: 50,
-            probe_ms: 100,
-            report_age_ms: 400,
-            commit_ms: 700,
-            view_age_ms: 4_000,
-            even_out_ms: 500,
-            save_ms: 2_000,
-            retry_ms: 300,
+            tick_interval_ms: 50,
+            probe_interval_ms: 100,
+            max_report_age_ms: 400,
+            commit_interval_ms: 700,
+            max_view_age_ms: 4_000,
+            rebalance_interval_ms: 500,
+            checkpoint_interval_ms: 2_000,
+            retry_backoff_ms: 300,
             give_up_margin_ms: 6_000,
-            kept_ms: 180_000,
+            retention_ms: 180_000,
             gate: GateOptions::default(),
         }
     }
@@ -122,9 +122,9 @@
 }
 
 /// How a runner is asked to stop.
-pub struct Stop {
+pub struct ShutdownSignal {
     /// Turns true to ask for it.
-    pub asked: watch::Receiver<bool>,
+    pub requested: watch::Receiver<bool>,
     /// Hears when what the items have produced is saved, or cannot be: other
     /// nodes may go on with them then.
     pub handed_over: oneshot::Sender<()>,
@@ -146,17 +146,17 @@
     /// be listed. What then waits is taken over by other nodes.
     pub async fn run(
         self,
-        stop: Stop,
+        stop: ShutdownSignal,
         mut heard: mpsc::UnboundedReceiver<LifeKey>,
     ) {
-        let Stop {
-            asked: mut stop,
+        let ShutdownSignal {
+            requested: mut stop,
             handed_over,
         } = stop;
         let mut handed_over = Some(handed_over);
         let (sender, mut events) = mpsc::unbounded_channel();
         let mut work = Work::new(self, sender);
-        let tick = Duration::from_millis(work.runner.options.tick_ms);
+        let tick = Duration::from_millis(work.runner.options.tick_interval_ms);
         let mut ticks = time::interval(tick);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
@@ -194,7 +194,7 @@
 enum Event {
     Inputs(JobKey, Result<Loaded, Report<JobError>>),
     Saved(Result<(), Report<JobError>>),
-    Ended(RunId, RunEnd),
+    Ended(RunId, RunOutcome),
     Listed(
         JobKey,
         Result<Result<StoredManifest, StoredManifest>, Report<JobError>>,
@@ -304,7 +304,7 @@
         self.give_up_late();
         self.remove_expired(&plan);
         self.commit_due();
-        self.save_progress();
+        self.save_checkpoints();
         self.ask_loads(&plan);
         self.admit(&plan, stopping);
     }
@@ -466,8 +466,8 @@
         }
         self.next_removal = now.saturating_add_ms(REMOVAL_PAUSE_MS);
         let unix = self.runner.parts.clock.unix();
-        let kept_ms = self.runner.options.kept_ms;
-        let before = unix.saturating_sub_ms(kept_ms);
+        let retention_ms = self.runner.options.retention_ms;
+        let before = unix.saturating_sub_ms(retention_ms);
         let mut expired = self.runner.parts.view.closed_before(before);
         expired.retain(|(key, stored)| plan.owns_job(key, &stored.manifest));
         expired.truncate(REMOVALS_MOST);
@@ -491,16 +491,16 @@
             }
             job.listing = true;
             job.next_commit =
-                now.saturating_add_ms(self.runner.options.commit_ms);
+                now.saturating_add_ms(self.runner.options.commit_interval_ms);
             let ledger = self.runner.parts.ledger.clone();
             let before = job.stored.clone();
-            let strikes = job.strikes.clone();
+            let failed_attempts = job.failed_attempts.clone();
             let (numbers, results): (Vec<u32>, Vec<ItemResult>) =
                 job.pending.iter().cloned().unzip();
             let (key, sender) = (key.clone(), self.sender.clone());
             tokio::spawn(async move {
                 let listed = ledger
-                    .list(&key, &before, &numbers, &results, &strikes)
+                    .list(&key, &before, &numbers, &results, &failed_attempts)
                     .await;
                 let _ = sender.send(Event::Listed(key, listed));
             });
--- a/crates/jobs/src/runner/active.rs
+++ b/crates/jobs/src/runner/active.rs
@@ -9,7 +9,8 @@
 use crate::{
     Progress, StoredManifest,
     record::{
-        ItemInput, ItemProgress, ItemResult, ItemState, Strikes, merge_strikes,
+        FailedAttempts, ItemCheckpoint, ItemInput, ItemResult, ItemState,
+        merge_failed_attempts,
     },
 };
 
@@ -18,7 +19,7 @@
     pub(super) inputs: Inputs,
     pub(super) items: Vec<Item>,
     pub(super) pending: Vec<(u32, ItemResult)>,
-    pub(super) strikes: IndexMap<u32, Strikes>,
+    pub(super) failed_attempts: IndexMap<u32, FailedAttempts>,
     /// Whether another node runs the items now.
     pub(super) moved: bool,
     /// When the node that it was taken from has saved its progress.
@@ -67,7 +68,7 @@
     pub(super) fn new(stored: StoredManifest) -> Self {
         let total = stored.manifest.total as usize;
         let mut job = Self {
-            strikes: stored.manifest.strikes.clone(),
+            failed_attempts: stored.manifest.failed_attempts.clone(),
             stored,
             inputs: Inputs::Missing,
             items: vec![Item::default(); total],
@@ -94,7 +95,7 @@
 
     /// Goes on with what a lost node, or this one before its restart, had
     /// saved. What has run here meanwhile is further.
-    pub(super) fn restore(&mut self, saved: &[ItemProgress]) {
+    pub(super) fn restore(&mut self, saved: &[ItemCheckpoint]) {
         for progress in saved {
             let Some(item) = self.items.get_mut(progress.number as usize)
             else {
@@ -115,7 +116,7 @@
     ///
     /// Item by item: their sum falls whenever one is finished, so that a job
     /// whose items end one after the other was never saved.
-    pub(super) fn take_unsaved(&mut self) -> Option<Vec<ItemProgress>> {
+    pub(super) fn take_unsaved(&mut self) -> Option<Vec<ItemCheckpoint>> {
         let mut grown = false;
         for item in &mut self.items {
             let events = item.progress.events();
@@ -153,7 +154,10 @@
         if stored.revision < self.stored.revision {
             return;
         }
-        merge_strikes(&mut self.strikes, &stored.manifest.strikes);
+        merge_failed_attempts(
+            &mut self.failed_attempts,
+            &stored.manifest.failed_attempts,
+        );
         self.stored = stored;
         self.mark_listed();
     }
@@ -164,7 +168,8 @@
     /// write begins forgets a strike whose write is lost, and a node that
     /// takes the job up then runs a hopeless item more often than allowed.
     pub(super) fn has_to_commit(&self) -> bool {
-        let counted = self.strikes == self.stored.manifest.strikes;
+        let counted =
+            self.failed_attempts == self.stored.manifest.failed_attempts;
         !self.pending.is_empty() || !counted
     }
 
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -51,12 +51,12 @@
     }
 
     fn ask_load(&mut self, endpoint: &Endpoint, now: Millis) {
-        let probe_ms = self.runner.options.probe_ms;
+        let probe_interval_ms = self.runner.options.probe_interval_ms;
         let life = endpoint.life();
         let probing = self.probes.entry(life).or_default();
         let recent = probing
             .asked_at
-            .is_some_and(|at| now.saturating_ms_since(at) < probe_ms);
+            .is_some_and(|at| now.saturating_ms_since(at) < probe_interval_ms);
         if probing.in_flight || recent {
             return;
         }
@@ -79,7 +79,7 @@
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
         let stale = self.runner.parts.view.age_ms(now)
-            > self.runner.options.view_age_ms;
+            > self.runner.options.max_view_age_ms;
         for life in plan.own() {
             let Some(endpoint) = view.table.get(*life) else {
                 continue;
@@ -145,7 +145,7 @@
         } else {
             let (report, at) = self.probes.get(&endpoint.life())?.report?;
             let age_ms = now.saturating_ms_since(at);
-            if age_ms > self.runner.options.report_age_ms {
+            if age_ms > self.runner.options.max_report_age_ms {
                 return None;
             }
             input = input.with_report(report);
@@ -200,8 +200,8 @@
     ) -> bool {
         let unix = self.runner.parts.clock.unix();
         let left_ms = manifest.due_at.saturating_ms_since(unix);
-        let needed_ms =
-            rest_ms * URGENT_PERCENT / 100 + self.runner.options.commit_ms;
+        let needed_ms = rest_ms * URGENT_PERCENT / 100
+            + self.runner.options.commit_interval_ms;
         left_ms > rest_ms && left_ms < needed_ms
     }
 
--- a/crates/jobs/src/runner/even.rs
+++ b/crates/jobs/src/runner/even.rs
@@ -34,7 +34,7 @@
         if !due || !able {
             return;
         }
-        let pause_ms = self.runner.options.even_out_ms;
+        let pause_ms = self.runner.options.rebalance_interval_ms;
         self.next_evening = now.saturating_add_ms(pause_ms);
         let members = plan.members();
         let backlog = self.runner.parts.view.backlog(members);
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -13,8 +13,8 @@
     save::Loaded,
 };
 use crate::{
-    JobError, RunEnd, StoredManifest,
-    record::{ItemState, JobKey, Strikes},
+    JobError, RunOutcome, StoredManifest,
+    record::{FailedAttempts, ItemState, JobKey},
 };
 
 impl Work {
@@ -65,9 +65,10 @@
         }
     }
 
-    pub(super) fn take_end(&mut self, id: RunId, end: RunEnd) {
+    pub(super) fn take_end(&mut self, id: RunId, end: RunOutcome) {
         let now = self.now();
-        let retry_at = now.saturating_add_ms(self.runner.options.retry_ms);
+        let retry_at =
+            now.saturating_add_ms(self.runner.options.retry_backoff_ms);
         let Some(run) = self.runs.swap_remove(&id) else {
             return;
         };
@@ -85,15 +86,16 @@
             .as_ref()
             .and_then(|config| route_of(config, &job.stored.manifest))
             .map_or(1, |route| route.max_attempts());
-        let strikes = job.strikes.entry(number).or_default();
+        let failed_attempts = job.failed_attempts.entry(number).or_default();
         match end {
-            RunEnd::Rejected => strikes.rejections += 1,
-            RunEnd::Error(_) => strikes.errors += 1,
-            RunEnd::Complete | RunEnd::Broken => {}
-            RunEnd::NotRun | RunEnd::Held { .. } => {}
+            RunOutcome::Rejected => failed_attempts.rejections += 1,
+            RunOutcome::Error(_) => failed_attempts.errors += 1,
+            RunOutcome::Complete | RunOutcome::Broken => {}
+            RunOutcome::NotRun | RunOutcome::Held { .. } => {}
         }
-        let strikes = *strikes;
-        let hopeless = strikes.rejections > 0 || strikes.errors >= most;
+        let failed_attempts = *failed_attempts;
+        let hopeless =
+            failed_attempts.rejections > 0 || failed_attempts.errors >= most;
         let ran_ms = run.started.elapsed().as_millis() as u64;
         let unix = self.runner.parts.clock.unix();
         let manifest = &job.stored.manifest;
@@ -103,18 +105,18 @@
             endpoint = run.endpoint.record().id.as_str(),
             end:? = end,
             ran_ms,
-            errors = strikes.errors,
+            errors = failed_attempts.errors,
             pauses = job.items[number as usize].pauses,
             age_ms = unix.saturating_ms_since(manifest.submitted_at),
             late_ms = unix.saturating_ms_since(manifest.due_at),
             events = job.items[number as usize].progress.events();
             "a run of an item ended"
         );
-        if strikes == Strikes::default() {
-            job.strikes.swap_remove(&number);
+        if failed_attempts == FailedAttempts::default() {
+            job.failed_attempts.swap_remove(&number);
         }
         job.items[number as usize].run_ms += ran_ms;
-        if end == RunEnd::Complete {
+        if end == RunOutcome::Complete {
             let whole_ms = job.items[number as usize].run_ms;
             self.pace.add(inputs[number as usize].tokens, whole_ms);
             job.finish(number, &inputs, ItemState::Complete);
@@ -123,8 +125,8 @@
             log::info!(
                 request_id = inputs[number as usize].id.as_str(),
                 job = run.job.as_str(),
-                errors = strikes.errors,
-                rejections = strikes.rejections,
+                errors = failed_attempts.errors,
+                rejections = failed_attempts.rejections,
                 most;
                 "an item is given up"
             );
@@ -134,8 +136,8 @@
             let item = &mut job.items[number as usize];
             item.state = Phase::Waiting;
             item.not_before = match end {
-                RunEnd::Broken => now,
-                RunEnd::Held { for_ms } => now.saturating_add_ms(for_ms),
+                RunOutcome::Broken => now,
+                RunOutcome::Held { for_ms } => now.saturating_add_ms(for_ms),
                 _ => retry_at,
             };
         }
--- a/crates/jobs/src/runner/save.rs
+++ b/crates/jobs/src/runner/save.rs
@@ -7,13 +7,13 @@
 use super::{Event, Work, active::Inputs};
 use crate::{
     JobError, JobManifest, Ledger,
-    record::{ItemInput, ItemProgress, JobKey, JobProgress},
+    record::{ItemCheckpoint, ItemInput, JobCheckpoint, JobKey},
 };
 
 /// What a node reads of a job before it runs items of it.
 pub(super) struct Loaded {
     pub(super) inputs: Vec<ItemInput>,
-    pub(super) progress: Vec<ItemProgress>,
+    pub(super) progress: Vec<ItemCheckpoint>,
 }
 
 impl Work {
@@ -34,7 +34,7 @@
             // Of a job younger than the pause between two saves nothing is
             // saved yet, unless another node had it, and the read is spared.
             let age_ms = unix.saturating_ms_since(manifest.submitted_at);
-            let is_new = age_ms < self.runner.options.save_ms
+            let is_new = age_ms < self.runner.options.checkpoint_interval_ms
                 && manifest.owner == self.runner.parts.node
                 && job.settled_at == Millis::default();
             let sender = self.sender.clone();
@@ -50,30 +50,31 @@
     /// What goes wrong without it: a node that is killed, or all of them at
     /// once, lose the outputs in their memory, and each item under way runs
     /// from its start, seen as jobs that end up to a whole run later.
-    pub(super) fn save_progress(&mut self) {
+    pub(super) fn save_checkpoints(&mut self) {
         let now = self.now();
         if self.saving || now < self.next_save {
             return;
         }
         let owned = self.jobs.iter_mut().filter(|(_, job)| !job.moved);
         let unsaved = owned.filter_map(|(key, job)| {
-            Some(JobProgress {
+            Some(JobCheckpoint {
                 job: key.clone(),
                 items: job.take_unsaved()?,
                 submitted_at: job.stored.manifest.submitted_at,
             })
         });
-        let jobs: Vec<JobProgress> = unsaved.collect();
+        let jobs: Vec<JobCheckpoint> = unsaved.collect();
         if jobs.is_empty() {
             return;
         }
-        let save_ms = self.runner.options.save_ms;
-        self.next_save = now.saturating_add_ms(save_ms);
+        let checkpoint_interval_ms =
+            self.runner.options.checkpoint_interval_ms;
+        self.next_save = now.saturating_add_ms(checkpoint_interval_ms);
         self.saving = true;
         let ledger = self.runner.parts.ledger.clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let saved = ledger.save_progress(&jobs).await;
+            let saved = ledger.save_checkpoints(&jobs).await;
             let _ = sender.send(Event::Saved(saved));
         });
     }
@@ -100,7 +101,7 @@
             log::info!(job = key.as_str(), runs, begun = items.len();
                 "a job is handed over to another node");
             if !items.is_empty() {
-                progress.push(JobProgress {
+                progress.push(JobCheckpoint {
                     job: key.clone(),
                     items,
                     submitted_at: job.stored.manifest.submitted_at,
@@ -109,7 +110,7 @@
         }
         let ledger = self.runner.parts.ledger.clone();
         tokio::spawn(async move {
-            if let Err(report) = ledger.save_progress(&progress).await {
+            if let Err(report) = ledger.save_checkpoints(&progress).await {
                 log::info!(error:% = report.current_context();
                     "what handed over items have produced is not saved");
             }
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -9,8 +9,8 @@
 use indexmap::IndexMap;
 use kv::{Kv, Memory, WriteFault};
 use pomeloslip_jobs::{
-    BulkFuture, ItemProgress, ItemResult, JobError, JobKey, JobManifest,
-    JobProgress, NewJob, Siblings, Strikes, encode_inputs,
+    BulkFuture, FailedAttempts, ItemCheckpoint, ItemResult, JobCheckpoint,
+    JobError, JobKey, JobManifest, NewJob, Siblings, encode_inputs,
 };
 use yare::parameterized;
 
@@ -187,19 +187,21 @@
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let before = ledger.accept(job("j", 2)).await.expect("accepted");
-    let strikes: IndexMap<u32, Strikes> = [(
+    let failed_attempts: IndexMap<u32, FailedAttempts> = [(
         1,
-        Strikes {
+        FailedAttempts {
             errors: 2,
             rejections: 0,
         },
     )]
     .into_iter()
     .collect();
-    let listed = ledger.list(&key("j"), &before, &[], &[], &strikes).await;
+    let listed = ledger
+        .list(&key("j"), &before, &[], &[], &failed_attempts)
+        .await;
     listed.expect("written").expect("listed");
     let read = ledger.read(&key("j")).await.expect("read");
-    assert_eq!(read.manifest.strikes, strikes);
+    assert_eq!(read.manifest.failed_attempts, failed_attempts);
     assert!(read.manifest.output_chunks.is_empty());
 }
 
@@ -254,8 +256,8 @@
     assert_eq!(left, ["bulk/in/other/1000/000000", "jobs/h/other"]);
 }
 
-fn progress(number: u32, output: &str) -> ItemProgress {
-    ItemProgress {
+fn progress(number: u32, output: &str) -> ItemCheckpoint {
+    ItemCheckpoint {
         number,
         last_id: 7,
         events: 7,
@@ -264,8 +266,8 @@
     }
 }
 
-fn saved(text: &str, items: Vec<ItemProgress>) -> JobProgress {
-    JobProgress {
+fn saved(text: &str, items: Vec<ItemCheckpoint>) -> JobCheckpoint {
+    JobCheckpoint {
         job: key(text),
         submitted_at: UnixMillis::new(1_000),
         items,
@@ -283,7 +285,7 @@
     for output in ["a", "a\nb"] {
         let items = vec![progress(0, output), progress(2, "")];
         let jobs = [saved("j", items)];
-        ledger.save_progress(&jobs).await.expect("saved");
+        ledger.save_checkpoints(&jobs).await.expect("saved");
     }
     let read = ledger.progress(&key("j"), &manifest).await.expect("read");
     assert_eq!(read, [progress(0, "a\nb"), progress(2, "")]);
@@ -310,8 +312,8 @@
         saved(&format!("j{job}"), items.collect())
     };
     let jobs: Vec<_> = (0..40).map(many).collect();
-    ledger.save_progress(&jobs).await.expect("saved");
-    for JobProgress { job, items, .. } in &jobs {
+    ledger.save_checkpoints(&jobs).await.expect("saved");
+    for JobCheckpoint { job, items, .. } in &jobs {
         let read = ledger.progress(job, &manifest).await.expect("read");
         assert_eq!(read, items[..1], "{job}");
     }
@@ -323,7 +325,7 @@
     let ledger = ledger(&kv);
     let stored = ledger.accept(job("j", 1)).await.expect("accepted");
     let jobs = [saved("j", vec![progress(0, "a")])];
-    ledger.save_progress(&jobs).await.expect("saved");
+    ledger.save_checkpoints(&jobs).await.expect("saved");
     ledger.remove(&key("j"), &stored).await.expect("removed");
     let left = ledger.progress(&key("j"), &stored.manifest).await;
     assert_eq!(left.expect("read"), []);
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -50,7 +50,7 @@
         input_chunks: 1,
         listed: Vec::new(),
         output_chunks: Vec::new(),
-        strikes: indexmap::IndexMap::new(),
+        failed_attempts: indexmap::IndexMap::new(),
         ended: false,
         owner: owner.to_owned(),
         due_at: UnixMillis::new(0),
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -522,7 +522,7 @@
         JobError::Conflict => {
             Refusal::improper(StatusCode::CONFLICT, "the id names another job")
         }
-        JobError::Open => {
+        JobError::OutcomeUnknown => {
             Refusal::unknown("whether the job is kept is not known")
         }
         _ => Refusal::not_run("the job cannot be kept now")
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -52,8 +52,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Ledger::accept`]; [`JobError::Open`] also if a worker may have
-    /// kept it, since it may run then.
+    /// As [`Ledger::accept`]; [`JobError::OutcomeUnknown`] also if a worker
+    /// may have kept it, since it may run then.
     pub(crate) async fn accept(
         &self,
         job: NewJob,
@@ -104,11 +104,13 @@
                     return Ok(Accepted::Ledger(stored.revision));
                 }
                 Ok(Err(report)) => report,
-                Err(_) => Report::new(JobError::Open),
+                Err(_) => Report::new(JobError::OutcomeUnknown),
             },
         };
         match spooled {
-            Spooled::Maybe => Err(report.change_context(JobError::Open)),
+            Spooled::Maybe => {
+                Err(report.change_context(JobError::OutcomeUnknown))
+            }
             _ => Err(report),
         }
     }
@@ -117,5 +119,5 @@
 /// Tells whether a job that was not entered for this reason can be kept
 /// until the service answers.
 fn may_be_kept(error: JobError) -> bool {
-    matches!(error, JobError::NotDone | JobError::Open)
+    matches!(error, JobError::NotDone | JobError::OutcomeUnknown)
 }
--- a/crates/node/src/worker.rs
+++ b/crates/node/src/worker.rs
@@ -2,7 +2,7 @@
 
 use base::Millis;
 use error_stack::Report;
-use jobs::{OnlineLoad, Runner, RunnerOptions, RunnerParts, Stop};
+use jobs::{OnlineLoad, Runner, RunnerOptions, RunnerParts, ShutdownSignal};
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time,
@@ -59,7 +59,15 @@
         tokio::spawn(leave_after(asked.clone(), saved, base.leave.clone()));
         let (ended, idle) = watch::channel(false);
         tokio::spawn(async move {
-            runner.run(Stop { asked, handed_over }, heard).await;
+            runner
+                .run(
+                    ShutdownSignal {
+                        requested: asked,
+                        handed_over,
+                    },
+                    heard,
+                )
+                .await;
             ended.send_replace(true);
         });
         let vacating = Vacating {
@@ -126,7 +134,7 @@
 ) -> Runner {
     let probe = LoadProbe::new(outside.dialect.clone(), base.pool.clone());
     let options = RunnerOptions {
-        kept_ms: settings.results_kept_ms + KEPT_MARGIN_MS,
+        retention_ms: settings.results_kept_ms + KEPT_MARGIN_MS,
         ..RunnerOptions::default()
     };
     let parts = RunnerParts {
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -11,8 +11,8 @@
 };
 use fleet::EndpointRecord;
 use jobs::{
-    ItemProgress, RunnerOptions, decode_manifest, decode_progress,
-    encode_progress, manifest_key, progress_key,
+    ItemCheckpoint, RunnerOptions, checkpoint_key, decode_checkpoints,
+    decode_manifest, encode_checkpoints, manifest_key,
 };
 use kv::{Kv, Memory, Op, Txn};
 use tokio::time::{sleep, timeout};
@@ -246,7 +246,7 @@
     let job = job.parse().expect("key");
     let found = kv.get(&manifest_key(&job)).await.expect("read");
     let head = decode_manifest(&found.kvs[0].value).expect("a head");
-    progress_key(&job, head.submitted_at)
+    checkpoint_key(&job, head.submitted_at)
 }
 
 /// Symptom: after a loss of all nodes jobs ended up to a whole run later.
@@ -262,17 +262,17 @@
     ready(&front).await;
     let sent = call(front.front, "POST", "/batch/1", "job-1", r#"["4","2"]"#);
     assert_eq!(sent.await.0, 202);
-    let saved = [ItemProgress {
+    let saved = [ItemCheckpoint {
         number: 0,
         last_id: 3,
         events: 3,
         ran_ms: 10,
         output: "e1\ne2\ne3".to_owned(),
     }];
-    let value = encode_progress(&saved).expect("encoded");
+    let value = encode_checkpoints(&saved).expect("encoded");
     put(&kv, &saved_at(&kv, "job-1").await, value).await;
     // A job that is new has nothing saved, and nobody looks.
-    let save_ms = RunnerOptions::default().save_ms;
+    let save_ms = RunnerOptions::default().checkpoint_interval_ms;
     sleep(Duration::from_millis(save_ms + 100)).await;
     let worker = start(&kv, "worker-1", true).await;
     let fleet = Fleet {
@@ -301,7 +301,7 @@
         loop {
             let reply = kv.get(&key).await.expect("read");
             if let Some(kv) = reply.kvs.first() {
-                return decode_progress(&kv.value).expect("decoded");
+                return decode_checkpoints(&kv.value).expect("decoded");
             }
             sleep(Duration::from_millis(50)).await;
         }
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -32,7 +32,7 @@
             input_chunks: 1,
             listed: vec![2, 0],
             output_chunks: vec![0],
-            strikes: IndexMap::new(),
+            failed_attempts: IndexMap::new(),
             ended: false,
             owner: owner.to_owned(),
             due_at: UnixMillis::new(19_000),
