--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/assignment.rs
@@ -12,11 +12,11 @@
 /// hashing one of two nodes may get nearly all endpoints of its domain, and
 /// the jobs of the other one are left lying.
 ///
-/// A plan costs a few steps for each endpoint, whatever the number of nodes.
+/// A assignment costs a few steps for each endpoint, whatever the number of nodes.
 /// Looking for the best node of all for each endpoint was rejected: a restart
-/// of everything makes each node plan again for each other one.
+/// of everything makes each node assignment again for each other one.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct Assignment {
     node: String,
     members: Arc<Members>,
     users: IndexMap<LifeKey, usize>,
@@ -26,8 +26,8 @@
     steps: usize,
 }
 
-impl Plan {
-    /// Makes the plan of one node. A node that does not find itself among
+impl Assignment {
+    /// Makes the assignment of one node. A node that does not find itself among
     /// the members, because its entry has lapsed or is not written yet, has
     /// no share.
     ///
@@ -35,7 +35,7 @@
     ///
     /// ```
     /// use fleet::{Endpoint, EndpointRecord, EndpointState};
-    /// use pomeloslip_jobs::{Members, Plan, NodeRecord};
+    /// use pomeloslip_jobs::{Members, Assignment, NodeRecord};
     ///
     /// let nodes = ["a", "b"].map(|node| NodeRecord {
     ///     node: node.to_owned(),
@@ -57,8 +57,8 @@
     ///     })
     /// });
     /// let members = Members::new(nodes);
-    /// let plan = Plan::new("a", members, endpoints.iter());
-    /// assert_eq!(plan.own().len(), 2);
+    /// let assignment = Assignment::new("a", members, endpoints.iter());
+    /// assert_eq!(assignment.own_endpoints().len(), 2);
     /// ```
     pub fn new<'a>(
         node: &str,
@@ -68,20 +68,21 @@
         let mut endpoints: Vec<&Endpoint> = endpoints.into_iter().collect();
         endpoints.sort_by_key(|endpoint| endpoint.spread());
         let members = members.into();
-        let mut plan = Self {
+        let mut assignment = Self {
             node: node.to_owned(),
             counts: vec![0; members.len()],
             members,
             ..Self::default()
         };
-        if !plan.members.is_empty() {
-            plan.share(&endpoints);
+        if !assignment.members.is_empty() {
+            assignment.share(&endpoints);
         }
-        if let Some(me) = plan.members.find(node) {
-            let used = plan.users.iter().filter(|(_, user)| **user == me);
-            plan.own = used.map(|(life, _)| *life).collect();
+        if let Some(me) = assignment.members.find(node) {
+            let used =
+                assignment.users.iter().filter(|(_, user)| **user == me);
+            assignment.own = used.map(|(life, _)| *life).collect();
         }
-        plan
+        assignment
     }
 
     /// Gives every node the smaller share first, from its own domain as far
@@ -156,20 +157,20 @@
         &self.members
     }
 
-    /// Returns how many points of rings were looked at to make this plan: a
+    /// Returns how many points of rings were looked at to make this assignment: a
     /// measure of its cost that no clock disturbs.
     pub fn steps(&self) -> usize {
         self.steps
     }
 
     /// Returns the endpoints that this node uses.
-    pub fn own(&self) -> &[LifeKey] {
+    pub fn own_endpoints(&self) -> &[LifeKey] {
         &self.own
     }
 
     /// Tells whether a node uses no endpoint: there are fewer of them than
     /// nodes. Its jobs would be left lying.
-    pub fn is_without_share(&self, node: &str) -> bool {
+    pub fn has_no_endpoints(&self, node: &str) -> bool {
         let place = self.members.find(node);
         place.is_none_or(|place| self.counts[place] == 0)
     }
--- a/crates/jobs/src/bulk.rs
+++ b/crates/jobs/src/bulk.rs
@@ -18,7 +18,7 @@
 /// Each of these values is written once under a key of its own and never
 /// changes, so that any node's copy is right. A question that fails costs a
 /// call to the key-value service, no more.
-pub trait Siblings: Send + Sync + 'static {
+pub trait BulkPeers: Send + Sync + 'static {
     /// Asks the node that is most likely to have a value.
     fn read(
         &self,
@@ -30,9 +30,9 @@
 
 /// Asks nobody.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NoSiblings;
+pub struct NoPeers;
 
-impl Siblings for NoSiblings {
+impl BulkPeers for NoPeers {
     fn read(&self, _: &JobKey, _: &JobManifest, _: &str) -> BulkFuture {
         Box::pin(ready(None))
     }
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    BulkCache, JobError, NoSiblings, Siblings,
+    BulkCache, BulkPeers, JobError, NoPeers,
     record::{
         ItemInput, ItemResult, JobKey, JobManifest, checkpoint_key,
         decode_manifest, encode_inputs, encode_manifest, encode_results,
@@ -62,7 +62,7 @@
     writer: Writer,
     value_bytes: usize,
     cache: Arc<BulkCache>,
-    siblings: Arc<dyn Siblings>,
+    peers: Arc<dyn BulkPeers>,
 }
 
 /// How long a write is tried before its caller hears that it is open, in
@@ -103,20 +103,20 @@
             writer: Writer::new(timer, WRITE_GIVE_UP_MS),
             value_bytes,
             cache: Arc::default(),
-            siblings: Arc::new(NoSiblings),
+            peers: Arc::new(NoPeers),
         }
     }
 
     /// Sets where inputs and results are kept for this node and others, and
     /// who is asked for them before the service is.
     #[must_use]
-    pub fn with_siblings(
+    pub fn with_peers(
         mut self,
         cache: Arc<BulkCache>,
-        siblings: Arc<dyn Siblings>,
+        peers: Arc<dyn BulkPeers>,
     ) -> Self {
         self.cache = cache;
-        self.siblings = siblings;
+        self.peers = peers;
         self
     }
 
--- a/crates/jobs/src/ledger/values.rs
+++ b/crates/jobs/src/ledger/values.rs
@@ -67,7 +67,7 @@
         if let Some(value) = self.cache.get(key) {
             return Ok(value);
         }
-        let value = match self.siblings.read(job, manifest, key).await {
+        let value = match self.peers.read(job, manifest, key).await {
             Some(value) => value,
             None => Arc::new(self.bulk_of_service(key).await?),
         };
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -4,13 +4,14 @@
 //! inputs and its results in chunks. The [`Ledger`] makes each change one
 //! compare-and-swap on the manifest. A [`JobView`] follows all manifests; other nodes
 //! ask for the [`ManifestSource`] that their callers want. On the nodes that run items,
-//! a [`Plan`] shares jobs and endpoints between those nodes and decides what
+//! a [`Assignment`] shares jobs and endpoints between those nodes and decides what
 //! starts and what gives way, and a [`Runner`] carries it out.
 //!
 //! Running an item twice does no harm, listing it twice would: so owners of
 //! jobs are found by hashing and may disagree for a moment, while positions
 //! are given by compare-and-swap alone.
 
+mod assignment;
 mod backlogs;
 mod bulk;
 mod error;
@@ -23,7 +24,6 @@
 mod order;
 mod pace;
 mod page;
-mod plan;
 mod planner;
 mod record;
 mod ring;
@@ -32,8 +32,9 @@
 mod view;
 
 pub use crate::{
+    assignment::Assignment,
     backlogs::ReportedBacklogs,
-    bulk::{BulkCache, BulkFuture, BulkValue, NoSiblings, Siblings},
+    bulk::{BulkCache, BulkFuture, BulkPeers, BulkValue, NoPeers},
     error::JobError,
     gate::{GateInput, GateOptions, GateOrder, decide},
     ledger::{Ledger, NewJob, StoredManifest},
@@ -42,13 +43,13 @@
     },
     members::{Backlog, Members, NodeRecord, Roster},
     online::{
-        FRONT_LOAD_LIFE_MS, FrontUpdate, OnlineLoad, OthersUpdate, Stamp,
+        FRONT_LOAD_TTL_MS, FrontUpdate, OnlineLoad, OtherFrontsLoad,
+        ReportVersion,
     },
     order::{PreemptRank, Urgency},
     pace::{Pace, Rest},
     page::{Page, PageReader},
-    plan::Plan,
-    planner::{Planner, Plans, batch_services},
+    planner::{Assignments, Planner, batch_services},
     record::{
         FailedAttempts, ItemCheckpoint, ItemInput, ItemResult, ItemState,
         JobCheckpoint, JobKey, JobManifest, MANIFEST_PREFIX, NODE_PREFIX,
--- a/crates/jobs/src/online.rs
+++ b/crates/jobs/src/online.rs
@@ -23,7 +23,7 @@
     Deserialize,
 )]
 #[serde(deny_unknown_fields)]
-pub struct Stamp {
+pub struct ReportVersion {
     /// When the sending process started.
     pub started_at: UnixMillis,
     /// Number of the update within the process.
@@ -36,10 +36,10 @@
     /// Name of the front.
     pub front: &'a str,
     /// Its place among the updates of that front.
-    pub stamp: Stamp,
+    pub version: ReportVersion,
     /// Whether these are all endpoints of this worker that the front sends
     /// to. It subscribes to them until it names others.
-    pub whole: bool,
+    pub is_full: bool,
     /// Requests in flight by endpoint.
     pub counts: &'a [(LifeKey, u32)],
 }
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Front {
     name: String,
-    stamp: Stamp,
+    version: ReportVersion,
     updated_at: Millis,
     endpoints: Vec<LifeKey>,
 }
@@ -100,7 +100,7 @@
 
 /// What a front is sent about the requests of the others.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OthersUpdate {
+pub struct OtherFrontsLoad {
     /// Name of the front.
     pub front: String,
     /// Requests of all other fronts by endpoint.
@@ -110,7 +110,7 @@
 /// Age at which a front's load update counts no more, in milliseconds: it
 /// sends all of its counts at least every half second, and single messages
 /// may be lost.
-pub const FRONT_LOAD_LIFE_MS: u64 = 1_300;
+pub const FRONT_LOAD_TTL_MS: u64 = 1_300;
 
 impl OnlineLoad {
     /// Starts without any update; the receiver gets the endpoints that
@@ -129,17 +129,17 @@
     ///
     /// A front that was silent begins anew, as its clock may have been set
     /// back while it restarted.
-    pub fn take(&self, update: FrontUpdate<'_>, now: Millis) -> bool {
+    pub fn apply(&self, update: FrontUpdate<'_>, now: Millis) -> bool {
         let mut inner = self.lock();
         let key = FrontKey::of(update.front);
         if !inner.accept(key, &update, now) {
             return false;
         }
-        if update.whole {
+        if update.is_full {
             inner.keep_only(key, update.counts);
         }
         for (endpoint, count) in update.counts {
-            if inner.set(key, *endpoint, *count) && !update.whole {
+            if inner.set(key, *endpoint, *count) && !update.is_full {
                 // Nobody listens any more in a process that ends.
                 let _ = self.changed.send(*endpoint);
             }
@@ -149,7 +149,7 @@
 
     /// Returns the load of all endpoints that a front uses, whether it has
     /// changed or not.
-    pub fn answer(&self, front: &str, now: Millis) -> OthersUpdate {
+    pub fn full_report(&self, front: &str, now: Millis) -> OtherFrontsLoad {
         let mut inner = self.lock();
         let key = FrontKey::of(front);
         let known = inner.fronts.get(&key);
@@ -160,7 +160,7 @@
             inner.note_sent(endpoint, key, others);
             (endpoint, others)
         });
-        OthersUpdate {
+        OtherFrontsLoad {
             counts: counts.collect(),
             front: front.to_owned(),
         }
@@ -169,7 +169,7 @@
     /// Returns what has changed for each front since it was last sent
     /// something. Costs a step for each front that uses an endpoint where
     /// something has changed, and none for the rest of the fleet.
-    pub fn changes(&self, now: Millis) -> Vec<OthersUpdate> {
+    pub fn changes(&self, now: Millis) -> Vec<OtherFrontsLoad> {
         let mut inner = self.lock();
         let mut updates: IndexMap<FrontKey, Vec<(LifeKey, u32)>> =
             IndexMap::new();
@@ -184,7 +184,7 @@
         }
         let named = updates.into_iter().filter_map(|(key, counts)| {
             let front = inner.fronts.get(&key)?.name.clone();
-            Some(OthersUpdate { front, counts })
+            Some(OtherFrontsLoad { front, counts })
         });
         named.collect()
     }
@@ -216,7 +216,7 @@
     /// Forgets the fronts that are silent and not listed any more: they are
     /// gone. One that is about to end serves what it has and goes on to report
     /// it, and one that is listed may be back.
-    pub fn forget_gone(
+    pub fn remove_gone(
         &self,
         mut is_listed: impl FnMut(&str) -> bool,
         now: Millis,
@@ -254,21 +254,21 @@
         let is_fresh = self.is_fresh(key, now);
         let front = self.fronts.entry(key).or_insert_with(|| Front {
             name: update.front.to_owned(),
-            stamp: Stamp::default(),
+            version: ReportVersion::default(),
             updated_at: now,
             endpoints: Vec::new(),
         });
-        if is_fresh && update.stamp <= front.stamp {
+        if is_fresh && update.version <= front.version {
             return false;
         }
-        front.stamp = update.stamp;
+        front.version = update.version;
         front.updated_at = now;
         true
     }
 
     fn is_fresh(&self, key: FrontKey, now: Millis) -> bool {
         self.fronts.get(&key).is_some_and(|front| {
-            now.saturating_ms_since(front.updated_at) < FRONT_LOAD_LIFE_MS
+            now.saturating_ms_since(front.updated_at) < FRONT_LOAD_TTL_MS
         })
     }
 
--- a/crates/jobs/src/planner.rs
+++ b/crates/jobs/src/planner.rs
@@ -4,24 +4,24 @@
 use fleet::{Config, Endpoint, EndpointTable, RouteKind};
 use pass::DirectoryView;
 
-use crate::{JobView, Members, Plan};
+use crate::{Assignment, JobView, Members};
 
-/// Makes a new plan whenever what it is made of has changed.
+/// Makes a new assignment whenever what it is computed of has changed.
 ///
-/// It keeps what the last plan was made of and compares pointers: with lists
-/// of ids that were made and compared at each look, nodes before three
-/// thousand endpoints spent half of their processor on plans that stayed the
+/// It keeps what the last assignment was computed of and compares pointers: with lists
+/// of ids that were computed and compared at each look, nodes before three
+/// thousand endpoints spent half of their processor on assignments that stayed the
 /// same.
 #[derive(Debug, Default)]
 pub struct Planner {
     node: String,
-    plan: Arc<Plan>,
-    made_of: Option<MadeOf>,
-    made: u64,
+    assignment: Arc<Assignment>,
+    inputs: Option<AssignmentInputs>,
+    computed_count: u64,
 }
 
 #[derive(Debug)]
-struct MadeOf {
+struct AssignmentInputs {
     table: Arc<EndpointTable>,
     config: Option<Arc<Config>>,
     members: Arc<Members>,
@@ -29,7 +29,7 @@
 }
 
 impl Planner {
-    /// Plans for one node.
+    /// Assignments for one node.
     pub fn new(node: &str) -> Self {
         Self {
             node: node.to_owned(),
@@ -37,59 +37,60 @@
         }
     }
 
-    /// Returns the plan for these members and endpoints; only those count
+    /// Returns the assignment for these members and endpoints; only those count
     /// that batch routes lead to.
-    pub fn plan(
+    pub fn assignment(
         &mut self,
         config: &Option<Arc<Config>>,
         table: &Arc<EndpointTable>,
         members: &Arc<Members>,
-    ) -> Arc<Plan> {
-        let Some(known) = &mut self.made_of else {
-            return self.make(config, table, members);
+    ) -> Arc<Assignment> {
+        let Some(known) = &mut self.inputs else {
+            return self.compute(config, table, members);
         };
         if !is_same_config(&known.config, config) {
             let services = config.as_deref().map(batch_services);
             if services.unwrap_or_default() != known.services {
-                return self.make(config, table, members);
+                return self.compute(config, table, members);
             }
             known.config.clone_from(config);
         }
         let same = Arc::ptr_eq(&known.table, table)
             && Arc::ptr_eq(&known.members, members);
         match same {
-            true => self.plan.clone(),
-            false => self.make(config, table, members),
+            true => self.assignment.clone(),
+            false => self.compute(config, table, members),
         }
     }
 
-    /// Returns how many plans were made.
-    pub fn made(&self) -> u64 {
-        self.made
+    /// Returns how many assignments were computed.
+    pub fn computed_count(&self) -> u64 {
+        self.computed_count
     }
 
-    fn make(
+    fn compute(
         &mut self,
         config: &Option<Arc<Config>>,
         table: &Arc<EndpointTable>,
         members: &Arc<Members>,
-    ) -> Arc<Plan> {
+    ) -> Arc<Assignment> {
         let services = config.as_deref().map(batch_services);
         let services = services.unwrap_or_default();
         let endpoints: Vec<&Endpoint> = services
             .iter()
             .flat_map(|service| table.of_service(service))
             .collect();
-        let plan = Plan::new(&self.node, members.clone(), endpoints);
-        self.plan = Arc::new(plan);
-        self.made += 1;
-        self.made_of = Some(MadeOf {
+        let assignment =
+            Assignment::new(&self.node, members.clone(), endpoints);
+        self.assignment = Arc::new(assignment);
+        self.computed_count += 1;
+        self.inputs = Some(AssignmentInputs {
             table: table.clone(),
             config: config.clone(),
             members: members.clone(),
             services,
         });
-        self.plan.clone()
+        self.assignment.clone()
     }
 }
 
@@ -115,9 +116,9 @@
     services
 }
 
-/// The plans of one node, which all of its parts share.
+/// The assignments of one node, which all of its parts share.
 #[derive(Clone)]
-pub struct Plans {
+pub struct Assignments {
     view: JobView,
     endpoints: Arc<Snapshot<DirectoryView>>,
     config: Arc<Snapshot<Option<Arc<Config>>>>,
@@ -129,8 +130,8 @@
     requests: Planner,
 }
 
-impl Plans {
-    /// Plans for one node by what it knows.
+impl Assignments {
+    /// Assignments for one node by what it knows.
     pub fn new(
         node: &str,
         view: JobView,
@@ -150,17 +151,17 @@
     }
 
     /// Returns which worker uses each endpoint for items.
-    pub fn of_items(&self) -> Arc<Plan> {
+    pub fn for_items(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().workers;
-        self.lock().items.plan(&config, &table, &members)
+        self.lock().items.assignment(&config, &table, &members)
     }
 
     /// Returns which front uses each endpoint before all others.
-    pub fn of_requests(&self) -> Arc<Plan> {
+    pub fn for_requests(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().fronts;
-        self.lock().requests.plan(&config, &table, &members)
+        self.lock().requests.assignment(&config, &table, &members)
     }
 
     fn inputs(&self) -> (Option<Arc<Config>>, Arc<EndpointTable>) {
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -28,8 +28,9 @@
     save::Loaded,
 };
 use crate::{
-    GateOptions, ItemForwarder, JobError, JobManifest, JobView, Ledger,
-    OnlineLoad, Pace, Plan, Plans, RunOutcome, StoredManifest,
+    Assignment, Assignments, GateOptions, ItemForwarder, JobError,
+    JobManifest, JobView, Ledger, OnlineLoad, Pace, RunOutcome,
+    StoredManifest,
     record::{ItemResult, ItemState, JobKey},
 };
 
@@ -114,7 +115,7 @@
     /// What fronts report of their requests in flight.
     pub online: Arc<OnlineLoad>,
     /// Who uses which endpoint.
-    pub plans: Plans,
+    pub assignments: Assignments,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// The counters of the process.
@@ -229,10 +230,10 @@
     runs: IndexMap<RunId, Run>,
     probes: IndexMap<LifeKey, Probing>,
     /// Which front sends to each endpoint before all others.
-    first_users: Arc<Plan>,
-    /// What the jobs were taken up by: the plan, and the count of changes
+    first_users: Arc<Assignment>,
+    /// What the jobs were taken up by: the assignment, and the count of changes
     /// of the view.
-    followed: Option<(Arc<Plan>, u64)>,
+    followed: Option<(Arc<Assignment>, u64)>,
     moving: Option<JobKey>,
     /// Jobs taken from other nodes, with the time from which on what they
     /// had produced there can be read.
@@ -294,37 +295,39 @@
 
     /// Looks at all work once.
     fn look(&mut self, stopping: bool) {
-        let plan = self.runner.parts.plans.of_items();
-        self.first_users = self.runner.parts.plans.of_requests();
-        self.follow_view(&plan, stopping);
+        let assignment = self.runner.parts.assignments.for_items();
+        self.first_users = self.runner.parts.assignments.for_requests();
+        self.follow_view(&assignment, stopping);
         if !stopping {
-            self.even_out(&plan);
+            self.even_out(&assignment);
         }
         self.load_inputs();
         self.give_up_late();
-        self.remove_expired(&plan);
+        self.remove_expired(&assignment);
         self.commit_due();
         self.save_checkpoints();
-        self.ask_loads(&plan);
-        self.admit(&plan, stopping);
+        self.ask_loads(&assignment);
+        self.admit(&assignment, stopping);
     }
 
-    /// Takes up and drops jobs as the view tells, where it or the plan has
+    /// Takes up and drops jobs as the view tells, where it or the assignment has
     /// changed.
-    fn follow_view(&mut self, plan: &Arc<Plan>, stopping: bool) {
+    fn follow_view(&mut self, assignment: &Arc<Assignment>, stopping: bool) {
         let view = &self.runner.parts.view;
-        let changes = view.count_of_changes();
+        let changes = view.change_count();
         let followed = self.followed.as_ref();
         let is_known = followed.is_some_and(|(known, count)| {
-            Arc::ptr_eq(known, plan) && *count == changes
+            Arc::ptr_eq(known, assignment) && *count == changes
         });
         if is_known && !stopping && !self.has_moved() {
             return;
         }
-        self.followed = Some((plan.clone(), changes));
+        self.followed = Some((assignment.clone(), changes));
         let open = match stopping {
             true => Vec::new(),
-            false => view.open_of(plan.members(), &self.runner.parts.node),
+            false => {
+                view.open_of(assignment.members(), &self.runner.parts.node)
+            }
         };
         for (key, stored) in open {
             match self.jobs.get_mut(&key) {
@@ -348,7 +351,7 @@
                 }
             }
         }
-        self.drop_jobs(plan);
+        self.drop_jobs(assignment);
     }
 
     /// Tells whether jobs of other nodes still wait here for their results
@@ -357,14 +360,15 @@
         self.jobs.values().any(|job| job.moved)
     }
 
-    fn drop_jobs(&mut self, plan: &Plan) {
+    fn drop_jobs(&mut self, assignment: &Assignment) {
         let mut gone = Vec::new();
         let mut moved = Vec::new();
         for (key, job) in &mut self.jobs {
             let known = self.runner.parts.view.get(key);
             let closed = known.as_ref().is_none_or(|s| s.manifest.is_closed());
-            let owned =
-                known.is_some_and(|known| plan.owns_job(key, &known.manifest));
+            let owned = known.is_some_and(|known| {
+                assignment.owns_job(key, &known.manifest)
+            });
             if !owned && !job.moved && !closed {
                 moved.push(key.clone());
             }
@@ -459,7 +463,7 @@
     ///
     /// Without it manifests pile up in the key-value service and in the memory
     /// of every node, a gigabyte a day at one job a second.
-    fn remove_expired(&mut self, plan: &Plan) {
+    fn remove_expired(&mut self, assignment: &Assignment) {
         let now = self.now();
         if now < self.next_removal {
             return;
@@ -469,7 +473,9 @@
         let retention_ms = self.runner.options.retention_ms;
         let before = unix.saturating_sub_ms(retention_ms);
         let mut expired = self.runner.parts.view.closed_before(before);
-        expired.retain(|(key, stored)| plan.owns_job(key, &stored.manifest));
+        expired.retain(|(key, stored)| {
+            assignment.owns_job(key, &stored.manifest)
+        });
         expired.truncate(REMOVALS_MOST);
         let ledger = self.runner.parts.ledger.clone();
         tokio::spawn(async move {
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -12,7 +12,7 @@
     route_of,
 };
 use crate::{
-    GateInput, GateOrder, ItemRun, JobManifest, Plan, PreemptRank, Rest,
+    Assignment, GateInput, GateOrder, ItemRun, JobManifest, PreemptRank, Rest,
     Urgency, decide, record::JobKey,
 };
 
@@ -32,14 +32,14 @@
 impl Work {
     /// Asks those endpoints of this node's share for their load whose
     /// online requests are not known from the fronts.
-    pub(super) fn ask_loads(&mut self, plan: &Plan) {
+    pub(super) fn ask_loads(&mut self, assignment: &Assignment) {
         if self.jobs.is_empty() && self.runs.is_empty() {
             self.probes.clear();
             return;
         }
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
-        let own = plan.own().iter();
+        let own = assignment.own_endpoints().iter();
         let unknown = own.filter(|life| self.online(**life, now).is_none());
         let unknown: Vec<LifeKey> = unknown.copied().collect();
         self.probes.retain(|life, _| unknown.contains(life));
@@ -71,7 +71,7 @@
     }
 
     /// Lets the gate of each endpoint decide, and carries it out.
-    pub(super) fn admit(&mut self, plan: &Plan, stopping: bool) {
+    pub(super) fn admit(&mut self, assignment: &Assignment, stopping: bool) {
         let config = self.runner.parts.config.load_full();
         let Some(config) = config.as_ref() else {
             return;
@@ -80,7 +80,7 @@
         let view = self.runner.parts.endpoints.load_full();
         let stale = self.runner.parts.view.age_ms(now)
             > self.runner.options.max_view_age_ms;
-        for life in plan.own() {
+        for life in assignment.own_endpoints() {
             let Some(endpoint) = view.table.get(*life) else {
                 continue;
             };
--- a/crates/jobs/src/runner/even.rs
+++ b/crates/jobs/src/runner/even.rs
@@ -5,7 +5,7 @@
 
 use super::{Event, Work};
 use crate::{
-    Backlog, JobError, Members, Plan, StoredManifest, record::JobKey,
+    Assignment, Backlog, JobError, Members, StoredManifest, record::JobKey,
 };
 
 /// Open items that another node must have beyond twice one's own before a
@@ -26,21 +26,22 @@
 
 impl Work {
     /// Takes a job from another node where that serves it better.
-    pub(super) fn even_out(&mut self, plan: &Plan) {
+    pub(super) fn even_out(&mut self, assignment: &Assignment) {
         let now = self.now();
         let due = now >= self.next_evening && self.moving.is_none();
         let me = self.runner.parts.node.as_str();
-        let able = plan.members().has(me) && !plan.is_without_share(me);
+        let able =
+            assignment.members().has(me) && !assignment.has_no_endpoints(me);
         if !due || !able {
             return;
         }
         let pause_ms = self.runner.options.rebalance_interval_ms;
         self.next_evening = now.saturating_add_ms(pause_ms);
-        let members = plan.members();
+        let members = assignment.members();
         let backlog = self.runner.parts.view.backlog(members);
         let mine = backlog.items_of(&self.runner.parts.node);
         let taken = self
-            .left_lying(plan, mine, now)
+            .left_lying(assignment, mine, now)
             .or_else(|| self.job_of_most_loaded(members, &backlog, mine));
         let Some((key, before)) = taken else {
             return;
@@ -70,7 +71,7 @@
     /// endpoints keeps its jobs for ever, while others are idle.
     pub(super) fn left_lying(
         &self,
-        plan: &Plan,
+        assignment: &Assignment,
         mine: u32,
         now: Millis,
     ) -> Option<(JobKey, StoredManifest)> {
@@ -78,10 +79,10 @@
             return None;
         }
         let me = self.runner.parts.node.as_str();
-        let members = plan.members();
+        let members = assignment.members();
         let view = &self.runner.parts.view;
         let idle = members.nodes().iter().filter(|node| {
-            node.node != me && plan.is_without_share(&node.node)
+            node.node != me && assignment.has_no_endpoints(&node.node)
         });
         let mut stuck = idle.flat_map(|n| view.open_of(members, &n.node));
         stuck.next().or_else(|| {
--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/view.rs
@@ -201,7 +201,7 @@
     }
 
     /// Returns how often the view has changed.
-    pub fn count_of_changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         *self.changes.borrow()
     }
 
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -9,8 +9,8 @@
 use indexmap::IndexMap;
 use kv::{Kv, Memory, WriteFault};
 use pomeloslip_jobs::{
-    BulkFuture, FailedAttempts, ItemCheckpoint, ItemResult, JobCheckpoint,
-    JobError, JobKey, JobManifest, NewJob, Siblings, encode_inputs,
+    BulkFuture, BulkPeers, FailedAttempts, ItemCheckpoint, ItemResult,
+    JobCheckpoint, JobError, JobKey, JobManifest, NewJob, encode_inputs,
 };
 use yare::parameterized;
 
@@ -363,7 +363,7 @@
 /// Another node that has one value.
 struct OneValue(&'static str, Vec<u8>);
 
-impl Siblings for OneValue {
+impl BulkPeers for OneValue {
     fn read(&self, _: &JobKey, _: &JobManifest, key: &str) -> BulkFuture {
         let value = Arc::new(self.1.clone());
         let found = key.starts_with(self.0).then_some(value);
@@ -378,7 +378,7 @@
     let inputs = encode_inputs(&items(2, 100)).expect("encoded");
     for (prefix, calls) in [("bulk/in/", 0), ("bulk/out/", 1)] {
         let other = Arc::new(OneValue(prefix, inputs.clone()));
-        let ledger = ledger(&kv).with_siblings(Arc::default(), other);
+        let ledger = ledger(&kv).with_peers(Arc::default(), other);
         let before = kv.counts().reads;
         for _ in 0..2 {
             let read = ledger.inputs(&key("j"), &stored.manifest).await;
--- a/crates/jobs/tests/model.rs
+++ b/crates/jobs/tests/model.rs
@@ -10,7 +10,7 @@
 use common::{job, key, ledger, result};
 use indexmap::IndexMap;
 use kv::{Memory, WriteFault};
-use pomeloslip_jobs::{ItemResult, Ledger, NoSiblings, StoredManifest};
+use pomeloslip_jobs::{ItemResult, Ledger, NoPeers, StoredManifest};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const ITEMS: u32 = 12;
@@ -100,9 +100,8 @@
             writer.known = stored;
         }
         // One that has nothing in memory sees what the service has.
-        let reader = first
-            .clone()
-            .with_siblings(Arc::default(), Arc::new(NoSiblings));
+        let reader =
+            first.clone().with_peers(Arc::default(), Arc::new(NoPeers));
         let now = check(&reader, &mut seen).await?;
         for writer in &writers {
             let kept = read_all(&writer.ledger, &now).await;
--- a/crates/jobs/tests/online.rs
+++ b/crates/jobs/tests/online.rs
@@ -2,7 +2,9 @@
 
 use base::{Millis, UnixMillis};
 use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
-use pomeloslip_jobs::{FRONT_LOAD_LIFE_MS, FrontUpdate, OnlineLoad, Stamp};
+use pomeloslip_jobs::{
+    FRONT_LOAD_TTL_MS, FrontUpdate, OnlineLoad, ReportVersion,
+};
 
 const NOW: Millis = Millis::new(5_000);
 
@@ -27,22 +29,22 @@
         &mut self,
         load: &OnlineLoad,
         counts: &[(LifeKey, u32)],
-        whole: bool,
+        is_full: bool,
         now: Millis,
     ) -> bool {
         self.1 += 1;
-        let stamp = Stamp {
+        let version = ReportVersion {
             started_at: UnixMillis::new(1_000),
             number: self.1,
         };
         let front = self.0;
         let update = FrontUpdate {
             front,
-            stamp,
-            whole,
+            version,
+            is_full,
             counts,
         };
-        load.take(update, now)
+        load.apply(update, now)
     }
 }
 
@@ -53,8 +55,8 @@
     Front("f1", 0).sends(&load, &[(e, 2)], false, NOW);
     Front("f2", 0).sends(&load, &[(e, 3)], false, NOW);
     assert_eq!(load.requests_at(e, "f1", NOW), Some(5));
-    assert_eq!(load.answer("f1", NOW).counts, [(e, 3)]);
-    assert_eq!(load.answer("f2", NOW).counts, [(e, 2)]);
+    assert_eq!(load.full_report("f1", NOW).counts, [(e, 3)]);
+    assert_eq!(load.full_report("f2", NOW).counts, [(e, 2)]);
     assert_eq!(load.requests_at(life("other"), "f1", NOW), None);
 }
 
@@ -67,10 +69,10 @@
     let (mut dead, mut other) = (Front("f1", 0), Front("f2", 0));
     dead.sends(&load, &[(e, 8)], false, NOW);
     other.sends(&load, &[(e, 1)], false, NOW);
-    let later = NOW.saturating_add_ms(FRONT_LOAD_LIFE_MS);
+    let later = NOW.saturating_add_ms(FRONT_LOAD_TTL_MS);
     other.sends(&load, &[(e, 1)], true, later);
-    assert_eq!(load.answer("f2", later).counts, [(e, 0)]);
-    load.forget_gone(|front| front == "f2", later);
+    assert_eq!(load.full_report("f2", later).counts, [(e, 0)]);
+    load.remove_gone(|front| front == "f2", later);
     assert_eq!(load.requests_at(e, "f2", later), Some(1));
 }
 
@@ -85,9 +87,9 @@
     let (mut ending, mut other) = (Front("f1", 0), Front("f2", 0));
     ending.sends(&load, &[(e, 4)], true, NOW);
     other.sends(&load, &[(e, 1)], true, NOW);
-    load.forget_gone(|front| front == "f2", NOW);
+    load.remove_gone(|front| front == "f2", NOW);
     assert_eq!(load.requests_at(e, "f2", NOW), Some(5));
-    assert_eq!(load.answer("f2", NOW).counts, [(e, 4)]);
+    assert_eq!(load.full_report("f2", NOW).counts, [(e, 4)]);
 }
 
 /// Symptom: every worker asks engines for their load, and items start by
@@ -99,7 +101,7 @@
     let (shared, own) = (life("shared"), life("own"));
     let (mut silent, mut other) = (Front("f1", 0), Front("f2", 0));
     silent.sends(&load, &[(shared, 1)], true, NOW);
-    let later = NOW.saturating_add_ms(FRONT_LOAD_LIFE_MS);
+    let later = NOW.saturating_add_ms(FRONT_LOAD_TTL_MS);
     other.sends(&load, &[(shared, 1), (own, 2)], true, later);
     assert_eq!(load.requests_at(shared, "f2", later), None);
     assert_eq!(load.requests_at(own, "f2", later), Some(2));
@@ -162,7 +164,7 @@
     let (load, _heard) = OnlineLoad::new();
     let e = life("e");
     Front("f1", 100).sends(&load, &[(e, 1)], true, NOW);
-    let later = NOW.saturating_add_ms(FRONT_LOAD_LIFE_MS);
+    let later = NOW.saturating_add_ms(FRONT_LOAD_TTL_MS);
     assert!(Front("f1", 0).sends(&load, &[(e, 2)], true, later));
     assert_eq!(load.requests_at(e, "f1", later), Some(2));
 }
@@ -174,8 +176,8 @@
     let (mut one, mut two) = (Front("f1", 0), Front("f2", 0));
     one.sends(&load, &[(e, 0)], true, NOW);
     two.sends(&load, &[(e, 0), (g, 0)], true, NOW);
-    load.answer("f1", NOW);
-    load.answer("f2", NOW);
+    load.full_report("f1", NOW);
+    load.full_report("f2", NOW);
     two.sends(&load, &[(e, 3), (g, 5)], false, NOW);
     let changes = load.changes(NOW);
     assert_eq!(changes.len(), 1, "{changes:?}");
@@ -200,32 +202,32 @@
             (0..fronts).map(|at| format!("front-{at}")).collect();
         // Each endpoint is shared by three fronts, whatever their number.
         for (at, name) in names.iter().take(90).enumerate() {
-            let stamp = Stamp::default();
+            let version = ReportVersion::default();
             let counts = [(lives[at % lives.len()], 0)];
             let update = FrontUpdate {
                 front: name,
-                stamp,
-                whole: true,
+                version,
+                is_full: true,
                 counts: &counts,
             };
-            load.take(update, NOW);
+            load.apply(update, NOW);
         }
         for name in &names {
-            load.answer(name, NOW);
+            load.full_report(name, NOW);
         }
         load.changes(NOW);
         let before = load.steps();
-        let stamp = Stamp {
+        let version = ReportVersion {
             started_at: UnixMillis::new(1),
             number: 1,
         };
         let update = FrontUpdate {
             front: &names[0],
-            stamp,
-            whole: false,
+            version,
+            is_full: false,
             counts: &[(lives[0], 1)],
         };
-        load.take(update, NOW);
+        load.apply(update, NOW);
         assert!(load.changes(NOW).len() <= 2);
         load.steps() - before
     };
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -8,7 +8,7 @@
     RouteKind, RouteTable,
 };
 use pomeloslip_jobs::{
-    Backlog, JobKey, JobManifest, Members, NodeRecord, Plan, Planner,
+    Assignment, Backlog, JobKey, JobManifest, Members, NodeRecord, Planner,
 };
 use yare::parameterized;
 
@@ -90,9 +90,10 @@
     let counts: Vec<usize> = nodes
         .iter()
         .map(|(name, _)| {
-            let plan = Plan::new(name, members.clone(), &endpoints);
+            let assignment =
+                Assignment::new(name, members.clone(), &endpoints);
             let used = endpoints.iter();
-            used.filter(|e| plan.uses_endpoint(e.life())).count()
+            used.filter(|e| assignment.uses_endpoint(e.life())).count()
         })
         .collect();
     assert_eq!(counts.iter().sum::<usize>(), endpoints.len());
@@ -107,11 +108,16 @@
     let nodes = [node("a1", "a"), node("b1", "b")];
     let members = Members::new(nodes);
     let endpoints = endpoints(&[("a", 4), ("b", 4)]);
-    let plan = Plan::new("a1", members, &endpoints);
+    let assignment = Assignment::new("a1", members, &endpoints);
     for endpoint in &endpoints {
         let record = endpoint.record();
         let near = record.failure_domain == "a";
-        assert_eq!(plan.uses_endpoint(endpoint.life()), near, "{}", record.id);
+        assert_eq!(
+            assignment.uses_endpoint(endpoint.life()),
+            near,
+            "{}",
+            record.id
+        );
     }
 }
 
@@ -216,9 +222,9 @@
 fn a_node_without_endpoints_is_known_as_such() {
     let members = Members::new(["a1", "a2", "a3"].map(|n| node(n, "a")));
     let endpoints = endpoints(&[("a", 2)]);
-    let plan = Plan::new("a1", members, &endpoints);
+    let assignment = Assignment::new("a1", members, &endpoints);
     let without = ["a1", "a2", "a3"]
-        .map(|node| plan.is_without_share(node))
+        .map(|node| assignment.has_no_endpoints(node))
         .into_iter()
         .filter(|without| *without);
     assert_eq!(without.count(), 1);
@@ -238,14 +244,14 @@
 
 /// Symptom: all nodes are busy for seconds after everything was started
 /// again, and serve nothing meanwhile. Events: nodes come back one after the
-/// other; each makes its plan again for each of them. Cause: a plan looked
+/// other; each makes its assignment again for each of them. Cause: a assignment looked
 /// at every node for every endpoint.
 #[test]
 fn the_steps_of_a_plan_grow_with_the_endpoints_alone() {
     let steps = |nodes: usize| {
         let (members, endpoints) = fleet(nodes);
-        let plan = Plan::new("node-0", members, &endpoints);
-        (plan.steps(), endpoints.len())
+        let assignment = Assignment::new("node-0", members, &endpoints);
+        (assignment.steps(), endpoints.len())
     };
     for nodes in [30, 300] {
         let (steps, endpoints) = steps(nodes);
@@ -259,10 +265,12 @@
 fn few_endpoints_change_their_user_when_a_node_leaves() {
     let (members, endpoints) = fleet(60);
     let fewer = members.nodes().iter().skip(1).cloned();
-    let before = Plan::new("node-0", members.clone(), &endpoints);
-    let after = Plan::new("node-0", Members::new(fewer), &endpoints);
-    let user = |plan: &Plan, endpoint: &Endpoint| {
-        plan.user_of(endpoint.life()).map(|user| user.node.clone())
+    let before = Assignment::new("node-0", members.clone(), &endpoints);
+    let after = Assignment::new("node-0", Members::new(fewer), &endpoints);
+    let user = |assignment: &Assignment, endpoint: &Endpoint| {
+        assignment
+            .user_of(endpoint.life())
+            .map(|user| user.node.clone())
     };
     let moved = endpoints
         .iter()
@@ -276,8 +284,8 @@
     );
 }
 
-/// Symptom: an idle front spends half of its processor on plans. Cause: each
-/// look made the lists anew that the plan is made of, to compare them.
+/// Symptom: an idle front spends half of its processor on assignments. Cause: each
+/// look computed the lists anew that the assignment is computed of, to compare them.
 #[test]
 fn a_plan_is_made_once_for_the_same_fleet() {
     let (members, endpoints) = fleet(30);
@@ -293,15 +301,15 @@
     };
     let (first, members) = (config(1), Arc::new(members));
     let mut planner = Planner::new("node-0");
-    let plan = planner.plan(&first, &table, &members);
-    assert!(!plan.own().is_empty());
+    let assignment = planner.assignment(&first, &table, &members);
+    assert!(!assignment.own_endpoints().is_empty());
     for _ in 0..1_000 {
-        planner.plan(&first, &table, &members);
+        planner.assignment(&first, &table, &members);
     }
     // Another configuration that leads to the same services.
-    planner.plan(&config(2), &table, &members);
-    assert_eq!(planner.made(), 1);
+    planner.assignment(&config(2), &table, &members);
+    assert_eq!(planner.computed_count(), 1);
     let other = Arc::new(EndpointTable::new(endpoints.into_iter().skip(1)));
-    planner.plan(&first, &other, &members);
-    assert_eq!(planner.made(), 2);
+    planner.assignment(&first, &other, &members);
+    assert_eq!(planner.computed_count(), 2);
 }
--- a/crates/node/src/base.rs
+++ b/crates/node/src/base.rs
@@ -6,7 +6,7 @@
 use base::{Snapshot, timer::Timer};
 use error_stack::{Report, ResultExt};
 use fleet::Selection;
-use jobs::{BulkCache, JobView, Ledger, NodeRecord, Plans};
+use jobs::{Assignments, BulkCache, JobView, Ledger, NodeRecord};
 use kv::{
     Kv,
     batch::{BatchLimits, GroupCommit},
@@ -62,7 +62,7 @@
     pub(crate) view: JobView,
     pub(crate) ledger: Ledger,
     /// Who uses which endpoint.
-    pub(crate) plans: Plans,
+    pub(crate) plans: Assignments,
     /// The endpoints that requests go to before all others.
     pub(crate) selection: Arc<Snapshot<Selection>>,
     socket: Arc<UdpSocket>,
@@ -137,7 +137,7 @@
         ));
         let ledger =
             Ledger::new(commits, outside.timer.clone(), settings.value_bytes);
-        let ledger = ledger.with_siblings(cache.clone(), Arc::new(siblings));
+        let ledger = ledger.with_peers(cache.clone(), Arc::new(siblings));
         let spool = JobSpool::open(
             settings,
             ledger.clone(),
@@ -211,7 +211,7 @@
             left,
             found: has_found,
         }));
-        let plans = Plans::new(
+        let plans = Assignments::new(
             &settings.node,
             view.clone(),
             outside.cluster.endpoints.clone(),
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -18,7 +18,7 @@
 
 use base::UnixMillis;
 use fleet::{Endpoint, LifeKey};
-use jobs::Stamp;
+use jobs::ReportVersion;
 use pass::{Counters, LoadObserver};
 use tokio::{net::UdpSocket, sync::mpsc, time};
 
@@ -121,7 +121,7 @@
         counts: &[(LifeKey, u32)],
     ) {
         self.number += 1;
-        let stamp = Stamp {
+        let stamp = ReportVersion {
             started_at: self.started_at,
             number: self.number,
         };
--- a/crates/node/src/load/front.rs
+++ b/crates/node/src/load/front.rs
@@ -6,7 +6,8 @@
 use fleet::{EndpointTable, LifeKey, Selection};
 use indexmap::IndexMap;
 use jobs::{
-    FRONT_LOAD_LIFE_MS, JobView, Plan, Plans, ReportedBacklogs, Stamp,
+    Assignment, Assignments, FRONT_LOAD_TTL_MS, JobView, ReportVersion,
+    ReportedBacklogs,
 };
 use tokio::{
     sync::mpsc,
@@ -26,7 +27,7 @@
     pub(crate) socket: LoadSocket,
     pub(crate) view: JobView,
     pub(crate) cluster: ClusterState,
-    pub(crate) plans: Plans,
+    pub(crate) plans: Assignments,
     pub(crate) selection: Arc<Snapshot<Selection>>,
     /// Takes what workers report of their items.
     pub(crate) backlogs: Arc<ReportedBacklogs>,
@@ -36,9 +37,9 @@
 /// What the selection was made of.
 struct MadeOf {
     table: Arc<EndpointTable>,
-    plan: Arc<Plan>,
+    plan: Arc<Assignment>,
     /// Whom the counts go to.
-    workers: Arc<Plan>,
+    workers: Arc<Assignment>,
 }
 
 #[derive(Default)]
@@ -50,7 +51,7 @@
     /// are left to end that.
     workers: IndexMap<SocketAddr, u32>,
     /// The last update of each worker, and when it arrived.
-    last: IndexMap<SocketAddr, (Stamp, Millis)>,
+    last: IndexMap<SocketAddr, (ReportVersion, Millis)>,
     next_whole: Millis,
 }
 
@@ -97,8 +98,8 @@
     /// Selects endpoints anew if the table or the shares have changed, and
     /// returns whether they have.
     fn select(&self, state: &mut State) -> bool {
-        let plan = self.plans.of_requests();
-        let workers = self.plans.of_items();
+        let plan = self.plans.for_requests();
+        let workers = self.plans.for_items();
         let table = self.cluster.endpoints.load().table.clone();
         let is_known = state.made_of.as_ref().is_some_and(|known| {
             Arc::ptr_eq(&known.table, &table)
@@ -111,7 +112,7 @@
         let own = |e: &fleet::Endpoint| plan.uses_endpoint(e.life());
         let selection = Selection::new(self.socket.node(), &table, own);
         log::info!(
-            own = plan.own().len(),
+            own = plan.own_endpoints().len(),
             selected = selection.iter().count(),
             endpoints = table.len();
             "the endpoints of this node are selected"
@@ -119,7 +120,7 @@
         self.selection.publish(selection);
         let now = self.cluster.clock().now();
         state.last.retain(|_, (_, at)| {
-            now.saturating_ms_since(*at) < FRONT_LOAD_LIFE_MS
+            now.saturating_ms_since(*at) < FRONT_LOAD_TTL_MS
         });
         state.made_of = Some(MadeOf {
             table,
@@ -179,7 +180,7 @@
         lives: impl Iterator<Item = LifeKey>,
     ) -> IndexMap<SocketAddr, Vec<(LifeKey, u32)>> {
         let view = self.cluster.endpoints.load();
-        let plan = self.plans.of_items();
+        let plan = self.plans.for_items();
         let mut updates: IndexMap<SocketAddr, Vec<(LifeKey, u32)>> =
             IndexMap::new();
         for life in lives {
@@ -217,7 +218,7 @@
         let (stamp, at) = state.last.entry(from).or_default();
         // A worker that was silent begins anew: its clock may have been set
         // back while it restarted.
-        let silent = now.saturating_ms_since(*at) >= FRONT_LOAD_LIFE_MS;
+        let silent = now.saturating_ms_since(*at) >= FRONT_LOAD_TTL_MS;
         if update.stamp() <= *stamp && !silent {
             return;
         }
--- a/crates/node/src/load/wire.rs
+++ b/crates/node/src/load/wire.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use fleet::LifeKey;
-use jobs::Stamp;
+use jobs::ReportVersion;
 use serde::{Deserialize, Serialize};
 
 /// Form of the updates that this version writes. Another one is refused: the
@@ -38,7 +38,7 @@
     version: u32,
     kind: Kind,
     node: String,
-    stamp: Stamp,
+    stamp: ReportVersion,
     whole: bool,
     counts: Vec<(LifeKey, u32)>,
     /// Open items of the jobs that the sender runs, if it is a worker.
@@ -73,7 +73,7 @@
     pub(super) fn new(
         kind: Kind,
         node: &str,
-        stamp: Stamp,
+        stamp: ReportVersion,
         whole: bool,
         counts: Vec<(LifeKey, u32)>,
     ) -> Self {
@@ -129,7 +129,7 @@
         &self.node
     }
 
-    pub(super) fn stamp(&self) -> Stamp {
+    pub(super) fn stamp(&self) -> ReportVersion {
         self.stamp
     }
 
--- a/crates/node/src/load/worker.rs
+++ b/crates/node/src/load/worker.rs
@@ -4,7 +4,7 @@
 
 use base::Millis;
 use indexmap::IndexMap;
-use jobs::{FrontUpdate, JobView, OnlineLoad, OthersUpdate, Roster};
+use jobs::{FrontUpdate, JobView, OnlineLoad, OtherFrontsLoad, Roster};
 use tokio::time::{self, MissedTickBehavior};
 
 use super::{Kind, LoadSocket, TICK_MS, WHOLE_MS, wire::LoadUpdate};
@@ -79,7 +79,7 @@
                     fronts.follow(self.view.roster(), now);
                     self.count_items(now);
                     let is_listed = |front: &str| fronts.is_listed(front);
-                    self.online.forget_gone(is_listed, now);
+                    self.online.remove_gone(is_listed, now);
                     for update in self.online.changes(now) {
                         self.report(&update, &fronts).await;
                     }
@@ -121,18 +121,18 @@
         }
         let own = FrontUpdate {
             front: update.node(),
-            stamp: update.stamp(),
-            whole: update.is_whole(),
+            version: update.stamp(),
+            is_full: update.is_whole(),
             counts: update.counts(),
         };
-        let is_news = self.online.take(own, now);
+        let is_news = self.online.apply(own, now);
         if is_news && update.is_whole() && !update.counts().is_empty() {
-            let answer = self.online.answer(update.node(), now);
+            let answer = self.online.full_report(update.node(), now);
             self.report(&answer, fronts).await;
         }
     }
 
-    async fn report(&mut self, update: &OthersUpdate, fronts: &Fronts) {
+    async fn report(&mut self, update: &OtherFrontsLoad, fronts: &Fronts) {
         let Some(address) = fronts.address_of(&update.front) else {
             return;
         };
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/siblings.rs
@@ -10,8 +10,8 @@
 use http::{Response, StatusCode};
 use indexmap::IndexMap;
 use jobs::{
-    BulkCache, BulkFuture, BulkValue, JobKey, JobManifest, JobView, Ledger,
-    NodeRecord, Siblings,
+    BulkCache, BulkFuture, BulkPeers, BulkValue, JobKey, JobManifest, JobView,
+    Ledger, NodeRecord,
 };
 use pass::{AnswerBody, Fetch, Pool};
 use tokio::time;
@@ -74,7 +74,7 @@
     }
 }
 
-impl Siblings for PeerBulk {
+impl BulkPeers for PeerBulk {
     fn read(&self, job: &JobKey, head: &JobManifest, key: &str) -> BulkFuture {
         let Some(owner) = self.owner(job, head) else {
             return Box::pin(std::future::ready(None));
--- a/crates/node/src/worker.rs
+++ b/crates/node/src/worker.rs
@@ -146,7 +146,7 @@
         forwarder: Arc::new(base.forwarder(settings, outside)),
         probe: Arc::new(probe),
         online,
-        plans: base.plans.clone(),
+        assignments: base.plans.clone(),
         clock: outside.cluster.clock().clone(),
         counters: outside.counters.clone(),
     };
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -5,7 +5,7 @@
 use base::{SteppedClock, UnixMillis, timer::Timer};
 use fleet::BatchTerms;
 use jobs::{
-    BulkCache, ItemInput, JobView, Ledger, NewJob, NoSiblings, StoredManifest,
+    BulkCache, ItemInput, JobView, Ledger, NewJob, NoPeers, StoredManifest,
 };
 use kv::{Kv, Memory};
 
@@ -48,7 +48,7 @@
     let timer = Timer::new(kv.clock().clone());
     let cache: Arc<BulkCache> = Arc::default();
     let ledger = Ledger::new(Arc::new(kv), timer, VALUE_BYTES)
-        .with_siblings(cache, Arc::new(NoSiblings));
+        .with_peers(cache, Arc::new(NoPeers));
     let job = job();
     let key = job.key.clone();
     let stored = ledger.accept(job).await.expect("accepted");
@@ -70,7 +70,7 @@
     let kv: Arc<dyn Kv> = Arc::new(Memory::default());
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
-        .with_siblings(worker.cache, Arc::new(NoSiblings));
+        .with_peers(worker.cache, Arc::new(NoPeers));
     let inputs = ledger.inputs(&key, &stored.manifest).await.expect("there");
     assert_eq!(inputs, job().items);
 }
--- a/crates/node/tests/unit/load_wire.rs
+++ b/crates/node/tests/unit/load_wire.rs
@@ -1,7 +1,7 @@
 //! Which datagrams are heeded.
 
 use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
-use jobs::Stamp;
+use jobs::ReportVersion;
 use yare::parameterized;
 
 use super::{COUNTS_MOST, Kind, LoadUpdate, VERSION};
@@ -20,7 +20,13 @@
 }
 
 fn update(counts: Vec<(LifeKey, u32)>) -> LoadUpdate {
-    LoadUpdate::new(Kind::Own, "front-1", Stamp::default(), true, counts)
+    LoadUpdate::new(
+        Kind::Own,
+        "front-1",
+        ReportVersion::default(),
+        true,
+        counts,
+    )
 }
 
 #[test]
--- a/crates/node/tests/unit/siblings.rs
+++ b/crates/node/tests/unit/siblings.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use base::{SteppedClock, timer::Timer};
-use jobs::{BulkCache, Ledger, NoSiblings};
+use jobs::{BulkCache, Ledger, NoPeers};
 use kv::{Kv, Memory, Op, Txn};
 use tokio::task::JoinSet;
 use yare::parameterized;
@@ -25,7 +25,7 @@
     let cache: Arc<BulkCache> = Arc::default();
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(Arc::new(kv.clone()), timer, 1_000_000)
-        .with_siblings(cache.clone(), Arc::new(NoSiblings));
+        .with_peers(cache.clone(), Arc::new(NoPeers));
     (kv, BulkAnswers::new(cache, ledger))
 }
 
