--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -142,7 +142,7 @@
             listed: Vec::new(),
             output_chunks: Vec::new(),
             failed_attempts: indexmap::IndexMap::new(),
-            ended: false,
+            cancelled: false,
             owner: job.owner,
             due_at: job.submitted_at.saturating_add_ms(job.terms.due_in_ms),
             give_up_at: job
@@ -174,7 +174,7 @@
             // It was there before: the same job, sent again.
             Outcome::Superseded => {
                 let stored = self.read(&job.key).await?;
-                match stored.manifest.belongs_to(customer.as_ref()) {
+                match stored.manifest.is_visible_to(customer.as_ref()) {
                     true => Ok(stored),
                     false => Err(Report::new(JobError::Conflict)),
                 }
@@ -230,7 +230,7 @@
         customer: Option<&Customer>,
     ) -> Result<StoredManifest, Report<JobError>> {
         let stored = self.read(job).await?;
-        match stored.manifest.belongs_to(customer) {
+        match stored.manifest.is_visible_to(customer) {
             true => Ok(stored),
             false => Err(Report::new(JobError::Unknown)),
         }
@@ -241,7 +241,7 @@
     /// # Errors
     ///
     /// As [`read_for`](Self::read_for), and [`JobError::OutcomeUnknown`].
-    pub async fn end(
+    pub async fn cancel(
         &self,
         job: &JobKey,
         customer: Option<&Customer>,
@@ -252,10 +252,10 @@
                 mut manifest,
                 revision,
             } = stored;
-            if manifest.ended {
+            if manifest.cancelled {
                 return Ok(());
             }
-            manifest.ended = true;
+            manifest.cancelled = true;
             let row = put(manifest_key(job), encode_manifest(&manifest)?);
             let txn = guarded(manifest_key(job), revision, vec![row]);
             let outcome = self.commit(&self.kv, job, txn, |_| ()).await?;
@@ -320,7 +320,7 @@
     ///
     /// # Errors
     ///
-    /// As [`end`](Self::end).
+    /// As [`cancel`](Self::cancel).
     pub async fn reassign(
         &self,
         job: &JobKey,
--- a/crates/jobs/src/page.rs
+++ b/crates/jobs/src/page.rs
@@ -117,8 +117,8 @@
         after: u32,
         found: Option<KnownManifest>,
     ) -> Result<StoredManifest, Report<JobError>> {
-        let own =
-            found.filter(|found| found.stored.manifest.belongs_to(customer));
+        let own = found
+            .filter(|found| found.stored.manifest.is_visible_to(customer));
         if let Some(KnownManifest { stored, age_ms }) = own {
             let has = (after as usize) < stored.manifest.listed.len();
             let listed = stored.manifest.listed.len() as u32;
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -152,7 +152,8 @@
     #[serde(rename = "strikes")]
     pub failed_attempts: IndexMap<u32, FailedAttempts>,
     /// Whether the caller ended it.
-    pub ended: bool,
+    #[serde(rename = "ended")]
+    pub cancelled: bool,
     /// Node that runs the items as long as it is there.
     pub owner: String,
     /// When all results are due.
@@ -169,14 +170,14 @@
     ///
     /// A job without a customer was accepted where nobody needs a key, and
     /// anybody who knows its id may.
-    pub fn belongs_to(&self, customer: Option<&Customer>) -> bool {
+    pub fn is_visible_to(&self, customer: Option<&Customer>) -> bool {
         self.customer.is_none() || self.customer.as_ref() == customer
     }
 
     /// Tells whether no item is left to run.
     #[inline]
     pub fn is_closed(&self) -> bool {
-        self.ended || self.listed.len() >= self.total as usize
+        self.cancelled || self.listed.len() >= self.total as usize
     }
 
     /// Returns how many items are not listed yet.
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -113,7 +113,7 @@
     /// How endpoints are asked for their load.
     pub probe: Arc<dyn Probe>,
     /// What fronts report of their requests in flight.
-    pub online: Arc<OnlineLoad>,
+    pub online_load: Arc<OnlineLoad>,
     /// Who uses which endpoint.
     pub assignments: Assignments,
     /// The clock.
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -120,7 +120,7 @@
     /// it report them.
     fn online(&self, life: LifeKey, now: Millis) -> Option<u32> {
         let first_user = self.first_users.user_of(life)?;
-        let online = &self.runner.parts.online;
+        let online = &self.runner.parts.online_load;
         online.requests_at(life, &first_user.node, now)
     }
 
--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/view.rs
@@ -131,7 +131,7 @@
         customer: Option<&Customer>,
     ) -> Option<StoredManifest> {
         let stored = self.get(job);
-        stored.filter(|stored| stored.manifest.belongs_to(customer))
+        stored.filter(|stored| stored.manifest.is_visible_to(customer))
     }
 
     /// Returns the open jobs that a node runs.
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -210,13 +210,13 @@
     let kv = Memory::default();
     let ledger = ledger(&kv);
     ledger.accept(job("j", 2)).await.expect("accepted");
-    ledger.end(&key("j"), None).await.expect("ended");
+    ledger.cancel(&key("j"), None).await.expect("ended");
     let once = ledger.read(&key("j")).await.expect("read");
-    ledger.end(&key("j"), None).await.expect("ended again");
+    ledger.cancel(&key("j"), None).await.expect("ended again");
     let twice = ledger.read(&key("j")).await.expect("read");
     assert_eq!(once, twice);
     assert!(twice.manifest.is_closed());
-    let unknown = ledger.end(&key("k"), None).await.expect_err("unknown");
+    let unknown = ledger.cancel(&key("k"), None).await.expect_err("unknown");
     assert_eq!(*unknown.current_context(), JobError::Unknown);
 }
 
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -51,7 +51,7 @@
         listed: Vec::new(),
         output_chunks: Vec::new(),
         failed_attempts: indexmap::IndexMap::new(),
-        ended: false,
+        cancelled: false,
         owner: owner.to_owned(),
         due_at: UnixMillis::new(0),
         give_up_at: UnixMillis::new(0),
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -463,7 +463,7 @@
                 (job, body)
             }
             JobCall::End { job } => {
-                let end = self.ledger.end(&job, customer).await;
+                let end = self.ledger.cancel(&job, customer).await;
                 log::info!(request_id = job.as_str(), done = end.is_ok();
                     "a job is to end");
                 let end = end.map(|()| json(StatusCode::OK, b"{}".to_vec()));
@@ -500,7 +500,7 @@
         // The number of inputs never changes, so that any known head will do.
         let known = self.heads.read(job, None, 0).await;
         let known = known.map(|known| known.stored);
-        let own = known.filter(|known| known.manifest.belongs_to(customer));
+        let own = known.filter(|known| known.manifest.is_visible_to(customer));
         let stored = match own {
             Some(stored) => stored,
             None => self.ledger.read_for(job, customer).await?,
--- a/crates/node/src/worker.rs
+++ b/crates/node/src/worker.rs
@@ -145,7 +145,7 @@
         config: outside.cluster.config.clone(),
         forwarder: Arc::new(base.forwarder(settings, outside)),
         probe: Arc::new(probe),
-        online,
+        online_load: online,
         assignments: base.plans.clone(),
         clock: outside.cluster.clock().clone(),
         counters: outside.counters.clone(),
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -33,7 +33,7 @@
             listed: vec![2, 0],
             output_chunks: vec![0],
             failed_attempts: IndexMap::new(),
-            ended: false,
+            cancelled: false,
             owner: owner.to_owned(),
             due_at: UnixMillis::new(19_000),
             give_up_at: UnixMillis::new(61_000),
