--- a/crates/jobs/src/assignment.rs
+++ b/crates/jobs/src/assignment.rs
@@ -3,33 +3,35 @@
 use fleet::{Endpoint, LifeKey};
 use indexmap::IndexMap;
 
-use crate::{JobKey, JobManifest, Members, NodeRecord, ring::Ring};
+use crate::{JobKey, JobManifest, Members, NodeRecord, ring::HashRing};
 
-/// Shares the endpoints between the nodes that run items.
+/// Assigns each endpoint to one of the nodes that run items.
 ///
-/// Every node computes the same shares from the same members and endpoints,
-/// without a message. Shares differ by one endpoint at most: by plain
-/// hashing one of two nodes may get nearly all endpoints of its domain, and
-/// the jobs of the other one are left lying.
+/// Every node computes the same assignment from the same members and endpoints
+/// without exchanging messages. The nodes' endpoint counts differ by one at
+/// most. Plain hashing may give one of two nodes nearly all endpoints of its
+/// failure domain, so that the jobs of the other node make no progress.
 ///
-/// A assignment costs a few steps for each endpoint, whatever the number of nodes.
-/// Looking for the best node of all for each endpoint was rejected: a restart
-/// of everything makes each node assignment again for each other one.
+/// The cost of an assignment is a few steps for each endpoint and does not
+/// depend on the number of nodes. Ranking all nodes for each endpoint is too
+/// expensive: when all nodes restart, each node computes a new assignment for
+/// each other node that joins.
 #[derive(Clone, Debug, Default)]
 pub struct Assignment {
     node: String,
     members: Arc<Members>,
-    users: IndexMap<LifeKey, usize>,
-    /// Endpoints of each node, by its place among the members.
-    counts: Vec<usize>,
-    own: Vec<LifeKey>,
+    user_by_endpoint: IndexMap<LifeKey, usize>,
+    /// Number of endpoints of each node, by the node's index among the
+    /// members.
+    endpoint_counts: Vec<usize>,
+    own_endpoints: Vec<LifeKey>,
     steps: usize,
 }
 
 impl Assignment {
-    /// Makes the assignment of one node. A node that does not find itself among
-    /// the members, because its entry has lapsed or is not written yet, has
-    /// no share.
+    /// Computes the assignment as seen by one node. A node that is not among
+    /// the members, because its entry has expired or is not written yet, has
+    /// no endpoints.
     ///
     /// # Example
     ///
@@ -70,81 +72,86 @@
         let members = members.into();
         let mut assignment = Self {
             node: node.to_owned(),
-            counts: vec![0; members.len()],
+            endpoint_counts: vec![0; members.len()],
             members,
             ..Self::default()
         };
         if !assignment.members.is_empty() {
-            assignment.share(&endpoints);
+            assignment.distribute(&endpoints);
         }
-        if let Some(me) = assignment.members.find(node) {
-            let used =
-                assignment.users.iter().filter(|(_, user)| **user == me);
-            assignment.own = used.map(|(life, _)| *life).collect();
+        if let Some(own_index) = assignment.members.find(node) {
+            let used = assignment
+                .user_by_endpoint
+                .iter()
+                .filter(|(_, user)| **user == own_index);
+            assignment.own_endpoints =
+                used.map(|(incarnation, _)| *incarnation).collect();
         }
         assignment
     }
 
-    /// Gives every node the smaller share first, from its own domain as far
-    /// as that goes, and then what is left over, one to a node.
-    fn share(&mut self, endpoints: &[&Endpoint]) {
+    /// Fills every node up to the rounded-down average, first with endpoints
+    /// of its own failure domain, and then assigns the remaining endpoints, at
+    /// most one to each node.
+    fn distribute(&mut self, endpoints: &[&Endpoint]) {
         let nodes = self.members.len();
-        let (least, most) =
+        let (min, max) =
             (endpoints.len() / nodes, endpoints.len().div_ceil(nodes));
-        let rest = self.share_near(endpoints.to_vec(), least);
-        let rest = self.share_far(rest, least);
-        let rest = self.share_near(rest, most);
-        self.share_far(rest, most);
+        let unassigned = self.assign_in_domain(endpoints.to_vec(), min);
+        let unassigned = self.assign_anywhere(unassigned, min);
+        let unassigned = self.assign_in_domain(unassigned, max);
+        self.assign_anywhere(unassigned, max);
     }
 
-    /// Gives endpoints to nodes of their own domain that have less than
-    /// `room`; returns the rest.
-    fn share_near<'a>(
+    /// Assigns endpoints to nodes of the same failure domain that have fewer
+    /// than `limit` endpoints; returns the endpoints that are left.
+    fn assign_in_domain<'a>(
         &mut self,
         endpoints: Vec<&'a Endpoint>,
-        room: usize,
+        limit: usize,
     ) -> Vec<&'a Endpoint> {
         let mut by_domain: IndexMap<&str, Vec<&Endpoint>> = IndexMap::new();
         for endpoint in endpoints {
             let domain = endpoint.record().failure_domain.as_str();
             by_domain.entry(domain).or_default().push(endpoint);
         }
-        let mut rest = Vec::new();
+        let mut unassigned = Vec::new();
         for (domain, endpoints) in by_domain {
-            let near = |node: &NodeRecord| node.failure_domain == domain;
-            let ring = Ring::new(&self.members, near);
-            rest.extend(self.share_on(ring, endpoints, room));
+            let is_in_domain =
+                |node: &NodeRecord| node.failure_domain == domain;
+            let ring = HashRing::new(&self.members, is_in_domain);
+            unassigned.extend(self.assign_on_ring(ring, endpoints, limit));
         }
-        rest
+        unassigned
     }
 
-    /// Gives endpoints to any nodes that have less than `room`; returns the
-    /// rest.
-    fn share_far<'a>(
+    /// Assigns endpoints to any nodes that have fewer than `limit` endpoints;
+    /// returns the endpoints that are left.
+    fn assign_anywhere<'a>(
         &mut self,
         endpoints: Vec<&'a Endpoint>,
-        room: usize,
+        limit: usize,
     ) -> Vec<&'a Endpoint> {
         if endpoints.is_empty() {
             return endpoints;
         }
-        let ring = Ring::new(&self.members, |_| true);
-        self.share_on(ring, endpoints, room)
+        let ring = HashRing::new(&self.members, |_| true);
+        self.assign_on_ring(ring, endpoints, limit)
     }
 
-    fn share_on<'a>(
+    fn assign_on_ring<'a>(
         &mut self,
-        mut ring: Ring,
+        mut ring: HashRing,
         mut endpoints: Vec<&'a Endpoint>,
-        room: usize,
+        limit: usize,
     ) -> Vec<&'a Endpoint> {
         endpoints.retain(|endpoint| {
-            let counts = &self.counts;
-            let has_room = |node: usize| counts[node] < room;
-            let user = ring.find(endpoint.spread(), has_room);
+            let endpoint_counts = &self.endpoint_counts;
+            let has_capacity = |node: usize| endpoint_counts[node] < limit;
+            let user = ring.find(endpoint.spread(), has_capacity);
             if let Some(user) = user {
-                self.counts[user] += 1;
-                self.users.insert(endpoint.life(), user);
+                self.endpoint_counts[user] += 1;
+                self.user_by_endpoint.insert(endpoint.life(), user);
             }
             user.is_none()
         });
@@ -157,36 +164,36 @@
         &self.members
     }
 
-    /// Returns how many points of rings were looked at to make this assignment: a
-    /// measure of its cost that no clock disturbs.
+    /// Returns the number of ring points visited to compute this assignment: a
+    /// measure of its cost that does not depend on a clock.
     pub fn steps(&self) -> usize {
         self.steps
     }
 
-    /// Returns the endpoints that this node uses.
+    /// Returns the endpoints that are assigned to this node.
     pub fn own_endpoints(&self) -> &[LifeKey] {
-        &self.own
+        &self.own_endpoints
     }
 
-    /// Tells whether a node uses no endpoint: there are fewer of them than
-    /// nodes. Its jobs would be left lying.
+    /// Reports whether a node has no endpoint, which happens when there are
+    /// fewer endpoints than nodes. The jobs of such a node make no progress.
     pub fn has_no_endpoints(&self, node: &str) -> bool {
-        let place = self.members.find(node);
-        place.is_none_or(|place| self.counts[place] == 0)
+        let index = self.members.find(node);
+        index.is_none_or(|index| self.endpoint_counts[index] == 0)
     }
 
-    /// Tells whether this node runs the items of a job.
+    /// Reports whether this node runs the items of a job.
     pub fn owns_job(&self, job: &JobKey, manifest: &JobManifest) -> bool {
         self.members.owner(job, manifest) == Some(&self.node)
     }
 
-    /// Returns the node that uses an endpoint.
+    /// Returns the node that an endpoint is assigned to.
     pub fn user_of(&self, endpoint: LifeKey) -> Option<&NodeRecord> {
-        let place = self.users.get(&endpoint)?;
-        self.members.nodes().get(*place)
+        let index = self.user_by_endpoint.get(&endpoint)?;
+        self.members.nodes().get(*index)
     }
 
-    /// Tells whether this node uses an endpoint.
+    /// Reports whether an endpoint is assigned to this node.
     pub fn uses_endpoint(&self, endpoint: LifeKey) -> bool {
         self.user_of(endpoint)
             .is_some_and(|user| user.node == self.node)
--- a/crates/jobs/src/backlogs.rs
+++ b/crates/jobs/src/backlogs.rs
@@ -5,15 +5,15 @@
 
 use crate::{Backlog, JobKey, Members};
 
-/// Age at which a report of open items counts no more, in milliseconds:
-/// workers report twice a second.
-const REPORT_LIFE_MS: u64 = 2_500;
+/// Age from which a report of open items is ignored, in milliseconds. Workers
+/// report twice a second.
+const REPORT_TTL_MS: u64 = 2_500;
 
-/// The open items of workers as they report them to a front.
+/// The numbers of open items that workers report to a front.
 ///
-/// A front does not follow the jobs of the fleet; it goes by the reports of
-/// the workers that it exchanges load with anyway, and by what it has given
-/// them since.
+/// A front does not follow the jobs of the fleet. It uses the reports of the
+/// workers that it exchanges load reports with, plus the items that it has
+/// assigned to them since.
 ///
 /// # Example
 ///
@@ -35,38 +35,38 @@
 /// backlogs.report("b", 10, now);
 /// let job = "job-1".parse()?;
 /// assert_eq!(backlogs.choose(&job, 25, &members, now), Some("b".into()));
-/// // The new job counts at once.
+/// // The new job counts received_at once.
 /// assert_eq!(backlogs.choose(&job, 25, &members, now), Some("a".into()));
 /// # Ok::<(), pomeloslip_jobs::JobError>(())
 /// ```
 #[derive(Debug, Default)]
-pub struct ReportedBacklogs(Mutex<IndexMap<String, Reported>>);
+pub struct ReportedBacklogs(Mutex<IndexMap<String, BacklogReport>>);
 
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct BacklogReport {
     open_items: u32,
-    at: Millis,
+    received_at: Millis,
 }
 
 impl ReportedBacklogs {
-    /// Takes in what a worker reports.
+    /// Stores the report of a worker.
     pub fn report(&self, worker: &str, open_items: u32, now: Millis) {
-        let reported = Reported {
+        let latest = BacklogReport {
             open_items,
-            at: now,
+            received_at: now,
         };
-        let mut all = self.lock();
-        match all.get_mut(worker) {
-            Some(known) => *known = reported,
+        let mut reports = self.lock();
+        match reports.get_mut(worker) {
+            Some(known) => *known = latest,
             None => {
-                all.insert(worker.to_owned(), reported);
+                reports.insert(worker.to_owned(), latest);
             }
         }
     }
 
-    /// Returns the worker for a new job with so many items: the least loaded
-    /// of a few that the job draws of those that report, or of all where none
-    /// does.
+    /// Returns the worker for a new job with `items` items: the least loaded
+    /// of a few workers, sampled by the job's key from the workers with a
+    /// fresh report, or from all workers if none has one.
     pub fn choose(
         &self,
         job: &JobKey,
@@ -74,30 +74,31 @@
         members: &Members,
         now: Millis,
     ) -> Option<String> {
-        let mut all = self.lock();
-        all.retain(|worker, reported| {
-            now.saturating_ms_since(reported.at) < REPORT_LIFE_MS
+        let mut reports = self.lock();
+        reports.retain(|worker, latest| {
+            now.saturating_ms_since(latest.received_at) < REPORT_TTL_MS
                 && members.has(worker)
         });
         let mut backlog = Backlog::default();
-        for (worker, reported) in all.iter() {
-            backlog.add(worker, reported.open_items);
+        for (worker, latest) in reports.iter() {
+            backlog.add(worker, latest.open_items);
         }
         let reporting = members.nodes().iter();
-        let reporting = reporting.filter(|node| all.contains_key(&node.node));
+        let reporting =
+            reporting.filter(|node| reports.contains_key(&node.node));
         let reporting = Members::new(reporting.cloned());
-        let among = match reporting.is_empty() {
+        let candidates = match reporting.is_empty() {
             true => members,
             false => &reporting,
         };
-        let worker = among.least_loaded(job, &backlog)?;
-        if let Some(reported) = all.get_mut(worker) {
-            reported.open_items += items;
+        let worker = candidates.least_loaded(job, &backlog)?;
+        if let Some(latest) = reports.get_mut(worker) {
+            latest.open_items += items;
         }
         Some(worker.to_owned())
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<String, Reported>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<String, BacklogReport>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/jobs/src/bulk.rs
+++ b/crates/jobs/src/bulk.rs
@@ -7,19 +7,19 @@
 
 use crate::{JobKey, JobManifest};
 
-/// A value as it is passed around; inputs and results are shared, not copied.
+/// A value of inputs or results; copies share the bytes.
 pub type BulkValue = Arc<Vec<u8>>;
 
-/// The answer of another node that may have a value.
+/// The response of a peer that may have a value.
 pub type BulkFuture = Pin<Box<dyn Future<Output = Option<BulkValue>> + Send>>;
 
-/// Asks other nodes for inputs and results of jobs.
+/// Reads inputs and results of jobs from peers.
 ///
-/// Each of these values is written once under a key of its own and never
-/// changes, so that any node's copy is right. A question that fails costs a
-/// call to the key-value service, no more.
+/// Each of these values is written once under its own key and never changes,
+/// so that any node's copy is valid. A failed request costs one extra call to
+/// the key-value service.
 pub trait BulkPeers: Send + Sync + 'static {
-    /// Asks the node that is most likely to have a value.
+    /// Requests a value from the node that is most likely to have it.
     fn read(
         &self,
         job: &JobKey,
@@ -28,7 +28,7 @@
     ) -> BulkFuture;
 }
 
-/// Asks nobody.
+/// A [`BulkPeers`] without any peer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoPeers;
 
@@ -38,11 +38,11 @@
     }
 }
 
-/// Bytes of values that a node keeps. A job's results are read within
-/// seconds of each other, so that a few jobs' worth is enough.
-const CACHE_BYTES: usize = 2 * 1024 * 1024;
+/// Capacity of the cache in bytes. The results of a job are read within
+/// seconds of each other, so that space for a few jobs is enough.
+const MAX_CACHE_BYTES: usize = 2 * 1024 * 1024;
 
-/// Keeps the inputs and results that this node wrote or read last.
+/// Caches the inputs and results that this node wrote or read last.
 ///
 /// # Example
 ///
@@ -57,40 +57,45 @@
 /// assert_eq!(cache.get("bulk/out/b"), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct BulkCache(Mutex<Kept>);
+pub struct BulkCache(Mutex<CacheEntries>);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct CacheEntries {
     values: VecDeque<(String, BulkValue)>,
     bytes: usize,
 }
 
 impl BulkCache {
-    /// Returns a value if it is kept.
+    /// Returns a value if it is cached.
     pub fn get(&self, key: &str) -> Option<BulkValue> {
-        let kept = self.lock();
-        let mut values = kept.values.iter();
-        let found = values.find(|(known, _)| known == key)?;
+        let entries = self.lock();
+        let mut values = entries.values.iter();
+        let found = values.find(|(cached_key, _)| cached_key == key)?;
         Some(found.1.clone())
     }
 
-    /// Keeps a value, in place of the oldest ones if there is no room.
+    /// Caches a value and evicts the oldest values if the capacity is
+    /// exceeded.
     pub fn keep(&self, key: &str, value: &BulkValue) {
-        let mut kept = self.lock();
-        if kept.values.iter().any(|(known, _)| known == key) {
+        let mut entries = self.lock();
+        if entries
+            .values
+            .iter()
+            .any(|(cached_key, _)| cached_key == key)
+        {
             return;
         }
-        kept.bytes += value.len();
-        kept.values.push_back((key.to_owned(), value.clone()));
-        while kept.bytes > CACHE_BYTES {
-            let Some((_, old)) = kept.values.pop_front() else {
+        entries.bytes += value.len();
+        entries.values.push_back((key.to_owned(), value.clone()));
+        while entries.bytes > MAX_CACHE_BYTES {
+            let Some((_, evicted)) = entries.values.pop_front() else {
                 break;
             };
-            kept.bytes -= old.len();
+            entries.bytes -= evicted.len();
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
+    fn lock(&self) -> MutexGuard<'_, CacheEntries> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/jobs/src/error.rs
+++ b/crates/jobs/src/error.rs
@@ -1,22 +1,22 @@
 use std::{error, fmt};
 
-/// Says what became of a call about a job.
+/// The reason why an operation on a job failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobError {
-    /// The id cannot name a job.
+    /// The id is not valid as the key of a job.
     InvalidId,
-    /// StoredManifest bytes are not what they should be.
+    /// Stored bytes cannot be decoded.
     Encoding,
-    /// The job is larger than one call of the key-value service holds.
+    /// The job does not fit into one transaction of the key-value service.
     TooLarge,
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// The id names a job of another customer.
+    /// A job of another customer has the same id.
     Conflict,
-    /// The key-value service is away; nothing was done.
+    /// The key-value service is unavailable; the operation was not executed.
     NotDone,
-    /// The answer of the key-value service is lost; the call may have taken
-    /// effect.
+    /// The response of the key-value service was lost; the operation may have
+    /// taken effect.
     OutcomeUnknown,
 }
 
@@ -24,11 +24,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             JobError::InvalidId => "the id cannot name a job",
-            JobError::Encoding => "stored bytes are no such record",
+            JobError::Encoding => "the stored record is not valid",
             JobError::TooLarge => "the job is too large",
             JobError::Unknown => "there is no such job",
-            JobError::Conflict => "the id names a job of another customer",
-            JobError::NotDone => "the key-value service did not do the call",
+            JobError::Conflict => "another customer has a job with this id",
+            JobError::NotDone => {
+                "the key-value service did not execute the call"
+            }
             JobError::OutcomeUnknown => "the call may have taken effect",
         })
     }
--- a/crates/jobs/src/gate.rs
+++ b/crates/jobs/src/gate.rs
@@ -1,38 +1,41 @@
 use fleet::LoadReport;
 
-/// Bounds of the batch work at one endpoint.
+/// Limits of the batch work at one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct GateOptions {
-    /// Items started at one look, so that two looks see their effect.
+    /// Maximum number of items started in one pass, so that the next pass sees
+    /// their effect.
     pub max_starts: u32,
 }
 
 impl Default for GateOptions {
-    /// Four starts a look fill an idle engine in a tenth of a second.
+    /// Four starts in each pass fill an idle engine within a tenth of a
+    /// second.
     fn default() -> Self {
         Self { max_starts: 4 }
     }
 }
 
-/// What is known of one endpoint at one look.
+/// The load of one endpoint in one pass.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GateInput {
     /// Slots of the endpoint.
     pub slots: u32,
-    /// Requests that run, of all callers.
+    /// Running requests of all callers.
     pub running: u32,
-    /// Requests that wait, of all callers.
+    /// Waiting requests of all callers.
     pub waiting: u32,
-    /// Items of this node that run, and that the report counts.
-    pub mine_reported: u32,
-    /// Items of this node that run now.
-    pub mine: u32,
-    /// Those of them that must not give way, as they would be late.
-    pub mine_urgent: u32,
+    /// Running items of this node that the load report already counts.
+    pub own_reported: u32,
+    /// Running items of this node.
+    pub own_running: u32,
+    /// Those of this node's running items that must not be preempted, since
+    /// they would miss their due time.
+    pub own_urgent: u32,
 }
 
 impl GateInput {
-    /// Takes the part of a load report.
+    /// Sets the fields that a load report contains.
     #[must_use]
     pub fn with_report(mut self, report: LoadReport) -> Self {
         self.slots = report.slots;
@@ -44,19 +47,20 @@
 
 /// What to do at one endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct GateOrder {
-    /// Items that may start.
+pub struct GateDecision {
+    /// Number of items that may start.
     pub start: u32,
-    /// Items that give way.
+    /// Number of items to preempt.
     pub preempt: u32,
 }
 
-/// Decides what batch work does at one endpoint.
+/// Decides how many batch items start or are preempted at one endpoint.
 ///
-/// Engines know no priorities: a batch item that holds a slot holds up the
-/// online request that comes next. So batch work uses the slots that online
-/// work leaves and gives way at once when a request waits. Slots kept free
-/// for the next request were rejected: batch work hears of it as it is sent.
+/// Engines have no priorities: a batch item that occupies a slot delays the
+/// next online request. Batch work therefore uses only the slots that online
+/// requests leave free and is preempted as soon as a request waits. No slots
+/// are reserved for the next request, since batch work is notified when that
+/// request is sent.
 ///
 /// # Example
 ///
@@ -67,28 +71,28 @@
 ///     slots: 8,
 ///     running: 8,
 ///     waiting: 1,
-///     mine_reported: 3,
-///     mine: 3,
+///     own_reported: 3,
+///     own_running: 3,
 ///     ..GateInput::default()
 /// };
 /// let order = decide(&busy, &GateOptions::default());
 /// assert_eq!((order.start, order.preempt), (0, 1));
 /// ```
-pub fn decide(input: &GateInput, options: &GateOptions) -> GateOrder {
-    let others = input.running.saturating_sub(input.mine_reported);
-    let wanted = others + input.waiting;
-    let allowed = input.slots.saturating_sub(wanted);
-    if input.mine > allowed {
-        let over = input.mine - allowed;
-        let may_go = input.mine.saturating_sub(input.mine_urgent);
-        return GateOrder {
+pub fn decide(input: &GateInput, options: &GateOptions) -> GateDecision {
+    let other_running = input.running.saturating_sub(input.own_reported);
+    let demand = other_running + input.waiting;
+    let allowed = input.slots.saturating_sub(demand);
+    if input.own_running > allowed {
+        let excess = input.own_running - allowed;
+        let preemptible = input.own_running.saturating_sub(input.own_urgent);
+        return GateDecision {
             start: 0,
-            preempt: over.min(may_go),
+            preempt: excess.min(preemptible),
         };
     }
-    let room = allowed - input.mine;
-    GateOrder {
-        start: room.min(options.max_starts),
+    let free = allowed - input.own_running;
+    GateDecision {
+        start: free.min(options.max_starts),
         preempt: 0,
     }
 }
--- a/crates/jobs/src/index.rs
+++ b/crates/jobs/src/index.rs
@@ -1,4 +1,5 @@
-//! The jobs of a fleet, so that a node finds its own without looking at all.
+//! Indexes of the jobs of a fleet, with which a node finds its own jobs
+//! without a scan.
 
 use std::collections::BTreeSet;
 
@@ -7,28 +8,28 @@
 
 use crate::{Backlog, Members, StoredManifest, record::JobKey};
 
-/// Jobs by key, the open ones also by owner and due time, the closed ones
-/// also by when they were submitted.
+/// Jobs by key; open jobs also by owner and by due time, closed jobs also by
+/// time of submission.
 ///
-/// What goes wrong with a single map: each worker walks over the jobs of the
-/// whole fleet twenty times a second to find its own, most of which are
-/// closed and only kept to be read.
+/// With a single map, each worker scans the jobs of the whole fleet twenty
+/// times a second to find its own, and most of those jobs are closed and kept
+/// only for reading.
 #[derive(Debug, Default)]
 pub(crate) struct JobIndex {
-    jobs: IndexMap<JobKey, Known>,
+    jobs: IndexMap<JobKey, IndexedJob>,
     open_by_owner: IndexMap<String, OpenJobs>,
     open_by_due: BTreeSet<(UnixMillis, JobKey)>,
     closed: BTreeSet<(UnixMillis, JobKey)>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct IndexedJob {
     stored: StoredManifest,
-    /// When it was last seen to change.
+    /// When the last change of the job was seen.
     changed_at: Millis,
 }
 
-/// The open jobs whose manifests name one owner.
+/// The open jobs whose manifests name the same owner.
 #[derive(Debug, Default)]
 struct OpenJobs {
     keys: BTreeSet<JobKey>,
@@ -40,7 +41,7 @@
         self.jobs.get(job).map(|known| &known.stored)
     }
 
-    /// Returns the revision of a job, 0 if it is not known.
+    /// Returns the revision of a job, or 0 if the job is not known.
     pub(crate) fn revision(&self, job: &JobKey) -> u64 {
         self.get(job).map_or(0, |stored| stored.revision)
     }
@@ -67,11 +68,12 @@
             open.open_items += stored.manifest.open_items();
         }
         let changed_at = now;
-        self.jobs.insert(job, Known { stored, changed_at });
+        self.jobs.insert(job, IndexedJob { stored, changed_at });
     }
 
     pub(crate) fn remove(&mut self, job: &JobKey) {
-        let Some(Known { stored, .. }) = self.jobs.swap_remove(job) else {
+        let Some(IndexedJob { stored, .. }) = self.jobs.swap_remove(job)
+        else {
             return;
         };
         let manifest = &stored.manifest;
@@ -94,8 +96,9 @@
         self.jobs.keys()
     }
 
-    /// Returns the open jobs that a node runs: those whose manifests name it,
-    /// and its part of those whose owners are no members.
+    /// Returns the open jobs that a node runs: the jobs whose manifests name
+    /// the node, and the node's share of the jobs whose owners are no longer
+    /// members.
     pub(crate) fn open_of(
         &self,
         members: &Members,
@@ -106,11 +109,11 @@
         let orphaned = self.orphaned(members).filter(|(job, stored)| {
             members.owner(job, &stored.manifest) == Some(node)
         });
-        let named = named.flat_map(|open| self.all(&open.keys));
+        let named = named.flat_map(|open| self.with_manifests(&open.keys));
         named.chain(orphaned).map(cloned).collect()
     }
 
-    /// Returns the open jobs whose owners are no members any more.
+    /// Returns the open jobs whose owners are no longer members.
     fn orphaned<'a>(
         &'a self,
         members: &'a Members,
@@ -118,17 +121,17 @@
         let owners = self.open_by_owner.iter();
         owners
             .filter(|(owner, _)| !members.has(owner))
-            .flat_map(|(_, open)| self.all(&open.keys))
+            .flat_map(|(_, open)| self.with_manifests(&open.keys))
     }
 
-    fn all<'a>(
+    fn with_manifests<'a>(
         &'a self,
         keys: &'a BTreeSet<JobKey>,
     ) -> impl Iterator<Item = (&'a JobKey, &'a StoredManifest)> {
         keys.iter().filter_map(|key| Some((key, self.get(key)?)))
     }
 
-    /// Returns the open jobs that were due before a moment.
+    /// Returns the open jobs that were due before `now`.
     pub(crate) fn overdue(
         &self,
         now: UnixMillis,
@@ -140,14 +143,16 @@
             .collect()
     }
 
-    /// Returns the closed jobs that were submitted before a moment.
+    /// Returns the closed jobs that were submitted before `moment`.
     pub(crate) fn closed_before(
         &self,
         moment: UnixMillis,
     ) -> Vec<(JobKey, StoredManifest)> {
-        let old = self.closed.iter();
-        let old = old.take_while(|(submitted_at, _)| *submitted_at < moment);
-        old.filter_map(|(_, key)| Some((key, self.get(key)?)))
+        let expired = self.closed.iter();
+        let expired =
+            expired.take_while(|(submitted_at, _)| *submitted_at < moment);
+        expired
+            .filter_map(|(_, key)| Some((key, self.get(key)?)))
             .map(cloned)
             .collect()
     }
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -19,96 +19,105 @@
     },
 };
 
-/// A job as it arrives.
+/// A submitted job that is not stored yet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NewJob {
     /// The caller's id.
     pub key: JobKey,
-    /// Host that it was sent to.
+    /// Host of the request that submitted the job.
     pub host: String,
-    /// Path that it was sent to.
+    /// Path of the request that submitted the job.
     pub path: String,
-    /// When it arrived.
+    /// When the job arrived.
     pub submitted_at: UnixMillis,
-    /// Its times.
+    /// Time limits of the job.
     pub terms: BatchTerms,
     /// Node that runs the items.
     pub owner: String,
-    /// Whose job it is; none where callers need no key.
+    /// The customer that owns the job; `None` if callers need no key.
     pub customer: Option<Customer>,
-    /// Its items.
+    /// The items.
     pub items: Vec<ItemInput>,
 }
 
-/// A manifest with the revision that changes are compared with.
+/// A manifest with the revision that a write of it is compared with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredManifest {
     /// The manifest.
     pub manifest: JobManifest,
-    /// Revision of its last write.
+    /// Revision of the manifest's last write.
     pub revision: u64,
 }
 
-/// Keeps jobs in the key-value service.
+/// Stores jobs in the key-value service.
 ///
-/// Accepting, listing and ending are one compare-and-swap each on the job's
-/// manifest. A write whose answer is lost is read back, so that no call is done
-/// twice and none is taken for done that was not.
+/// Accepting a job, listing results and cancelling are one compare-and-swap on
+/// the job's manifest each. If the response to a write is lost, the manifest
+/// is read back, so that no write is done twice and no write is reported as
+/// done that was not.
 #[derive(Clone)]
 pub struct Ledger {
     kv: Arc<dyn Kv>,
-    /// The same for writes that nobody waits for.
-    patient: Arc<dyn Kv>,
+    /// The same key-value service for writes that may be delayed to share a
+    /// call.
+    batching_kv: Arc<dyn Kv>,
     writer: Writer,
-    value_bytes: usize,
+    max_value_bytes: usize,
     cache: Arc<BulkCache>,
     peers: Arc<dyn BulkPeers>,
 }
 
-/// How long a write is tried before its caller hears that it is open, in
-/// milliseconds. Callers of jobs wait about four seconds.
-const WRITE_GIVE_UP_MS: u64 = 2_500;
+/// Timeout after which a write is reported as having an unknown outcome, in
+/// milliseconds. Callers that submit jobs wait about four seconds.
+const WRITE_TIMEOUT_MS: u64 = 2_500;
 
-/// How long results and the like may wait to share a call with the writes of
-/// other nodes, in milliseconds: a third of the time between two commits of
-/// a job, so that a result is read within a second of its end.
-const PATIENCE_MS: u64 = 250;
+/// Maximum delay of a write of results or checkpoints that waits to share a
+/// call with the writes of other nodes, in milliseconds: a third of the
+/// interval between two commits of a job, so that a result can be read within
+/// a second of its end.
+const MAX_BATCHING_DELAY_MS: u64 = 250;
 
-/// How a write is known to have taken effect.
+/// How a write was confirmed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Proof {
-    /// The service answered the call.
-    Answered,
-    /// The answer was lost, and the manifest reads as the write makes it.
+enum WriteProof {
+    /// The key-value service acknowledged the call.
+    Acknowledged,
+    /// The response was lost, and the manifest that was read back is the one
+    /// that the write produces.
     ///
-    /// That proves what the manifest says, but not whose write it was: two nodes
-    /// that list the same items write the same manifest, each with the texts of
-    /// its own runs.
+    /// This proves the content of the manifest, but not that this node wrote
+    /// it: two nodes that list the same items write equal manifests, each with
+    /// the outputs of its own runs.
     ReadBack,
 }
 
-/// Values in one call beside the manifest; the service takes 32 rows.
-const CHUNKS_MOST: usize = 24;
+/// Maximum number of values in one transaction besides the manifest; the
+/// key-value service accepts 32 operations.
+const MAX_CHUNKS_PER_TXN: usize = 24;
 
-/// Part of a value's largest size that a chunk fills, in percent: the table
-/// before the bodies takes some room as well.
-const FILL_PERCENT: usize = 80;
+/// Share of the maximum value size that a chunk uses, in percent. The table in
+/// front of the bodies needs the remaining space.
+const MAX_FILL_PERCENT: usize = 80;
 
 impl Ledger {
-    /// Keeps jobs in `kv`, whose values hold `value_bytes`.
-    pub fn new(kv: Arc<dyn Kv>, timer: Timer, value_bytes: usize) -> Self {
+    /// Creates a ledger that stores jobs in `kv`, whose values hold up to
+    /// `max_value_bytes`.
+    pub fn new(kv: Arc<dyn Kv>, timer: Timer, max_value_bytes: usize) -> Self {
         Self {
-            patient: Arc::new(Patient::new(kv.clone(), PATIENCE_MS)),
+            batching_kv: Arc::new(Patient::new(
+                kv.clone(),
+                MAX_BATCHING_DELAY_MS,
+            )),
             kv,
-            writer: Writer::new(timer, WRITE_GIVE_UP_MS),
-            value_bytes,
+            writer: Writer::new(timer, WRITE_TIMEOUT_MS),
+            max_value_bytes,
             cache: Arc::default(),
             peers: Arc::new(NoPeers),
         }
     }
 
-    /// Sets where inputs and results are kept for this node and others, and
-    /// who is asked for them before the service is.
+    /// Sets the cache for inputs and results, and the peers that are queried
+    /// before the key-value service.
     #[must_use]
     pub fn with_peers(
         mut self,
@@ -120,18 +129,20 @@
         self
     }
 
-    /// Accepts a job; one that is there already is accepted again.
+    /// Accepts a job. If the job already exists, its stored manifest is
+    /// returned.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if nothing was kept, [`JobError::OutcomeUnknown`] if that
-    /// is not known, [`JobError::TooLarge`] for a job that never fits,
-    /// [`JobError::Conflict`] if another customer has a job of this id.
+    /// [`JobError::NotDone`] if nothing was stored,
+    /// [`JobError::OutcomeUnknown`] if that is not known,
+    /// [`JobError::TooLarge`] for a job that exceeds the size limits,
+    /// [`JobError::Conflict`] if another customer has a job with this id.
     pub async fn accept(
         &self,
         job: NewJob,
     ) -> Result<StoredManifest, Report<JobError>> {
-        let chunks = self.chunks(&job.items)?;
+        let chunks = self.split_into_chunks(&job.items)?;
         let customer = job.customer.clone();
         let manifest = JobManifest {
             submitted_at: job.submitted_at,
@@ -158,7 +169,7 @@
             bulk.push((key.clone(), Arc::new(chunk.clone())));
             success.push(put(key, chunk));
         }
-        let txn = guarded(manifest_key(&job.key), 0, success);
+        let txn = guarded_txn(manifest_key(&job.key), 0, success);
         let new = manifest.clone();
         let outcome = self
             .commit(&self.kv, &job.key, txn, move |reply| StoredManifest {
@@ -168,10 +179,10 @@
             .await?;
         match outcome {
             Outcome::Done((stored, proof)) => {
-                self.keep_all(&bulk, proof);
+                self.cache_written(&bulk, proof);
                 Ok(stored)
             }
-            // It was there before: the same job, sent again.
+            // The job exists already: the same job was submitted before.
             Outcome::Superseded => {
                 let stored = self.read(&job.key).await?;
                 match stored.manifest.is_visible_to(customer.as_ref()) {
@@ -183,7 +194,7 @@
     }
 
     /// Returns the manifest and the inputs of a job as this node has written
-    /// them, the manifest first; none if it does not keep them any more.
+    /// them, the manifest first; `None` if they are no longer cached.
     pub fn accepted_rows(
         &self,
         job: &JobKey,
@@ -207,19 +218,19 @@
     ///
     /// # Errors
     ///
-    /// [`JobError::Unknown`] if there is none, [`JobError::NotDone`] if the
-    /// service is away.
+    /// [`JobError::Unknown`] if there is no such job, [`JobError::NotDone`] if
+    /// the key-value service is unavailable.
     pub async fn read(
         &self,
         job: &JobKey,
     ) -> Result<StoredManifest, Report<JobError>> {
         let reply = self.kv.get(&manifest_key(job)).await;
         let reply = reply.change_context(JobError::NotDone)?;
-        find_head(&reply)?.ok_or_else(|| Report::new(JobError::Unknown))
+        find_manifest(&reply)?.ok_or_else(|| Report::new(JobError::Unknown))
     }
 
-    /// Reads the manifest of a job for callers of a customer, who learn nothing
-    /// of the jobs of others.
+    /// Reads the manifest of a job for a caller of a customer. Jobs of other
+    /// customers are reported as unknown.
     ///
     /// # Errors
     ///
@@ -236,7 +247,8 @@
         }
     }
 
-    /// Ends a job for callers of a customer; repeating it changes nothing.
+    /// Cancels a job for a caller of a customer. Cancelling a job twice has no
+    /// further effect.
     ///
     /// # Errors
     ///
@@ -257,7 +269,7 @@
             }
             manifest.cancelled = true;
             let row = put(manifest_key(job), encode_manifest(&manifest)?);
-            let txn = guarded(manifest_key(job), revision, vec![row]);
+            let txn = guarded_txn(manifest_key(job), revision, vec![row]);
             let outcome = self.commit(&self.kv, job, txn, |_| ()).await?;
             if let Outcome::Done(_) = outcome {
                 return Ok(());
@@ -265,16 +277,18 @@
         }
     }
 
-    /// Lists results after those that `before` has, with the failed_attempts.
+    /// Lists results after those that `before` contains, and stores the failed
+    /// attempts.
     ///
-    /// `before` is the manifest as the caller knows it. If another writer was
-    /// faster, nothing is written and the manifest as it is now is returned in
-    /// `Err` of the inner result.
+    /// `before` is the manifest that the caller knows. If another writer has
+    /// changed the manifest, nothing is written and the current manifest is
+    /// returned in the `Err` of the inner result.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] and [`JobError::OutcomeUnknown`] as for all writes; after
-    /// both the caller reads the manifest before it lists again.
+    /// [`JobError::NotDone`] and [`JobError::OutcomeUnknown`] as for all
+    /// writes. After either of them the caller has to read the manifest before
+    /// it lists results again.
     pub async fn list(
         &self,
         job: &JobKey,
@@ -297,26 +311,27 @@
             rows.push(put(key, bytes));
         }
         rows.push(put(manifest_key(job), encode_manifest(&manifest)?));
-        let txn = guarded(manifest_key(job), before.revision, rows);
+        let txn = guarded_txn(manifest_key(job), before.revision, rows);
         let new = manifest.clone();
         let outcome = self
-            .commit(&self.patient, job, txn, move |reply| StoredManifest {
+            .commit(&self.batching_kv, job, txn, move |reply| StoredManifest {
                 manifest: new.clone(),
                 revision: reply.revision,
             })
             .await?;
         match outcome {
             Outcome::Done((stored, proof)) => {
-                self.keep_all(&bulk, proof);
+                self.cache_written(&bulk, proof);
                 Ok(Ok(stored))
             }
             Outcome::Superseded => Ok(Err(self.read(job).await?)),
         }
     }
 
-    /// Moves a job to another node.
+    /// Assigns a job to another node.
     ///
-    /// Returns the manifest as it is now: moved, or as a faster writer left it.
+    /// Returns the current manifest: reassigned, or as a concurrent writer
+    /// left it.
     ///
     /// # Errors
     ///
@@ -330,9 +345,9 @@
         let mut manifest = before.manifest.clone();
         owner.clone_into(&mut manifest.owner);
         let row = put(manifest_key(job), encode_manifest(&manifest)?);
-        let txn = guarded(manifest_key(job), before.revision, vec![row]);
+        let txn = guarded_txn(manifest_key(job), before.revision, vec![row]);
         let outcome = self
-            .commit(&self.patient, job, txn, move |reply| StoredManifest {
+            .commit(&self.batching_kv, job, txn, move |reply| StoredManifest {
                 manifest: manifest.clone(),
                 revision: reply.revision,
             })
@@ -343,13 +358,13 @@
         }
     }
 
-    /// Removes a job with all that belongs to it, its manifest last: whoever is
-    /// interrupted leaves a manifest by which another one finishes.
+    /// Removes a job with all its values. The manifest is removed last, so
+    /// that another node can finish a removal that was interrupted.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if the service is away, or if the manifest has
-    /// changed meanwhile.
+    /// [`JobError::NotDone`] if the key-value service is unavailable or the
+    /// manifest has changed meanwhile.
     pub async fn remove(
         &self,
         job: &JobKey,
@@ -360,18 +375,18 @@
             (0..manifest.input_chunks).map(|n| input_key(job, manifest, n));
         let outputs = manifest.output_chunks.iter();
         let outputs = outputs.map(|n| output_key(job, manifest, *n));
-        let progress = checkpoint_key(job, manifest.submitted_at);
-        let progress = std::iter::once(progress);
+        let checkpoint = checkpoint_key(job, manifest.submitted_at);
+        let checkpoint = std::iter::once(checkpoint);
         let bulk: Vec<String> =
-            inputs.chain(outputs).chain(progress).collect();
-        for keys in bulk.chunks(CHUNKS_MOST) {
+            inputs.chain(outputs).chain(checkpoint).collect();
+        for keys in bulk.chunks(MAX_CHUNKS_PER_TXN) {
             self.delete(job, stored, keys).await?;
         }
         self.delete(job, stored, &[manifest_key(job)]).await
     }
 
-    /// Deletes keys as long as the manifest is what the caller knows. Deleting
-    /// twice does no harm, so that a lost answer needs no reading back.
+    /// Deletes keys if the manifest is unchanged. Deletion is idempotent, so
+    /// that a lost response needs no read-back.
     async fn delete(
         &self,
         job: &JobKey,
@@ -379,28 +394,29 @@
         keys: &[String],
     ) -> Result<(), Report<JobError>> {
         let rows = keys.iter().map(|key| Op::Delete { key: key.clone() });
-        let txn = guarded(manifest_key(job), stored.revision, rows.collect());
-        let reply = self.patient.txn(txn).await;
+        let txn =
+            guarded_txn(manifest_key(job), stored.revision, rows.collect());
+        let reply = self.batching_kv.txn(txn).await;
         match reply.change_context(JobError::NotDone)?.succeeded {
             true => Ok(()),
             false => Err(Report::new(JobError::NotDone)),
         }
     }
 
-    fn chunks(
+    fn split_into_chunks(
         &self,
         items: &[ItemInput],
     ) -> Result<Vec<Vec<u8>>, Report<JobError>> {
-        let most = self.value_bytes * FILL_PERCENT / 100;
+        let max_bytes = self.max_value_bytes * MAX_FILL_PERCENT / 100;
         let mut chunks = Vec::new();
         let mut from = 0;
         let mut bytes = 0;
         for (at, item) in items.iter().enumerate() {
             let size = item_bytes(item);
-            if size > most {
+            if size > max_bytes {
                 return Err(Report::new(JobError::TooLarge));
             }
-            if bytes + size > most {
+            if bytes + size > max_bytes {
                 chunks.push(encode_inputs(&items[from..at])?);
                 (from, bytes) = (at, 0);
             }
@@ -409,25 +425,25 @@
         if from < items.len() {
             chunks.push(encode_inputs(&items[from..])?);
         }
-        match chunks.len() <= CHUNKS_MOST {
+        match chunks.len() <= MAX_CHUNKS_PER_TXN {
             true => Ok(chunks),
             false => Err(Report::new(JobError::TooLarge)),
         }
     }
 
-    /// Writes until the outcome is known or the time is up.
+    /// Retries a write until its outcome is known or the timeout has passed.
     ///
-    /// A write whose answer is lost is found again by the manifest that it made:
-    /// each write changes the manifest, so that one that reads as wanted has been
-    /// written, by this node or by another that wanted the same.
+    /// If the response is lost, the manifest is read back. Each write changes
+    /// the manifest, so that a manifest equal to the expected one has been
+    /// written, by this node or by another node with the same change.
     async fn commit<T: Send + 'static>(
         &self,
         kv: &Arc<dyn Kv>,
         job: &JobKey,
         txn: Txn,
         answered: impl Fn(&TxnReply) -> T + Send + Clone,
-    ) -> Result<Outcome<(T, Proof)>, Report<JobError>> {
-        let expected = head_value(&txn, &manifest_key(job));
+    ) -> Result<Outcome<(T, WriteProof)>, Report<JobError>> {
+        let expected = manifest_value(&txn, &manifest_key(job));
         let before = compared_revision(&txn);
         let read_back = Op::Get {
             key: manifest_key(job),
@@ -441,16 +457,17 @@
                     revision,
                     replies: Vec::new(),
                 });
-                Verdict::Done((value, Proof::ReadBack))
+                Verdict::Done((value, WriteProof::ReadBack))
             }
             Some(kv) if kv.mod_revision == before => Verdict::Open,
             Some(_) => Verdict::Superseded,
             None if before == 0 => Verdict::Open,
             None => Verdict::Superseded,
         };
-        let answered =
-            move |reply: &TxnReply| (answered(reply), Proof::Answered);
-        let random = spread_pauses(job);
+        let answered = move |reply: &TxnReply| {
+            (answered(reply), WriteProof::Acknowledged)
+        };
+        let random = backoff_jitter(job);
         let outcome = self
             .writer
             .commit(&**kv, txn, read_back, answered, decide, random)
@@ -466,9 +483,9 @@
     }
 }
 
-/// Bytes that an item takes in a chunk.
+/// Returns the size of an item in a chunk, in bytes.
 fn item_bytes(item: &ItemInput) -> usize {
-    /// Names, numbers and quotes of the table's row.
+    /// Upper bound of the field names, numbers and quotes of one table row.
     const ROW_BYTES: usize = 96;
     let headers: usize = item
         .headers
@@ -486,7 +503,7 @@
     }
 }
 
-fn guarded(key: String, equals: u64, success: Vec<Op>) -> Txn {
+fn guarded_txn(key: String, equals: u64, success: Vec<Op>) -> Txn {
     Txn {
         compares: vec![Compare::ModRevision { key, equals }],
         success,
@@ -494,7 +511,7 @@
     }
 }
 
-fn head_value(txn: &Txn, key: &str) -> Option<Vec<u8>> {
+fn manifest_value(txn: &Txn, key: &str) -> Option<Vec<u8>> {
     txn.success.iter().find_map(|op| match op {
         Op::Put { key: at, value, .. } if at == key => Some(value.clone()),
         _ => None,
@@ -508,8 +525,9 @@
     }
 }
 
-/// Numbers that spread the pauses between the tries of different jobs.
-fn spread_pauses(job: &JobKey) -> impl FnMut() -> u64 + Send + use<> {
+/// Returns a generator of pseudorandom numbers that add jitter to the backoff
+/// of each job's retries.
+fn backoff_jitter(job: &JobKey) -> impl FnMut() -> u64 + Send + use<> {
     let mut state = base::stable_hash(&[job.as_str()]);
     move || {
         state = state
@@ -519,7 +537,9 @@
     }
 }
 
-fn find_head(reply: &GetReply) -> Result<Option<StoredManifest>, JobError> {
+fn find_manifest(
+    reply: &GetReply,
+) -> Result<Option<StoredManifest>, JobError> {
     let Some(kv) = reply.kvs.first() else {
         return Ok(None);
     };
--- a/crates/jobs/src/ledger/values.rs
+++ b/crates/jobs/src/ledger/values.rs
@@ -1,11 +1,12 @@
-//! Inputs, results and progress of items, beside the manifests.
+//! Inputs, results and checkpoints of items, which are stored apart from the
+//! manifests.
 
 use std::sync::Arc;
 
 use error_stack::{Report, ResultExt};
 use kv::{Op, Txn};
 
-use super::{CHUNKS_MOST, FILL_PERCENT, Ledger, Proof, put};
+use super::{Ledger, MAX_CHUNKS_PER_TXN, MAX_FILL_PERCENT, WriteProof, put};
 use crate::{
     BulkValue, JobError,
     record::{
@@ -21,8 +22,8 @@
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if the service is away, [`JobError::Unknown`]
-    /// if inputs are missing.
+    /// [`JobError::NotDone`] if the key-value service is unavailable,
+    /// [`JobError::Unknown`] if inputs are missing.
     pub async fn inputs(
         &self,
         job: &JobKey,
@@ -31,7 +32,7 @@
         let mut items = Vec::with_capacity(manifest.total as usize);
         for chunk in 0..manifest.input_chunks {
             let key = input_key(job, manifest, chunk);
-            let value = self.bulk(job, manifest, &key).await?;
+            let value = self.read_bulk(job, manifest, &key).await?;
             items.extend(decode_inputs(&value)?);
         }
         match items.len() == manifest.total as usize {
@@ -52,13 +53,13 @@
         first_position: u32,
     ) -> Result<Vec<ItemResult>, Report<JobError>> {
         let key = output_key(job, manifest, first_position);
-        let value = self.bulk(job, manifest, &key).await?;
+        let value = self.read_bulk(job, manifest, &key).await?;
         Ok(decode_results(&value)?)
     }
 
-    /// Reads a value that never changes from the nearest place that has it:
-    /// this node, the one that runs the job, the service.
-    async fn bulk(
+    /// Reads an immutable value from the nearest source: the cache of this
+    /// node, then a peer, then the key-value service.
+    async fn read_bulk(
         &self,
         job: &JobKey,
         manifest: &JobManifest,
@@ -69,19 +70,18 @@
         }
         let value = match self.peers.read(job, manifest, key).await {
             Some(value) => value,
-            None => Arc::new(self.bulk_of_service(key).await?),
+            None => Arc::new(self.read_bulk_from_kv(key).await?),
         };
         self.cache.keep(key, &value);
         Ok(value)
     }
 
-    /// Reads a value that never changes, for another node that asks this one
-    /// for it.
+    /// Reads an immutable value for a peer that requests it from this node.
     ///
     /// # Errors
     ///
-    /// [`JobError::Unknown`] of a key that is no such value, and as
-    /// [`inputs`](Self::inputs).
+    /// [`JobError::Unknown`] if the key is not the key of such a value, and
+    /// the errors of [`inputs`](Self::inputs).
     pub async fn value(
         &self,
         key: &str,
@@ -89,12 +89,12 @@
         if !key.starts_with(BULK_PREFIX) {
             return Err(Report::new(JobError::Unknown));
         }
-        let value = Arc::new(self.bulk_of_service(key).await?);
+        let value = Arc::new(self.read_bulk_from_kv(key).await?);
         self.cache.keep(key, &value);
         Ok(value)
     }
 
-    async fn bulk_of_service(
+    async fn read_bulk_from_kv(
         &self,
         key: &str,
     ) -> Result<Vec<u8>, Report<JobError>> {
@@ -106,13 +106,13 @@
             .ok_or_else(|| Report::new(JobError::Unknown))
     }
 
-    /// Keeps values that this node surely wrote.
-    pub(super) fn keep_all(
+    /// Caches values if it is certain that this node wrote them.
+    pub(super) fn cache_written(
         &self,
         values: &[(String, BulkValue)],
-        proof: Proof,
+        proof: WriteProof,
     ) {
-        if proof != Proof::Answered {
+        if proof != WriteProof::Acknowledged {
             return;
         }
         for (key, value) in values {
@@ -120,32 +120,34 @@
         }
     }
 
-    /// Saves what unfinished items have produced, so that they go on after
+    /// Saves checkpoints of unfinished items, so that the items resume after
     /// their last event if this node is lost.
     ///
-    /// Without a comparison, as each value is a whole by itself: an older
-    /// one only means that a little more runs again. What does not fit the
-    /// service's values is left out.
+    /// The writes have no compare condition, since each value is complete by
+    /// itself: an older checkpoint only means that a little more is run again.
+    /// Checkpoints that exceed the maximum value size are left out.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if the service is away.
+    /// [`JobError::NotDone`] if the key-value service is unavailable.
     pub async fn save_checkpoints(
         &self,
         jobs: &[JobCheckpoint],
     ) -> Result<(), Report<JobError>> {
-        let most = self.value_bytes * FILL_PERCENT / 100;
+        let max_bytes = self.max_value_bytes * MAX_FILL_PERCENT / 100;
         let mut rows = Vec::new();
         let mut bytes = 0;
-        for progress in jobs {
-            let items = fitting(&progress.items, most);
+        for job in jobs {
+            let items = prefix_that_fits(&job.items, max_bytes);
             let value = encode_checkpoints(items)?;
-            if rows.len() == CHUNKS_MOST || bytes + value.len() > most {
+            if rows.len() == MAX_CHUNKS_PER_TXN
+                || bytes + value.len() > max_bytes
+            {
                 self.put_all(std::mem::take(&mut rows)).await?;
                 bytes = 0;
             }
             bytes += value.len();
-            let key = checkpoint_key(&progress.job, progress.submitted_at);
+            let key = checkpoint_key(&job.job, job.submitted_at);
             rows.push(put(key, value));
         }
         match rows.is_empty() {
@@ -159,18 +161,17 @@
             success,
             ..Txn::default()
         };
-        let written = self.patient.txn(txn).await;
+        let written = self.batching_kv.txn(txn).await;
         written.change_context(JobError::NotDone)?;
         Ok(())
     }
 
-    /// Reads what the unfinished items of a job had produced when it was
-    /// last saved.
+    /// Reads the last saved checkpoints of a job's unfinished items.
     ///
     /// # Errors
     ///
-    /// [`JobError::NotDone`] if the service is away.
-    pub async fn progress(
+    /// [`JobError::NotDone`] if the key-value service is unavailable.
+    pub async fn checkpoints(
         &self,
         job: &JobKey,
         manifest: &JobManifest,
@@ -185,14 +186,17 @@
     }
 }
 
-/// Returns as many of the first items as a value holds.
-fn fitting(items: &[ItemCheckpoint], most: usize) -> &[ItemCheckpoint] {
-    /// Names, numbers and quotes of the table's row.
+/// Returns the longest prefix of the items that fits into a value.
+fn prefix_that_fits(
+    items: &[ItemCheckpoint],
+    max_bytes: usize,
+) -> &[ItemCheckpoint] {
+    /// Upper bound of the field names, numbers and quotes of one table row.
     const ROW_BYTES: usize = 96;
     let mut bytes = 0;
     let fits = |item: &&ItemCheckpoint| {
         bytes += ROW_BYTES + item.output.len();
-        bytes <= most
+        bytes <= max_bytes
     };
     &items[..items.iter().take_while(fits).count()]
 }
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,15 +1,18 @@
-//! Batch jobs kept in the key-value service, and their runs.
+//! Storage of batch jobs in the key-value service, and execution of their
+//! items.
 //!
-//! A job is a small [`JobManifest`] that the nodes follow that run items, its
-//! inputs and its results in chunks. The [`Ledger`] makes each change one
-//! compare-and-swap on the manifest. A [`JobView`] follows all manifests; other nodes
-//! ask for the [`ManifestSource`] that their callers want. On the nodes that run items,
-//! a [`Assignment`] shares jobs and endpoints between those nodes and decides what
-//! starts and what gives way, and a [`Runner`] carries it out.
+//! A job consists of a small [`JobManifest`], which all nodes that run items
+//! follow, and of chunks of inputs and results. The [`Ledger`] makes each
+//! change as one compare-and-swap on the manifest. A [`JobView`] follows all
+//! manifests; other nodes request the manifests that their callers need
+//! through a [`ManifestSource`]. On the nodes that run items, an
+//! [`Assignment`] distributes jobs and endpoints among the nodes, and a
+//! [`Runner`] starts, preempts and finishes items.
 //!
-//! Running an item twice does no harm, listing it twice would: so owners of
-//! jobs are found by hashing and may disagree for a moment, while positions
-//! are given by compare-and-swap alone.
+//! Running an item twice is harmless, listing its result twice is not. The
+//! owner of a job is therefore found by hashing, and nodes may disagree about
+//! it for a moment, while result positions are assigned only by
+//! compare-and-swap.
 
 mod assignment;
 mod backlogs;
@@ -22,12 +25,12 @@
 mod members;
 mod online;
 mod order;
-mod pace;
 mod page;
 mod planner;
 mod record;
 mod ring;
 mod run;
+mod run_time;
 mod runner;
 mod view;
 
@@ -36,7 +39,7 @@
     backlogs::ReportedBacklogs,
     bulk::{BulkCache, BulkFuture, BulkPeers, BulkValue, NoPeers},
     error::JobError,
-    gate::{GateInput, GateOptions, GateOrder, decide},
+    gate::{GateDecision, GateInput, GateOptions, decide},
     ledger::{Ledger, NewJob, StoredManifest},
     manifests::{
         KnownManifest, ManifestFuture, ManifestSource, ViewManifests,
@@ -46,8 +49,7 @@
         FRONT_LOAD_TTL_MS, FrontUpdate, OnlineLoad, OtherFrontsLoad,
         ReportVersion,
     },
-    order::{PreemptRank, Urgency},
-    pace::{Pace, Rest},
+    order::{PreemptRank, SlackPriority},
     page::{Page, PageReader},
     planner::{Assignments, Planner, batch_services},
     record::{
@@ -59,6 +61,7 @@
         input_key, manifest_key, merge_failed_attempts, output_key,
     },
     run::{ItemForwarder, ItemRun, Progress, RunOutcome},
+    run_time::{RemainingTime, RunTimeEstimator},
     runner::{
         Probe, ProbeFuture, Runner, RunnerOptions, RunnerParts, ShutdownSignal,
     },
--- a/crates/jobs/src/manifests.rs
+++ b/crates/jobs/src/manifests.rs
@@ -5,23 +5,24 @@
 
 use crate::{JobKey, JobView, StoredManifest};
 
-/// A manifest and how old the knowledge is that it comes from.
+/// A manifest and the age of the knowledge that it comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownManifest {
     /// The manifest.
     pub stored: StoredManifest,
-    /// Since when it may lack changes, in milliseconds.
+    /// Time for which changes may be missing, in milliseconds.
     pub age_ms: u64,
 }
 
-/// The answer to a question for a manifest.
+/// The response to a request for a manifest.
 pub type ManifestFuture<'a> =
     Pin<Box<dyn Future<Output = Option<KnownManifest>> + Send + 'a>>;
 
-/// Knows the manifests of jobs, or whom to ask for them.
+/// Provides manifests of jobs, from memory or from other nodes.
 pub trait ManifestSource: Send + Sync + 'static {
-    /// Returns the manifest of a job; none if it is not known. For one that is
-    /// newer than the revision `after` it waits for up to `wait_ms`.
+    /// Returns the manifest of a job, or `None` if it is not known. If `after`
+    /// is set, waits up to `wait_ms` for a manifest that is newer than this
+    /// revision.
     fn read<'a>(
         &'a self,
         job: &'a JobKey,
@@ -29,7 +30,7 @@
         wait_ms: u64,
     ) -> ManifestFuture<'a>;
 
-    /// Takes in a manifest that this node wrote or read itself.
+    /// Records a manifest that this node wrote or read itself.
     fn note(&self, job: &JobKey, stored: &StoredManifest);
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl ViewManifests {
-    /// Reads manifests from a view.
+    /// Creates a source that reads manifests from a view.
     pub fn new(view: JobView, clock: Arc<dyn Clock>) -> Self {
         Self { view, clock }
     }
@@ -58,21 +59,21 @@
         after: Option<u64>,
         wait_ms: u64,
     ) -> Option<KnownManifest> {
-        let until = self.clock.now().saturating_add_ms(wait_ms);
+        let deadline = self.clock.now().saturating_add_ms(wait_ms);
         let mut changes = self.view.subscribe();
         loop {
             changes.mark_unchanged();
             let now = self.clock.now();
             let known = self.known(job, now);
-            let is_news = match (&known, after) {
+            let is_newer = match (&known, after) {
                 (Some(known), Some(after)) => known.stored.revision > after,
                 _ => true,
             };
-            let left_ms = until.saturating_ms_since(now);
-            if is_news || left_ms == 0 {
+            let remaining_ms = deadline.saturating_ms_since(now);
+            if is_newer || remaining_ms == 0 {
                 return known;
             }
-            let wait = Duration::from_millis(left_ms);
+            let wait = Duration::from_millis(remaining_ms);
             let _ = time::timeout(wait, changes.changed()).await;
         }
     }
--- a/crates/jobs/src/members.rs
+++ b/crates/jobs/src/members.rs
@@ -6,27 +6,27 @@
 
 use crate::{JobKey, JobManifest};
 
-/// A node, as it tells of itself.
+/// The entry of a node in the membership.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
     /// Name of the node.
     pub node: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the node.
     pub failure_domain: String,
-    /// Whether it runs items of jobs.
+    /// Whether the node runs items of jobs.
     pub runs_items: bool,
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach the node.
     pub address: Option<SocketAddr>,
-    /// Where it counts requests against limits.
+    /// Address at which the node counts requests against rate limits.
     #[serde(default)]
     pub limits: Option<SocketAddr>,
-    /// Time to live of its entry, in seconds; 0 if it does not say.
+    /// Time to live of the entry in seconds; 0 if not specified.
     #[serde(default)]
     pub lease_s: u32,
 }
 
-/// The nodes of one kind that are there now: those that run items, or those
-/// that take callers' requests.
+/// The current nodes of one kind: nodes that run items, or nodes that serve
+/// callers' requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Members {
     nodes: Vec<NodeRecord>,
@@ -34,12 +34,12 @@
 }
 
 impl Members {
-    /// Makes a set of those nodes that run items.
+    /// Creates a set of the nodes that run items.
     pub fn new(nodes: impl IntoIterator<Item = NodeRecord>) -> Self {
         Self::of(nodes.into_iter().filter(|node| node.runs_items))
     }
 
-    /// Makes a set of those nodes that take callers' requests.
+    /// Creates a set of the nodes that serve callers' requests.
     pub fn fronts(nodes: impl IntoIterator<Item = NodeRecord>) -> Self {
         Self::of(nodes.into_iter().filter(|node| !node.runs_items))
     }
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Returns how many there are.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Tells whether a node is among them.
+    /// Reports whether a node is a member.
     pub fn has(&self, node: &str) -> bool {
         self.find(node).is_some()
     }
 
-    /// Returns the place of a node among them.
+    /// Returns the index of a node among the members.
     pub(crate) fn find(&self, node: &str) -> Option<usize> {
         let order = |known: &NodeRecord| known.node.as_str().cmp(node);
         self.nodes.binary_search_by(order).ok()
@@ -72,29 +72,30 @@
 
     /// Returns a node by its name.
     pub fn get(&self, node: &str) -> Option<&NodeRecord> {
-        self.find(node).map(|place| &self.nodes[place])
+        self.find(node).map(|index| &self.nodes[index])
     }
 
-    /// Returns the nodes, sorted by their names.
+    /// Returns the nodes, sorted by name.
     pub fn nodes(&self) -> &[NodeRecord] {
         &self.nodes
     }
 
-    /// Returns the hash of the name of the node at a place.
-    pub(crate) fn hash_at(&self, place: usize) -> u64 {
-        self.hashes[place]
+    /// Returns the hash of the name of the node at `index`.
+    pub(crate) fn hash_at(&self, index: usize) -> u64 {
+        self.hashes[index]
     }
 
-    /// Tells whether there is none.
+    /// Reports whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
     /// Returns the node that runs the items of a job.
     ///
-    /// It is the one that the manifest names. If that is not there any more,
-    /// all nodes agree on another by rendezvous hashing, without a write:
-    /// the jobs of a lost node spread over the others.
+    /// This is the owner that the manifest names. If the owner is not a member
+    /// any more, all nodes choose the same other node by rendezvous hashing,
+    /// without a write, so that the jobs of a lost node are distributed over
+    /// the remaining nodes.
     pub fn owner<'a>(
         &'a self,
         job: &JobKey,
@@ -104,42 +105,49 @@
             return Some(&manifest.owner);
         }
         let hash = stable_hash(&[job.as_str()]);
-        let best = (0..self.len()).max_by_key(|at| self.rank(*at, hash))?;
-        Some(&self.nodes[best].node)
+        let chosen = (0..self.len()).max_by_key(|at| self.rank(*at, hash))?;
+        Some(&self.nodes[chosen].node)
     }
 
-    /// Returns the node for a new job: of a few that the job draws the one
-    /// with the least open items.
+    /// Returns the node for a new job: the node with the fewest open items of
+    /// a small sample that depends on the job's key.
     ///
-    /// Hashing jobs to nodes was rejected: with a few open jobs a node, one
-    /// has twice the mean now and then, and its items are late while others
-    /// are idle. So was the least of all nodes: what fronts know of open
-    /// items is up to a second old, several jobs go to the node that looks
-    /// idle, and each has to be moved, which takes several calls.
+    /// Hashing jobs to nodes is not even enough: with a few open jobs per
+    /// node, a node has twice the average now and then, and its items are late
+    /// while other nodes are idle. Choosing the least loaded of all nodes does
+    /// not work either: the fronts' counts of open items are up to a second
+    /// old, so that several jobs go to the node that looks idle, and moving
+    /// each of them costs several calls.
     pub fn least_loaded(
         &self,
         job: &JobKey,
         backlog: &Backlog,
     ) -> Option<&str> {
-        let drawn = self.draw(stable_hash(&[job.as_str()]));
-        let least = drawn.min_by_key(|node| backlog.items_of(&node.node))?;
-        Some(&least.node)
+        let sampled = self.sample(stable_hash(&[job.as_str()]));
+        let least_loaded_node =
+            sampled.min_by_key(|node| backlog.items_of(&node.node))?;
+        Some(&least_loaded_node.node)
     }
 
-    /// Draws a few nodes; equal draws are equal on all nodes.
-    pub(crate) fn draw(&self, draw: u64) -> impl Iterator<Item = &NodeRecord> {
+    /// Samples a few nodes; equal seeds give equal samples on all nodes.
+    pub(crate) fn sample(
+        &self,
+        sample: u64,
+    ) -> impl Iterator<Item = &NodeRecord> {
         let len = self.nodes.len();
-        let count = len.min(DRAWN);
+        let count = len.min(SAMPLE_SIZE);
         (0..count).map(move |nth| {
-            let place = match len <= DRAWN {
-                // All of them, from another one on for each draw, so that
-                // equals are not always taken in the same order.
-                true => (draw as usize).wrapping_add(nth) % len,
-                // Drawn one by one: with steps of one length, a fleet whose
-                // busy nodes lie as regularly draws only those.
-                false => mix(draw ^ (nth as u64 + 1)) as usize % len,
+            let index = match len <= SAMPLE_SIZE {
+                // Takes all nodes, starting at an index that depends on the
+                // seed, so that ties are not always resolved in the same
+                // order.
+                true => (sample as usize).wrapping_add(nth) % len,
+                // Draws each index independently: with a constant step, a
+                // fleet whose busy nodes are spaced by the same step would
+                // sample only those.
+                false => mix(sample ^ (nth as u64 + 1)) as usize % len,
             };
-            &self.nodes[place]
+            &self.nodes[index]
         })
     }
 
@@ -148,10 +156,11 @@
     }
 }
 
-/// Nodes among which one is chosen by what was known of their load a moment
-/// ago. With two of many the most loaded one has little more than the mean,
-/// with all of them every choice of that moment falls on the same one.
-const DRAWN: usize = 4;
+/// Number of nodes from which one is chosen by load information that may be
+/// stale. With two of many nodes the most loaded node has little more than the
+/// average; with all nodes, all choices made at the same time select the same
+/// node.
+const SAMPLE_SIZE: usize = 4;
 
 /// Open items by the node that runs them.
 #[derive(Clone, Debug, Default)]
@@ -192,20 +201,20 @@
     }
 }
 
-/// All nodes that are there now.
+/// All current nodes.
 ///
-/// Clones share the sets, so that whoever keeps what it made of them sees by
-/// the pointers whether they have changed.
+/// Clones share the sets, so that a user of a roster can compare pointers to
+/// detect whether the nodes have changed.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     /// Nodes that run items.
     pub workers: Arc<Members>,
-    /// Nodes that take callers' requests.
+    /// Nodes that serve callers' requests.
     pub fronts: Arc<Members>,
 }
 
 impl Roster {
-    /// Sorts nodes by what they do.
+    /// Groups nodes by their kind.
     pub fn new(nodes: &[NodeRecord]) -> Self {
         Self {
             workers: Arc::new(Members::new(nodes.iter().cloned())),
@@ -213,12 +222,12 @@
         }
     }
 
-    /// Returns how many nodes there are.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.workers.len() + self.fronts.len()
     }
 
-    /// Tells whether there is none.
+    /// Reports whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -239,7 +248,7 @@
         self.fronts.nodes().iter().chain(self.workers.nodes())
     }
 
-    /// Tells whether another roster has the same sets.
+    /// Reports whether another roster shares the same sets.
     pub fn is_same(&self, other: &Roster) -> bool {
         Arc::ptr_eq(&self.workers, &other.workers)
             && Arc::ptr_eq(&self.fronts, &other.fronts)
--- a/crates/jobs/src/online.rs
+++ b/crates/jobs/src/online.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-/// Orders the updates of one process.
+/// Orders the load reports of one process.
 ///
-/// Datagrams may arrive late, twice or in another order. An update that is
-/// not newer than the last one of its sender changes nothing.
+/// Datagrams may be delayed, duplicated or reordered. An update that is not
+/// newer than the last one of its sender is ignored.
 #[derive(
     Clone,
     Copy,
@@ -26,7 +26,7 @@
 pub struct ReportVersion {
     /// When the sending process started.
     pub started_at: UnixMillis,
-    /// Number of the update within the process.
+    /// Sequence number of the update within the process.
     pub number: u64,
 }
 
@@ -35,34 +35,36 @@
 pub struct FrontUpdate<'a> {
     /// Name of the front.
     pub front: &'a str,
-    /// Its place among the updates of that front.
+    /// Version of the update among the updates of that front.
     pub version: ReportVersion,
-    /// Whether these are all endpoints of this worker that the front sends
-    /// to. It subscribes to them until it names others.
+    /// Whether the update contains all endpoints of this worker that the front
+    /// sends to. The front stays subscribed to them until its next full
+    /// update.
     pub is_full: bool,
     /// Requests in flight by endpoint.
     pub counts: &'a [(LifeKey, u32)],
 }
 
 /// Online requests in flight at the endpoints of one worker, from the load
-/// updates of the fronts that send there.
+/// updates of the fronts that send requests there.
 ///
-/// A front reports a request as it sends it, so that batch work gives way
-/// within milliseconds. An engine's own report was rejected: it is tens of
-/// milliseconds old, asking for it costs, and it does not separate online
-/// requests from batch items of other nodes.
+/// A front reports a request when it sends it, so that batch work is preempted
+/// within milliseconds. The load reports of engines do not suffice: they are
+/// tens of milliseconds old, each costs a request, and they do not distinguish
+/// online requests from batch items of other nodes.
 ///
-/// Each endpoint is judged by the fronts that use it. Where all fronts of a
-/// fleet had to report, one that was paused, cut off or just gone sent
-/// every worker to the engines' own reports, and among hundreds one always
-/// is.
+/// The load of each endpoint is known if the fronts that use this endpoint
+/// report. If reports of all fronts of the fleet were required, one paused,
+/// disconnected or just removed front would make every worker fall back to the
+/// engines' own reports, and among hundreds of fronts there is always one in
+/// such a state.
 #[derive(Debug)]
 pub struct OnlineLoad {
     inner: Mutex<Inner>,
-    changed: mpsc::UnboundedSender<LifeKey>,
+    increases: mpsc::UnboundedSender<LifeKey>,
 }
 
-/// Names a front among those that report to a worker.
+/// Identifies a front among those that report to a worker.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct FrontKey(u64);
 
@@ -75,7 +77,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     fronts: IndexMap<FrontKey, Front>,
-    endpoints: IndexMap<LifeKey, Vec<Use>>,
+    endpoints: IndexMap<LifeKey, Vec<FrontUse>>,
     /// Endpoints whose load has changed for some front.
     dirty: IndexSet<LifeKey>,
     steps: u64,
@@ -89,16 +91,17 @@
     endpoints: Vec<LifeKey>,
 }
 
-/// What one front has at one endpoint.
+/// The use of one endpoint by one front.
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct FrontUse {
     front: FrontKey,
     count: u32,
-    /// What the front was last sent of the others.
-    others_sent: Option<u32>,
+    /// The count of the other fronts' requests that was last sent to this
+    /// front.
+    last_sent: Option<u32>,
 }
 
-/// What a front is sent about the requests of the others.
+/// The requests of the other fronts, as sent to one front.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OtherFrontsLoad {
     /// Name of the front.
@@ -107,28 +110,28 @@
     pub counts: Vec<(LifeKey, u32)>,
 }
 
-/// Age at which a front's load update counts no more, in milliseconds: it
-/// sends all of its counts at least every half second, and single messages
-/// may be lost.
+/// Age from which a front's load update is ignored, in milliseconds. A front
+/// sends all of its counts at least every half second, and single messages may
+/// be lost.
 pub const FRONT_LOAD_TTL_MS: u64 = 1_300;
 
 impl OnlineLoad {
-    /// Starts without any update; the receiver gets the endpoints that
-    /// requests are on their way to.
+    /// Creates a tracker without updates. The receiver gets the endpoints at
+    /// which the number of requests increases.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<LifeKey>) {
-        let (changed, changes) = mpsc::unbounded_channel();
+        let (increases, changes) = mpsc::unbounded_channel();
         let load = Self {
             inner: Mutex::default(),
-            changed,
+            increases,
         };
         (load, changes)
     }
 
-    /// Takes in an update; returns false, and changes nothing, if it is not
-    /// newer than the last one of its front.
+    /// Applies an update. Returns false, and changes nothing, if the update is
+    /// not newer than the last one of the same front.
     ///
-    /// A front that was silent begins anew, as its clock may have been set
-    /// back while it restarted.
+    /// After a front was silent, any version of it is accepted, since its
+    /// clock may have been set back while it restarted.
     pub fn apply(&self, update: FrontUpdate<'_>, now: Millis) -> bool {
         let mut inner = self.lock();
         let key = FrontKey::of(update.front);
@@ -136,19 +139,19 @@
             return false;
         }
         if update.is_full {
-            inner.keep_only(key, update.counts);
+            inner.retain_endpoints(key, update.counts);
         }
         for (endpoint, count) in update.counts {
-            if inner.set(key, *endpoint, *count) && !update.is_full {
-                // Nobody listens any more in a process that ends.
-                let _ = self.changed.send(*endpoint);
+            if inner.set_count(key, *endpoint, *count) && !update.is_full {
+                // The receiver is dropped when the process shuts down.
+                let _ = self.increases.send(*endpoint);
             }
         }
         true
     }
 
-    /// Returns the load of all endpoints that a front uses, whether it has
-    /// changed or not.
+    /// Returns the load of all endpoints that a front uses, whether or not it
+    /// has changed.
     pub fn full_report(&self, front: &str, now: Millis) -> OtherFrontsLoad {
         let mut inner = self.lock();
         let key = FrontKey::of(front);
@@ -156,9 +159,10 @@
         let endpoints = known.map(|front| front.endpoints.clone());
         let counts = endpoints.unwrap_or_default().into_iter();
         let counts = counts.map(|endpoint| {
-            let others = inner.others(endpoint, key, now);
-            inner.note_sent(endpoint, key, others);
-            (endpoint, others)
+            let requests_of_others =
+                inner.requests_of_others(endpoint, key, now);
+            inner.mark_sent(endpoint, key, requests_of_others);
+            (endpoint, requests_of_others)
         });
         OtherFrontsLoad {
             counts: counts.collect(),
@@ -166,19 +170,23 @@
         }
     }
 
-    /// Returns what has changed for each front since it was last sent
-    /// something. Costs a step for each front that uses an endpoint where
-    /// something has changed, and none for the rest of the fleet.
+    /// Returns, for each front, the loads that have changed since they were
+    /// last sent to it. The cost is one step for each front that uses an
+    /// endpoint with a change; the size of the fleet does not matter.
     pub fn changes(&self, now: Millis) -> Vec<OtherFrontsLoad> {
         let mut inner = self.lock();
         let mut updates: IndexMap<FrontKey, Vec<(LifeKey, u32)>> =
             IndexMap::new();
         for endpoint in std::mem::take(&mut inner.dirty) {
             let uses = inner.endpoints.get(&endpoint);
-            for Use { front, .. } in uses.cloned().unwrap_or_default() {
-                let others = inner.others(endpoint, front, now);
-                if inner.note_sent(endpoint, front, others) {
-                    updates.entry(front).or_default().push((endpoint, others));
+            for FrontUse { front, .. } in uses.cloned().unwrap_or_default() {
+                let requests_of_others =
+                    inner.requests_of_others(endpoint, front, now);
+                if inner.mark_sent(endpoint, front, requests_of_others) {
+                    updates
+                        .entry(front)
+                        .or_default()
+                        .push((endpoint, requests_of_others));
                 }
             }
         }
@@ -189,9 +197,10 @@
         named.collect()
     }
 
-    /// Returns the online requests at an endpoint, if all fronts that use it
-    /// report them: none if one of them is silent, or if `first_user`, which
-    /// sends there before all others, has not named the endpoint.
+    /// Returns the number of online requests at an endpoint if all fronts that
+    /// use the endpoint report. Returns `None` if one of them is silent, or if
+    /// `first_user`, the front that the endpoint is assigned to, has not
+    /// reported the endpoint.
     pub fn requests_at(
         &self,
         endpoint: LifeKey,
@@ -202,20 +211,20 @@
         let uses = inner.endpoints.get(&endpoint)?;
         let first_user = FrontKey::of(first_user);
         let mut total: u32 = 0;
-        let mut has_first = false;
-        for Use { front, count, .. } in uses {
+        let mut has_first_user = false;
+        for FrontUse { front, count, .. } in uses {
             if !inner.is_fresh(*front, now) {
                 return None;
             }
-            has_first |= *front == first_user;
+            has_first_user |= *front == first_user;
             total = total.saturating_add(*count);
         }
-        has_first.then_some(total)
+        has_first_user.then_some(total)
     }
 
-    /// Forgets the fronts that are silent and not listed any more: they are
-    /// gone. One that is about to end serves what it has and goes on to report
-    /// it, and one that is listed may be back.
+    /// Removes the fronts that are silent and not listed any more. A front
+    /// that is shutting down is not listed, but keeps reporting while it
+    /// finishes its requests; a front that is silent but listed may come back.
     pub fn remove_gone(
         &self,
         mut is_listed: impl FnMut(&str) -> bool,
@@ -223,17 +232,17 @@
     ) {
         let mut inner = self.lock();
         let fronts = inner.fronts.iter();
-        let gone = fronts.filter(|(key, front)| {
+        let removed = fronts.filter(|(key, front)| {
             !inner.is_fresh(**key, now) && !is_listed(&front.name)
         });
-        for key in gone.map(|(key, _)| *key).collect::<Vec<_>>() {
-            inner.keep_only(key, &[]);
+        for key in removed.map(|(key, _)| *key).collect::<Vec<_>>() {
+            inner.retain_endpoints(key, &[]);
             inner.fronts.swap_remove(&key);
         }
     }
 
-    /// Returns how many entries were looked at so far: a measure of the
-    /// cost of updates that no clock disturbs.
+    /// Returns the number of entries visited so far: a measure of the cost of
+    /// updates that does not depend on a clock.
     pub fn steps(&self) -> u64 {
         self.lock().steps
     }
@@ -244,7 +253,8 @@
 }
 
 impl Inner {
-    /// Notes an update of a front, unless a newer one arrived before.
+    /// Records the version of an update and returns true, unless a newer
+    /// update has been applied.
     fn accept(
         &mut self,
         key: FrontKey,
@@ -272,8 +282,8 @@
         })
     }
 
-    /// Ends the use of all endpoints of a front but these.
-    fn keep_only(&mut self, key: FrontKey, counts: &[(LifeKey, u32)]) {
+    /// Ends a front's use of all endpoints except these.
+    fn retain_endpoints(&mut self, key: FrontKey, counts: &[(LifeKey, u32)]) {
         let Some(front) = self.fronts.get_mut(&key) else {
             return;
         };
@@ -281,10 +291,10 @@
             counts.iter().map(|(endpoint, _)| *endpoint).collect();
         let before = std::mem::take(&mut front.endpoints);
         self.steps += before.len() as u64;
-        let (rest, gone): (Vec<LifeKey>, Vec<LifeKey>) =
+        let (retained, removed): (Vec<LifeKey>, Vec<LifeKey>) =
             before.into_iter().partition(|e| kept.contains(e));
-        front.endpoints = rest;
-        for endpoint in gone {
+        front.endpoints = retained;
+        for endpoint in removed {
             self.end_use(endpoint, key);
         }
     }
@@ -293,26 +303,31 @@
         let Some(uses) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        uses.retain(|one| one.front != key);
+        uses.retain(|usage| usage.front != key);
         if uses.is_empty() {
             self.endpoints.swap_remove(&endpoint);
         }
         self.dirty.insert(endpoint);
     }
 
-    /// Sets what a front has at an endpoint; tells whether it is more than
-    /// before.
-    fn set(&mut self, key: FrontKey, endpoint: LifeKey, count: u32) -> bool {
+    /// Sets the number of requests of a front at an endpoint. Reports whether
+    /// the number has increased.
+    fn set_count(
+        &mut self,
+        key: FrontKey,
+        endpoint: LifeKey,
+        count: u32,
+    ) -> bool {
         let uses = self.endpoints.entry(endpoint).or_default();
         self.steps += uses.len() as u64 + 1;
-        let known = uses.iter_mut().find(|one| one.front == key);
+        let known = uses.iter_mut().find(|usage| usage.front == key);
         let before = match known {
-            Some(one) => std::mem::replace(&mut one.count, count),
+            Some(usage) => std::mem::replace(&mut usage.count, count),
             None => {
-                uses.push(Use {
+                uses.push(FrontUse {
                     front: key,
                     count,
-                    others_sent: None,
+                    last_sent: None,
                 });
                 if let Some(front) = self.fronts.get_mut(&key) {
                     front.endpoints.push(endpoint);
@@ -326,9 +341,9 @@
         count > before
     }
 
-    /// Returns what all fronts but one have at an endpoint. Silent ones do
-    /// not count: what they had has ended, as a rule.
-    fn others(
+    /// Returns the requests of all other fronts at an endpoint. Requests of
+    /// silent fronts are not counted, since they have usually ended.
+    fn requests_of_others(
         &mut self,
         endpoint: LifeKey,
         key: FrontKey,
@@ -337,22 +352,27 @@
         let uses = self.endpoints.get(&endpoint);
         let uses = uses.map_or(&[][..], Vec::as_slice);
         self.steps += uses.len() as u64;
-        let others = uses.iter().filter(|one| one.front != key);
-        others
-            .filter(|one| self.is_fresh(one.front, now))
-            .fold(0, |sum: u32, one| sum.saturating_add(one.count))
+        let requests_of_others =
+            uses.iter().filter(|usage| usage.front != key);
+        requests_of_others
+            .filter(|usage| self.is_fresh(usage.front, now))
+            .fold(0, |sum: u32, usage| sum.saturating_add(usage.count))
     }
 
-    /// Notes what a front is sent; tells whether it is something new.
-    fn note_sent(
+    /// Records the count that is sent to a front. Reports whether it differs
+    /// from the last one.
+    fn mark_sent(
         &mut self,
         endpoint: LifeKey,
         key: FrontKey,
-        others: u32,
+        requests_of_others: u32,
     ) -> bool {
         let uses = self.endpoints.get_mut(&endpoint);
         let mut uses = uses.into_iter().flatten();
-        let one = uses.find(|one| one.front == key);
-        one.is_some_and(|one| one.others_sent.replace(others) != Some(others))
+        let usage = uses.find(|usage| usage.front == key);
+        usage.is_some_and(|usage| {
+            usage.last_sent.replace(requests_of_others)
+                != Some(requests_of_others)
+        })
     }
 }
--- a/crates/jobs/src/page.rs
+++ b/crates/jobs/src/page.rs
@@ -9,10 +9,10 @@
     record::{ItemResult, JobKey},
 };
 
-/// Some results of a job, in their order.
+/// Some results of a job, in order of position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Page {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u32,
     /// Position after the last result of the page.
     pub next: u32,
@@ -22,28 +22,28 @@
 
 /// Reads results for callers.
 ///
-/// ManifestSource are taken from whoever knows them while that is young enough:
-/// a caller that saw a result at another node must find it here within a
-/// second, and older knowledge could still lack it.
+/// A manifest is taken from the manifest source if it is fresh enough. A
+/// caller that saw a result at another node must see it here within a second,
+/// and a stale manifest may lack that result.
 pub struct PageReader {
     ledger: Ledger,
     manifests: Arc<dyn ManifestSource>,
     clock: Arc<dyn Clock>,
 }
 
-/// Bytes of one page.
+/// Maximum size of a page in bytes.
 const PAGE_BYTES: usize = 900 * 1024;
 
-/// Oldest knowledge that proves that something is not there, in
+/// Maximum age of a manifest that proves that a result does not exist yet, in
 /// milliseconds.
-const KNOWN_AGE_MS: u64 = 800;
+const MAX_NEGATIVE_AGE_MS: u64 = 800;
 
-/// Shortest time between two looks for news of a job, in milliseconds, where
-/// nobody can be asked who would wait for them.
-const LOOK_MS: u64 = 250;
+/// Minimum interval between two reads of a job's manifest, in milliseconds, if
+/// the manifest source returns without waiting for a change.
+const MIN_POLL_INTERVAL_MS: u64 = 250;
 
 impl PageReader {
-    /// Makes a reader.
+    /// Creates a reader.
     pub fn new(
         ledger: Ledger,
         manifests: Arc<dyn ManifestSource>,
@@ -56,15 +56,15 @@
         }
     }
 
-    /// Returns the results from position `after` on, for callers of a
-    /// customer. While there are none and the job is open, it waits for up
-    /// to `wait_ms`.
+    /// Returns the results from position `after` on, for a caller of a
+    /// customer. If there are none and the job is open, waits up to `wait_ms`
+    /// for results.
     ///
     /// # Errors
     ///
-    /// [`JobError::Unknown`] only if the service itself says that there is
-    /// no such job, or that it is another customer's;
-    /// [`JobError::NotDone`] if it cannot be asked.
+    /// [`JobError::Unknown`] only if the key-value service itself reports that
+    /// the job does not exist or belongs to another customer;
+    /// [`JobError::NotDone`] if the key-value service is unavailable.
     pub async fn page(
         &self,
         job: &JobKey,
@@ -72,58 +72,61 @@
         after: u32,
         wait_ms: u64,
     ) -> Result<Page, Report<JobError>> {
-        let until = self.clock.now().saturating_add_ms(wait_ms);
+        let deadline = self.clock.now().saturating_add_ms(wait_ms);
         let mut known: Option<u64> = None;
         loop {
-            let looked_at = self.clock.now();
-            let left_ms = match known {
-                Some(_) => until.saturating_ms_since(looked_at),
+            let polled_at = self.clock.now();
+            let remaining_ms = match known {
+                Some(_) => deadline.saturating_ms_since(polled_at),
                 None => 0,
             };
-            let news = self.manifests.read(job, known, left_ms).await;
-            let stored = self.settle(job, customer, after, news).await?;
+            let found = self.manifests.read(job, known, remaining_ms).await;
+            let stored =
+                self.confirm_manifest(job, customer, after, found).await?;
             let manifest = &stored.manifest;
             if (after as usize) < manifest.listed.len() {
                 return self.collect(job, &stored, after).await;
             }
             let now = self.clock.now();
-            let left_ms = until.saturating_ms_since(now);
-            if manifest.is_closed() || left_ms == 0 {
+            let remaining_ms = deadline.saturating_ms_since(now);
+            if manifest.is_closed() || remaining_ms == 0 {
                 return Ok(Page {
                     total: manifest.total,
                     next: after,
                     results: Vec::new(),
                 });
             }
-            let is_news = known != Some(stored.revision);
-            let looked_ms = now.saturating_ms_since(looked_at);
-            if !is_news && looked_ms < LOOK_MS {
-                let pause = LOOK_MS.min(left_ms);
+            let is_new_revision = known != Some(stored.revision);
+            let elapsed_ms = now.saturating_ms_since(polled_at);
+            if !is_new_revision && elapsed_ms < MIN_POLL_INTERVAL_MS {
+                let pause = MIN_POLL_INTERVAL_MS.min(remaining_ms);
                 time::sleep(Duration::from_millis(pause)).await;
             }
             known = Some(stored.revision);
         }
     }
 
-    /// Returns a manifest that is new enough to tell what is not at `after`: the
-    /// one that was found, or else the service's.
+    /// Returns a manifest that is fresh enough to decide whether there is a
+    /// result at `after`: the manifest that was found, or else the one in the
+    /// key-value service.
     ///
-    /// The job of another customer is looked up as an unknown one is: an
-    /// answer without a call would tell that it exists.
-    async fn settle(
+    /// A job of another customer takes the same path as an unknown job: a
+    /// response without a call would be faster and so reveal that the job
+    /// exists.
+    async fn confirm_manifest(
         &self,
         job: &JobKey,
         customer: Option<&Customer>,
         after: u32,
         found: Option<KnownManifest>,
     ) -> Result<StoredManifest, Report<JobError>> {
-        let own = found
+        let visible = found
             .filter(|found| found.stored.manifest.is_visible_to(customer));
-        if let Some(KnownManifest { stored, age_ms }) = own {
-            let has = (after as usize) < stored.manifest.listed.len();
+        if let Some(KnownManifest { stored, age_ms }) = visible {
+            let has_results = (after as usize) < stored.manifest.listed.len();
             let listed = stored.manifest.listed.len() as u32;
-            let is_young = age_ms <= KNOWN_AGE_MS;
-            if has || is_young || listed == stored.manifest.total {
+            let is_fresh = age_ms <= MAX_NEGATIVE_AGE_MS;
+            if has_results || is_fresh || listed == stored.manifest.total {
                 return Ok(stored);
             }
         }
--- a/crates/jobs/src/planner.rs
+++ b/crates/jobs/src/planner.rs
@@ -6,12 +6,12 @@
 
 use crate::{Assignment, JobView, Members};
 
-/// Makes a new assignment whenever what it is computed of has changed.
+/// Computes a new assignment whenever its inputs have changed.
 ///
-/// It keeps what the last assignment was computed of and compares pointers: with lists
-/// of ids that were computed and compared at each look, nodes before three
-/// thousand endpoints spent half of their processor on assignments that stayed the
-/// same.
+/// The planner keeps the inputs of the last assignment and compares pointers.
+/// When lists of ids were built and compared in each pass, nodes with three
+/// thousand endpoints spent half of their processor time on assignments that
+/// did not change.
 #[derive(Debug, Default)]
 pub struct Planner {
     node: String,
@@ -29,7 +29,7 @@
 }
 
 impl Planner {
-    /// Assignments for one node.
+    /// Creates a planner for one node.
     pub fn new(node: &str) -> Self {
         Self {
             node: node.to_owned(),
@@ -37,33 +37,33 @@
         }
     }
 
-    /// Returns the assignment for these members and endpoints; only those count
-    /// that batch routes lead to.
+    /// Returns the assignment for these members and endpoints. Only endpoints
+    /// of services that batch routes lead to are assigned.
     pub fn assignment(
         &mut self,
         config: &Option<Arc<Config>>,
         table: &Arc<EndpointTable>,
         members: &Arc<Members>,
     ) -> Arc<Assignment> {
-        let Some(known) = &mut self.inputs else {
+        let Some(last_inputs) = &mut self.inputs else {
             return self.compute(config, table, members);
         };
-        if !is_same_config(&known.config, config) {
+        if !is_same_config(&last_inputs.config, config) {
             let services = config.as_deref().map(batch_services);
-            if services.unwrap_or_default() != known.services {
+            if services.unwrap_or_default() != last_inputs.services {
                 return self.compute(config, table, members);
             }
-            known.config.clone_from(config);
+            last_inputs.config.clone_from(config);
         }
-        let same = Arc::ptr_eq(&known.table, table)
-            && Arc::ptr_eq(&known.members, members);
-        match same {
+        let is_unchanged = Arc::ptr_eq(&last_inputs.table, table)
+            && Arc::ptr_eq(&last_inputs.members, members);
+        match is_unchanged {
             true => self.assignment.clone(),
             false => self.compute(config, table, members),
         }
     }
 
-    /// Returns how many assignments were computed.
+    /// Returns the number of assignments computed so far.
     pub fn computed_count(&self) -> u64 {
         self.computed_count
     }
@@ -116,7 +116,7 @@
     services
 }
 
-/// The assignments of one node, which all of its parts share.
+/// The current assignments as seen by one node, shared by all of its tasks.
 #[derive(Clone)]
 pub struct Assignments {
     view: JobView,
@@ -131,7 +131,8 @@
 }
 
 impl Assignments {
-    /// Assignments for one node by what it knows.
+    /// Creates the assignments of one node from its views of nodes, endpoints
+    /// and configuration.
     pub fn new(
         node: &str,
         view: JobView,
@@ -150,14 +151,15 @@
         }
     }
 
-    /// Returns which worker uses each endpoint for items.
+    /// Returns the assignment of endpoints to workers, for batch items.
     pub fn for_items(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().workers;
         self.lock().items.assignment(&config, &table, &members)
     }
 
-    /// Returns which front uses each endpoint before all others.
+    /// Returns the assignment of endpoints to fronts: the front that sends
+    /// requests to an endpoint before all other fronts.
     pub fn for_requests(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().fronts;
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -7,16 +7,17 @@
 
 use crate::{JobError, NewJob};
 
-/// Names a job; the caller chose it, and a job that is sent again has the
-/// same.
+/// Identifies a job. The caller chooses the id, and a job that is submitted
+/// again has the same id.
 #[derive(
     Clone, Debug, Eq, PartialEq, Ord, PartialOrd, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct JobKey(String);
 
-/// Longest id, so that each key made of it fits the service's 200 bytes.
-const KEY_MOST_BYTES: usize = 128;
+/// Maximum length of an id in bytes. Keys of the key-value service, which
+/// contain the id, hold 200 bytes.
+const MAX_KEY_BYTES: usize = 128;
 
 impl JobKey {
     /// Returns the id.
@@ -30,11 +31,11 @@
     type Err = JobError;
 
     fn from_str(text: &str) -> Result<Self, JobError> {
-        let plain = |byte: u8| {
+        let is_allowed = |byte: u8| {
             byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
         };
-        let fits = (1..=KEY_MOST_BYTES).contains(&text.len());
-        match fits && text.bytes().all(plain) {
+        let fits = (1..=MAX_KEY_BYTES).contains(&text.len());
+        match fits && text.bytes().all(is_allowed) {
             true => Ok(Self(text.to_owned())),
             false => Err(JobError::InvalidId),
         }
@@ -47,7 +48,7 @@
     }
 }
 
-/// One request of a job, as the caller sent it.
+/// One request of a job, as the caller submitted it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ItemInput {
     /// The caller's id of the item.
@@ -58,48 +59,48 @@
     pub headers: Vec<(String, String)>,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// Tokens of the prompt and the longest output together.
+    /// Tokens of the prompt plus the maximum output tokens.
     pub tokens: u64,
 }
 
-/// How an item ended.
+/// The final state of an item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemState {
-    /// Its output is whole.
+    /// The output is complete.
     Complete,
-    /// It was given up.
+    /// The item was given up.
     GivenUp,
 }
 
-/// The end of one item.
+/// The result of one item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemResult {
     /// The caller's id of the item.
     pub id: String,
-    /// How it ended.
+    /// The final state.
     pub state: ItemState,
-    /// Data of its events, separated by line feeds.
+    /// Data of the item's events, separated by line feeds.
     pub output: String,
 }
 
-/// Answers of endpoints that speak against an item.
+/// Counts of an item's failed attempts.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(default, deny_unknown_fields)]
 pub struct FailedAttempts {
-    /// Errors of endpoints while they ran it.
+    /// Errors of endpoints while they ran the item.
     pub errors: u32,
-    /// Answers that say it can never be done.
+    /// Responses that reject the item permanently.
     pub rejections: u32,
 }
 
-/// Adds what another node has counted against items of the same job.
+/// Merges the failed attempts that another node has counted for items of the
+/// same job.
 ///
-/// Of two counts the larger one holds: a job that moved between nodes was
-/// counted by both, and a count that shrinks would let a hopeless item run
-/// again.
+/// The larger of two counts is kept: a job that moved between nodes was
+/// counted by both, and a decreasing count would let a failing item run again.
 ///
 /// # Example
 ///
@@ -107,9 +108,13 @@
 /// use indexmap::IndexMap;
 /// use pomeloslip_jobs::{FailedAttempts, merge_failed_attempts};
 ///
-/// let errors = |errors| FailedAttempts { errors, ..FailedAttempts::default() };
+/// let errors = |errors| FailedAttempts {
+///     errors,
+///     ..FailedAttempts::default()
+/// };
 /// let mut own = IndexMap::from([(0, errors(1)), (1, errors(2))]);
-/// merge_failed_attempts(&mut own, &IndexMap::from([(0, errors(3)), (2, errors(1))]));
+/// let other = IndexMap::from([(0, errors(3)), (2, errors(1))]);
+/// merge_failed_attempts(&mut own, &other);
 /// assert_eq!(own[&0], errors(3));
 /// assert_eq!(own[&1], errors(2));
 /// assert_eq!(own[&2], errors(1));
@@ -125,68 +130,69 @@
     }
 }
 
-/// What all nodes know of a job: small, so that it can be watched.
+/// The record of a job that all nodes know; small enough to be watched.
 ///
-/// Inputs and outputs lie under keys of their own. The order of `listed` is
-/// the order of the results; it only ever grows, and each change is a
-/// compare-and-swap on this record, so that no position is given twice
-/// whoever writes.
+/// Inputs and outputs are stored under separate keys. The order of `listed` is
+/// the order of the results. It is append-only, and each change is a
+/// compare-and-swap on this record, so that each position is assigned once,
+/// whichever node writes.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobManifest {
-    /// When the job arrived.
+    /// When the job was submitted.
     pub submitted_at: UnixMillis,
-    /// Host that it was sent to.
+    /// Host of the request that submitted the job.
     pub host: String,
-    /// Path that it was sent to.
+    /// Path of the request that submitted the job.
     pub path: String,
-    /// How many items it has.
+    /// Number of items.
     pub total: u32,
-    /// Chunks that the inputs lie in.
+    /// Number of chunks of inputs.
     pub input_chunks: u32,
     /// Items with a result, by position.
     pub listed: Vec<u32>,
     /// First position of each chunk of results.
     pub output_chunks: Vec<u32>,
-    /// What was counted against single items.
+    /// Failed attempts by item.
     #[serde(rename = "strikes")]
     pub failed_attempts: IndexMap<u32, FailedAttempts>,
-    /// Whether the caller ended it.
+    /// Whether the caller cancelled the job.
     #[serde(rename = "ended")]
     pub cancelled: bool,
-    /// Node that runs the items as long as it is there.
+    /// Node that runs the items as long as it is a member.
     pub owner: String,
     /// When all results are due.
     pub due_at: UnixMillis,
     /// When items without a result are given up.
     pub give_up_at: UnixMillis,
-    /// Whose job it is; none where callers need no key.
+    /// The customer that owns the job; `None` if callers need no key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<Customer>,
 }
 
 impl JobManifest {
-    /// Tells whether callers of a customer may know of the job.
+    /// Reports whether callers of a customer may access the job.
     ///
-    /// A job without a customer was accepted where nobody needs a key, and
-    /// anybody who knows its id may.
+    /// A job without a customer was accepted by a system without keys; any
+    /// caller that knows its id may access it.
     pub fn is_visible_to(&self, customer: Option<&Customer>) -> bool {
         self.customer.is_none() || self.customer.as_ref() == customer
     }
 
-    /// Tells whether no item is left to run.
+    /// Reports whether no item is left to run.
     #[inline]
     pub fn is_closed(&self) -> bool {
         self.cancelled || self.listed.len() >= self.total as usize
     }
 
-    /// Returns how many items are not listed yet.
+    /// Returns the number of items that are not listed yet.
     #[inline]
     pub fn open_items(&self) -> u32 {
         self.total - self.listed.len() as u32
     }
 
-    /// Returns the chunk that holds a position, as its first position.
+    /// Returns the chunk that contains a position, identified by its first
+    /// position.
     pub fn chunk_of(&self, position: u32) -> Option<u32> {
         if position as usize >= self.listed.len() {
             return None;
@@ -196,13 +202,13 @@
     }
 }
 
-/// Common start of the keys that every node watches.
+/// Prefix of the keys that every node watches.
 pub const WATCHED_PREFIX: &str = "jobs/";
-/// Common start of the manifests.
+/// Prefix of the keys of manifests.
 pub const MANIFEST_PREFIX: &str = "jobs/h/";
-/// Common start of the entries of nodes.
+/// Prefix of the keys of nodes' entries.
 pub const NODE_PREFIX: &str = "jobs/n/";
-/// Common start of the keys of inputs, results and progress of items.
+/// Prefix of the keys of inputs, results and checkpoints.
 pub(crate) const BULK_PREFIX: &str = "bulk/";
 
 /// Returns the key of a job's manifest.
@@ -212,9 +218,9 @@
 
 /// Returns the key of a chunk of a job's inputs.
 ///
-/// The time of submission is part of it: a job that is sent again after its
-/// removal is a new one, and what nodes have kept of the old one must not be
-/// taken for its own.
+/// The key contains the time of submission: a job that is submitted again
+/// after its removal is a new job, and cached values of the old job must not
+/// be used for it.
 pub fn input_key(job: &JobKey, manifest: &JobManifest, chunk: u32) -> String {
     let submitted_ms = manifest.submitted_at.as_ms();
     format!("bulk/in/{job}/{submitted_ms}/{chunk:06}")
@@ -226,60 +232,60 @@
     format!("bulk/out/{job}/{submitted_ms}/{first:06}")
 }
 
-/// Returns the key of what the unfinished items of a job have produced; see
+/// Returns the key of the checkpoints of a job's unfinished items; see
 /// [`input_key`].
 pub fn checkpoint_key(job: &JobKey, submitted_at: UnixMillis) -> String {
     format!("bulk/run/{job}/{}", submitted_at.as_ms())
 }
 
-/// Encodes the record of a job.
+/// Encodes a manifest.
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`], which a record of this type does not cause.
+/// [`JobError::Encoding`], which a value of this type does not cause.
 pub fn encode_manifest(manifest: &JobManifest) -> Result<Vec<u8>, JobError> {
     serde_json::to_vec(manifest).map_err(|_| JobError::Encoding)
 }
 
-/// Decodes the record of a job.
+/// Decodes a manifest.
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`] if the bytes are no such record.
+/// [`JobError::Encoding`] if the bytes are not a valid manifest.
 pub fn decode_manifest(bytes: &[u8]) -> Result<JobManifest, JobError> {
     serde_json::from_slice(bytes).map_err(|_| JobError::Encoding)
 }
 
-/// What an unfinished item has produced so far.
+/// The output of an unfinished item so far.
 ///
-/// It is one chain of events from the first on, so that whoever takes the
-/// item up goes on after the last of them.
+/// The events are contiguous from the first one on, so that a node that takes
+/// over the item resumes after the last of them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ItemCheckpoint {
     /// Number of the item.
     pub number: u32,
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub last_id: u64,
-    /// How many events there are.
+    /// Number of events.
     pub events: u64,
-    /// Time that runs have spent on it.
+    /// Total time of the item's runs.
     pub ran_ms: u64,
     /// Data of the events, separated by line feeds.
     pub output: String,
 }
 
-/// The progress of one job.
+/// The checkpoints of one job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct JobCheckpoint {
     /// The job.
     pub job: JobKey,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted_at: UnixMillis,
-    /// Its unfinished items that have produced something.
+    /// Its unfinished items that have produced events.
     pub items: Vec<ItemCheckpoint>,
 }
 
-/// What stands of an item's progress beside its output.
+/// Table entry of a checkpoint; its output follows the table.
 #[derive(Serialize, Deserialize)]
 struct CheckpointEntry {
     number: u32,
@@ -289,7 +295,7 @@
     output_bytes: usize,
 }
 
-/// What stands of an item's input beside its body.
+/// Table entry of an input; its body follows the table.
 #[derive(Serialize, Deserialize)]
 struct InputEntry {
     id: String,
@@ -299,7 +305,7 @@
     body_bytes: usize,
 }
 
-/// What stands of a result beside its output.
+/// Table entry of a result; its output follows the table.
 #[derive(Serialize, Deserialize)]
 struct OutputEntry {
     id: String,
@@ -307,9 +313,9 @@
     output_bytes: usize,
 }
 
-/// Encodes inputs: a table in JSON, then the bodies one after the other.
-/// Bodies inside JSON were rejected: escaped a second time they take a third
-/// more of the service's bytes and of processor time.
+/// Encodes inputs: a table in JSON, followed by the bodies. Bodies inside the
+/// JSON would be escaped a second time, which takes a third more bytes in the
+/// key-value service and a third more processor time.
 ///
 /// # Errors
 ///
@@ -328,11 +334,11 @@
     join(&table, items.iter().map(|item| item.body.as_slice()))
 }
 
-/// Decodes what [`encode_inputs`] made.
+/// Decodes the bytes of [`encode_inputs`].
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`] if the bytes are something else.
+/// [`JobError::Encoding`] if the bytes are not valid.
 ///
 /// # Example
 ///
@@ -350,10 +356,10 @@
 /// # Ok::<(), pomeloslip_jobs::JobError>(())
 /// ```
 pub fn decode_inputs(bytes: &[u8]) -> Result<Vec<ItemInput>, JobError> {
-    let (table, mut rest) = split::<InputEntry>(bytes)?;
+    let (table, mut remaining) = split::<InputEntry>(bytes)?;
     let mut items = Vec::with_capacity(table.len());
     for entry in table {
-        let body = take(&mut rest, entry.body_bytes)?.to_vec();
+        let body = take(&mut remaining, entry.body_bytes)?.to_vec();
         items.push(ItemInput {
             id: entry.id,
             path: entry.path,
@@ -365,7 +371,7 @@
     Ok(items)
 }
 
-/// What stands of a new job beside its inputs.
+/// Table entry of a new job; its inputs follow the table.
 #[derive(Serialize, Deserialize)]
 struct NewJobEntry {
     key: JobKey,
@@ -378,8 +384,8 @@
     customer: Option<Customer>,
 }
 
-/// Encodes a job that is not in the ledger yet, for a node that keeps it
-/// until then.
+/// Encodes a job that is not in the ledger yet, for a node that stores the job
+/// until it is.
 ///
 /// # Errors
 ///
@@ -398,7 +404,7 @@
     join(&[entry], std::iter::once(inputs.as_slice()))
 }
 
-/// Decodes what [`encode_new_job`] made.
+/// Decodes the bytes of [`encode_new_job`].
 ///
 /// # Errors
 ///
@@ -418,7 +424,7 @@
     })
 }
 
-/// Encodes results like [`encode_inputs`].
+/// Encodes results in the format of [`encode_inputs`].
 ///
 /// # Errors
 ///
@@ -438,29 +444,30 @@
     )
 }
 
-/// Decodes what [`encode_results`] made.
+/// Decodes the bytes of [`encode_results`].
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`] if the bytes are something else.
+/// [`JobError::Encoding`] if the bytes are not valid.
 pub fn decode_results(bytes: &[u8]) -> Result<Vec<ItemResult>, JobError> {
-    let (table, mut rest) = split::<OutputEntry>(bytes)?;
+    let (table, mut remaining) = split::<OutputEntry>(bytes)?;
     let mut results = Vec::with_capacity(table.len());
     for entry in table {
         results.push(ItemResult {
             id: entry.id,
             state: entry.state,
-            output: take_text(&mut rest, entry.output_bytes)?,
+            output: take_text(&mut remaining, entry.output_bytes)?,
         });
     }
     Ok(results)
 }
 
-/// Encodes the progress of a job's items like [`encode_inputs`].
+/// Encodes the checkpoints of a job's items in the format of
+/// [`encode_inputs`].
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`], which progress does not cause.
+/// [`JobError::Encoding`], which checkpoints do not cause.
 pub fn encode_checkpoints(
     items: &[ItemCheckpoint],
 ) -> Result<Vec<u8>, JobError> {
@@ -477,15 +484,15 @@
     join(&table, items.iter().map(|item| item.output.as_bytes()))
 }
 
-/// Decodes what [`encode_checkpoints`] made.
+/// Decodes the bytes of [`encode_checkpoints`].
 ///
 /// # Errors
 ///
-/// [`JobError::Encoding`] if the bytes are something else.
+/// [`JobError::Encoding`] if the bytes are not valid.
 pub fn decode_checkpoints(
     bytes: &[u8],
 ) -> Result<Vec<ItemCheckpoint>, JobError> {
-    let (table, mut rest) = split::<CheckpointEntry>(bytes)?;
+    let (table, mut remaining) = split::<CheckpointEntry>(bytes)?;
     let mut items = Vec::with_capacity(table.len());
     for entry in table {
         items.push(ItemCheckpoint {
@@ -493,7 +500,7 @@
             last_id: entry.last_id,
             events: entry.events,
             ran_ms: entry.ran_ms,
-            output: take_text(&mut rest, entry.output_bytes)?,
+            output: take_text(&mut remaining, entry.output_bytes)?,
         });
     }
     Ok(items)
@@ -527,14 +534,21 @@
     Ok((table.map_err(|_| JobError::Encoding)?, bytes))
 }
 
-fn take<'a>(rest: &mut &'a [u8], length: usize) -> Result<&'a [u8], JobError> {
-    let (first, after) =
-        rest.split_at_checked(length).ok_or(JobError::Encoding)?;
-    *rest = after;
+fn take<'a>(
+    remaining: &mut &'a [u8],
+    length: usize,
+) -> Result<&'a [u8], JobError> {
+    let (first, after) = remaining
+        .split_at_checked(length)
+        .ok_or(JobError::Encoding)?;
+    *remaining = after;
     Ok(first)
 }
 
-fn take_text(rest: &mut &[u8], length: usize) -> Result<String, JobError> {
-    let bytes = take(rest, length)?.to_vec();
+fn take_text(
+    remaining: &mut &[u8],
+    length: usize,
+) -> Result<String, JobError> {
+    let bytes = take(remaining, length)?.to_vec();
     String::from_utf8(bytes).map_err(|_| JobError::Encoding)
 }
--- a/crates/jobs/src/ring.rs
+++ b/crates/jobs/src/ring.rs
@@ -1,40 +1,42 @@
-//! A hash ring on which nodes that are full are skipped.
+//! A hash ring that skips nodes without capacity.
 
 use base::mix;
 
 use crate::{Members, NodeRecord};
 
-/// Points that a node has on the ring, so that the arcs before the nodes
-/// differ little. What is uneven all the same is evened out by the bound on
-/// each node's share.
-const POINTS: u64 = 8;
+/// Points of each node on the ring. Several points make the arcs of the nodes
+/// differ less; the limit on endpoints per node corrects the remaining
+/// imbalance.
+const POINTS_PER_NODE: u64 = 8;
 
-/// Nodes by the points that their hashes give them.
+/// The points of all nodes, in the order of their hashes.
 ///
-/// Who looks for a node takes the first one after a point that has room.
-/// Consistent hashing with bounded loads alone walks over all full nodes,
-/// which towards the end are nearly all: links past the points of full
-/// nodes, shortened as they are used, make that a few steps.
-pub(crate) struct Ring {
-    /// Points with the places of their nodes, sorted.
+/// A lookup returns the first node at or after a point that has capacity.
+/// Plain consistent hashing with bounded loads walks over all full nodes,
+/// which are nearly all nodes towards the end of an assignment. Links that
+/// skip the points of full nodes, with path halving, reduce a lookup to a few
+/// steps.
+pub(crate) struct HashRing {
+    /// Points with the indexes of their nodes, sorted.
     points: Vec<(u64, usize)>,
-    /// For each point the next one that may have room: itself as long as it
-    /// may. The one past the last says that there is none.
+    /// For each point, the next point whose node may have capacity: the point
+    /// itself as long as its own node may have capacity. The last entry, past
+    /// all points, stands for "no node".
     next: Vec<usize>,
     steps: usize,
 }
 
-impl Ring {
-    /// Puts those members on the ring that `keep` names.
+impl HashRing {
+    /// Creates a ring of the members that `includes` selects.
     pub(crate) fn new(
         members: &Members,
-        keep: impl Fn(&NodeRecord) -> bool,
+        includes: impl Fn(&NodeRecord) -> bool,
     ) -> Self {
-        let places = members.nodes().iter().enumerate();
-        let kept = places.filter(|(_, node)| keep(node));
-        let points = kept.flat_map(|(place, _)| {
-            let hash = members.hash_at(place);
-            (0..POINTS).map(move |n| (mix(hash ^ mix(n + 1)), place))
+        let indexed = members.nodes().iter().enumerate();
+        let included = indexed.filter(|(_, node)| includes(node));
+        let points = included.flat_map(|(index, _)| {
+            let hash = members.hash_at(index);
+            (0..POINTS_PER_NODE).map(move |n| (mix(hash ^ mix(n + 1)), index))
         });
         let mut points: Vec<(u64, usize)> = points.collect();
         points.sort_unstable();
@@ -45,19 +47,21 @@
         }
     }
 
-    /// Returns the place of the first node at or after a point that has
-    /// room. A node that has none once must never have any again.
+    /// Returns the index of the first node at or after a point that has
+    /// capacity. A node that is once without capacity must stay without it.
     pub(crate) fn find(
         &mut self,
         point: u64,
-        has_room: impl Fn(usize) -> bool,
+        has_capacity: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let start = self.points.partition_point(|(at, _)| *at < point);
-        self.find_from(start, &has_room)
-            .or_else(|| self.find_from(0, &has_room))
+        let start = self
+            .points
+            .partition_point(|(position, _)| *position < point);
+        self.find_from(start, &has_capacity)
+            .or_else(|| self.find_from(0, &has_capacity))
     }
 
-    /// Returns how many points were looked at.
+    /// Returns the number of points visited so far.
     pub(crate) fn steps(&self) -> usize {
         self.steps
     }
@@ -65,27 +69,27 @@
     fn find_from(
         &mut self,
         start: usize,
-        has_room: impl Fn(usize) -> bool,
+        has_capacity: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let mut at = start;
+        let mut position = start;
         loop {
-            at = self.follow_links(at);
-            let (_, node) = *self.points.get(at)?;
-            if has_room(node) {
+            position = self.follow_links(position);
+            let (_, node) = *self.points.get(position)?;
+            if has_capacity(node) {
                 return Some(node);
             }
-            self.next[at] = at + 1;
+            self.next[position] = position + 1;
         }
     }
 
     /// Returns the end of a chain of links, and halves the chain.
-    fn follow_links(&mut self, mut at: usize) -> usize {
+    fn follow_links(&mut self, mut position: usize) -> usize {
         self.steps += 1;
-        while self.next[at] != at {
-            self.next[at] = self.next[self.next[at]];
-            at = self.next[at];
+        while self.next[position] != position {
+            self.next[position] = self.next[self.next[position]];
+            position = self.next[position];
             self.steps += 1;
         }
-        at
+        position
     }
 }
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -14,8 +14,8 @@
 
 use crate::record::{ItemCheckpoint, ItemInput, JobKey};
 
-/// What a run has produced so far; it outlives the run, so that the item
-/// goes on elsewhere after its last event.
+/// The output of an item so far. It outlives a run, so that the next run
+/// resumes after the last event.
 #[derive(Clone, Debug, Default)]
 pub struct Progress(Arc<Mutex<Produced>>);
 
@@ -27,7 +27,7 @@
 }
 
 impl Progress {
-    /// Goes on from what was saved.
+    /// Restores the output from a checkpoint.
     pub fn restore(saved: &ItemCheckpoint) -> Self {
         Self(Arc::new(Mutex::new(Produced {
             output: saved.output.clone(),
@@ -36,9 +36,13 @@
         })))
     }
 
-    /// Returns what is worth saving of an item: none before its first event,
-    /// and none of streams without ids, which cannot be taken up.
-    pub fn save(&self, number: u32, ran_ms: u64) -> Option<ItemCheckpoint> {
+    /// Returns a checkpoint of the item: `None` before its first event, and
+    /// for streams without event ids, which cannot be resumed.
+    pub fn checkpoint(
+        &self,
+        number: u32,
+        ran_ms: u64,
+    ) -> Option<ItemCheckpoint> {
         let produced = self.lock();
         Some(ItemCheckpoint {
             number,
@@ -49,12 +53,12 @@
         })
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.lock().last_id
     }
 
-    /// Returns how many events there are.
+    /// Returns the number of events.
     pub fn events(&self) -> u64 {
         self.lock().events
     }
@@ -85,23 +89,23 @@
     }
 }
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
-    /// The output is whole.
+    /// The output is complete.
     Complete,
-    /// The endpoint says that the item can never be done.
+    /// The endpoint rejected the item permanently.
     Rejected,
     /// The endpoint failed while it ran the item.
     Error(StatusCode),
-    /// The endpoint did not run it.
+    /// The endpoint did not run the item.
     NotRun,
-    /// It was not sent, as it crashes endpoints.
+    /// The item was not sent, since it is quarantined as a poison request.
     Held {
-        /// When it may be tried again, in milliseconds from now.
+        /// When the item may be tried again, in milliseconds from now.
         for_ms: u64,
     },
-    /// The connection broke or fell silent; what arrived stays.
+    /// The connection broke or stalled; the events received so far are kept.
     Broken,
 }
 
@@ -113,36 +117,36 @@
     pub host: String,
     /// The job's route.
     pub route: Arc<Route>,
-    /// The job that it belongs to.
+    /// The job of the item.
     pub job: JobKey,
-    /// Whose item it is.
+    /// The customer that owns the job.
     pub customer: Option<Customer>,
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// What earlier runs produced.
+    /// The output of earlier runs.
     pub progress: Progress,
 }
 
-/// How items are sent.
+/// Sends items to endpoints.
 pub type ItemForwarder = Arc<Forwarder>;
 
-/// Longest run of an item, in milliseconds; a longer one is taken up again
-/// after its last event.
-const RUN_MOST_MS: u64 = 60_000;
+/// Maximum duration of a run, in milliseconds. A longer run is resumed after
+/// its last event.
+const MAX_RUN_MS: u64 = 60_000;
 
-/// Longest pause of a run's stream, in milliseconds. An engine that preempts
-/// a run reads it again in well under a second.
-const STALL_MS: u64 = 2_500;
+/// Maximum pause in the stream of a run, in milliseconds. An engine that
+/// preempts a run prefills it again in well under a second.
+const STALL_TIMEOUT_MS: u64 = 2_500;
 
 impl ItemRun {
-    /// Runs the item to its end, or until the future is dropped, which
-    /// closes the connection and so stops the endpoint's work.
+    /// Runs the item to its end. If the future is dropped, the connection is
+    /// closed, which stops the work of the endpoint.
     pub async fn run(self, forwarder: &ItemForwarder) -> RunOutcome {
         let Some(request) = self.request(forwarder).map(Arc::new) else {
             return RunOutcome::Rejected;
         };
         let after = self.progress.last_id();
-        let wait = Duration::from_millis(STALL_MS);
+        let wait = Duration::from_millis(STALL_TIMEOUT_MS);
         let offer = forwarder.offer(&request, &self.endpoint, after, wait);
         match offer.await {
             Ok(exchange) => self.read(exchange, after).await,
@@ -177,7 +181,7 @@
             Admitted::item(self.customer.clone()),
         );
         let inbound = inbound.with_job(self.job.as_str());
-        Some(inbound.with_wait_ms(RUN_MOST_MS))
+        Some(inbound.with_wait_ms(MAX_RUN_MS))
     }
 
     async fn read(
@@ -191,7 +195,7 @@
             status => return RunOutcome::Error(status),
         }
         let mut splitter = EventSplitter::new(after);
-        let stall = Duration::from_millis(STALL_MS);
+        let stall = Duration::from_millis(STALL_TIMEOUT_MS);
         loop {
             let next = poll_fn(|cx| exchange.poll_data(cx));
             match time::timeout(stall, next).await {
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -1,8 +1,8 @@
 mod active;
 mod admit;
-mod even;
+mod checkpoint;
 mod outcome;
-mod save;
+mod rebalance;
 
 use std::{
     pin::Pin,
@@ -24,61 +24,62 @@
 };
 
 use self::{
-    active::{Active, Inputs, Phase},
-    save::Loaded,
+    active::{ActiveJob, Inputs, ItemPhase},
+    checkpoint::LoadedJob,
 };
 use crate::{
     Assignment, Assignments, GateOptions, ItemForwarder, JobError,
-    JobManifest, JobView, Ledger, OnlineLoad, Pace, RunOutcome,
+    JobManifest, JobView, Ledger, OnlineLoad, RunOutcome, RunTimeEstimator,
     StoredManifest,
     record::{ItemResult, ItemState, JobKey},
 };
 
-/// The answer to a question for an endpoint's load.
+/// The response to a load probe.
 pub type ProbeFuture =
     Pin<Box<dyn Future<Output = Option<LoadReport>> + Send>>;
 
-/// Asks endpoints for their load.
+/// Queries endpoints for their load.
 pub trait Probe: Send + Sync + 'static {
-    /// Asks one endpoint; no answer is `None`.
+    /// Queries one endpoint; returns `None` if the endpoint does not respond.
     fn probe(&self, endpoint: &EndpointRecord) -> ProbeFuture;
 }
 
-/// Times and bounds of a runner.
+/// Intervals and limits of a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerOptions {
-    /// Time between two looks at all work.
+    /// Interval between two passes over all work.
     pub tick_interval_ms: u64,
-    /// Time between two questions for one endpoint's load.
+    /// Interval between two load probes of one endpoint.
     pub probe_interval_ms: u64,
-    /// Oldest load report by which items start.
+    /// Maximum age of a load report by which items start.
     pub max_report_age_ms: u64,
-    /// Shortest time between two commits of one job.
+    /// Minimum interval between two commits of one job.
     pub commit_interval_ms: u64,
-    /// Oldest view of the jobs by which items start.
+    /// Maximum age of the view of the jobs by which items start.
     pub max_view_age_ms: u64,
-    /// Time between two looks at whether jobs are spread evenly.
+    /// Interval between two checks whether jobs are distributed evenly.
     pub rebalance_interval_ms: u64,
-    /// Time between two saves of what unfinished items have produced.
+    /// Interval between two checkpoints of unfinished items.
     pub checkpoint_interval_ms: u64,
-    /// Pause of an item after a failed run.
+    /// Backoff of an item after a failed run.
     pub retry_backoff_ms: u64,
-    /// How long after its time an item is given up, for clocks that differ.
+    /// Time after which an item is given up past its deadline, to allow for
+    /// clock skew.
     pub give_up_margin_ms: u64,
-    /// How long a job stays readable after its submission, and at least as
-    /// long as it is open.
+    /// How long a job stays readable after its submission. Jobs are kept at
+    /// least as long as they are open.
     pub retention_ms: u64,
-    /// The gate at each endpoint.
+    /// Options of the gate at each endpoint.
     pub gate: GateOptions,
 }
 
 impl Default for RunnerOptions {
-    /// An engine's report is about 50 ms old when it arrives, so that
-    /// asking more than ten times a second tells little more. Results that
-    /// wait 700 ms for their commit are read within a second, and a job
-    /// takes a handful of writes. A save is one write of each node; a lost
-    /// node's items run half the pause between two of them again on average.
-    /// Clocks may differ by seconds.
+    /// A load report of an engine is about 50 ms old when it arrives, so that
+    /// more than ten probes in a second yield little more information. Results
+    /// that wait 700 ms for their commit can be read within a second, and a
+    /// job takes a handful of writes. A checkpoint is one write of each node;
+    /// after the loss of a node its items repeat half a checkpoint interval on
+    /// average. Clocks may differ by seconds.
     fn default() -> Self {
         Self {
             tick_interval_ms: 50,
@@ -96,25 +97,25 @@
     }
 }
 
-/// What a runner works with.
+/// The dependencies of a runner.
 pub struct RunnerParts {
     /// Name of the node.
     pub node: String,
-    /// Where jobs are kept.
+    /// Storage of the jobs.
     pub ledger: Ledger,
-    /// What the node knows of all jobs.
+    /// The node's view of all jobs.
     pub view: JobView,
-    /// The endpoints as the node knows them.
+    /// The node's view of the endpoints.
     pub endpoints: Arc<Snapshot<DirectoryView>>,
-    /// The configuration in force, once there is one.
+    /// The configuration in force, if there is one yet.
     pub config: Arc<Snapshot<Option<Arc<Config>>>>,
-    /// How items are sent.
+    /// Sends items to endpoints.
     pub forwarder: ItemForwarder,
-    /// How endpoints are asked for their load.
+    /// Queries endpoints for their load.
     pub probe: Arc<dyn Probe>,
-    /// What fronts report of their requests in flight.
+    /// The requests in flight that fronts report.
     pub online_load: Arc<OnlineLoad>,
-    /// Who uses which endpoint.
+    /// The assignments of endpoints to nodes.
     pub assignments: Assignments,
     /// The clock.
     pub clock: Arc<dyn Clock>,
@@ -122,33 +123,33 @@
     pub counters: Arc<Counters>,
 }
 
-/// How a runner is asked to stop.
+/// Requests the shutdown of a runner and reports the handover of its jobs.
 pub struct ShutdownSignal {
-    /// Turns true to ask for it.
+    /// Turns true to request the shutdown.
     pub requested: watch::Receiver<bool>,
-    /// Hears when what the items have produced is saved, or cannot be: other
-    /// nodes may go on with them then.
+    /// Receives a message when the checkpoints of all items are saved, or
+    /// cannot be saved. Other nodes may resume the items from then on.
     pub handed_over: oneshot::Sender<()>,
 }
 
-/// Runs the items of the jobs that are this node's share.
+/// Runs the items of the jobs that belong to this node.
 pub struct Runner {
     options: RunnerOptions,
     parts: RunnerParts,
 }
 
 impl Runner {
-    /// Makes a runner; [`run`](Self::run) starts it.
+    /// Creates a runner; [`run`](Self::run) starts it.
     pub fn new(options: RunnerOptions, parts: RunnerParts) -> Self {
         Self { options, parts }
     }
 
-    /// Runs until it is asked to stop and nothing of this node is left to
-    /// be listed. What then waits is taken over by other nodes.
+    /// Runs until shutdown is requested and all results of this node are
+    /// listed. Other nodes take over the items that still wait then.
     pub async fn run(
         self,
         stop: ShutdownSignal,
-        mut heard: mpsc::UnboundedReceiver<LifeKey>,
+        mut online_changes: mpsc::UnboundedReceiver<LifeKey>,
     ) {
         let ShutdownSignal {
             requested: mut stop,
@@ -156,7 +157,7 @@
         } = stop;
         let mut handed_over = Some(handed_over);
         let (sender, mut events) = mpsc::unbounded_channel();
-        let mut work = Work::new(self, sender);
+        let mut work = RunnerState::new(self, sender);
         let tick = Duration::from_millis(work.runner.options.tick_interval_ms);
         let mut ticks = time::interval(tick);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -164,20 +165,20 @@
             tokio::select! {
                 event = events.recv() => {
                     if let Some(event) = event {
-                        work.take(event);
+                        work.handle_event(event);
                     }
                     while let Ok(event) = events.try_recv() {
-                        work.take(event);
+                        work.handle_event(event);
                     }
-                    work.commit_due();
+                    work.commit_pending();
                 }
-                Some(endpoint) = heard.recv() => {
-                    work.give_way(endpoint);
-                    while let Ok(endpoint) = heard.try_recv() {
-                        work.give_way(endpoint);
+                Some(endpoint) = online_changes.recv() => {
+                    work.preempt_for_online(endpoint);
+                    while let Ok(endpoint) = online_changes.try_recv() {
+                        work.preempt_for_online(endpoint);
                     }
                 }
-                _ = ticks.tick() => work.look(*stop.borrow_and_update()),
+                _ = ticks.tick() => work.tick(*stop.borrow_and_update()),
             }
             if *stop.borrow()
                 && let Some(handed_over) = handed_over.take()
@@ -191,9 +192,9 @@
     }
 }
 
-/// What tasks tell the runner.
+/// Results of the tasks that the runner has spawned.
 enum Event {
-    Inputs(JobKey, Result<Loaded, Report<JobError>>),
+    Inputs(JobKey, Result<LoadedJob, Report<JobError>>),
     Saved(Result<(), Report<JobError>>),
     Ended(RunId, RunOutcome),
     Listed(
@@ -217,65 +218,67 @@
 }
 
 #[derive(Default)]
-struct Probing {
+struct EndpointProbe {
     in_flight: bool,
-    asked_at: Option<Millis>,
+    sent_at: Option<Millis>,
     report: Option<(LoadReport, Millis)>,
 }
 
-struct Work {
+struct RunnerState {
     runner: Runner,
     sender: mpsc::UnboundedSender<Event>,
-    jobs: IndexMap<JobKey, Active>,
+    jobs: IndexMap<JobKey, ActiveJob>,
     runs: IndexMap<RunId, Run>,
-    probes: IndexMap<LifeKey, Probing>,
-    /// Which front sends to each endpoint before all others.
-    first_users: Arc<Assignment>,
-    /// What the jobs were taken up by: the assignment, and the count of changes
-    /// of the view.
-    followed: Option<(Arc<Assignment>, u64)>,
-    moving: Option<JobKey>,
-    /// Jobs taken from other nodes, with the time from which on what they
-    /// had produced there can be read.
-    taken: IndexMap<JobKey, Millis>,
-    saving: bool,
+    endpoint_probes: IndexMap<LifeKey, EndpointProbe>,
+    /// The assignment of endpoints to fronts.
+    front_assignment: Arc<Assignment>,
+    /// The inputs of the last sync of the jobs: the assignment and the change
+    /// count of the view.
+    synced_to: Option<(Arc<Assignment>, u64)>,
+    pending_move: Option<JobKey>,
+    /// Jobs taken over from other nodes, with the time from which on the
+    /// checkpoints of the former owner can be read.
+    taken_over: IndexMap<JobKey, Millis>,
+    is_saving: bool,
     next_save: Millis,
-    next_evening: Millis,
+    next_rebalance: Millis,
     next_removal: Millis,
     next_run: u64,
-    /// How long items take.
-    pace: Pace,
+    /// Estimates how long items take.
+    estimator: RunTimeEstimator,
 }
 
-/// Time between two looks for jobs to remove, in milliseconds.
-const REMOVAL_PAUSE_MS: u64 = 10_000;
+/// Interval between two removals of expired jobs, in milliseconds.
+const REMOVAL_INTERVAL_MS: u64 = 10_000;
 
-/// Jobs removed at one look, so that removal never crowds out commits.
-const REMOVALS_MOST: usize = 50;
+/// Maximum number of jobs removed in one pass, so that removals do not delay
+/// commits.
+const MAX_REMOVALS_PER_PASS: usize = 50;
 
-impl Work {
+impl RunnerState {
     fn new(runner: Runner, sender: mpsc::UnboundedSender<Event>) -> Self {
         Self {
-            first_users: Arc::default(),
-            followed: None,
-            moving: None,
-            taken: IndexMap::new(),
-            saving: false,
+            front_assignment: Arc::default(),
+            synced_to: None,
+            pending_move: None,
+            taken_over: IndexMap::new(),
+            is_saving: false,
             next_save: Millis::new(0),
-            next_evening: Millis::new(0),
+            next_rebalance: Millis::new(0),
             next_removal: Millis::new(0),
             runner,
             sender,
             jobs: IndexMap::new(),
             runs: IndexMap::new(),
-            probes: IndexMap::new(),
+            endpoint_probes: IndexMap::new(),
             next_run: 0,
-            pace: Pace::default(),
+            estimator: RunTimeEstimator::default(),
         }
     }
 
     fn is_idle(&self) -> bool {
-        let open = |job: &Active| job.listing || !job.pending.is_empty();
+        let open =
+            |job: &ActiveJob| job.is_committing || !job.pending.is_empty();
         self.runs.is_empty() && !self.jobs.values().any(open)
     }
 
@@ -284,7 +287,8 @@
         let done = self.hand_over(&keys);
         tokio::spawn(async move {
             let _ = done.await;
-            // The node has left already if it did not wait so long.
+            // The receiver is dropped if the node shut down without waiting
+            // for the handover.
             let _ = handed_over.send(());
         });
     }
@@ -293,37 +297,41 @@
         self.runner.parts.clock.now()
     }
 
-    /// Looks at all work once.
-    fn look(&mut self, stopping: bool) {
+    /// Makes one pass over all work.
+    fn tick(&mut self, is_stopping: bool) {
         let assignment = self.runner.parts.assignments.for_items();
-        self.first_users = self.runner.parts.assignments.for_requests();
-        self.follow_view(&assignment, stopping);
-        if !stopping {
-            self.even_out(&assignment);
+        self.front_assignment = self.runner.parts.assignments.for_requests();
+        self.sync_with_view(&assignment, is_stopping);
+        if !is_stopping {
+            self.rebalance(&assignment);
         }
         self.load_inputs();
-        self.give_up_late();
+        self.give_up_expired();
         self.remove_expired(&assignment);
-        self.commit_due();
+        self.commit_pending();
         self.save_checkpoints();
-        self.ask_loads(&assignment);
-        self.admit(&assignment, stopping);
+        self.probe_loads(&assignment);
+        self.admit(&assignment, is_stopping);
     }
 
-    /// Takes up and drops jobs as the view tells, where it or the assignment has
-    /// changed.
-    fn follow_view(&mut self, assignment: &Arc<Assignment>, stopping: bool) {
+    /// Takes over and drops jobs according to the view, if the view or the
+    /// assignment has changed.
+    fn sync_with_view(
+        &mut self,
+        assignment: &Arc<Assignment>,
+        is_stopping: bool,
+    ) {
         let view = &self.runner.parts.view;
         let changes = view.change_count();
-        let followed = self.followed.as_ref();
-        let is_known = followed.is_some_and(|(known, count)| {
+        let synced_to = self.synced_to.as_ref();
+        let is_known = synced_to.is_some_and(|(known, count)| {
             Arc::ptr_eq(known, assignment) && *count == changes
         });
-        if is_known && !stopping && !self.has_moved() {
+        if is_known && !is_stopping && !self.has_moved_jobs() {
             return;
         }
-        self.followed = Some((assignment.clone(), changes));
-        let open = match stopping {
+        self.synced_to = Some((assignment.clone(), changes));
+        let open = match is_stopping {
             true => Vec::new(),
             false => {
                 view.open_of(assignment.members(), &self.runner.parts.node)
@@ -332,7 +340,7 @@
         for (key, stored) in open {
             match self.jobs.get_mut(&key) {
                 Some(job) if stored.revision > job.stored.revision => {
-                    job.renew(stored);
+                    job.update_manifest(stored);
                 }
                 Some(_) => {}
                 None => {
@@ -343,9 +351,9 @@
                         revision = stored.revision;
                         "a job is taken up"
                     );
-                    let mut job = Active::new(stored);
-                    if let Some(at) = self.taken.swap_remove(&key) {
-                        job.settled_at = at;
+                    let mut job = ActiveJob::new(stored);
+                    if let Some(at) = self.taken_over.swap_remove(&key) {
+                        job.load_not_before = at;
                     }
                     self.jobs.insert(key, job);
                 }
@@ -354,14 +362,14 @@
         self.drop_jobs(assignment);
     }
 
-    /// Tells whether jobs of other nodes still wait here for their results
-    /// to be listed.
-    fn has_moved(&self) -> bool {
-        self.jobs.values().any(|job| job.moved)
+    /// Reports whether results of jobs that moved to other nodes still wait
+    /// here to be listed.
+    fn has_moved_jobs(&self) -> bool {
+        self.jobs.values().any(|job| job.is_moved)
     }
 
     fn drop_jobs(&mut self, assignment: &Assignment) {
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         let mut moved = Vec::new();
         for (key, job) in &mut self.jobs {
             let known = self.runner.parts.view.get(key);
@@ -369,30 +377,31 @@
             let owned = known.is_some_and(|known| {
                 assignment.owns_job(key, &known.manifest)
             });
-            if !owned && !job.moved && !closed {
+            if !owned && !job.is_moved && !closed {
                 moved.push(key.clone());
             }
-            job.moved = !owned;
-            // Results that wait here are listed by this node all the same.
-            if closed || (job.moved && !job.is_busy()) {
-                gone.push((key.clone(), closed));
+            job.is_moved = !owned;
+            // This node also lists its pending results of jobs that have
+            // moved.
+            if closed || (job.is_moved && !job.is_busy()) {
+                removed.push((key.clone(), closed));
             }
         }
         if !moved.is_empty() {
-            // What is saved is read by the nodes that go on; nothing here
-            // waits for it.
+            // The new owners read the saved checkpoints; nothing on this node
+            // waits for the save.
             drop(self.hand_over(&moved));
         }
-        for (key, closed) in gone {
-            log::info!(job = key.as_str(), closed; "a job is left");
-            self.stop_runs_of(&key);
+        for (key, closed) in removed {
+            log::info!(job = key.as_str(), closed; "a job is dropped");
+            self.abort_runs_of(&key);
             self.jobs.swap_remove(&key);
         }
     }
 
-    /// Stops the runs of a job and leaves its items where they are; returns
-    /// how many there were.
-    fn pause_runs_of(&mut self, key: &JobKey) -> usize {
+    /// Interrupts the runs of a job, whose items keep their progress; returns
+    /// the number of runs.
+    fn interrupt_runs_of(&mut self, key: &JobKey) -> usize {
         let before = self.runs.len();
         let Some(job) = self.jobs.get_mut(key) else {
             return 0;
@@ -401,14 +410,14 @@
             let keep = run.job != *key;
             if !keep {
                 run.task.abort();
-                job.items[run.item as usize].pause(run.started);
+                job.items[run.item as usize].interrupt(run.started);
             }
             keep
         });
         before - self.runs.len()
     }
 
-    fn stop_runs_of(&mut self, job: &JobKey) {
+    fn abort_runs_of(&mut self, job: &JobKey) {
         self.runs.retain(|_, run| {
             let keep = run.job != *job;
             if !keep {
@@ -418,8 +427,9 @@
         });
     }
 
-    /// Gives up items whose time is over or whose route is gone.
-    fn give_up_late(&mut self) {
+    /// Gives up items whose deadline has passed or whose route does not exist
+    /// any more.
+    fn give_up_expired(&mut self) {
         let unix = self.runner.parts.clock.unix();
         let config = self.runner.parts.config.load_full();
         let margin_ms = self.runner.options.give_up_margin_ms;
@@ -429,17 +439,18 @@
                 continue;
             };
             let manifest = &job.stored.manifest;
-            let over = unix > manifest.give_up_at.saturating_add_ms(margin_ms);
-            let gone = config
+            let is_past_deadline =
+                unix > manifest.give_up_at.saturating_add_ms(margin_ms);
+            let is_route_gone = config
                 .as_ref()
                 .as_ref()
                 .is_some_and(|config| route_of(config, manifest).is_none());
-            if !over && !gone {
+            if !is_past_deadline && !is_route_gone {
                 continue;
             }
             let inputs = inputs.clone();
             for number in 0..job.items.len() as u32 {
-                if job.items[number as usize].state == Phase::Done {
+                if job.items[number as usize].state == ItemPhase::Done {
                     continue;
                 }
                 job.finish(number, &inputs, ItemState::GivenUp);
@@ -447,28 +458,28 @@
                 log::info!(
                     job = key.as_str(),
                     request_id = inputs[number as usize].id.as_str(),
-                    over,
-                    route_gone = gone;
+                    over = is_past_deadline,
+                    route_gone = is_route_gone;
                     "an item is given up"
                 );
             }
             stopped.push(key.clone());
         }
         for key in stopped {
-            self.stop_runs_of(&key);
+            self.abort_runs_of(&key);
         }
     }
 
-    /// Starts the removal of closed jobs whose time to be read is over.
+    /// Starts the removal of closed jobs whose retention time is over.
     ///
-    /// Without it manifests pile up in the key-value service and in the memory
-    /// of every node, a gigabyte a day at one job a second.
+    /// Without removal, manifests accumulate in the key-value service and in
+    /// the memory of every node: a gigabyte a day at one job a second.
     fn remove_expired(&mut self, assignment: &Assignment) {
         let now = self.now();
         if now < self.next_removal {
             return;
         }
-        self.next_removal = now.saturating_add_ms(REMOVAL_PAUSE_MS);
+        self.next_removal = now.saturating_add_ms(REMOVAL_INTERVAL_MS);
         let unix = self.runner.parts.clock.unix();
         let retention_ms = self.runner.options.retention_ms;
         let before = unix.saturating_sub_ms(retention_ms);
@@ -476,26 +487,26 @@
         expired.retain(|(key, stored)| {
             assignment.owns_job(key, &stored.manifest)
         });
-        expired.truncate(REMOVALS_MOST);
+        expired.truncate(MAX_REMOVALS_PER_PASS);
         let ledger = self.runner.parts.ledger.clone();
         tokio::spawn(async move {
             for (key, stored) in expired {
                 let removed = ledger.remove(&key, &stored).await;
                 log::info!(job = key.as_str(), removed = removed.is_ok();
-                    "an expired job is removed");
+                    "the removal of an expired job ended");
             }
         });
     }
 
-    /// Starts commits of jobs that have something to list.
-    fn commit_due(&mut self) {
+    /// Starts commits of jobs that have results or failed attempts to store.
+    fn commit_pending(&mut self) {
         let now = self.now();
         for (key, job) in &mut self.jobs {
-            let due = job.has_to_commit() && now >= job.next_commit;
-            if !due || job.listing {
+            let is_due = job.needs_commit() && now >= job.next_commit;
+            if !is_due || job.is_committing {
                 continue;
             }
-            job.listing = true;
+            job.is_committing = true;
             job.next_commit =
                 now.saturating_add_ms(self.runner.options.commit_interval_ms);
             let ledger = self.runner.parts.ledger.clone();
--- a/crates/jobs/src/runner/active.rs
+++ b/crates/jobs/src/runner/active.rs
@@ -1,4 +1,4 @@
-//! One job that this node runs items of.
+//! The state of one job whose items this node runs.
 
 use std::{sync::Arc, time::Instant};
 
@@ -14,17 +14,17 @@
     },
 };
 
-pub(super) struct Active {
+pub(super) struct ActiveJob {
     pub(super) stored: StoredManifest,
     pub(super) inputs: Inputs,
     pub(super) items: Vec<Item>,
     pub(super) pending: Vec<(u32, ItemResult)>,
     pub(super) failed_attempts: IndexMap<u32, FailedAttempts>,
     /// Whether another node runs the items now.
-    pub(super) moved: bool,
-    /// When the node that it was taken from has saved its progress.
-    pub(super) settled_at: Millis,
-    pub(super) listing: bool,
+    pub(super) is_moved: bool,
+    /// When the former owner of the job has saved its checkpoints.
+    pub(super) load_not_before: Millis,
+    pub(super) is_committing: bool,
     pub(super) next_commit: Millis,
 }
 
@@ -36,35 +36,36 @@
 
 #[derive(Clone, Default)]
 pub(super) struct Item {
-    pub(super) state: Phase,
+    pub(super) state: ItemPhase,
     pub(super) progress: Progress,
     pub(super) not_before: Millis,
-    /// Time that runs have spent on it and that counts.
-    pub(super) run_ms: u64,
-    /// How often its run was stopped for others.
+    /// Total time of the item's runs on all nodes.
+    pub(super) total_run_ms: u64,
+    /// Number of interrupted runs.
     pub(super) pauses: u32,
-    /// Events when its progress was last saved.
+    /// Number of events in the last saved checkpoint.
     saved_events: u64,
 }
 
 impl Item {
-    /// Takes note that its run was stopped; it can go on elsewhere.
-    pub(super) fn pause(&mut self, run_began: Instant) {
-        self.state = Phase::Waiting;
+    /// Records that the item's run was interrupted; the item can be resumed
+    /// elsewhere.
+    pub(super) fn interrupt(&mut self, run_started: Instant) {
+        self.state = ItemPhase::Waiting;
         self.pauses += 1;
-        self.run_ms += run_began.elapsed().as_millis() as u64;
+        self.total_run_ms += run_started.elapsed().as_millis() as u64;
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) enum Phase {
+pub(super) enum ItemPhase {
     #[default]
     Waiting,
     Running(RunId),
     Done,
 }
 
-impl Active {
+impl ActiveJob {
     pub(super) fn new(stored: StoredManifest) -> Self {
         let total = stored.manifest.total as usize;
         let mut job = Self {
@@ -73,12 +74,12 @@
             inputs: Inputs::Missing,
             items: vec![Item::default(); total],
             pending: Vec::new(),
-            moved: false,
-            settled_at: Millis::default(),
-            listing: false,
+            is_moved: false,
+            load_not_before: Millis::default(),
+            is_committing: false,
             next_commit: Millis::new(0),
         };
-        // `vec!` clones one item, whose progress would be shared.
+        // `vec!` clones one item, and the clones would share its progress.
         for item in &mut job.items {
             item.progress = Progress::default();
         }
@@ -87,61 +88,65 @@
     }
 
     pub(super) fn is_busy(&self) -> bool {
-        let running = |i: &Item| matches!(i.state, Phase::Running(_));
-        self.listing
+        let running = |i: &Item| matches!(i.state, ItemPhase::Running(_));
+        self.is_committing
             || !self.pending.is_empty()
             || self.items.iter().any(running)
     }
 
-    /// Goes on with what a lost node, or this one before its restart, had
-    /// saved. What has run here meanwhile is further.
+    /// Restores items from checkpoints of a former owner, or of this node
+    /// before its restart. Items that have run here since are ahead of their
+    /// checkpoints and are not changed.
     pub(super) fn restore(&mut self, saved: &[ItemCheckpoint]) {
         for progress in saved {
             let Some(item) = self.items.get_mut(progress.number as usize)
             else {
                 continue;
             };
-            let untouched = item.state == Phase::Waiting
+            let is_not_started = item.state == ItemPhase::Waiting
                 && item.progress.last_id().is_none();
-            if untouched {
+            if is_not_started {
                 item.progress = Progress::restore(progress);
-                item.run_ms = progress.ran_ms;
+                item.total_run_ms = progress.ran_ms;
                 item.saved_events = progress.events;
             }
         }
     }
 
-    /// Returns what the unfinished items have produced, if any of them has
-    /// produced more since it was last saved.
+    /// Returns checkpoints of the unfinished items, if any item has produced
+    /// events since its last checkpoint.
     ///
-    /// Item by item: their sum falls whenever one is finished, so that a job
-    /// whose items end one after the other was never saved.
-    pub(super) fn take_unsaved(&mut self) -> Option<Vec<ItemCheckpoint>> {
-        let mut grown = false;
+    /// Events are compared for each item: their sum decreases whenever an item
+    /// finishes, so that a job whose items finish one after the other would
+    /// never be saved.
+    pub(super) fn take_unsaved_checkpoints(
+        &mut self,
+    ) -> Option<Vec<ItemCheckpoint>> {
+        let mut has_new_events = false;
         for item in &mut self.items {
             let events = item.progress.events();
-            grown |= events > item.saved_events;
+            has_new_events |= events > item.saved_events;
             item.saved_events = events;
         }
-        if !grown {
+        if !has_new_events {
             return None;
         }
         let items = (0..).zip(&self.items);
         let saved = items.filter_map(|(number, item)| {
-            item.progress.save(number, item.run_ms)
+            item.progress.checkpoint(number, item.total_run_ms)
         });
         Some(saved.collect())
     }
 
-    /// Takes note that the last save has failed.
-    pub(super) fn forget_save(&mut self) {
+    /// Records that the last save has failed.
+    pub(super) fn mark_unsaved(&mut self) {
         for item in &mut self.items {
             item.saved_events = 0;
         }
     }
 
-    /// Returns the caller's id of an item, or nothing before its input is
-    /// loaded.
+    /// Returns the caller's id of an item, or an empty string before its input
+    /// is loaded.
     pub(super) fn id_of(&self, number: u32) -> &str {
         match &self.inputs {
             Inputs::Loaded(inputs) => &inputs[number as usize].id,
@@ -149,8 +154,9 @@
         }
     }
 
-    /// Takes a newer manifest; what it lists is done, whoever listed it.
-    pub(super) fn renew(&mut self, stored: StoredManifest) {
+    /// Applies a newer manifest. The items that it lists are done, whichever
+    /// node listed them.
+    pub(super) fn update_manifest(&mut self, stored: StoredManifest) {
         if stored.revision < self.stored.revision {
             return;
         }
@@ -162,28 +168,30 @@
         self.mark_listed();
     }
 
-    /// Tells whether something waits to be listed or counted in the manifest.
+    /// Reports whether results or failed attempts have to be written to the
+    /// manifest.
     ///
-    /// Compared with the manifest and not flagged: a flag that is cleared as a
-    /// write begins forgets a strike whose write is lost, and a node that
-    /// takes the job up then runs a hopeless item more often than allowed.
-    pub(super) fn has_to_commit(&self) -> bool {
-        let counted =
+    /// Failed attempts are compared with the manifest. A flag that is cleared
+    /// when a write starts would lose a failed attempt whose write fails, and
+    /// a node that takes over the job would run a failing item more often than
+    /// allowed.
+    pub(super) fn needs_commit(&self) -> bool {
+        let is_counted =
             self.failed_attempts == self.stored.manifest.failed_attempts;
-        !self.pending.is_empty() || !counted
+        !self.pending.is_empty() || !is_counted
     }
 
     pub(super) fn mark_listed(&mut self) {
         for number in &self.stored.manifest.listed {
             if let Some(item) = self.items.get_mut(*number as usize) {
-                item.state = Phase::Done;
+                item.state = ItemPhase::Done;
             }
         }
         let listed = &self.stored.manifest.listed;
         self.pending.retain(|(number, _)| !listed.contains(number));
     }
 
-    /// Puts the end of an item where the next commit lists it.
+    /// Adds the result of an item to the results that the next commit lists.
     pub(super) fn finish(
         &mut self,
         number: u32,
@@ -192,16 +200,17 @@
     ) {
         let at = number as usize;
         let item = &mut self.items[at];
-        item.state = Phase::Done;
+        item.state = ItemPhase::Done;
         let output = match state {
             ItemState::Complete => item.progress.output(),
             ItemState::GivenUp => String::new(),
         };
-        // The text lives on in the result alone.
+        // From now on only the result holds the output.
         item.progress = Progress::default();
         let listed = self.stored.manifest.listed.contains(&number);
-        let waits = self.pending.iter().any(|(known, _)| *known == number);
-        if listed || waits {
+        let is_pending =
+            self.pending.iter().any(|(known, _)| *known == number);
+        if listed || is_pending {
             return;
         }
         let id = inputs[at].id.clone();
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -1,4 +1,4 @@
-//! Decides at each endpoint what starts and what gives way.
+//! Decides at each endpoint which items start and which runs are preempted.
 
 use std::time::Instant;
 
@@ -7,93 +7,102 @@
 use pass::Counters;
 
 use super::{
-    Event, Run, RunId, Work,
-    active::{Active, Inputs, Phase},
+    Event, Run, RunId, RunnerState,
+    active::{ActiveJob, Inputs, ItemPhase},
     route_of,
 };
 use crate::{
-    Assignment, GateInput, GateOrder, ItemRun, JobManifest, PreemptRank, Rest,
-    Urgency, decide, record::JobKey,
+    Assignment, GateDecision, GateInput, ItemRun, JobManifest, PreemptRank,
+    RemainingTime, SlackPriority, decide, record::JobKey,
 };
 
-/// Age of a run before its endpoint's report counts it, in milliseconds:
-/// reports lag by about fifty, and the request has a way to go.
+/// Age of a run from which on its endpoint's load report counts it, in
+/// milliseconds. Reports lag by about 50 ms, and the request needs time to
+/// arrive.
 const REPORT_LAG_MS: u64 = 120;
 
-/// Rest of a run that may hold up online requests so as not to be late, in
-/// milliseconds: about the length of one streamed answer. A run with more
-/// left gives way, as several people would wait for one item.
+/// Maximum remaining time of a run that may delay online requests in order not
+/// to be late, in milliseconds: about the duration of one streamed response. A
+/// run with more remaining time is preempted, since several users would wait
+/// for one item.
 const NEARLY_DONE_MS: u64 = 1_000;
 
-/// Safety factor on the time of a run when it is decided whether an item
-/// would be late, in percent.
-const URGENT_PERCENT: u64 = 150;
+/// Safety factor for the remaining time in the decision whether an item would
+/// be late, in percent.
+const SAFETY_PERCENT: u64 = 150;
 
-impl Work {
-    /// Asks those endpoints of this node's share for their load whose
-    /// online requests are not known from the fronts.
-    pub(super) fn ask_loads(&mut self, assignment: &Assignment) {
+impl RunnerState {
+    /// Probes the load of those endpoints of this node whose online requests
+    /// are not known from the fronts.
+    pub(super) fn probe_loads(&mut self, assignment: &Assignment) {
         if self.jobs.is_empty() && self.runs.is_empty() {
-            self.probes.clear();
+            self.endpoint_probes.clear();
             return;
         }
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
         let own = assignment.own_endpoints().iter();
-        let unknown = own.filter(|life| self.online(**life, now).is_none());
+        let unknown = own.filter(|incarnation| {
+            self.online_count(**incarnation, now).is_none()
+        });
         let unknown: Vec<LifeKey> = unknown.copied().collect();
-        self.probes.retain(|life, _| unknown.contains(life));
-        for life in unknown {
-            if let Some(endpoint) = view.table.get(life) {
-                self.ask_load(endpoint, now);
+        self.endpoint_probes
+            .retain(|incarnation, _| unknown.contains(incarnation));
+        for incarnation in unknown {
+            if let Some(endpoint) = view.table.get(incarnation) {
+                self.probe_load(endpoint, now);
             }
         }
     }
 
-    fn ask_load(&mut self, endpoint: &Endpoint, now: Millis) {
+    fn probe_load(&mut self, endpoint: &Endpoint, now: Millis) {
         let probe_interval_ms = self.runner.options.probe_interval_ms;
-        let life = endpoint.life();
-        let probing = self.probes.entry(life).or_default();
-        let recent = probing
-            .asked_at
+        let incarnation = endpoint.life();
+        let probe = self.endpoint_probes.entry(incarnation).or_default();
+        let recent = probe
+            .sent_at
             .is_some_and(|at| now.saturating_ms_since(at) < probe_interval_ms);
-        if probing.in_flight || recent {
+        if probe.in_flight || recent {
             return;
         }
-        probing.in_flight = true;
-        probing.asked_at = Some(now);
-        let answer = self.runner.parts.probe.probe(endpoint.record());
+        probe.in_flight = true;
+        probe.sent_at = Some(now);
+        let response = self.runner.parts.probe.probe(endpoint.record());
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let report = answer.await;
-            let _ = sender.send(Event::Probed(life, report));
+            let report = response.await;
+            let _ = sender.send(Event::Probed(incarnation, report));
         });
     }
 
-    /// Lets the gate of each endpoint decide, and carries it out.
-    pub(super) fn admit(&mut self, assignment: &Assignment, stopping: bool) {
+    /// Applies the decision of the gate at each endpoint.
+    pub(super) fn admit(
+        &mut self,
+        assignment: &Assignment,
+        is_stopping: bool,
+    ) {
         let config = self.runner.parts.config.load_full();
         let Some(config) = config.as_ref() else {
             return;
         };
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
-        let stale = self.runner.parts.view.age_ms(now)
+        let is_view_stale = self.runner.parts.view.age_ms(now)
             > self.runner.options.max_view_age_ms;
-        for life in assignment.own_endpoints() {
-            let Some(endpoint) = view.table.get(*life) else {
+        for incarnation in assignment.own_endpoints() {
+            let Some(endpoint) = view.table.get(*incarnation) else {
                 continue;
             };
-            let Some(order) = self.order_for(endpoint, now) else {
+            let Some(decision) = self.decision_for(endpoint, now) else {
                 continue;
             };
-            for _ in 0..order.preempt {
-                self.preempt_one(*life);
+            for _ in 0..decision.preempt {
+                self.preempt_one(*incarnation);
             }
-            if stopping || stale || endpoint.is_suspect(now) {
+            if is_stopping || is_view_stale || endpoint.is_suspect(now) {
                 continue;
             }
-            for _ in 0..order.start {
+            for _ in 0..decision.start {
                 if !self.start_one(config, endpoint, now) {
                     break;
                 }
@@ -101,114 +110,125 @@
         }
     }
 
-    /// Lets batch work at one endpoint give way as an online request is
-    /// under way to it.
-    pub(super) fn give_way(&mut self, life: LifeKey) {
+    /// Preempts batch work at one endpoint if an online request that is on its
+    /// way needs the slot.
+    pub(super) fn preempt_for_online(&mut self, incarnation: LifeKey) {
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
-        let Some(endpoint) = view.table.get(life) else {
+        let Some(endpoint) = view.table.get(incarnation) else {
             return;
         };
-        if let Some(order) = self.order_for(endpoint, now) {
-            for _ in 0..order.preempt {
-                self.preempt_one(life);
+        if let Some(decision) = self.decision_for(endpoint, now) {
+            for _ in 0..decision.preempt {
+                self.preempt_one(incarnation);
             }
         }
     }
 
-    /// Returns the online requests at an endpoint, if the fronts that use
-    /// it report them.
-    fn online(&self, life: LifeKey, now: Millis) -> Option<u32> {
-        let first_user = self.first_users.user_of(life)?;
-        let online = &self.runner.parts.online_load;
-        online.requests_at(life, &first_user.node, now)
+    /// Returns the number of online requests at an endpoint, if the fronts
+    /// that use the endpoint report them.
+    fn online_count(&self, incarnation: LifeKey, now: Millis) -> Option<u32> {
+        let first_user = self.front_assignment.user_of(incarnation)?;
+        let online_load = &self.runner.parts.online_load;
+        online_load.requests_at(incarnation, &first_user.node, now)
     }
 
-    pub(super) fn order_for(
+    pub(super) fn decision_for(
         &self,
         endpoint: &Endpoint,
         now: Millis,
-    ) -> Option<GateOrder> {
-        let life = endpoint.life();
-        let mine =
-            || self.runs.values().filter(|run| run.endpoint.life() == life);
+    ) -> Option<GateDecision> {
+        let incarnation = endpoint.life();
+        let own_runs = || {
+            self.runs
+                .values()
+                .filter(|run| run.endpoint.life() == incarnation)
+        };
         let mut input = GateInput {
-            mine: mine().count() as u32,
-            mine_urgent: mine().filter(|run| self.is_urgent(run)).count()
+            own_running: own_runs().count() as u32,
+            own_urgent: own_runs().filter(|run| self.is_urgent(run)).count()
                 as u32,
             ..GateInput::default()
         };
-        if let Some(online) = self.online(life, now) {
+        if let Some(online_count) = self.online_count(incarnation, now) {
             input.slots = endpoint.record().slots;
-            input.mine_reported = input.mine;
-            input.running = online + input.mine;
+            input.own_reported = input.own_running;
+            input.running = online_count + input.own_running;
         } else {
-            let (report, at) = self.probes.get(&endpoint.life())?.report?;
+            let (report, at) =
+                self.endpoint_probes.get(&endpoint.life())?.report?;
             let age_ms = now.saturating_ms_since(at);
             if age_ms > self.runner.options.max_report_age_ms {
                 return None;
             }
             input = input.with_report(report);
-            let counted = |run: &&Run| {
+            let is_counted = |run: &&Run| {
                 at.saturating_ms_since(run.started_at) >= REPORT_LAG_MS
             };
-            input.mine_reported = mine().filter(counted).count() as u32;
+            input.own_reported = own_runs().filter(is_counted).count() as u32;
         }
         Some(decide(&input, &self.runner.options.gate))
     }
 
-    /// Tells whether a run would be late if it had to start again later.
+    /// Reports whether a run is nearly done and would be late if it had to
+    /// start again later.
     pub(super) fn is_urgent(&self, run: &Run) -> bool {
         let Some(job) = self.jobs.get(&run.job) else {
             return false;
         };
-        let rest_ms = self.rest_of_run(job, run).expected_ms;
-        rest_ms <= NEARLY_DONE_MS
-            && self.would_be_late(&job.stored.manifest, rest_ms)
+        let remaining_ms = self.remaining_of_run(job, run).expected_ms;
+        remaining_ms <= NEARLY_DONE_MS
+            && self.would_be_late(&job.stored.manifest, remaining_ms)
     }
 
-    /// Estimates how long an item still takes that has run for `ran_ms`.
-    fn rest(&self, job: &Active, number: u32, ran_ms: u64) -> Rest {
+    /// Estimates the remaining time of an item that has run for `ran_ms`.
+    fn remaining(
+        &self,
+        job: &ActiveJob,
+        number: u32,
+        ran_ms: u64,
+    ) -> RemainingTime {
         match &job.inputs {
-            Inputs::Loaded(inputs) => {
-                self.pace.rest(inputs[number as usize].tokens, ran_ms)
-            }
-            _ => Rest::default(),
+            Inputs::Loaded(inputs) => self
+                .estimator
+                .remaining(inputs[number as usize].tokens, ran_ms),
+            _ => RemainingTime::default(),
         }
     }
 
-    /// Estimates the rest of an item that runs.
-    fn rest_of_run(&self, job: &Active, run: &Run) -> Rest {
+    /// Estimates the remaining time of a running item.
+    fn remaining_of_run(&self, job: &ActiveJob, run: &Run) -> RemainingTime {
         let now_ms = run.started.elapsed().as_millis() as u64;
-        let before_ms = job.items[run.item as usize].run_ms;
-        self.rest(job, run.item, before_ms + now_ms)
+        let before_ms = job.items[run.item as usize].total_run_ms;
+        self.remaining(job, run.item, before_ms + now_ms)
     }
 
-    fn urgency(&self, job: &Active, number: u32) -> Urgency {
-        let ran_ms = job.items[number as usize].run_ms;
-        let rest = self.rest(job, number, ran_ms);
+    fn priority(&self, job: &ActiveJob, number: u32) -> SlackPriority {
+        let ran_ms = job.items[number as usize].total_run_ms;
+        let remaining = self.remaining(job, number, ran_ms);
         let unix = self.runner.parts.clock.unix();
-        Urgency::new(job.stored.manifest.due_at, rest, unix)
+        SlackPriority::new(job.stored.manifest.due_at, remaining, unix)
     }
 
-    /// Tells whether work of `rest_ms` is only just in time. What is late
-    /// already is not urgent any more: it must not hold up what is not.
+    /// Reports whether work of `remaining_ms` can only just finish in time.
+    /// Work that is already late is not urgent: it must not delay work that is
+    /// not late.
     pub(super) fn would_be_late(
         &self,
         manifest: &JobManifest,
-        rest_ms: u64,
+        remaining_ms: u64,
     ) -> bool {
         let unix = self.runner.parts.clock.unix();
         let left_ms = manifest.due_at.saturating_ms_since(unix);
-        let needed_ms = rest_ms * URGENT_PERCENT / 100
+        let needed_ms = remaining_ms * SAFETY_PERCENT / 100
             + self.runner.options.commit_interval_ms;
-        left_ms > rest_ms && left_ms < needed_ms
+        left_ms > remaining_ms && left_ms < needed_ms
     }
 
-    /// Stops the run that is worth least to go on.
-    pub(super) fn preempt_one(&mut self, life: LifeKey) {
+    /// Preempts the run with the highest preemption rank.
+    pub(super) fn preempt_one(&mut self, incarnation: LifeKey) {
         let candidates = self.runs.iter().filter(|(_, run)| {
-            run.endpoint.life() == life && !self.is_urgent(run)
+            run.endpoint.life() == incarnation && !self.is_urgent(run)
         });
         let unix = self.runner.parts.clock.unix();
         let rank_of = |run: &Run| {
@@ -216,9 +236,9 @@
             let item = &job.items[run.item as usize];
             let has_events = item.progress.last_id().is_some();
             let due_at = job.stored.manifest.due_at;
-            let rest = self.rest_of_run(job, run);
-            let urgency = Urgency::new(due_at, rest, unix);
-            Some(PreemptRank::new(has_events, urgency))
+            let remaining = self.remaining_of_run(job, run);
+            let priority = SlackPriority::new(due_at, remaining, unix);
+            Some(PreemptRank::new(has_events, priority))
         };
         let chosen =
             candidates.max_by_key(|(_, run)| (rank_of(run), run.started));
@@ -233,7 +253,7 @@
         if let Some(job) = self.jobs.get_mut(&run.job) {
             let id = job.id_of(run.item).to_owned();
             let item = &mut job.items[run.item as usize];
-            item.pause(run.started);
+            item.interrupt(run.started);
             log::info!(
                 request_id = id.as_str(),
                 job = run.job.as_str(),
@@ -245,7 +265,7 @@
         }
     }
 
-    /// Starts the item that is due first, if one waits.
+    /// Starts the waiting item with the highest priority, if there is one.
     pub(super) fn start_one(
         &mut self,
         config: &Config,
@@ -253,26 +273,27 @@
         now: Millis,
     ) -> bool {
         let service = &endpoint.record().service;
-        let mut best: Option<(Urgency, JobKey, u32)> = None;
+        let mut best: Option<(SlackPriority, JobKey, u32)> = None;
         for (key, job) in &self.jobs {
-            if job.moved || !matches!(job.inputs, Inputs::Loaded(_)) {
+            if job.is_moved || !matches!(job.inputs, Inputs::Loaded(_)) {
                 continue;
             }
             let manifest = &job.stored.manifest;
-            let leads_here = route_of(config, manifest).is_some_and(|route| {
-                let mut all = route.destinations().iter();
-                all.any(|d| d.service == *service && d.weight > 0)
-            });
-            if !leads_here {
+            let route_matches =
+                route_of(config, manifest).is_some_and(|route| {
+                    let mut all = route.destinations().iter();
+                    all.any(|d| d.service == *service && d.weight > 0)
+                });
+            if !route_matches {
                 continue;
             }
             for (number, item) in (0..).zip(&job.items) {
-                if item.state != Phase::Waiting || item.not_before > now {
+                if item.state != ItemPhase::Waiting || item.not_before > now {
                     continue;
                 }
-                let urgency = self.urgency(job, number);
-                if best.as_ref().is_none_or(|(best, ..)| urgency < *best) {
-                    best = Some((urgency, key.clone(), number));
+                let priority = self.priority(job, number);
+                if best.as_ref().is_none_or(|(best, ..)| priority < *best) {
+                    best = Some((priority, key.clone(), number));
                 }
             }
         }
@@ -321,7 +342,7 @@
             view_age_ms = self.runner.parts.view.age_ms(now);
             "an item starts"
         );
-        item.state = Phase::Running(id);
+        item.state = ItemPhase::Running(id);
         let forwarder = self.runner.parts.forwarder.clone();
         let sender = self.sender.clone();
         let task = tokio::spawn(async move {
--- a/crates/jobs/src/runner/save.rs
+++ b/crates/jobs/src/runner/checkpoint.rs
@@ -1,23 +1,24 @@
-//! Reads what a job consists of and saves how far its items have come.
+//! Loads the inputs and checkpoints of jobs, and saves checkpoints of their
+//! items.
 
 use base::Millis;
 use error_stack::Report;
 use tokio::sync::oneshot;
 
-use super::{Event, Work, active::Inputs};
+use super::{Event, RunnerState, active::Inputs};
 use crate::{
     JobError, JobManifest, Ledger,
     record::{ItemCheckpoint, ItemInput, JobCheckpoint, JobKey},
 };
 
-/// What a node reads of a job before it runs items of it.
-pub(super) struct Loaded {
+/// The data that a node reads of a job before it runs items of the job.
+pub(super) struct LoadedJob {
     pub(super) inputs: Vec<ItemInput>,
-    pub(super) progress: Vec<ItemCheckpoint>,
+    pub(super) checkpoints: Vec<ItemCheckpoint>,
 }
 
-impl Work {
-    /// Starts to read the inputs of jobs that were taken up.
+impl RunnerState {
+    /// Starts to load the inputs of jobs that this node has taken on.
     pub(super) fn load_inputs(&mut self) {
         let now = self.now();
         let unix = self.runner.parts.clock.unix();
@@ -25,18 +26,18 @@
             if !matches!(job.inputs, Inputs::Missing) {
                 continue;
             }
-            if now < job.settled_at {
+            if now < job.load_not_before {
                 continue;
             }
             job.inputs = Inputs::Loading;
             let ledger = self.runner.parts.ledger.clone();
             let (key, manifest) = (key.clone(), job.stored.manifest.clone());
-            // Of a job younger than the pause between two saves nothing is
-            // saved yet, unless another node had it, and the read is spared.
+            // A job younger than the checkpoint interval has no checkpoint
+            // yet, unless another node ran it, so that the read is skipped.
             let age_ms = unix.saturating_ms_since(manifest.submitted_at);
             let is_new = age_ms < self.runner.options.checkpoint_interval_ms
                 && manifest.owner == self.runner.parts.node
-                && job.settled_at == Millis::default();
+                && job.load_not_before == Millis::default();
             let sender = self.sender.clone();
             tokio::spawn(async move {
                 let loaded = load(&ledger, &key, &manifest, is_new).await;
@@ -45,21 +46,23 @@
         }
     }
 
-    /// Saves what unfinished items have produced, if it is time.
+    /// Saves checkpoints of unfinished items, if the checkpoint interval has
+    /// passed.
     ///
-    /// What goes wrong without it: a node that is killed, or all of them at
-    /// once, lose the outputs in their memory, and each item under way runs
-    /// from its start, seen as jobs that end up to a whole run later.
+    /// Without checkpoints, a node that is killed loses the outputs in its
+    /// memory, and so does the whole fleet if all nodes are killed at once.
+    /// Each running item then starts from the beginning, and its job finishes
+    /// up to a whole run later.
     pub(super) fn save_checkpoints(&mut self) {
         let now = self.now();
-        if self.saving || now < self.next_save {
+        if self.is_saving || now < self.next_save {
             return;
         }
-        let owned = self.jobs.iter_mut().filter(|(_, job)| !job.moved);
+        let owned = self.jobs.iter_mut().filter(|(_, job)| !job.is_moved);
         let unsaved = owned.filter_map(|(key, job)| {
             Some(JobCheckpoint {
                 job: key.clone(),
-                items: job.take_unsaved()?,
+                items: job.take_unsaved_checkpoints()?,
                 submitted_at: job.stored.manifest.submitted_at,
             })
         });
@@ -70,7 +73,7 @@
         let checkpoint_interval_ms =
             self.runner.options.checkpoint_interval_ms;
         self.next_save = now.saturating_add_ms(checkpoint_interval_ms);
-        self.saving = true;
+        self.is_saving = true;
         let ledger = self.runner.parts.ledger.clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
@@ -79,29 +82,30 @@
         });
     }
 
-    /// Stops the runs of jobs that other nodes go on with and saves what
-    /// they have produced; the receiver hears when that is done or failed.
+    /// Interrupts the runs of jobs that other nodes resume and saves their
+    /// checkpoints. The receiver is notified when the save has succeeded or
+    /// failed.
     ///
-    /// What goes wrong without it: a job that moves runs on here while its
-    /// new node runs it from what was saved up to two seconds ago. Each item
-    /// under way is run twice at the same time, 14, 7 and 14 of them at three
-    /// moves of one day, while other items wait for slots.
+    /// Without the handover, a job that moves keeps running here while its new
+    /// node runs it from a checkpoint that is up to two seconds old. Each
+    /// running item is then run twice at the same time (14, 7 and 14 items at
+    /// three moves of one day) while other items wait for slots.
     pub(super) fn hand_over(
         &mut self,
         keys: &[JobKey],
     ) -> oneshot::Receiver<()> {
         let (done, receiver) = oneshot::channel();
-        let mut progress = Vec::new();
+        let mut checkpoints = Vec::new();
         for key in keys {
-            let runs = self.pause_runs_of(key);
+            let runs = self.interrupt_runs_of(key);
             let Some(job) = self.jobs.get_mut(key) else {
                 continue;
             };
-            let items = job.take_unsaved().unwrap_or_default();
+            let items = job.take_unsaved_checkpoints().unwrap_or_default();
             log::info!(job = key.as_str(), runs, begun = items.len();
                 "a job is handed over to another node");
             if !items.is_empty() {
-                progress.push(JobCheckpoint {
+                checkpoints.push(JobCheckpoint {
                     job: key.clone(),
                     items,
                     submitted_at: job.stored.manifest.submitted_at,
@@ -110,25 +114,29 @@
         }
         let ledger = self.runner.parts.ledger.clone();
         tokio::spawn(async move {
-            if let Err(report) = ledger.save_checkpoints(&progress).await {
+            if let Err(report) = ledger.save_checkpoints(&checkpoints).await {
                 log::info!(error:% = report.current_context();
-                    "what handed over items have produced is not saved");
+                    "checkpoints of handed-over items are not saved");
             }
-            // Nobody waits any more where the node has gone on without it.
+            // The receiver may have been dropped: the node does not always
+            // wait.
             let _ = done.send(());
         });
         receiver
     }
 
-    pub(super) fn take_saved(&mut self, saved: Result<(), Report<JobError>>) {
-        self.saving = false;
+    pub(super) fn handle_saved(
+        &mut self,
+        saved: Result<(), Report<JobError>>,
+    ) {
+        self.is_saving = false;
         if let Err(report) = saved {
             log::info!(error:% = report.current_context();
-                "what items have produced is not saved");
-            // Items that wait for a slot produce nothing more; without this
-            // what they have would stay unsaved.
+                "checkpoints of items are not saved");
+            // Items that wait for a slot produce no more events; without this
+            // reset their events would stay unsaved.
             for job in self.jobs.values_mut() {
-                job.forget_save();
+                job.mark_unsaved();
             }
         }
     }
@@ -139,11 +147,14 @@
     key: &JobKey,
     manifest: &JobManifest,
     is_new: bool,
-) -> Result<Loaded, Report<JobError>> {
+) -> Result<LoadedJob, Report<JobError>> {
     let inputs = ledger.inputs(key, manifest).await?;
-    let progress = match is_new {
+    let checkpoints = match is_new {
         true => Vec::new(),
-        false => ledger.progress(key, manifest).await?,
+        false => ledger.checkpoints(key, manifest).await?,
     };
-    Ok(Loaded { inputs, progress })
+    Ok(LoadedJob {
+        inputs,
+        checkpoints,
+    })
 }
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -1,4 +1,4 @@
-//! Takes in what runs, reads and commits of a node came to.
+//! Handles the outcomes of the runs, reads and writes of a node.
 
 use std::sync::Arc;
 
@@ -7,65 +7,69 @@
 use pass::Counters;
 
 use super::{
-    Event, RunId, Work,
-    active::{Inputs, Phase},
+    Event, RunId, RunnerState,
+    active::{Inputs, ItemPhase},
+    checkpoint::LoadedJob,
     route_of,
-    save::Loaded,
 };
 use crate::{
     JobError, RunOutcome, StoredManifest,
     record::{FailedAttempts, ItemState, JobKey},
 };
 
-impl Work {
-    pub(super) fn take(&mut self, event: Event) {
+impl RunnerState {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Inputs(key, loaded) => self.take_loaded(&key, loaded),
-            Event::Saved(saved) => self.take_saved(saved),
-            Event::Ended(id, end) => self.take_end(id, end),
-            Event::Listed(key, listed) => self.take_listed(&key, listed),
-            Event::Moved(key, moved) => self.take_moved(&key, moved),
-            Event::Probed(life, report) => {
+            Event::Inputs(key, loaded) => self.handle_loaded(&key, loaded),
+            Event::Saved(saved) => self.handle_saved(saved),
+            Event::Ended(id, end) => self.handle_run_end(id, end),
+            Event::Listed(key, listed) => self.handle_listed(&key, listed),
+            Event::Moved(key, moved) => self.handle_moved(&key, moved),
+            Event::Probed(incarnation, report) => {
                 let now = self.now();
-                if let Some(probing) = self.probes.get_mut(&life) {
-                    probing.in_flight = false;
+                if let Some(probe) = self.endpoint_probes.get_mut(&incarnation)
+                {
+                    probe.in_flight = false;
                     if let Some(report) = report {
-                        probing.report = Some((report, now));
+                        probe.report = Some((report, now));
                     }
                 }
             }
         }
     }
 
-    pub(super) fn take_loaded(
+    pub(super) fn handle_loaded(
         &mut self,
         key: &JobKey,
-        loaded: Result<Loaded, Report<JobError>>,
+        loaded: Result<LoadedJob, Report<JobError>>,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         match loaded {
-            Ok(Loaded { inputs, progress }) => {
+            Ok(LoadedJob {
+                inputs,
+                checkpoints,
+            }) => {
                 log::info!(
                     job = key.as_str(),
                     items = inputs.len(),
-                    begun = progress.len();
+                    begun = checkpoints.len();
                     "a job's inputs are read"
                 );
                 job.inputs = Inputs::Loaded(Arc::new(inputs));
-                job.restore(&progress);
+                job.restore(&checkpoints);
             }
             Err(report) => {
                 log::warn!(job = key.as_str(),
                     error:% = report.current_context();
-                    "the inputs of a job cannot be read yet");
+                    "the inputs of a job cannot be read");
                 job.inputs = Inputs::Missing;
             }
         }
     }
 
-    pub(super) fn take_end(&mut self, id: RunId, end: RunOutcome) {
+    pub(super) fn handle_run_end(&mut self, id: RunId, end: RunOutcome) {
         let now = self.now();
         let retry_at =
             now.saturating_add_ms(self.runner.options.retry_backoff_ms);
@@ -81,7 +85,7 @@
         let inputs = inputs.clone();
         let number = run.item;
         let config = self.runner.parts.config.load_full();
-        let most = config
+        let max_attempts = config
             .as_ref()
             .as_ref()
             .and_then(|config| route_of(config, &job.stored.manifest))
@@ -94,8 +98,8 @@
             RunOutcome::NotRun | RunOutcome::Held { .. } => {}
         }
         let failed_attempts = *failed_attempts;
-        let hopeless =
-            failed_attempts.rejections > 0 || failed_attempts.errors >= most;
+        let is_permanent = failed_attempts.rejections > 0
+            || failed_attempts.errors >= max_attempts;
         let ran_ms = run.started.elapsed().as_millis() as u64;
         let unix = self.runner.parts.clock.unix();
         let manifest = &job.stored.manifest;
@@ -115,26 +119,27 @@
         if failed_attempts == FailedAttempts::default() {
             job.failed_attempts.swap_remove(&number);
         }
-        job.items[number as usize].run_ms += ran_ms;
+        job.items[number as usize].total_run_ms += ran_ms;
         if end == RunOutcome::Complete {
-            let whole_ms = job.items[number as usize].run_ms;
-            self.pace.add(inputs[number as usize].tokens, whole_ms);
+            let total_ms = job.items[number as usize].total_run_ms;
+            self.estimator
+                .record(inputs[number as usize].tokens, total_ms);
             job.finish(number, &inputs, ItemState::Complete);
             Counters::add(&self.runner.parts.counters.items_completed);
-        } else if hopeless {
+        } else if is_permanent {
             log::info!(
                 request_id = inputs[number as usize].id.as_str(),
                 job = run.job.as_str(),
                 errors = failed_attempts.errors,
                 rejections = failed_attempts.rejections,
-                most;
+                most = max_attempts;
                 "an item is given up"
             );
             job.finish(number, &inputs, ItemState::GivenUp);
             Counters::add(&self.runner.parts.counters.items_given_up);
         } else {
             let item = &mut job.items[number as usize];
-            item.state = Phase::Waiting;
+            item.state = ItemPhase::Waiting;
             item.not_before = match end {
                 RunOutcome::Broken => now,
                 RunOutcome::Held { for_ms } => now.saturating_add_ms(for_ms),
@@ -143,7 +148,7 @@
         }
     }
 
-    pub(super) fn take_listed(
+    pub(super) fn handle_listed(
         &mut self,
         key: &JobKey,
         listed: Result<
@@ -154,7 +159,7 @@
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.listing = false;
+        job.is_committing = false;
         let stored = match listed {
             Ok(Ok(stored)) => {
                 let unix = self.runner.parts.clock.unix();
@@ -175,7 +180,7 @@
                     job = key.as_str(),
                     known = job.stored.revision,
                     revision = stored.revision;
-                    "another writer was faster, results are listed again"
+                    "concurrent change of the manifest; listing the results again"
                 );
                 job.next_commit = Millis::new(0);
                 stored
@@ -191,6 +196,6 @@
         };
         let now = self.runner.parts.clock.now();
         self.runner.parts.view.learn(key, &stored, now);
-        job.renew(stored);
+        job.update_manifest(stored);
     }
 }
