--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/view.rs
@@ -11,11 +11,11 @@
     record::{JobKey, MANIFEST_PREFIX, NODE_PREFIX, decode_manifest},
 };
 
-/// What one node knows of all jobs and of the nodes that run items.
+/// A node's view of all jobs and of all nodes.
 ///
-/// Clones share one view. Whoever follows the key-value service feeds it;
-/// readers see how old it is and ask the service itself where that is too
-/// old for what they have to answer.
+/// Clones share one view. The task that follows the key-value service updates
+/// it. Readers see its age and query the key-value service where the view is
+/// too stale for their response.
 #[derive(Clone)]
 pub struct JobView {
     inner: Arc<Mutex<Inner>>,
@@ -26,7 +26,7 @@
 struct Inner {
     jobs: JobIndex,
     nodes: IndexMap<String, NodeRecord>,
-    /// The nodes as of their last change; none until it is asked for.
+    /// The nodes after their last change; `None` until it is requested.
     roster: Option<Roster>,
     fresh_at: Option<Millis>,
 }
@@ -41,11 +41,12 @@
 }
 
 impl JobView {
-    /// Replaces all by a whole read that began at `began`.
+    /// Replaces the content by a full read that started at `began`.
     pub fn replace(&self, kvs: &[KeyValue], began: Millis) {
         let mut inner = self.lock();
-        // A read whose pages are not one moment may miss what a write of
-        // this node added meanwhile; what is newer than the read stays.
+        // A read of several pages is not a snapshot of one revision and may
+        // miss a write that this node made meanwhile; jobs newer than the read
+        // are kept.
         let newest = kvs.iter().map(|kv| kv.mod_revision).max().unwrap_or(0);
         let read: IndexSet<JobKey> =
             kvs.iter().filter_map(|kv| job_key(&kv.key)).collect();
@@ -65,7 +66,7 @@
         self.changed();
     }
 
-    /// Applies changes; all up to `now` are in the view then.
+    /// Applies changes. The view then contains all changes up to `now`.
     pub fn apply(&self, events: &[Event], now: Millis) {
         let mut inner = self.lock();
         for event in events {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Takes in the entries of nodes, by a read of them alone, as long as
-    /// nothing else is known.
+    /// Adds the entries of nodes from a read of these entries alone, unless
+    /// the view has been filled from a full read.
     pub fn seed_nodes(&self, kvs: &[KeyValue]) {
         let mut inner = self.lock();
         if inner.fresh_at.is_some() {
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Takes in nodes that a start is told of, as long as nothing else is
-    /// known.
+    /// Adds nodes from the list for starting nodes, unless the view has been
+    /// filled from a full read.
     pub fn seed_records(&self, nodes: Vec<NodeRecord>) {
         let mut inner = self.lock();
         if inner.fresh_at.is_some() {
@@ -108,7 +109,7 @@
         inner.roster = None;
     }
 
-    /// Takes in a manifest that this node wrote or read itself.
+    /// Records a manifest that this node wrote or read itself.
     pub fn learn(&self, job: &JobKey, stored: &StoredManifest, now: Millis) {
         let mut inner = self.lock();
         if stored.revision <= inner.jobs.revision(job) {
@@ -124,7 +125,8 @@
         self.lock().jobs.get(job).cloned()
     }
 
-    /// Returns a job for callers of a customer; none if it is another's.
+    /// Returns a job for a caller of a customer; `None` if the job belongs to
+    /// another customer.
     pub fn get_for(
         &self,
         job: &JobKey,
@@ -143,12 +145,12 @@
         self.lock().jobs.open_of(members, node)
     }
 
-    /// Returns the open jobs that were due before a moment.
+    /// Returns the open jobs that were due before `now`.
     pub fn overdue(&self, now: UnixMillis) -> Vec<(JobKey, StoredManifest)> {
         self.lock().jobs.overdue(now)
     }
 
-    /// Returns the closed jobs that were submitted before a moment.
+    /// Returns the closed jobs that were submitted before `moment`.
     pub fn closed_before(
         &self,
         moment: UnixMillis,
@@ -173,7 +175,7 @@
         roster
     }
 
-    /// Returns for how long nothing was seen to change of a job.
+    /// Returns the time since the last change of a job was seen.
     pub fn unchanged_ms(&self, job: &JobKey, now: Millis) -> u64 {
         let at = self.lock().jobs.changed_at(job);
         at.map_or(0, |at| now.saturating_ms_since(at))
@@ -184,23 +186,23 @@
         self.lock().jobs.backlog(members)
     }
 
-    /// Returns since when the view may lack changes.
+    /// Returns the time up to which the view contains all changes.
     pub fn fresh_at(&self) -> Option<Millis> {
         self.lock().fresh_at
     }
 
-    /// Returns how old the view is.
+    /// Returns the age of the view.
     pub fn age_ms(&self, now: Millis) -> u64 {
         let fresh_at = self.fresh_at();
         fresh_at.map_or(u64::MAX, |at| now.saturating_ms_since(at))
     }
 
-    /// Returns a receiver that hears of each change.
+    /// Returns a receiver that is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Returns how often the view has changed.
+    /// Returns the number of changes of the view.
     pub fn change_count(&self) -> u64 {
         *self.changes.borrow()
     }
@@ -230,18 +232,18 @@
         match decode_manifest(&kv.value) {
             Ok(manifest) => {
                 self.jobs
-                    .put(key, StoredManifest { manifest, revision }, now)
+                    .put(key, StoredManifest { manifest, revision }, now);
             }
             Err(error) => {
                 log::warn!(key = kv.key.as_str(), error:%;
-                    "a job cannot be read");
+                    "the manifest of a job is not valid");
             }
         }
     }
 
     fn put_node(&mut self, name: &str, kv: &KeyValue) {
         match serde_json::from_slice::<NodeRecord>(&kv.value) {
-            // An entry that is written again under another lease is no news.
+            // An entry that is rewritten with another lease has not changed.
             Ok(record) if self.nodes.get(name) == Some(&record) => {}
             Ok(record) => {
                 self.nodes.insert(name.to_owned(), record);
@@ -249,7 +251,7 @@
             }
             Err(error) => {
                 log::warn!(key = kv.key.as_str(), error:%;
-                    "an entry of a node cannot be read");
+                    "the entry of a node is not valid");
             }
         }
     }
@@ -268,8 +270,8 @@
     key.strip_prefix(MANIFEST_PREFIX)?.parse().ok()
 }
 
-/// Reads the manifest of a job as the key-value service keeps it; none of
-/// another key or value.
+/// Decodes a manifest as the key-value service stores it; `None` for any other
+/// key or value.
 pub fn decode_manifest_row(
     key: &str,
     value: &[u8],
--- a/crates/jobs/tests/backlogs.rs
+++ b/crates/jobs/tests/backlogs.rs
@@ -1,4 +1,4 @@
-//! Which worker gets a new job, by what workers report.
+//! The choice of a worker for a new job by the backlogs that workers report.
 
 use base::Millis;
 use indexmap::IndexMap;
@@ -20,9 +20,9 @@
     format!("job-{number}").parse().expect("a key")
 }
 
-/// Guards against one worker that gets the jobs of a whole moment: load
-/// pattern of many jobs that come at once to many fronts, each of which knows
-/// some of the workers by reports of the same moment.
+/// Guards against one worker getting all jobs submitted at the same moment:
+/// many jobs arrive at once at many fronts, and each front knows some of the
+/// workers by reports of the same moment.
 #[parameterized(
     one_front = { 1, 26 },
     forty_fronts = { 40, 26 },
@@ -50,11 +50,12 @@
     }
     let reached = known.min(72).max(fronts.min(2) * known).min(72);
     let mean = JOBS as f64 / reached as f64;
-    let most = given.values().max().copied().unwrap_or(0) as f64;
-    assert!(most <= 4.0 * mean.max(1.5), "{most} of {mean} on average");
+    let max = given.values().max().copied().unwrap_or(0) as f64;
+    assert!(max <= 4.0 * mean.max(1.5), "{max} of {mean} on average");
 }
 
-/// Guards against jobs that go to workers that are busy, or gone.
+/// Guards against jobs that are assigned to busy workers or to workers that
+/// are no longer members.
 #[test]
 fn the_least_loaded_of_those_that_report_gets_a_job() {
     let members = workers(3);
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A ledger over a key-value service in memory.
+//! Test helpers: a ledger over an in-memory key-value service.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
     ItemInput, ItemResult, ItemState, JobKey, Ledger, NewJob,
 };
 
-/// Bytes of a value; small, so that inputs take several chunks.
+/// Maximum size of a value in bytes; small, so that inputs take several
+/// chunks.
 pub(crate) const VALUE_BYTES: usize = 4_096;
 
 pub(crate) fn ledger(kv: &Memory) -> Ledger {
--- a/crates/jobs/tests/gate.rs
+++ b/crates/jobs/tests/gate.rs
@@ -1,20 +1,20 @@
-//! What batch work does at one endpoint.
+//! Decisions of the gate at one endpoint.
 
-use pomeloslip_jobs::{GateInput, GateOptions, GateOrder, decide};
+use pomeloslip_jobs::{GateDecision, GateInput, GateOptions, decide};
 use yare::parameterized;
 
-fn input(online: u32, mine: u32) -> GateInput {
+fn input(online: u32, own_running: u32) -> GateInput {
     GateInput {
         slots: 8,
-        running: online + mine,
-        mine_reported: mine,
-        mine,
+        running: online + own_running,
+        own_reported: own_running,
+        own_running,
         ..GateInput::default()
     }
 }
 
-fn order(start: u32, preempt: u32) -> GateOrder {
-    GateOrder { start, preempt }
+fn order(start: u32, preempt: u32) -> GateDecision {
+    GateDecision { start, preempt }
 }
 
 #[parameterized(
@@ -30,14 +30,16 @@
         order(0, 2)
     },
     nearly_done_stay = {
-        GateInput { mine_urgent: 2, ..input(8, 3) },
+        GateInput { own_urgent: 2, ..input(8, 3) },
         order(0, 1)
     },
     starts_not_reported_yet = {
-        GateInput { mine: 4, mine_reported: 2, running: 6, ..input(4, 2) },
+        GateInput {
+            own_running: 4, own_reported: 2, running: 6, ..input(4, 2)
+        },
         order(0, 0)
     },
 )]
-fn online_goes_first(input: GateInput, expected: GateOrder) {
+fn online_requests_have_priority(input: GateInput, expected: GateDecision) {
     assert_eq!(decide(&input, &GateOptions::default()), expected);
 }
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Jobs in the key-value service, with its faults.
+//! Jobs in the key-value service, including its faults.
 
 mod common;
 
@@ -34,8 +34,9 @@
     assert_eq!(inputs, new.items);
 }
 
-/// Symptom: a job runs twice. Events: the caller sends it again after a lost
-/// answer, to another node. Cause: the second copy taken for a new job.
+/// Guards against a job that runs twice. After a lost response the caller
+/// submits the job again, to another node, and the second copy is taken for a
+/// new job.
 #[tokio::test]
 async fn a_job_that_is_sent_again_is_the_same_job() {
     let kv = Memory::default();
@@ -49,10 +50,11 @@
     assert_eq!(first.manifest, second.manifest);
 }
 
-/// Symptom: a job that was accepted before there were customers is refused
-/// when it is sent again, or one customer gets the job of another. Events: a
-/// manifest without a customer, and one of another customer, under the id of a new
-/// job. Cause: what is not known was taken for a difference, or ignored.
+/// Guards against two faults: a job that was accepted before there were
+/// customers is refused when it is submitted again, or one customer gets the
+/// job of another. A new job meets a manifest without a customer, and one of
+/// another customer, under its id. A missing customer must not count as a
+/// difference, and a different one must not be ignored.
 #[tokio::test]
 async fn a_job_sent_again_has_to_be_of_the_same_customer() {
     let kv = Memory::default();
@@ -60,7 +62,10 @@
     let of = |name: &str| Some(name.parse().expect("a name"));
     let old = ledger.accept(job("old", 1)).await.expect("accepted");
     let text = serde_json::to_string(&old.manifest).expect("json");
-    assert!(!text.contains("customer"), "as heads were before: {text}");
+    assert!(
+        !text.contains("customer"),
+        "as manifests were before: {text}"
+    );
     let again = NewJob {
         customer: of("alama"),
         ..job("old", 1)
@@ -79,7 +84,7 @@
     assert_eq!(*report.current_context(), JobError::Conflict);
 }
 
-/// Whatever happens to the write, an acceptance is true: the job is there.
+/// An accepted job is stored, whatever happens to the write.
 #[parameterized(
     lost_after = { WriteFault::LostAfter },
     lost_before = { WriteFault::LostBefore },
@@ -97,9 +102,9 @@
     );
 }
 
-/// A refusal that says that nothing was kept must be true.
+/// A refusal reporting that nothing was stored must be true.
 #[tokio::test]
-async fn without_the_service_nothing_is_kept() {
+async fn nothing_is_stored_without_the_key_value_service() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     kv.set_down(true);
@@ -136,7 +141,7 @@
     }
     assert_eq!(stored.manifest.listed, [2, 0, 3, 1]);
     assert!(stored.manifest.is_closed());
-    // Another node's ledger, which has nothing in memory.
+    // The ledger of another node, with an empty cache.
     let other = common::ledger(&kv);
     let second = other.results(&key("j"), &stored.manifest, 2).await;
     let second = second.expect("results");
@@ -145,11 +150,11 @@
     assert_eq!(stored.manifest.chunk_of(4), None);
 }
 
-/// Symptom: an item stands at two positions. Events: two nodes think that a
-/// job is theirs and list the same item. Cause: the second write not
-/// compared with what the first one changed.
+/// Guards against an item listed at two positions. Two nodes that both
+/// consider themselves the owner of a job list the same item, and the second
+/// write is not compared with the change of the first one.
 #[tokio::test]
-async fn of_two_writers_one_learns_that_the_other_was_faster() {
+async fn a_writer_with_a_stale_manifest_gets_the_current_one() {
     let kv = Memory::default();
     let (one, two) = (ledger(&kv), ledger(&kv));
     let before = one.accept(job("j", 2)).await.expect("accepted");
@@ -165,9 +170,9 @@
     assert_eq!(now.manifest.listed, [0]);
 }
 
-/// Symptom: a result is listed twice after a lost answer. Events: the write
-/// is done, its answer lost, the writer tries again. Cause: a lost answer
-/// taken for a write that was not done.
+/// Guards against a result listed twice. A write takes effect, its response is
+/// lost, and the writer takes this for a write that was not executed and tries
+/// again.
 #[tokio::test]
 async fn a_listing_whose_answer_is_lost_is_found_again() {
     let kv = Memory::default();
@@ -183,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn strikes_outlive_their_node() {
+async fn failed_attempts_survive_the_loss_of_a_node() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let before = ledger.accept(job("j", 2)).await.expect("accepted");
@@ -206,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn ending_a_job_twice_changes_nothing() {
+async fn cancelling_a_job_twice_changes_nothing() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     ledger.accept(job("j", 2)).await.expect("accepted");
@@ -249,14 +254,14 @@
     let stored = listed.expect("written").expect("listed");
     ledger.accept(job("other", 1)).await.expect("accepted");
     let stale = ledger.remove(&key("j"), &accepted).await;
-    assert!(stale.is_err(), "the head has changed since");
+    assert!(stale.is_err(), "the manifest has changed since");
     ledger.remove(&key("j"), &stored).await.expect("removed");
     let left = kv.get_prefix("", 0).await.expect("read").kvs;
     let left: Vec<&str> = left.iter().map(|kv| kv.key.as_str()).collect();
     assert_eq!(left, ["bulk/in/other/1000/000000", "jobs/h/other"]);
 }
 
-fn progress(number: u32, output: &str) -> ItemCheckpoint {
+fn checkpoint(number: u32, output: &str) -> ItemCheckpoint {
     ItemCheckpoint {
         number,
         last_id: 7,
@@ -275,68 +280,74 @@
 }
 
 #[tokio::test]
-async fn progress_is_read_as_it_was_saved_last() {
+async fn checkpoints_are_read_as_saved_last() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let manifest =
         ledger.accept(job("j", 3)).await.expect("accepted").manifest;
-    let none = ledger.progress(&key("j"), &manifest).await.expect("read");
+    let none = ledger
+        .checkpoints(&key("j"), &manifest)
+        .await
+        .expect("read");
     assert_eq!(none, []);
     for output in ["a", "a\nb"] {
-        let items = vec![progress(0, output), progress(2, "")];
+        let items = vec![checkpoint(0, output), checkpoint(2, "")];
         let jobs = [saved("j", items)];
         ledger.save_checkpoints(&jobs).await.expect("saved");
     }
-    let read = ledger.progress(&key("j"), &manifest).await.expect("read");
-    assert_eq!(read, [progress(0, "a\nb"), progress(2, "")]);
+    let read = ledger
+        .checkpoints(&key("j"), &manifest)
+        .await
+        .expect("read");
+    assert_eq!(read, [checkpoint(0, "a\nb"), checkpoint(2, "")]);
     let again = JobManifest {
         submitted_at: UnixMillis::new(200_000),
         ..manifest
     };
-    let other = ledger.progress(&key("j"), &again).await.expect("read");
+    let other = ledger.checkpoints(&key("j"), &again).await.expect("read");
     assert_eq!(other, [], "of a job that was sent again after its removal");
 }
 
-/// Symptom: no progress of any job of a node was saved. Events: one job had
-/// more unfinished output than a value holds, or all together had more than
-/// a call carries. Cause: the service refuses such a call as a whole.
+/// Guards against a node that saves no checkpoint of any job. One job has more
+/// unfinished output than a value holds, or all jobs together have more than a
+/// call carries, and the key-value service refuses such a call as a whole.
 #[tokio::test]
-async fn progress_that_does_not_fit_leaves_the_rest_whole() {
+async fn checkpoints_that_do_not_fit_do_not_affect_others() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let manifest =
         ledger.accept(job("j", 3)).await.expect("accepted").manifest;
     let long = "x".repeat(VALUE_BYTES / 2);
     let many = |job: usize| {
-        let items = (0..3).map(|number| progress(number, &long));
+        let items = (0..3).map(|number| checkpoint(number, &long));
         saved(&format!("j{job}"), items.collect())
     };
     let jobs: Vec<_> = (0..40).map(many).collect();
     ledger.save_checkpoints(&jobs).await.expect("saved");
     for JobCheckpoint { job, items, .. } in &jobs {
-        let read = ledger.progress(job, &manifest).await.expect("read");
+        let read = ledger.checkpoints(job, &manifest).await.expect("read");
         assert_eq!(read, items[..1], "{job}");
     }
 }
 
 #[tokio::test]
-async fn progress_is_removed_with_its_job() {
+async fn checkpoints_are_removed_with_their_job() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let stored = ledger.accept(job("j", 1)).await.expect("accepted");
-    let jobs = [saved("j", vec![progress(0, "a")])];
+    let jobs = [saved("j", vec![checkpoint(0, "a")])];
     ledger.save_checkpoints(&jobs).await.expect("saved");
     ledger.remove(&key("j"), &stored).await.expect("removed");
-    let left = ledger.progress(&key("j"), &stored.manifest).await;
+    let left = ledger.checkpoints(&key("j"), &stored.manifest).await;
     assert_eq!(left.expect("read"), []);
 }
 
-/// Symptom: a job that was sent again long after its removal shows results
-/// at other positions than before. Events: a node had kept a chunk of the
-/// old job, the new one listed its items in another order. Cause: the key of
-/// the chunk told only the job and the position.
+/// Guards against a job that shows results at other positions than before when
+/// it is submitted again long after its removal. A node has cached a chunk of
+/// the old job, the new one lists its items in another order, and the key of
+/// the chunk contains only the job and the position.
 #[tokio::test]
-async fn what_is_kept_of_a_removed_job_is_not_taken_for_a_new_one() {
+async fn cached_values_of_a_removed_job_are_not_used_for_a_new_one() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let none = IndexMap::new();
@@ -360,7 +371,7 @@
     assert_eq!(manifests.len(), 2);
 }
 
-/// Another node that has one value.
+/// A peer that has one value.
 struct OneValue(&'static str, Vec<u8>);
 
 impl BulkPeers for OneValue {
@@ -372,7 +383,7 @@
 }
 
 #[tokio::test]
-async fn values_are_read_from_another_node_before_the_service() {
+async fn values_are_read_from_a_peer_before_the_key_value_service() {
     let kv = Memory::default();
     let stored = ledger(&kv).accept(job("j", 2)).await.expect("accepted");
     let inputs = encode_inputs(&items(2, 100)).expect("encoded");
@@ -388,14 +399,15 @@
     }
 }
 
-/// Symptom: a position of a job showed one output at one front and another
-/// at the next. Events: a write of results is lost on its way; meanwhile
-/// another node lists the same items, with the texts of runs of its own; the
-/// first node reads the manifest back, finds it as it wanted it and keeps its
-/// own texts for other nodes. Cause: two manifests that list the same items are
-/// alike, so that a manifest alone does not prove whose results were written.
+/// Guards against a position of a job that shows one output at one front and
+/// another output at the next. A write of results is lost before it takes
+/// effect; meanwhile another node lists the same items with the outputs of its
+/// own runs. The first node reads the manifest back, finds the expected one
+/// and caches its own outputs for its peers. Two manifests that list the same
+/// items are equal, so that a manifest alone does not prove whose results were
+/// written.
 #[tokio::test]
-async fn results_that_another_writer_listed_are_not_kept_as_own() {
+async fn results_listed_by_another_writer_are_not_cached_as_own() {
     let kv = Memory::default();
     let (one, two) = (ledger(&kv), ledger(&kv));
     let stored = one.accept(job("j", 2)).await.expect("accepted");
--- a/crates/jobs/tests/model.rs
+++ b/crates/jobs/tests/model.rs
@@ -1,7 +1,7 @@
 //! A seeded model: several writers list the results of one job while writes
-//! are refused, lost before or after they take effect. Checked is what the
-//! callers were promised: each item at one position, and a position never
-//! holds another result than it was seen with.
+//! are refused, or lost before or after they take effect. The test checks the
+//! guarantees to callers: each item is at one position, and a position never
+//! shows another result than the one it was first seen with.
 
 mod common;
 
@@ -16,7 +16,7 @@
 const ITEMS: u32 = 12;
 const SEEDS: u64 = 400;
 
-/// A writer with what it believes, which may be out of date.
+/// A writer with the manifest that it knows, which may be stale.
 struct Writer {
     ledger: Ledger,
     known: StoredManifest,
@@ -44,7 +44,7 @@
     all
 }
 
-/// Plays one seed; returns what is wrong with the listing, if anything.
+/// Runs one seed; returns an error if the listing violates a guarantee.
 async fn play(seed: u64, fenced: bool) -> Result<(), String> {
     let mut random = StdRng::seed_from_u64(seed);
     let kv = Memory::default();
@@ -73,12 +73,13 @@
             continue;
         }
         if !fenced {
-            // The planted fault: the write is compared with whatever is
-            // there, not with what the writer decided by.
+            // The injected fault: the write is compared with the current
+            // revision, not with the revision that the writer's decision is
+            // based on.
             let now = writer.ledger.read(&key("j")).await.expect("read");
             writer.known.revision = now.revision;
         }
-        // Two runs of one item may produce different texts.
+        // Two runs of one item may produce different outputs.
         let by_writer = |number: &u32| {
             let plain = result(*number);
             let output = format!("{} by writer {at}", plain.output);
@@ -99,14 +100,17 @@
         if let Ok(Ok(stored) | Err(stored)) = listed {
             writer.known = stored;
         }
-        // One that has nothing in memory sees what the service has.
+        // A reader with an empty cache sees the content of the key-value
+        // service.
         let reader =
             first.clone().with_peers(Arc::default(), Arc::new(NoPeers));
         let now = check(&reader, &mut seen).await?;
         for writer in &writers {
             let kept = read_all(&writer.ledger, &now).await;
             if kept != seen {
-                return Err("a writer keeps what is not written".to_owned());
+                return Err(
+                    "a writer caches values that were not written".to_owned()
+                );
             }
         }
     }
@@ -120,16 +124,16 @@
     let now = ledger.read(&key("j")).await.expect("read");
     let all = read_all(ledger, &now).await;
     if all.len() != now.manifest.listed.len() {
-        return Err("head and chunks disagree".to_owned());
+        return Err("manifest and chunks disagree".to_owned());
     }
     if !all.starts_with(seen) {
-        return Err("a position holds another result".to_owned());
+        return Err("the result of a position has changed".to_owned());
     }
     let mut ids: Vec<&str> = all.iter().map(|r| r.id.as_str()).collect();
     ids.sort_unstable();
     ids.dedup();
     if ids.len() != all.len() {
-        return Err("an item stands at two positions".to_owned());
+        return Err("an item is listed at two positions".to_owned());
     }
     *seen = all;
     Ok(now)
@@ -144,7 +148,7 @@
     }
 }
 
-/// The model finds the fault that it is there for.
+/// Checks that the model detects the fault that it is made for.
 #[tokio::test]
 async fn a_write_without_its_condition_is_found() {
     let mut found = 0;
--- a/crates/jobs/tests/online.rs
+++ b/crates/jobs/tests/online.rs
@@ -1,4 +1,4 @@
-//! What fronts report of their requests in flight.
+//! Requests in flight as reported by fronts.
 
 use base::{Millis, UnixMillis};
 use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
@@ -8,7 +8,7 @@
 
 const NOW: Millis = Millis::new(5_000);
 
-fn life(id: &str) -> LifeKey {
+fn incarnation(id: &str) -> LifeKey {
     let endpoint = Endpoint::new(EndpointRecord {
         id: id.to_owned(),
         started_at: None,
@@ -21,7 +21,7 @@
     endpoint.life()
 }
 
-/// One front of a test.
+/// A front with the number of its last update.
 struct Front(&'static str, u64);
 
 impl Front {
@@ -51,21 +51,21 @@
 #[test]
 fn the_updates_of_all_fronts_add_up() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     Front("f1", 0).sends(&load, &[(e, 2)], false, NOW);
     Front("f2", 0).sends(&load, &[(e, 3)], false, NOW);
     assert_eq!(load.requests_at(e, "f1", NOW), Some(5));
     assert_eq!(load.full_report("f1", NOW).counts, [(e, 3)]);
     assert_eq!(load.full_report("f2", NOW).counts, [(e, 2)]);
-    assert_eq!(load.requests_at(life("other"), "f1", NOW), None);
+    assert_eq!(load.requests_at(incarnation("other"), "f1", NOW), None);
 }
 
-/// Symptom: batch work never starts at an endpoint. Events: a front is
-/// killed with requests in flight. Cause: its last word counted for ever.
+/// Guards against batch work that never starts at an endpoint. A front is
+/// killed with requests in flight, and its last update counts forever.
 #[test]
 fn the_update_of_a_silent_front_is_forgotten() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     let (mut dead, mut other) = (Front("f1", 0), Front("f2", 0));
     dead.sends(&load, &[(e, 8)], false, NOW);
     other.sends(&load, &[(e, 1)], false, NOW);
@@ -76,14 +76,14 @@
     assert_eq!(load.requests_at(e, "f2", later), Some(1));
 }
 
-/// Symptom: first events are late while fronts are stopped in turn. Events: a
-/// front is told to stop; it is not listed any more, and serves for some
-/// seconds what comes on its open connections. Cause: workers forgot it with
-/// its entry, and batch work took the slots of its requests.
+/// Guards against late first events while fronts are stopped one after the
+/// other. A front that is shutting down is not listed any more but serves
+/// requests on its open connections for some seconds. If workers remove it
+/// together with its entry, batch work takes the slots of its requests.
 #[test]
-fn a_front_that_is_about_to_end_counts_as_long_as_it_reports() {
+fn a_front_that_shuts_down_counts_as_long_as_it_reports() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     let (mut ending, mut other) = (Front("f1", 0), Front("f2", 0));
     ending.sends(&load, &[(e, 4)], true, NOW);
     other.sends(&load, &[(e, 1)], true, NOW);
@@ -92,13 +92,13 @@
     assert_eq!(load.full_report("f2", NOW).counts, [(e, 4)]);
 }
 
-/// Symptom: every worker asks engines for their load, and items start by
-/// reports that are old. Events: one front of many is paused. Cause: a
-/// worker knew the load of its endpoints only if it heard all fronts.
+/// Guards against workers that all probe the engines for their load and start
+/// items by stale reports. One front of many is paused, and a worker knows the
+/// load of its endpoints only if all fronts report.
 #[test]
 fn a_silent_front_hides_only_the_endpoints_that_it_uses() {
     let (load, _heard) = OnlineLoad::new();
-    let (shared, own) = (life("shared"), life("own"));
+    let (shared, own) = (incarnation("shared"), incarnation("own"));
     let (mut silent, mut other) = (Front("f1", 0), Front("f2", 0));
     silent.sends(&load, &[(shared, 1)], true, NOW);
     let later = NOW.saturating_add_ms(FRONT_LOAD_TTL_MS);
@@ -107,13 +107,13 @@
     assert_eq!(load.requests_at(own, "f2", later), Some(2));
 }
 
-/// Symptom: batch work takes the slots of online requests. Events: a worker
-/// starts; the front that uses its endpoint first has not been heard yet.
-/// Cause: no report was taken for no request.
+/// Guards against batch work that takes the slots of online requests. A worker
+/// starts, the front that its endpoint is assigned to has not reported yet,
+/// and the missing report is taken for zero requests.
 #[test]
-fn an_endpoint_is_not_judged_before_its_first_user_is_heard() {
+fn an_endpoint_load_is_unknown_before_its_first_user_reports() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     Front("f2", 0).sends(&load, &[(e, 0)], true, NOW);
     assert_eq!(load.requests_at(e, "f1", NOW), None);
     Front("f1", 0).sends(&load, &[(e, 0)], true, NOW);
@@ -121,9 +121,9 @@
 }
 
 #[test]
-fn a_whole_update_makes_good_what_was_lost() {
+fn a_full_update_repairs_lost_updates() {
     let (load, _heard) = OnlineLoad::new();
-    let (e, g) = (life("e"), life("g"));
+    let (e, g) = (incarnation("e"), incarnation("g"));
     let mut front = Front("f1", 0);
     front.sends(&load, &[(e, 2), (g, 1)], false, NOW);
     front.sends(&load, &[(e, 1)], true, NOW);
@@ -132,23 +132,23 @@
 }
 
 #[test]
-fn the_runner_hears_of_a_request_at_once() {
-    let (load, mut heard) = OnlineLoad::new();
-    let e = life("e");
+fn the_runner_is_notified_of_a_request_at_once() {
+    let (load, mut changes) = OnlineLoad::new();
+    let e = incarnation("e");
     let mut front = Front("f1", 0);
     front.sends(&load, &[(e, 1)], false, NOW);
-    assert_eq!(heard.try_recv().ok(), Some(e));
+    assert_eq!(changes.try_recv().ok(), Some(e));
     front.sends(&load, &[(e, 1)], false, NOW);
-    assert!(heard.try_recv().is_err(), "nothing has changed");
+    assert!(changes.try_recv().is_err(), "nothing has changed");
 }
 
-/// Symptom: a worker counts requests that have long ended. Events: a
-/// datagram is held up on its way, or sent again by whoever recorded it.
-/// Cause: updates were taken in the order of their arrival.
+/// Guards against a worker that counts requests that ended long ago. A
+/// datagram is delayed, or replayed by an attacker, and updates are applied in
+/// the order of their arrival.
 #[test]
 fn replayed_and_reordered_updates_change_nothing() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     let mut front = Front("f1", 4);
     assert!(front.sends(&load, &[(e, 1)], true, NOW));
     assert!(!Front("f1", 4).sends(&load, &[(e, 9)], true, NOW));
@@ -156,13 +156,13 @@
     assert_eq!(load.requests_at(e, "f1", NOW), Some(1));
 }
 
-/// Symptom: a worker hears a front that has restarted only after minutes.
-/// Events: the time of day is set back between the two starts. Cause: the
-/// updates of the later start looked older.
+/// Guards against a worker that ignores a restarted front for minutes. The
+/// clock is set back between the two starts, so that the updates of the later
+/// start have lower versions.
 #[test]
-fn a_front_that_was_silent_begins_anew() {
+fn a_front_that_was_silent_may_restart_its_versions() {
     let (load, _heard) = OnlineLoad::new();
-    let e = life("e");
+    let e = incarnation("e");
     Front("f1", 100).sends(&load, &[(e, 1)], true, NOW);
     let later = NOW.saturating_add_ms(FRONT_LOAD_TTL_MS);
     assert!(Front("f1", 0).sends(&load, &[(e, 2)], true, later));
@@ -170,9 +170,9 @@
 }
 
 #[test]
-fn a_front_hears_only_of_what_has_changed_where_it_sends() {
+fn a_front_is_sent_only_changes_at_its_endpoints() {
     let (load, _heard) = OnlineLoad::new();
-    let (e, g) = (life("e"), life("g"));
+    let (e, g) = (incarnation("e"), incarnation("g"));
     let (mut one, mut two) = (Front("f1", 0), Front("f2", 0));
     one.sends(&load, &[(e, 0)], true, NOW);
     two.sends(&load, &[(e, 0), (g, 0)], true, NOW);
@@ -186,24 +186,25 @@
     assert!(load.changes(NOW).is_empty());
 }
 
-/// The cost of one request at one worker does not grow with the fleet: it
-/// depends on who shares the endpoint, and not on fronts and endpoints.
+/// The cost of one request at one worker depends on the fronts that share the
+/// endpoint, and not on the number of fronts and endpoints in the fleet.
 ///
-/// Symptom: workers with a tenth of the fleet's load are at nine tenths of
-/// their processors. Events: a fleet grows from 30 to 300 nodes. Cause: each
-/// worker walked over all fronts and endpoints twenty times a second.
+/// Guards against workers that use nine tenths of their processors at a tenth
+/// of the fleet's load. The fleet grows from 30 to 300 nodes, and each worker
+/// iterates over all fronts and endpoints twenty times a second.
 #[test]
 fn steps_of_a_request_do_not_grow_with_the_fleet() {
     let steps_at = |fronts: usize| {
         let (load, _heard) = OnlineLoad::new();
-        let lives: Vec<LifeKey> =
-            (0..30).map(|at| life(&at.to_string())).collect();
+        let incarnations: Vec<LifeKey> =
+            (0..30).map(|at| incarnation(&at.to_string())).collect();
         let names: Vec<String> =
             (0..fronts).map(|at| format!("front-{at}")).collect();
-        // Each endpoint is shared by three fronts, whatever their number.
+        // Each endpoint is shared by three fronts, whatever the number of
+        // fronts.
         for (at, name) in names.iter().take(90).enumerate() {
             let version = ReportVersion::default();
-            let counts = [(lives[at % lives.len()], 0)];
+            let counts = [(incarnations[at % incarnations.len()], 0)];
             let update = FrontUpdate {
                 front: name,
                 version,
@@ -225,7 +226,7 @@
             front: &names[0],
             version,
             is_full: false,
-            counts: &[(lives[0], 1)],
+            counts: &[(incarnations[0], 1)],
         };
         load.apply(update, NOW);
         assert!(load.changes(NOW).len() <= 2);
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -1,4 +1,4 @@
-//! How jobs and endpoints are shared between nodes.
+//! Assignment of jobs and endpoints to nodes.
 
 use std::sync::Arc;
 
@@ -59,9 +59,9 @@
     }
 }
 
-/// Symptom: items are left lying while endpoints are idle. Events: a node
-/// joins a domain that has one already. Cause: plain hashing gave one of
-/// the two a single endpoint and as many jobs as the others.
+/// Guards against items that do not run while endpoints are idle. A node joins
+/// a domain that already has one, and plain hashing assigns one of the two a
+/// single endpoint and as many jobs as to the other nodes.
 #[parameterized(
     two_nodes_in_one_domain = {
         &[("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c"), ("d1", "d")],
@@ -97,10 +97,10 @@
         })
         .collect();
     assert_eq!(counts.iter().sum::<usize>(), endpoints.len());
-    let most = endpoints.len().div_ceil(nodes.len());
-    assert!(counts.iter().all(|count| *count <= most), "{counts:?}");
-    let least = endpoints.len() / nodes.len();
-    assert!(counts.iter().all(|count| *count >= least), "{counts:?}");
+    let max = endpoints.len().div_ceil(nodes.len());
+    assert!(counts.iter().all(|count| *count <= max), "{counts:?}");
+    let min = endpoints.len() / nodes.len();
+    assert!(counts.iter().all(|count| *count >= min), "{counts:?}");
 }
 
 #[test]
@@ -162,10 +162,10 @@
     assert_eq!((backlog.items_of("a"), backlog.items_of("b")), (9, 4));
 }
 
-/// Symptom: two moves a job, of which each costs several calls, while the
-/// fleet has enough slots for all. Events: twenty jobs arrive within the
-/// time in which nobody hears of them. Cause: all went to the same node,
-/// which looked idle to every front.
+/// Guards against two moves for each job, of which each costs several calls,
+/// while the fleet has enough slots for all jobs. Twenty jobs arrive before
+/// any backlog report about them, and all go to the same node, which looks
+/// idle to every front.
 #[test]
 fn jobs_of_one_moment_do_not_all_go_to_the_same_node() {
     let nodes = (0..30).map(|at| node(&format!("node-{at}"), "a"));
@@ -174,17 +174,17 @@
     for job in 0..20 {
         let job: JobKey = format!("job-{job}").parse().expect("key");
         let owner = members.least_loaded(&job, &Backlog::default());
-        let place = members
+        let index = members
             .nodes()
             .iter()
             .position(|n| Some(n.node.as_str()) == owner);
-        counts[place.expect("a member")] += 1;
+        counts[index.expect("a member")] += 1;
     }
     assert!(counts.iter().all(|count| *count <= 5), "{counts:?}");
 }
 
-/// Four of many find one that is not busy in fifteen of sixteen cases where
-/// half of the nodes are, whatever the size.
+/// If half of the nodes are busy, a sample of four contains a node that is not
+/// busy in fifteen of sixteen cases, whatever the size of the fleet.
 #[test]
 fn a_new_job_avoids_nodes_that_are_busy() {
     let nodes = (0..32).map(|at| node(&format!("node-{at:02}"), "a"));
@@ -215,11 +215,11 @@
     assert!(Members::new([front]).is_empty());
 }
 
-/// Symptom: an item is left lying for good. Events: endpoints are taken away
-/// until a node has none; jobs of which something is listed stay its own.
-/// Cause: nobody saw that the node cannot run anything.
+/// Guards against an item that never runs. Endpoints are removed until a node
+/// has none, and the node keeps its jobs of which something is listed, since
+/// nobody detects that it cannot run anything.
 #[test]
-fn a_node_without_endpoints_is_known_as_such() {
+fn a_node_without_endpoints_is_detected() {
     let members = Members::new(["a1", "a2", "a3"].map(|n| node(n, "a")));
     let endpoints = endpoints(&[("a", 2)]);
     let assignment = Assignment::new("a1", members, &endpoints);
@@ -242,12 +242,12 @@
     (members, endpoints(&by_domain))
 }
 
-/// Symptom: all nodes are busy for seconds after everything was started
-/// again, and serve nothing meanwhile. Events: nodes come back one after the
-/// other; each makes its assignment again for each of them. Cause: a assignment looked
-/// at every node for every endpoint.
+/// Guards against nodes that are busy for seconds after a restart of the whole
+/// fleet, and serve nothing meanwhile. Nodes come back one after the other,
+/// and each computes its assignment again for each of them, visiting every
+/// node for every endpoint.
 #[test]
-fn the_steps_of_a_plan_grow_with_the_endpoints_alone() {
+fn the_steps_of_an_assignment_grow_with_the_endpoints_alone() {
     let steps = |nodes: usize| {
         let (members, endpoints) = fleet(nodes);
         let assignment = Assignment::new("node-0", members, &endpoints);
@@ -259,8 +259,8 @@
     }
 }
 
-/// What a node loses and gains by a change elsewhere costs connections and
-/// prompts that were read in vain.
+/// Each endpoint that a node loses or gains by a change elsewhere costs
+/// connections and prompts that were prefilled in vain.
 #[test]
 fn few_endpoints_change_their_user_when_a_node_leaves() {
     let (members, endpoints) = fleet(60);
@@ -276,7 +276,8 @@
         .iter()
         .filter(|e| user(&before, e) != user(&after, e))
         .count();
-    // Ten were the lost node's; the others move as shares become uneven.
+    // Ten endpoints belonged to the removed node; the others move because the
+    // endpoint counts become uneven.
     assert!(
         moved < endpoints.len() / 4,
         "{moved} of {}",
@@ -284,10 +285,11 @@
     );
 }
 
-/// Symptom: an idle front spends half of its processor on assignments. Cause: each
-/// look computed the lists anew that the assignment is computed of, to compare them.
+/// Guards against an idle front that spends half of its processor time on
+/// assignments, because each pass builds the lists of inputs again to compare
+/// them.
 #[test]
-fn a_plan_is_made_once_for_the_same_fleet() {
+fn an_assignment_is_computed_once_for_the_same_fleet() {
     let (members, endpoints) = fleet(30);
     let table = Arc::new(EndpointTable::new(endpoints.iter().cloned()));
     let route = Route::new("jobs", "a.example", "/", "engines")
