--- a/crates/jobs/src/bulk.rs
+++ b/crates/jobs/src/bulk.rs
@@ -52,7 +52,7 @@
 /// use pomeloslip_jobs::BulkCache;
 ///
 /// let cache = BulkCache::default();
-/// cache.keep("bulk/out/a", &Arc::new(vec![1, 2]));
+/// cache.insert("bulk/out/a", &Arc::new(vec![1, 2]));
 /// assert_eq!(cache.get("bulk/out/a").as_deref(), Some(&vec![1, 2]));
 /// assert_eq!(cache.get("bulk/out/b"), None);
 /// ```
@@ -76,7 +76,7 @@
 
     /// Caches a value and evicts the oldest values if the capacity is
     /// exceeded.
-    pub fn keep(&self, key: &str, value: &BulkValue) {
+    pub fn insert(&self, key: &str, value: &BulkValue) {
         let mut entries = self.lock();
         if entries
             .values
--- a/crates/jobs/src/ledger/values.rs
+++ b/crates/jobs/src/ledger/values.rs
@@ -72,7 +72,7 @@
             Some(value) => value,
             None => Arc::new(self.read_bulk_from_kv(key).await?),
         };
-        self.cache.keep(key, &value);
+        self.cache.insert(key, &value);
         Ok(value)
     }
 
@@ -90,7 +90,7 @@
             return Err(Report::new(JobError::Unknown));
         }
         let value = Arc::new(self.read_bulk_from_kv(key).await?);
-        self.cache.keep(key, &value);
+        self.cache.insert(key, &value);
         Ok(value)
     }
 
@@ -116,7 +116,7 @@
             return;
         }
         for (key, value) in values {
-            self.cache.keep(key, value);
+            self.cache.insert(key, value);
         }
     }
 
--- a/crates/jobs/src/manifests.rs
+++ b/crates/jobs/src/manifests.rs
@@ -90,6 +90,6 @@
     }
 
     fn note(&self, job: &JobKey, stored: &StoredManifest) {
-        self.view.learn(job, stored, self.clock.now());
+        self.view.update(job, stored, self.clock.now());
     }
 }
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -195,7 +195,7 @@
             }
         };
         let now = self.runner.parts.clock.now();
-        self.runner.parts.view.learn(key, &stored, now);
+        self.runner.parts.view.update(key, &stored, now);
         job.update_manifest(stored);
     }
 }
--- a/crates/jobs/src/runner/rebalance.rs
+++ b/crates/jobs/src/runner/rebalance.rs
@@ -147,7 +147,7 @@
                 let load_not_before =
                     now.saturating_add_ms(HANDOVER_SETTLE_MS);
                 self.taken_over.insert(key.clone(), load_not_before);
-                self.runner.parts.view.learn(key, &stored, now);
+                self.runner.parts.view.update(key, &stored, now);
             }
             Err(report) => {
                 log::info!(job = key.as_str(),
--- a/crates/jobs/src/view.rs
+++ b/crates/jobs/src/view.rs
@@ -109,8 +109,9 @@
         inner.roster = None;
     }
 
-    /// Records a manifest that this node wrote or read itself.
-    pub fn learn(&self, job: &JobKey, stored: &StoredManifest, now: Millis) {
+    /// Records a manifest that this node wrote or read itself, unless the view
+    /// has the same or a newer revision.
+    pub fn update(&self, job: &JobKey, stored: &StoredManifest, now: Millis) {
         let mut inner = self.lock();
         if stored.revision <= inner.jobs.revision(job) {
             return;
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -128,14 +128,14 @@
         // Inputs before the head: the job is taken up as it is known.
         for row in rows {
             if let Op::Put { key, value, .. } = row {
-                self.cache.keep(&key, &Arc::new(value));
+                self.cache.insert(&key, &Arc::new(value));
             }
         }
         let stored = StoredManifest {
             manifest: head,
             revision,
         };
-        self.view.learn(&job, &stored, self.clock.now());
+        self.view.update(&job, &stored, self.clock.now());
         Some(())
     }
 }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -448,7 +448,7 @@
             return Ok(());
         }
         let stored = self.ledger.accept(job).await?;
-        self.view.learn(key, &stored, self.clock.now());
+        self.view.update(key, &stored, self.clock.now());
         self.remove(key, "it is entered").await;
         Ok(())
     }
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -111,13 +111,13 @@
 async fn a_question_is_answered_as_soon_as_there_is_news() {
     let view = JobView::default();
     let clock = Arc::new(SteppedClock::default());
-    view.learn(&job(), &stored("worker-1", 5), Millis::new(0));
+    view.update(&job(), &stored("worker-1", 5), Millis::new(0));
     let answers = HeadAnswers::new(view.clone(), clock);
     let uri = "/head/job-1?wait_ms=900&after=5".parse().expect("a path");
     let answered = tokio::spawn(answers.clone().answer(uri));
     tokio::task::yield_now().await;
     assert!(!answered.is_finished());
-    view.learn(&job(), &stored("worker-1", 6), Millis::new(1));
+    view.update(&job(), &stored("worker-1", 6), Millis::new(1));
     let response = answered.await.expect("task");
     assert_eq!(response.status(), 200);
     let unknown = "/head/job-2?wait_ms=0".parse().expect("a path");
