--- a/crates/jobs/src/online.rs
+++ b/crates/jobs/src/online.rs
@@ -199,27 +199,27 @@
 
     /// Returns the number of online requests at an endpoint if all fronts that
     /// use the endpoint report. Returns `None` if one of them is silent, or if
-    /// `first_user`, the front that the endpoint is assigned to, has not
+    /// `assigned_front`, the front that the endpoint is assigned to, has not
     /// reported the endpoint.
     pub fn requests_at(
         &self,
         endpoint: LifeKey,
-        first_user: &str,
+        assigned_front: &str,
         now: Millis,
     ) -> Option<u32> {
         let inner = self.lock();
         let uses = inner.endpoints.get(&endpoint)?;
-        let first_user = FrontKey::of(first_user);
+        let assigned_front = FrontKey::of(assigned_front);
         let mut total: u32 = 0;
-        let mut has_first_user = false;
+        let mut has_assigned_front = false;
         for FrontUse { front, count, .. } in uses {
             if !inner.is_fresh(*front, now) {
                 return None;
             }
-            has_first_user |= *front == first_user;
+            has_assigned_front |= *front == assigned_front;
             total = total.saturating_add(*count);
         }
-        has_first_user.then_some(total)
+        has_assigned_front.then_some(total)
     }
 
     /// Removes the fronts that are silent and not listed any more. A front
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -128,9 +128,9 @@
     /// Returns the number of online requests at an endpoint, if the fronts
     /// that use the endpoint report them.
     fn online_count(&self, incarnation: LifeKey, now: Millis) -> Option<u32> {
-        let first_user = self.front_assignment.user_of(incarnation)?;
+        let assigned_front = self.front_assignment.user_of(incarnation)?;
         let online_load = &self.runner.parts.online_load;
-        online_load.requests_at(incarnation, &first_user.node, now)
+        online_load.requests_at(incarnation, &assigned_front.node, now)
     }
 
     pub(super) fn decision_for(
--- a/crates/jobs/tests/online.rs
+++ b/crates/jobs/tests/online.rs
@@ -111,7 +111,7 @@
 /// starts, the front that its endpoint is assigned to has not reported yet,
 /// and the missing report is taken for zero requests.
 #[test]
-fn an_endpoint_load_is_unknown_before_its_first_user_reports() {
+fn an_endpoint_load_is_unknown_before_its_front_reports() {
     let (load, _heard) = OnlineLoad::new();
     let e = incarnation("e");
     Front("f2", 0).sends(&load, &[(e, 0)], true, NOW);
