--- a/crates/jobs/src/members.rs
+++ b/crates/jobs/src/members.rs
@@ -123,16 +123,16 @@
         job: &JobKey,
         backlog: &Backlog,
     ) -> Option<&str> {
-        let sampled = self.sample(stable_hash(&[job.as_str()]));
+        let sample = self.sample(stable_hash(&[job.as_str()]));
         let least_loaded_node =
-            sampled.min_by_key(|node| backlog.items_of(&node.node))?;
+            sample.min_by_key(|node| backlog.items_of(&node.node))?;
         Some(&least_loaded_node.node)
     }
 
     /// Samples a few nodes; equal seeds give equal samples on all nodes.
     pub(crate) fn sample(
         &self,
-        sample: u64,
+        seed: u64,
     ) -> impl Iterator<Item = &NodeRecord> {
         let len = self.nodes.len();
         let count = len.min(SAMPLE_SIZE);
@@ -141,11 +141,11 @@
                 // Takes all nodes, starting at an index that depends on the
                 // seed, so that ties are not always resolved in the same
                 // order.
-                true => (sample as usize).wrapping_add(nth) % len,
+                true => (seed as usize).wrapping_add(nth) % len,
                 // Draws each index independently: with a constant step, a
                 // fleet whose busy nodes are spaced by the same step would
                 // sample only those.
-                false => mix(sample ^ (nth as u64 + 1)) as usize % len,
+                false => mix(seed ^ (nth as u64 + 1)) as usize % len,
             };
             &self.nodes[index]
         })
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -324,10 +324,10 @@
         let view = &self.runner.parts.view;
         let changes = view.change_count();
         let synced_to = self.synced_to.as_ref();
-        let is_known = synced_to.is_some_and(|(known, count)| {
+        let is_in_sync = synced_to.is_some_and(|(known, count)| {
             Arc::ptr_eq(known, assignment) && *count == changes
         });
-        if is_known && !is_stopping && !self.has_moved_jobs() {
+        if is_in_sync && !is_stopping && !self.has_moved_jobs() {
             return;
         }
         self.synced_to = Some((assignment.clone(), changes));
@@ -430,17 +430,17 @@
     /// Gives up items whose deadline has passed or whose route does not exist
     /// any more.
     fn give_up_expired(&mut self) {
-        let unix = self.runner.parts.clock.unix();
+        let unix_now = self.runner.parts.clock.unix();
         let config = self.runner.parts.config.load_full();
         let margin_ms = self.runner.options.give_up_margin_ms;
-        let mut stopped = Vec::new();
+        let mut given_up = Vec::new();
         for (key, job) in &mut self.jobs {
             let Inputs::Loaded(inputs) = &job.inputs else {
                 continue;
             };
             let manifest = &job.stored.manifest;
             let is_past_deadline =
-                unix > manifest.give_up_at.saturating_add_ms(margin_ms);
+                unix_now > manifest.give_up_at.saturating_add_ms(margin_ms);
             let is_route_gone = config
                 .as_ref()
                 .as_ref()
@@ -463,9 +463,9 @@
                     "an item is given up"
                 );
             }
-            stopped.push(key.clone());
+            given_up.push(key.clone());
         }
-        for key in stopped {
+        for key in given_up {
             self.abort_runs_of(&key);
         }
     }
@@ -480,9 +480,9 @@
             return;
         }
         self.next_removal = now.saturating_add_ms(REMOVAL_INTERVAL_MS);
-        let unix = self.runner.parts.clock.unix();
+        let unix_now = self.runner.parts.clock.unix();
         let retention_ms = self.runner.options.retention_ms;
-        let before = unix.saturating_sub_ms(retention_ms);
+        let before = unix_now.saturating_sub_ms(retention_ms);
         let mut expired = self.runner.parts.view.closed_before(before);
         expired.retain(|(key, stored)| {
             assignment.owns_job(key, &stored.manifest)
--- a/crates/jobs/src/runner/active.rs
+++ b/crates/jobs/src/runner/active.rs
@@ -42,7 +42,7 @@
     /// Total time of the item's runs on all nodes.
     pub(super) total_run_ms: u64,
     /// Number of interrupted runs.
-    pub(super) pauses: u32,
+    pub(super) interruptions: u32,
     /// Number of events in the last saved checkpoint.
     saved_events: u64,
 }
@@ -52,7 +52,7 @@
     /// elsewhere.
     pub(super) fn interrupt(&mut self, run_started: Instant) {
         self.state = ItemPhase::Waiting;
-        self.pauses += 1;
+        self.interruptions += 1;
         self.total_run_ms += run_started.elapsed().as_millis() as u64;
     }
 }
@@ -98,17 +98,17 @@
     /// before its restart. Items that have run here since are ahead of their
     /// checkpoints and are not changed.
     pub(super) fn restore(&mut self, saved: &[ItemCheckpoint]) {
-        for progress in saved {
-            let Some(item) = self.items.get_mut(progress.number as usize)
+        for checkpoint in saved {
+            let Some(item) = self.items.get_mut(checkpoint.number as usize)
             else {
                 continue;
             };
             let is_not_started = item.state == ItemPhase::Waiting
                 && item.progress.last_id().is_none();
             if is_not_started {
-                item.progress = Progress::restore(progress);
-                item.total_run_ms = progress.ran_ms;
-                item.saved_events = progress.events;
+                item.progress = Progress::restore(checkpoint);
+                item.total_run_ms = checkpoint.ran_ms;
+                item.saved_events = checkpoint.events;
             }
         }
     }
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -206,8 +206,8 @@
     fn priority(&self, job: &ActiveJob, number: u32) -> SlackPriority {
         let ran_ms = job.items[number as usize].total_run_ms;
         let remaining = self.remaining(job, number, ran_ms);
-        let unix = self.runner.parts.clock.unix();
-        SlackPriority::new(job.stored.manifest.due_at, remaining, unix)
+        let unix_now = self.runner.parts.clock.unix();
+        SlackPriority::new(job.stored.manifest.due_at, remaining, unix_now)
     }
 
     /// Reports whether work of `remaining_ms` can only just finish in time.
@@ -218,8 +218,8 @@
         manifest: &JobManifest,
         remaining_ms: u64,
     ) -> bool {
-        let unix = self.runner.parts.clock.unix();
-        let left_ms = manifest.due_at.saturating_ms_since(unix);
+        let unix_now = self.runner.parts.clock.unix();
+        let left_ms = manifest.due_at.saturating_ms_since(unix_now);
         let needed_ms = remaining_ms * SAFETY_PERCENT / 100
             + self.runner.options.commit_interval_ms;
         left_ms > remaining_ms && left_ms < needed_ms
@@ -230,14 +230,14 @@
         let candidates = self.runs.iter().filter(|(_, run)| {
             run.endpoint.life() == incarnation && !self.is_urgent(run)
         });
-        let unix = self.runner.parts.clock.unix();
+        let unix_now = self.runner.parts.clock.unix();
         let rank_of = |run: &Run| {
             let job = self.jobs.get(&run.job)?;
             let item = &job.items[run.item as usize];
             let has_events = item.progress.last_id().is_some();
             let due_at = job.stored.manifest.due_at;
             let remaining = self.remaining_of_run(job, run);
-            let priority = SlackPriority::new(due_at, remaining, unix);
+            let priority = SlackPriority::new(due_at, remaining, unix_now);
             Some(PreemptRank::new(has_events, priority))
         };
         let chosen =
--- a/crates/jobs/src/runner/checkpoint.rs
+++ b/crates/jobs/src/runner/checkpoint.rs
@@ -21,7 +21,7 @@
     /// Starts to load the inputs of jobs that this node has taken on.
     pub(super) fn load_inputs(&mut self) {
         let now = self.now();
-        let unix = self.runner.parts.clock.unix();
+        let unix_now = self.runner.parts.clock.unix();
         for (key, job) in &mut self.jobs {
             if !matches!(job.inputs, Inputs::Missing) {
                 continue;
@@ -34,7 +34,7 @@
             let (key, manifest) = (key.clone(), job.stored.manifest.clone());
             // A job younger than the checkpoint interval has no checkpoint
             // yet, unless another node ran it, so that the read is skipped.
-            let age_ms = unix.saturating_ms_since(manifest.submitted_at);
+            let age_ms = unix_now.saturating_ms_since(manifest.submitted_at);
             let is_new = age_ms < self.runner.options.checkpoint_interval_ms
                 && manifest.owner == self.runner.parts.node
                 && job.load_not_before == Millis::default();
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -101,7 +101,7 @@
         let is_permanent = failed_attempts.rejections > 0
             || failed_attempts.errors >= max_attempts;
         let ran_ms = run.started.elapsed().as_millis() as u64;
-        let unix = self.runner.parts.clock.unix();
+        let unix_now = self.runner.parts.clock.unix();
         let manifest = &job.stored.manifest;
         log::info!(
             request_id = inputs[number as usize].id.as_str(),
@@ -110,9 +110,9 @@
             end:? = end,
             ran_ms,
             errors = failed_attempts.errors,
-            pauses = job.items[number as usize].pauses,
-            age_ms = unix.saturating_ms_since(manifest.submitted_at),
-            late_ms = unix.saturating_ms_since(manifest.due_at),
+            pauses = job.items[number as usize].interruptions,
+            age_ms = unix_now.saturating_ms_since(manifest.submitted_at),
+            late_ms = unix_now.saturating_ms_since(manifest.due_at),
             events = job.items[number as usize].progress.events();
             "a run of an item ended"
         );
@@ -162,12 +162,12 @@
         job.is_committing = false;
         let stored = match listed {
             Ok(Ok(stored)) => {
-                let unix = self.runner.parts.clock.unix();
+                let unix_now = self.runner.parts.clock.unix();
                 let before = job.stored.manifest.listed.len();
                 log::info!(
                     job = key.as_str(),
                     new = stored.manifest.listed.len().saturating_sub(before),
-                    late_ms = unix.saturating_ms_since(stored.manifest.due_at),
+                    late_ms = unix_now.saturating_ms_since(stored.manifest.due_at),
                     listed = stored.manifest.listed.len(),
                     total = stored.manifest.total,
                     revision = stored.revision;
--- a/crates/jobs/src/runner/rebalance.rs
+++ b/crates/jobs/src/runner/rebalance.rs
@@ -90,8 +90,8 @@
         });
         let mut stuck = idle.flat_map(|n| view.open_of(members, &n.node));
         stuck.next().or_else(|| {
-            let unix = self.runner.parts.clock.unix();
-            let overdue = view.overdue(unix).into_iter();
+            let unix_now = self.runner.parts.clock.unix();
+            let overdue = view.overdue(unix_now).into_iter();
             let mut of_others = overdue.filter(|(key, stored)| {
                 members.owner(key, &stored.manifest) != Some(own_node)
             });
@@ -116,10 +116,10 @@
         backlog: &Backlog,
         own_items: u32,
     ) -> Option<(JobKey, StoredManifest)> {
-        let sample = stable_hash(&[&self.runner.parts.node]);
-        let drawn = members.sample(mix(sample ^ self.now().as_ms()));
+        let seed = stable_hash(&[&self.runner.parts.node]);
+        let sample = members.sample(mix(seed ^ self.now().as_ms()));
         let loads =
-            drawn.map(|n| (n.node.as_str(), backlog.items_of(&n.node)));
+            sample.map(|n| (n.node.as_str(), backlog.items_of(&n.node)));
         let (other, their_items) = loads.max_by_key(|(_, items)| *items)?;
         if other == self.runner.parts.node
             || their_items < 2 * own_items + MIN_IMBALANCE_ITEMS
