--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -353,7 +353,7 @@
                     );
                     let mut job = ActiveJob::new(stored);
                     if let Some(at) = self.taken_over.swap_remove(&key) {
-                        job.load_not_before = at;
+                        job.settled_at = at;
                     }
                     self.jobs.insert(key, job);
                 }
--- a/crates/jobs/src/runner/active.rs
+++ b/crates/jobs/src/runner/active.rs
@@ -23,7 +23,7 @@
     /// Whether another node runs the items now.
     pub(super) is_moved: bool,
     /// When the former owner of the job has saved its checkpoints.
-    pub(super) load_not_before: Millis,
+    pub(super) settled_at: Millis,
     pub(super) is_committing: bool,
     pub(super) next_commit: Millis,
 }
@@ -75,7 +75,7 @@
             items: vec![Item::default(); total],
             pending: Vec::new(),
             is_moved: false,
-            load_not_before: Millis::default(),
+            settled_at: Millis::default(),
             is_committing: false,
             next_commit: Millis::new(0),
         };
--- a/crates/jobs/src/runner/checkpoint.rs
+++ b/crates/jobs/src/runner/checkpoint.rs
@@ -26,7 +26,7 @@
             if !matches!(job.inputs, Inputs::Missing) {
                 continue;
             }
-            if now < job.load_not_before {
+            if now < job.settled_at {
                 continue;
             }
             job.inputs = Inputs::Loading;
@@ -37,7 +37,7 @@
             let age_ms = unix_now.saturating_ms_since(manifest.submitted_at);
             let is_new = age_ms < self.runner.options.checkpoint_interval_ms
                 && manifest.owner == self.runner.parts.node
-                && job.load_not_before == Millis::default();
+                && job.settled_at == Millis::default();
             let sender = self.sender.clone();
             tokio::spawn(async move {
                 let loaded = load(&ledger, &key, &manifest, is_new).await;
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -167,7 +167,8 @@
                 log::info!(
                     job = key.as_str(),
                     new = stored.manifest.listed.len().saturating_sub(before),
-                    late_ms = unix_now.saturating_ms_since(stored.manifest.due_at),
+                    late_ms = unix_now
+                        .saturating_ms_since(stored.manifest.due_at),
                     listed = stored.manifest.listed.len(),
                     total = stored.manifest.total,
                     revision = stored.revision;
@@ -180,7 +181,7 @@
                     job = key.as_str(),
                     known = job.stored.revision,
                     revision = stored.revision;
-                    "concurrent change of the manifest; listing the results again"
+                    "concurrent change of the manifest; listing results again"
                 );
                 job.next_commit = Millis::new(0);
                 stored
--- a/crates/jobs/src/runner/rebalance.rs
+++ b/crates/jobs/src/runner/rebalance.rs
@@ -24,7 +24,7 @@
 /// be read, in milliseconds. The former owner sees the move within 300 ms and
 /// then writes its checkpoints. If the former owner is gone, the job loses
 /// this time.
-const HANDOVER_SETTLE_MS: u64 = 500;
+const SETTLE_MS: u64 = 500;
 
 impl RunnerState {
     /// Takes over a job from another node if the job is stuck or the other
@@ -38,8 +38,8 @@
         if !is_due || !can_run_items {
             return;
         }
-        let interval_ms = self.runner.options.rebalance_interval_ms;
-        self.next_rebalance = now.saturating_add_ms(interval_ms);
+        let pause_ms = self.runner.options.rebalance_interval_ms;
+        self.next_rebalance = now.saturating_add_ms(pause_ms);
         let members = assignment.members();
         let backlog = self.runner.parts.view.backlog(members);
         let own_items = backlog.items_of(&self.runner.parts.node);
@@ -90,8 +90,8 @@
         });
         let mut stuck = idle.flat_map(|n| view.open_of(members, &n.node));
         stuck.next().or_else(|| {
-            let unix_now = self.runner.parts.clock.unix();
-            let overdue = view.overdue(unix_now).into_iter();
+            let unix = self.runner.parts.clock.unix();
+            let overdue = view.overdue(unix).into_iter();
             let mut of_others = overdue.filter(|(key, stored)| {
                 members.owner(key, &stored.manifest) != Some(own_node)
             });
@@ -117,9 +117,9 @@
         own_items: u32,
     ) -> Option<(JobKey, StoredManifest)> {
         let seed = stable_hash(&[&self.runner.parts.node]);
-        let sample = members.sample(mix(seed ^ self.now().as_ms()));
+        let drawn = members.sample(mix(seed ^ self.now().as_ms()));
         let loads =
-            sample.map(|n| (n.node.as_str(), backlog.items_of(&n.node)));
+            drawn.map(|n| (n.node.as_str(), backlog.items_of(&n.node)));
         let (other, their_items) = loads.max_by_key(|(_, items)| *items)?;
         if other == self.runner.parts.node
             || their_items < 2 * own_items + MIN_IMBALANCE_ITEMS
@@ -144,9 +144,8 @@
         match moved {
             Ok(stored) => {
                 let now = self.now();
-                let load_not_before =
-                    now.saturating_add_ms(HANDOVER_SETTLE_MS);
-                self.taken_over.insert(key.clone(), load_not_before);
+                let settled_at = now.saturating_add_ms(SETTLE_MS);
+                self.taken_over.insert(key.clone(), settled_at);
                 self.runner.parts.view.update(key, &stored, now);
             }
             Err(report) => {
