--- a/crates/ledger/examples/embed_ledger.rs
+++ b/crates/ledger/examples/embed_ledger.rs
@@ -1,10 +1,11 @@
-//! A program that runs a batch job by the ledger, without the daemons.
+//! Runs a batch job with the ledger embedded in a program, without the
+//! daemons.
 //!
-//! The program keeps the records in a map, which stands for a key-value
-//! service with compare-and-swap, and the results in another, which stands
-//! for its blobs. Workers take items and sometimes die with them; each item
-//! is in the output once all the same. Time and random numbers are made up,
-//! so that every run prints the same.
+//! Records are kept in a map that stands in for a key-value service with
+//! compare-and-swap, and results in another that stands in for a blob store.
+//! Workers pull items and sometimes die while running them; each item still
+//! appears in the output exactly once. Time and random numbers are simulated,
+//! so every run prints the same.
 //!
 //! Run it with `cargo run -p pomeloslip-ledger --example embed_ledger`.
 
@@ -13,9 +14,9 @@
 use base::{JobId, Millis, UnixMillis, VmId};
 use bytes::Bytes;
 use pomeloslip_ledger::{
-    Action, Chunk, Event, ItemEnd, JobRecord, JobState, Ledger, MarkSeen,
-    Moment, Options, OwnerSeen, Part, PullRequest, RecordSeen, WriteAction,
-    WriteOutcome,
+    Action, Chunk, Event, JobRecord, JobState, Ledger, Moment, OpenJobMarker,
+    Options, Part, PartitionOwner, PullRequest, RunOutcome, VersionedRecord,
+    WriteAction, WriteOutcome,
 };
 use serde_json::json;
 
@@ -27,12 +28,12 @@
 const STEP_MS: u64 = 50;
 const STEPS_MAX: u64 = 10_000;
 
-/// What a key-value service and a blob store would keep.
+/// In-memory stand-in for a key-value service and a blob store.
 #[derive(Default)]
 struct Platform {
     revision: u64,
     fence: Option<u64>,
-    records: BTreeMap<JobId, RecordSeen>,
+    records: BTreeMap<JobId, VersionedRecord>,
     blobs: BTreeMap<String, Bytes>,
 }
 
@@ -41,11 +42,13 @@
         self.revision += 1;
         let revision = self.revision;
         let id = record.id.clone();
-        self.records.insert(id, RecordSeen { record, revision });
+        self.records
+            .insert(id, VersionedRecord { record, revision });
     }
 
-    /// Does what the ledger asks for and answers it. A program with I/O
-    /// does this in the background and hands the events in as they come.
+    /// Carries out an action and returns the resulting event. A program with
+    /// I/O runs actions in the background and passes in the events as they
+    /// occur.
     fn carry_out(&mut self, action: Action, now: Millis) -> Option<Event> {
         let sent_at = now;
         Some(match action {
@@ -58,7 +61,7 @@
                 lease,
                 alive: Some(true),
             },
-            Action::Look => self.look(),
+            Action::ReadMembership => self.read_membership(),
             Action::Claim { partition, lease } => {
                 self.revision += 1;
                 self.fence = Some(self.revision);
@@ -75,20 +78,20 @@
             Action::List { partition, fence } => Event::Listed {
                 partition,
                 fence,
-                marks: Some(self.marks()),
+                markers: Some(self.markers()),
             },
             Action::Load {
                 partition,
                 fence,
                 job,
-                mark,
+                marker,
             } => {
                 let found = self.records.get(&job).cloned().map(Box::new);
                 Event::Loaded {
                     partition,
                     fence,
                     job,
-                    mark,
+                    marker,
                     found: Ok(found),
                 }
             }
@@ -110,33 +113,33 @@
                     found: Some(found.cloned().collect()),
                 }
             }
-            // Only after attempts that all ended without a word; the
-            // workers here die less often.
+            // Occurs only after several grants of an item expired; the workers
+            // here die less often.
             Action::GiveUp { .. } => return None,
         })
     }
 
-    fn look(&self) -> Event {
-        let owner = self.fence.map(|fence| OwnerSeen {
+    fn read_membership(&self) -> Event {
+        let owner = self.fence.map(|fence| PartitionOwner {
             partition: 0,
             member: MEMBER.to_owned(),
             lease: LEASE,
             fence,
         });
-        Event::Looked {
+        Event::MembershipRead {
             revision: Some(self.revision),
             members: vec![MEMBER.to_owned()],
             owners: owner.into_iter().collect(),
         }
     }
 
-    fn marks(&self) -> Vec<MarkSeen> {
+    fn markers(&self) -> Vec<OpenJobMarker> {
         let open = self.records.values().filter(|one| one.record.is_open());
-        let mark = |one: &RecordSeen| MarkSeen {
+        let marker = |one: &VersionedRecord| OpenJobMarker {
             job: one.record.id.clone(),
             revision: 1,
         };
-        open.map(mark).collect()
+        open.map(marker).collect()
     }
 
     fn store(&mut self, part: Part) -> Chunk {
@@ -150,9 +153,9 @@
         chunk
     }
 
-    /// Runs a transaction: all of its compares, then all of its writes.
-    /// Without the compare of the fence, a former owner that was paused
-    /// could commit items which another has committed already.
+    /// Runs a transaction: checks all compares, then applies all writes.
+    /// Without the compare of the fencing token, a former owner that was
+    /// paused could commit items that another owner has already committed.
     fn write(&mut self, write: WriteAction) -> WriteOutcome {
         let holds = write.fence == self.fence
             && write.records.iter().all(|next| {
@@ -160,16 +163,17 @@
                 seen.is_some_and(|seen| seen.revision == next.revision)
             });
         if !holds {
-            return WriteOutcome::Refused;
+            return WriteOutcome::Conflict;
         }
         self.revision += 1;
         let revision = self.revision;
         for next in write.records {
             let record = next.record;
             let id = record.id.clone();
-            self.records.insert(id, RecordSeen { record, revision });
+            self.records
+                .insert(id, VersionedRecord { record, revision });
         }
-        WriteOutcome::Done(revision)
+        WriteOutcome::Applied(revision)
     }
 }
 
@@ -192,7 +196,7 @@
     }
 }
 
-/// Gives the ledger an event and carries out what follows from it.
+/// Passes an event to the ledger and carries out the resulting actions.
 fn drive(ledger: &mut Ledger, platform: &mut Platform, ms: u64, event: Event) {
     let at = moment(ms);
     let mut actions = VecDeque::from(ledger.handle(at, event));
@@ -203,11 +207,11 @@
     }
 }
 
-/// Takes items, loses every seventh and completes the others.
+/// Pulls items, loses every seventh and completes the others.
 fn work(
     ledger: &mut Ledger,
     ms: u64,
-    taken: &mut u32,
+    pulled: &mut u32,
     lost: &mut u32,
 ) -> Result<(), Error> {
     let vm: VmId = "worker-1".parse()?;
@@ -215,17 +219,17 @@
         vm: &vm,
         incarnation: 1,
         models: &[],
-        room: 4,
+        capacity: 4,
         running: &[],
     };
     for item in ledger.pull(moment(ms), &request).items {
-        *taken += 1;
-        if taken.is_multiple_of(7) {
+        *pulled += 1;
+        if pulled.is_multiple_of(7) {
             *lost += 1;
             continue;
         }
         let line = Bytes::from(format!("{} {}\n", item.job, item.index));
-        let end = ItemEnd::Completed(line);
+        let end = RunOutcome::Completed(line);
         let grant = item.grant;
         ledger.result(moment(ms), &item.job, item.index, grant, end);
     }
@@ -239,12 +243,12 @@
     let record = job()?;
     let id = record.id.clone();
     platform.add(record);
-    let (mut taken, mut lost) = (0, 0);
+    let (mut pulled, mut lost) = (0, 0);
     let mut ms = 0;
     for _ in 0..STEPS_MAX {
         ms += STEP_MS;
         drive(&mut ledger, &mut platform, ms, Event::Tick);
-        work(&mut ledger, ms, &mut taken, &mut lost)?;
+        work(&mut ledger, ms, &mut pulled, &mut lost)?;
         let record = &platform.records[&id].record;
         if record.state == JobState::Completed {
             break;
@@ -259,9 +263,9 @@
     let text = String::from_utf8(text)?;
     let lines: Vec<&str> = text.lines().collect();
     let distinct: BTreeSet<&str> = lines.iter().copied().collect();
-    println!("{taken} items taken, {lost} of them lost with a worker");
+    println!("{pulled} items pulled, {lost} of them lost with a worker");
     println!("{} lines, {} distinct", lines.len(), distinct.len());
-    println!("{:?} after {ms} ms of made-up time", record.state);
+    println!("{:?} after {ms} ms of simulated time", record.state);
     assert_eq!(record.state, JobState::Completed);
     assert_eq!((lines.len(), distinct.len()), (40, 40));
     Ok(())
--- a/crates/ledger/src/commit.rs
+++ b/crates/ledger/src/commit.rs
@@ -1,4 +1,4 @@
-//! Commits of several jobs in one transaction.
+//! Commits the results of several jobs in one transaction.
 
 use std::collections::BTreeSet;
 
@@ -6,71 +6,73 @@
 use bytes::BytesMut;
 
 use crate::{
-    Action, Chunk, CommitId, JobState, Ledger, Moment, NextRecord, Part,
-    PlantedFault, RecordSeen, Sink, WriteAction, WriteOutcome,
+    Action, Chunk, CommitId, InjectedFault, JobState, Ledger, Moment, Part,
+    RecordUpdate, Sink, VersionedRecord, WriteAction, WriteOutcome,
     job::{Job, JobKey},
 };
 
-/// What a commit waits for.
+/// Stage of a commit.
 #[derive(Clone, Copy, Debug)]
 enum Stage {
-    /// Its parts are being stored.
+    /// The parts are being stored.
     Storing,
-    /// They are to be stored again.
+    /// Storing the parts is retried at this time.
     StoreAt(Millis),
-    /// Its transaction is on its way.
+    /// The transaction is in flight.
     Writing,
-    /// The transaction is to be sent, or sent again.
+    /// The transaction is sent, or sent again, at this time.
     WriteAt(Millis),
     /// The records are being read back.
     Reading,
-    /// They are to be read back.
+    /// The records are read back at this time.
     ReadAt(Millis),
 }
 
-/// The part of one job in a commit.
+/// The results of one job in a commit.
 #[derive(Debug)]
-struct JobShare {
+struct JobResults {
     key: JobKey,
     id: JobId,
     completed: BTreeSet<u32>,
     failed: BTreeSet<u32>,
-    /// Nothing else waited when the commit began.
-    is_all: bool,
+    /// All pending results of the job are in this commit.
+    covers_all_pending: bool,
 }
 
-/// A commit under way.
+/// A commit in progress.
 #[derive(Debug)]
 pub(crate) struct Commit {
     id: CommitId,
     operation: u64,
-    shares: Vec<JobShare>,
+    job_results: Vec<JobResults>,
     parts: Vec<Part>,
     chunks: Vec<Chunk>,
-    /// The transaction as it was sent.
-    records: Vec<NextRecord>,
+    /// The records of the transaction as sent.
+    records: Vec<RecordUpdate>,
     stage: Stage,
     failures: u32,
     /// A copy of the transaction may have taken effect.
-    may_be_done: bool,
+    may_have_applied: bool,
 }
 
 impl Commit {
-    pub(crate) fn has(&self, key: JobKey) -> bool {
-        self.shares.iter().any(|share| share.key == key)
+    pub(crate) fn includes(&self, key: JobKey) -> bool {
+        self.job_results.iter().any(|results| results.key == key)
     }
 }
 
 impl Ledger {
-    /// Begins a commit when it is time, or takes one further.
-    pub(crate) fn step_commit(&mut self, moment: Moment, number: u32) {
+    /// Starts a commit if one is due, or advances the current one.
+    pub(crate) fn advance_commit(&mut self, moment: Moment, number: u32) {
         let now = moment.now;
-        let Some(fence) = self.partition(number).tenure.commits() else {
+        let Some(fence) = self.partition(number).ownership.fence_for_commits()
+        else {
             return;
         };
-        // Sending is fenced anyway; not to send spares the service useless
-        // calls of an owner whose lease has ended.
-        if !self.is_safe(now) {
+        // The fencing token protects the records in any case; this check saves
+        // the key-value service useless calls by an owner whose lease has
+        // ended.
+        if !self.has_valid_lease(now) {
             return;
         }
         let partition = self.partition(number);
@@ -93,13 +95,15 @@
     fn begin_commit(&mut self, moment: Moment, number: u32, fence: u64) {
         let interval_ms = self.options.commit_interval_ms;
         self.partition(number).commit_at =
-            self.around(moment.now, interval_ms);
-        let operation = self.draw();
-        let mut room = self.options.commit_items_max;
-        let mut shares = Vec::new();
+            self.jittered(moment.now, interval_ms);
+        let operation = self.next_random();
+        let mut capacity = self.options.commit_items_max;
+        let mut job_results = Vec::new();
         let mut parts = Vec::new();
         for (_, key) in &self.by_due {
-            if shares.len() >= self.options.commit_jobs_max || room == 0 {
+            if job_results.len() >= self.options.commit_jobs_max
+                || capacity == 0
+            {
                 break;
             }
             let Some(job) = self.jobs.get(*key) else {
@@ -107,12 +111,12 @@
             };
             let is_ready = job.partition == number && job.fence == fence;
             if is_ready && job.needs_commit() {
-                let share = share_of(*key, job, &mut room);
-                parts.extend(parts_of(job, &share, operation));
-                shares.push(share);
+                let results = collect_results(*key, job, &mut capacity);
+                parts.extend(build_parts(job, &results, operation));
+                job_results.push(results);
             }
         }
-        if shares.is_empty() {
+        if job_results.is_empty() {
             return;
         }
         self.commits += 1;
@@ -120,13 +124,13 @@
         self.partition(number).commit = Some(Commit {
             id: CommitId(self.commits),
             operation,
-            shares,
+            job_results,
             parts,
             chunks: Vec::new(),
             records: Vec::new(),
             stage: Stage::Storing,
             failures: 0,
-            may_be_done: false,
+            may_have_applied: false,
         });
         match has_parts {
             true => self.store(number),
@@ -162,28 +166,30 @@
                 commit.chunks = chunks;
                 commit.failures = 0;
                 commit.stage = Stage::WriteAt(moment.now);
-                self.step_commit(moment, number);
+                self.advance_commit(moment, number);
             }
-            None => self.again(moment, number, Stage::StoreAt),
+            None => self.retry(moment, number, Stage::StoreAt),
         }
     }
 
-    /// Sends the transaction. A copy that may be on its way is sent again
-    /// unchanged; only one of them can take effect, since each changes what
-    /// it compares.
+    /// Sends the transaction. If an earlier copy may still be in flight, the
+    /// same transaction is sent again unchanged; at most one copy can take
+    /// effect, since each changes the revisions that it compares.
     fn write(&mut self, moment: Moment, number: u32, fence: u64) {
         let Some(mut commit) = self.partition(number).commit.take() else {
             return;
         };
-        if !commit.may_be_done {
+        if !commit.may_have_applied {
             match self.next_records(moment, &commit) {
                 Some(records) => commit.records = records,
-                // A job is gone; the others' results wait for another commit.
+                // A job was removed; the results of the others go into a later
+                // commit.
                 None => return,
             }
         }
         commit.stage = Stage::Writing;
-        let no_fence = self.options.planted == Some(PlantedFault::NoFence);
+        let no_fence =
+            self.options.injected_fault == Some(InjectedFault::NoFence);
         self.actions.push(Action::Write(WriteAction {
             commit: commit.id,
             partition: number,
@@ -197,14 +203,14 @@
         &self,
         moment: Moment,
         commit: &Commit,
-    ) -> Option<Vec<NextRecord>> {
-        let next = |share: &JobShare| {
-            let job = self.jobs.get(share.key)?;
+    ) -> Option<Vec<RecordUpdate>> {
+        let next = |results: &JobResults| {
+            let job = self.jobs.get(results.key)?;
             let parts = commit.parts.iter().zip(&commit.chunks);
-            let own = parts.filter(|(part, _)| part.job == share.id);
-            Some(next_record(moment, job, share, own, commit.operation))
+            let own = parts.filter(|(part, _)| part.job == results.id);
+            Some(next_record(moment, job, results, own, commit.operation))
         };
-        commit.shares.iter().map(next).collect()
+        commit.job_results.iter().map(next).collect()
     }
 
     pub(crate) fn on_written(
@@ -220,20 +226,21 @@
             return;
         }
         match outcome {
-            WriteOutcome::Done(revision) => {
-                self.finish(moment, number, revision);
+            WriteOutcome::Applied(revision) => {
+                self.complete_commit(moment, number, revision);
             }
-            // An earlier copy may be what changed the records.
-            WriteOutcome::Refused if commit.may_be_done => {
-                self.again(moment, number, Stage::ReadAt);
+            // An earlier copy of this transaction may have changed the
+            // records.
+            WriteOutcome::Conflict if commit.may_have_applied => {
+                self.retry(moment, number, Stage::ReadAt);
             }
-            WriteOutcome::Refused => self.supersede(moment, number),
-            WriteOutcome::NotDone => {
-                self.again(moment, number, Stage::WriteAt);
+            WriteOutcome::Conflict => self.abandon_commit(moment, number),
+            WriteOutcome::NotApplied => {
+                self.retry(moment, number, Stage::WriteAt);
             }
             WriteOutcome::Unknown => {
-                commit.may_be_done = true;
-                self.again(moment, number, Stage::ReadAt);
+                commit.may_have_applied = true;
+                self.retry(moment, number, Stage::ReadAt);
             }
         }
     }
@@ -241,7 +248,8 @@
     fn read_back(&mut self, number: u32) {
         if let Some(commit) = &mut self.partition(number).commit {
             commit.stage = Stage::Reading;
-            let ids = commit.shares.iter().map(|share| share.id.clone());
+            let ids =
+                commit.job_results.iter().map(|results| results.id.clone());
             let action = Action::ReadBack {
                 commit: commit.id,
                 partition: number,
@@ -255,7 +263,7 @@
         &mut self,
         moment: Moment,
         id: CommitId,
-        found: Option<Vec<RecordSeen>>,
+        found: Option<Vec<VersionedRecord>>,
     ) {
         let Some((number, commit)) = self.commit_of(id) else {
             return;
@@ -264,10 +272,10 @@
             return;
         }
         let Some(found) = found else {
-            return self.again(moment, number, Stage::ReadAt);
+            return self.retry(moment, number, Stage::ReadAt);
         };
         let operation = commit.operation;
-        let is_open = found.len() == commit.records.len()
+        let is_unchanged = found.len() == commit.records.len()
             && commit.records.iter().all(|next| {
                 found.iter().any(|seen| {
                     seen.record.id == next.record.id
@@ -278,24 +286,25 @@
             .iter()
             .find(|seen| seen.record.operation == operation)
             .map(|seen| seen.revision);
-        if self.options.planted == Some(PlantedFault::NoReadBack) {
-            return self.take_as_failed(number, &found);
+        if self.options.injected_fault == Some(InjectedFault::NoReadBack) {
+            return self.assume_failed(number, &found);
         }
         match done {
             Some(revision) => {
-                self.finish(moment, number, revision);
-                self.adopt_found(found);
+                self.complete_commit(moment, number, revision);
+                self.adopt_records(found);
             }
-            None if is_open => self.again(moment, number, Stage::WriteAt),
+            None if is_unchanged => self.retry(moment, number, Stage::WriteAt),
             None => {
-                self.supersede(moment, number);
-                self.adopt_found(found);
+                self.abandon_commit(moment, number);
+                self.adopt_records(found);
             }
         }
     }
 
-    /// The planted fault: goes on as if the write had failed.
-    fn take_as_failed(&mut self, number: u32, found: &[RecordSeen]) {
+    /// Implements [`InjectedFault::NoReadBack`]: continues as if the write had
+    /// failed.
+    fn assume_failed(&mut self, number: u32, found: &[VersionedRecord]) {
         self.partition(number).commit = None;
         for seen in found {
             let key = self.by_id.get(&seen.record.id);
@@ -306,63 +315,64 @@
         }
     }
 
-    fn adopt_found(&mut self, found: Vec<RecordSeen>) {
-        for RecordSeen { record, revision } in found {
+    fn adopt_records(&mut self, found: Vec<VersionedRecord>) {
+        for VersionedRecord { record, revision } in found {
             let Some(key) = self.by_id.get(&record.id).copied() else {
                 continue;
             };
             if !record.is_open() {
-                self.drop_job(key);
+                self.remove_job(key);
             } else if let Some(job) = self.jobs.get_mut(key) {
                 job.adopt(record, revision);
             }
         }
     }
 
-    /// Takes note that a commit took effect.
-    fn finish(&mut self, moment: Moment, number: u32, revision: u64) {
+    /// Applies a commit that took effect.
+    fn complete_commit(&mut self, moment: Moment, number: u32, revision: u64) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
         };
         let interval_ms = self.options.commit_interval_ms;
         self.partition(number).commit_at =
-            self.around(moment.now, interval_ms);
-        for (share, next) in commit.shares.iter().zip(commit.records) {
-            let Some(job) = self.jobs.get_mut(share.key) else {
+            self.jittered(moment.now, interval_ms);
+        for (results, next) in commit.job_results.iter().zip(commit.records) {
+            let Some(job) = self.jobs.get_mut(results.key) else {
                 continue;
             };
-            job.committed(&share.completed);
-            job.committed(&share.failed);
+            job.remove_committed(&results.completed);
+            job.remove_committed(&results.failed);
             let is_open = next.record.is_open();
             job.adopt(next.record, revision);
             if !is_open {
-                self.drop_job(share.key);
+                self.remove_job(results.key);
             }
         }
     }
 
-    /// Gives a commit up whose compares do not hold: a job was cancelled,
-    /// or the partition has another owner. Its jobs are read anew; what is
-    /// still open then is committed again.
-    fn supersede(&mut self, moment: Moment, number: u32) {
+    /// Abandons a commit whose compares failed: a job was cancelled, or the
+    /// partition has another owner. Its jobs are read again, and results that
+    /// are still pending go into a later commit.
+    fn abandon_commit(&mut self, moment: Moment, number: u32) {
         let Some(commit) = self.partition(number).commit.take() else {
             return;
         };
-        let Some(fence) = self.partition(number).tenure.commits() else {
+        let Some(fence) = self.partition(number).ownership.fence_for_commits()
+        else {
             return;
         };
-        for share in commit.shares {
-            let Some(job) = self.jobs.get_mut(share.key) else {
+        for results in commit.job_results {
+            let Some(job) = self.jobs.get_mut(results.key) else {
                 continue;
             };
             job.fence = 0;
-            let mark = job.mark;
-            self.load(number, fence, share.id, mark);
+            let marker = job.marker;
+            self.load(number, fence, results.id, marker);
         }
-        self.look_at = moment.now;
+        self.read_membership_at = moment.now;
     }
 
-    fn again(
+    fn retry(
         &mut self,
         moment: Moment,
         number: u32,
@@ -389,39 +399,43 @@
     }
 }
 
-fn share_of(key: JobKey, job: &Job, room: &mut usize) -> JobShare {
-    let taken = job.pending.iter().take(*room);
+fn collect_results(
+    key: JobKey,
+    job: &Job,
+    capacity: &mut usize,
+) -> JobResults {
+    let taken = job.pending.iter().take(*capacity);
     let of = |sink: Sink| {
         let items = taken.clone().filter(move |(_, s)| s.sink == sink);
         items.map(|(index, _)| *index).collect::<BTreeSet<u32>>()
     };
     let (completed, failed) = (of(Sink::Output), of(Sink::Errors));
     let count = completed.len() + failed.len();
-    *room -= count;
-    JobShare {
+    *capacity -= count;
+    JobResults {
         key,
         id: job.record.id.clone(),
         completed,
         failed,
-        is_all: count == job.pending.len(),
+        covers_all_pending: count == job.pending.len(),
     }
 }
 
-fn parts_of(job: &Job, share: &JobShare, operation: u64) -> Vec<Part> {
+fn build_parts(job: &Job, results: &JobResults, operation: u64) -> Vec<Part> {
     let sinks = [
-        (Sink::Output, &share.completed),
-        (Sink::Errors, &share.failed),
+        (Sink::Output, &results.completed),
+        (Sink::Errors, &results.failed),
     ];
     let part = |(sink, items): (Sink, &BTreeSet<u32>)| {
         let mut bytes = BytesMut::new();
         for index in items {
-            bytes.extend_from_slice(&job.pending[index].line);
+            bytes.extend_from_slice(&job.pending[index].bytes);
         }
         let name = sink.as_str();
         (!items.is_empty()).then(|| Part {
-            job: share.id.clone(),
+            job: results.id.clone(),
             sink,
-            blob: format!("{name}/{}/{operation:016x}", share.id),
+            blob: format!("{name}/{}/{operation:016x}", results.id),
             items: items.len() as u32,
             bytes: bytes.freeze(),
         })
@@ -432,32 +446,34 @@
 fn next_record<'a>(
     moment: Moment,
     job: &Job,
-    share: &JobShare,
+    results: &JobResults,
     own: impl Iterator<Item = (&'a Part, &'a Chunk)>,
     operation: u64,
-) -> NextRecord {
+) -> RecordUpdate {
     let mut record = job.record.clone();
     let mut pages = Vec::new();
-    for index in &share.completed {
+    for index in &results.completed {
         record.done.insert(*index);
     }
-    for index in &share.failed {
+    for index in &results.failed {
         record.failed.insert(*index);
     }
     for (part, chunk) in own {
         pages.extend(record.push(part.sink, chunk.clone()));
     }
-    if record.left() == 0 {
+    if record.remaining_items() == 0 {
         record.state = JobState::Completed;
-    } else if record.state == JobState::Cancelling && share.is_all {
+    } else if record.state == JobState::Cancelling
+        && results.covers_all_pending
+    {
         record.state = JobState::Cancelled;
     }
-    record.at_risk = job.wants_risk && record.is_open();
+    record.at_risk = job.is_at_risk && record.is_open();
     if !record.is_open() {
         record.ended = Some(moment.unix);
     }
     record.operation = operation;
-    NextRecord {
+    RecordUpdate {
         record,
         revision: job.revision,
         pages,
