--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -4,7 +4,10 @@
 
 use base::{Millis, SteppedClock, UnixMillis};
 use indexmap::IndexMap;
-use jobs::{Heads, JobHead, JobKey, JobView, KnownHead, NodeRecord, Stored};
+use jobs::{
+    JobKey, JobManifest, JobView, KnownManifest, ManifestSource, NodeRecord,
+    StoredManifest,
+};
 
 use super::{HeadAnswers, PeerHeads, decode, encode};
 
@@ -19,9 +22,9 @@
     }
 }
 
-fn stored(owner: &str, revision: u64) -> Stored {
-    Stored {
-        head: JobHead {
+fn stored(owner: &str, revision: u64) -> StoredManifest {
+    StoredManifest {
+        manifest: JobManifest {
             submitted_at: UnixMillis::new(1_000),
             host: "a.example".to_owned(),
             path: "/batch/1".to_owned(),
@@ -29,8 +32,8 @@
             input_chunks: 1,
             listed: vec![2, 0],
             output_chunks: vec![0],
-            strikes: IndexMap::new(),
-            ended: false,
+            failed_attempts: IndexMap::new(),
+            cancelled: false,
             owner: owner.to_owned(),
             due_at: UnixMillis::new(19_000),
             give_up_at: UnixMillis::new(61_000),
@@ -52,7 +55,7 @@
 
 #[test]
 fn a_head_arrives_as_it_was_sent() {
-    let known = KnownHead {
+    let known = KnownManifest {
         stored: stored("worker-1", 7),
         age_ms: 120,
     };
@@ -108,13 +111,13 @@
 async fn a_question_is_answered_as_soon_as_there_is_news() {
     let view = JobView::default();
     let clock = Arc::new(SteppedClock::default());
-    view.learn(&job(), &stored("worker-1", 5), Millis::new(0));
+    view.update(&job(), &stored("worker-1", 5), Millis::new(0));
     let answers = HeadAnswers::new(view.clone(), clock);
     let uri = "/head/job-1?wait_ms=900&after=5".parse().expect("a path");
     let answered = tokio::spawn(answers.clone().answer(uri));
     tokio::task::yield_now().await;
     assert!(!answered.is_finished());
-    view.learn(&job(), &stored("worker-1", 6), Millis::new(1));
+    view.update(&job(), &stored("worker-1", 6), Millis::new(1));
     let response = answered.await.expect("task");
     assert_eq!(response.status(), 200);
     let unknown = "/head/job-2?wait_ms=0".parse().expect("a path");
