--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -1,8 +1,8 @@
 //! Items that crash the endpoints that run them.
 
 use base::{Customer, RequestContent, RequestDigest};
-use ledger::{Granted, ItemEnd};
-use quarantine::{Cleared, Crash, CrashedEndpoint};
+use ledger::{Granted, RunOutcome};
+use quarantine::{Crash, CrashedEndpoint, SendPermit};
 use wire::message::{Item, ItemOutcome, ItemResult};
 
 use super::Owner;
@@ -35,7 +35,7 @@
     ) -> Option<Item> {
         let of_item = || digest(&item.customer, &item.path, &item.body);
         let held = match self.quarantine.admit(of_item).await {
-            Ok(Cleared { .. }) => return Some(item),
+            Ok(SendPermit { .. }) => return Some(item),
             Err(held) => held,
         };
         log::info!(
@@ -46,7 +46,7 @@
             for_ms = held.for_ms;
             "an item is held"
         );
-        let end = ItemEnd::Held {
+        let end = RunOutcome::Quarantined {
             for_ms: held.for_ms,
         };
         let Granted { grant, index, .. } = *granted;
@@ -62,11 +62,13 @@
         digest: impl Fn() -> RequestDigest,
     ) {
         match result.outcome {
-            ItemOutcome::Answered => self.quarantine.answered(digest, 0),
+            ItemOutcome::Answered => {
+                self.quarantine.record_response(digest, 0)
+            }
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
                 let ledger = self.ledger();
-                let vm = ledger.loaned_to(job, index, result.grant);
+                let vm = ledger.granted_to(job, index, result.grant);
                 let Some(vm) = vm.cloned() else {
                     return;
                 };
@@ -80,7 +82,7 @@
                     resumed_after: 0,
                     reached: 0,
                 };
-                self.quarantine.crashed(digest(), crash);
+                self.quarantine.record_crash(digest(), crash);
             }
             ItemOutcome::Lost | ItemOutcome::Returned => {}
         }
--- a/crates/jobs/src/runner/outcome.rs
+++ b/crates/jobs/src/runner/outcome.rs
@@ -1,4 +1,4 @@
-//! Takes in what runs, reads and commits of a node came to.
+//! Handles the outcomes of the runs, reads and writes of a node.
 
 use std::sync::Arc;
 
@@ -7,67 +7,72 @@
 use pass::Counters;
 
 use super::{
-    Event, RunId, Work,
-    active::{Inputs, Phase},
+    Event, RunId, RunnerState,
+    active::{Inputs, ItemPhase},
+    checkpoint::LoadedJob,
     route_of,
-    save::Loaded,
 };
 use crate::{
-    JobError, RunEnd, Stored,
-    record::{ItemState, JobKey, Strikes},
+    JobError, RunOutcome, StoredManifest,
+    record::{FailedAttempts, ItemState, JobKey},
 };
 
-impl Work {
-    pub(super) fn take(&mut self, event: Event) {
+impl RunnerState {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Inputs(key, loaded) => self.take_loaded(&key, loaded),
-            Event::Saved(saved) => self.take_saved(saved),
-            Event::Ended(id, end) => self.take_end(id, end),
-            Event::Listed(key, listed) => self.take_listed(&key, listed),
-            Event::Moved(key, moved) => self.take_moved(&key, moved),
-            Event::Probed(life, report) => {
+            Event::Inputs(key, loaded) => self.handle_loaded(&key, loaded),
+            Event::Saved(saved) => self.handle_saved(saved),
+            Event::Ended(id, end) => self.handle_run_end(id, end),
+            Event::Listed(key, listed) => self.handle_listed(&key, listed),
+            Event::Moved(key, moved) => self.handle_moved(&key, moved),
+            Event::Probed(incarnation, report) => {
                 let now = self.now();
-                if let Some(probing) = self.probes.get_mut(&life) {
-                    probing.in_flight = false;
+                if let Some(probe) = self.endpoint_probes.get_mut(&incarnation)
+                {
+                    probe.in_flight = false;
                     if let Some(report) = report {
-                        probing.report = Some((report, now));
+                        probe.report = Some((report, now));
                     }
                 }
             }
         }
     }
 
-    pub(super) fn take_loaded(
+    pub(super) fn handle_loaded(
         &mut self,
         key: &JobKey,
-        loaded: Result<Loaded, Report<JobError>>,
+        loaded: Result<LoadedJob, Report<JobError>>,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
         match loaded {
-            Ok(Loaded { inputs, progress }) => {
+            Ok(LoadedJob {
+                inputs,
+                checkpoints,
+            }) => {
                 log::info!(
                     job = key.as_str(),
                     items = inputs.len(),
-                    begun = progress.len();
+                    begun = checkpoints.len();
                     "a job's inputs are read"
                 );
                 job.inputs = Inputs::Loaded(Arc::new(inputs));
-                job.restore(&progress);
+                job.restore(&checkpoints);
             }
             Err(report) => {
                 log::warn!(job = key.as_str(),
                     error:% = report.current_context();
-                    "the inputs of a job cannot be read yet");
+                    "the inputs of a job cannot be read");
                 job.inputs = Inputs::Missing;
             }
         }
     }
 
-    pub(super) fn take_end(&mut self, id: RunId, end: RunEnd) {
+    pub(super) fn handle_run_end(&mut self, id: RunId, end: RunOutcome) {
         let now = self.now();
-        let retry_at = now.saturating_add_ms(self.runner.options.retry_ms);
+        let retry_at =
+            now.saturating_add_ms(self.runner.options.retry_backoff_ms);
         let Some(run) = self.runs.swap_remove(&id) else {
             return;
         };
@@ -80,86 +85,92 @@
         let inputs = inputs.clone();
         let number = run.item;
         let config = self.runner.parts.config.load_full();
-        let most = config
+        let max_attempts = config
             .as_ref()
             .as_ref()
-            .and_then(|config| route_of(config, &job.stored.head))
+            .and_then(|config| route_of(config, &job.stored.manifest))
             .map_or(1, |route| route.max_attempts());
-        let strikes = job.strikes.entry(number).or_default();
+        let failed_attempts = job.failed_attempts.entry(number).or_default();
         match end {
-            RunEnd::Rejected => strikes.rejections += 1,
-            RunEnd::Error(_) => strikes.errors += 1,
-            RunEnd::Complete | RunEnd::Broken => {}
-            RunEnd::NotRun | RunEnd::Held { .. } => {}
+            RunOutcome::Rejected => failed_attempts.rejections += 1,
+            RunOutcome::Error(_) => failed_attempts.errors += 1,
+            RunOutcome::Complete | RunOutcome::Broken => {}
+            RunOutcome::NotRun | RunOutcome::Held { .. } => {}
         }
-        let strikes = *strikes;
-        let hopeless = strikes.rejections > 0 || strikes.errors >= most;
+        let failed_attempts = *failed_attempts;
+        let is_permanent = failed_attempts.rejections > 0
+            || failed_attempts.errors >= max_attempts;
         let ran_ms = run.started.elapsed().as_millis() as u64;
-        let unix = self.runner.parts.clock.unix();
-        let head = &job.stored.head;
+        let unix_now = self.runner.parts.clock.unix();
+        let manifest = &job.stored.manifest;
         log::info!(
             request_id = inputs[number as usize].id.as_str(),
             job = run.job.as_str(),
             endpoint = run.endpoint.record().id.as_str(),
             end:? = end,
             ran_ms,
-            errors = strikes.errors,
-            pauses = job.items[number as usize].pauses,
-            age_ms = unix.saturating_ms_since(head.submitted_at),
-            late_ms = unix.saturating_ms_since(head.due_at),
+            errors = failed_attempts.errors,
+            pauses = job.items[number as usize].interruptions,
+            age_ms = unix_now.saturating_ms_since(manifest.submitted_at),
+            late_ms = unix_now.saturating_ms_since(manifest.due_at),
             events = job.items[number as usize].progress.events();
             "a run of an item ended"
         );
-        if strikes == Strikes::default() {
-            job.strikes.swap_remove(&number);
+        if failed_attempts == FailedAttempts::default() {
+            job.failed_attempts.swap_remove(&number);
         }
-        job.items[number as usize].run_ms += ran_ms;
-        if end == RunEnd::Complete {
-            let whole_ms = job.items[number as usize].run_ms;
-            self.pace.add(inputs[number as usize].tokens, whole_ms);
+        job.items[number as usize].total_run_ms += ran_ms;
+        if end == RunOutcome::Complete {
+            let total_ms = job.items[number as usize].total_run_ms;
+            self.estimator
+                .record(inputs[number as usize].tokens, total_ms);
             job.finish(number, &inputs, ItemState::Complete);
             Counters::add(&self.runner.parts.counters.items_completed);
-        } else if hopeless {
+        } else if is_permanent {
             log::info!(
                 request_id = inputs[number as usize].id.as_str(),
                 job = run.job.as_str(),
-                errors = strikes.errors,
-                rejections = strikes.rejections,
-                most;
+                errors = failed_attempts.errors,
+                rejections = failed_attempts.rejections,
+                most = max_attempts;
                 "an item is given up"
             );
             job.finish(number, &inputs, ItemState::GivenUp);
             Counters::add(&self.runner.parts.counters.items_given_up);
         } else {
             let item = &mut job.items[number as usize];
-            item.state = Phase::Waiting;
+            item.state = ItemPhase::Waiting;
             item.not_before = match end {
-                RunEnd::Broken => now,
-                RunEnd::Held { for_ms } => now.saturating_add_ms(for_ms),
+                RunOutcome::Broken => now,
+                RunOutcome::Held { for_ms } => now.saturating_add_ms(for_ms),
                 _ => retry_at,
             };
         }
     }
 
-    pub(super) fn take_listed(
+    pub(super) fn handle_listed(
         &mut self,
         key: &JobKey,
-        listed: Result<Result<Stored, Stored>, Report<JobError>>,
+        listed: Result<
+            Result<StoredManifest, StoredManifest>,
+            Report<JobError>,
+        >,
     ) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
-        job.listing = false;
+        job.is_committing = false;
         let stored = match listed {
             Ok(Ok(stored)) => {
-                let unix = self.runner.parts.clock.unix();
-                let before = job.stored.head.listed.len();
+                let unix_now = self.runner.parts.clock.unix();
+                let before = job.stored.manifest.listed.len();
                 log::info!(
                     job = key.as_str(),
-                    new = stored.head.listed.len().saturating_sub(before),
-                    late_ms = unix.saturating_ms_since(stored.head.due_at),
-                    listed = stored.head.listed.len(),
-                    total = stored.head.total,
+                    new = stored.manifest.listed.len().saturating_sub(before),
+                    late_ms = unix_now
+                        .saturating_ms_since(stored.manifest.due_at),
+                    listed = stored.manifest.listed.len(),
+                    total = stored.manifest.total,
                     revision = stored.revision;
                     "results are listed"
                 );
@@ -170,7 +181,7 @@
                     job = key.as_str(),
                     known = job.stored.revision,
                     revision = stored.revision;
-                    "another writer was faster, results are listed again"
+                    "concurrent change of the manifest; listing results again"
                 );
                 job.next_commit = Millis::new(0);
                 stored
@@ -185,7 +196,7 @@
             }
         };
         let now = self.runner.parts.clock.now();
-        self.runner.parts.view.learn(key, &stored, now);
-        job.renew(stored);
+        self.runner.parts.view.update(key, &stored, now);
+        job.update_manifest(stored);
     }
 }
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -1,4 +1,4 @@
-//! How jobs and endpoints are shared between nodes.
+//! Assignment of jobs and endpoints to nodes.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     RouteKind, RouteTable,
 };
 use pomeloslip_jobs::{
-    Backlog, JobHead, JobKey, Members, NodeRecord, Plan, Planner,
+    Assignment, Backlog, JobKey, JobManifest, Members, NodeRecord, Planner,
 };
 use yare::parameterized;
 
@@ -41,8 +41,8 @@
     all
 }
 
-fn head(owner: &str, total: u32) -> JobHead {
-    JobHead {
+fn manifest(owner: &str, total: u32) -> JobManifest {
+    JobManifest {
         submitted_at: UnixMillis::new(0),
         host: String::new(),
         path: String::new(),
@@ -50,8 +50,8 @@
         input_chunks: 1,
         listed: Vec::new(),
         output_chunks: Vec::new(),
-        strikes: indexmap::IndexMap::new(),
-        ended: false,
+        failed_attempts: indexmap::IndexMap::new(),
+        cancelled: false,
         owner: owner.to_owned(),
         due_at: UnixMillis::new(0),
         give_up_at: UnixMillis::new(0),
@@ -59,9 +59,9 @@
     }
 }
 
-/// Symptom: items are left lying while endpoints are idle. Events: a node
-/// joins a domain that has one already. Cause: plain hashing gave one of
-/// the two a single endpoint and as many jobs as the others.
+/// Guards against items that do not run while endpoints are idle. A node joins
+/// a domain that already has one, and plain hashing assigns one of the two a
+/// single endpoint and as many jobs as to the other nodes.
 #[parameterized(
     two_nodes_in_one_domain = {
         &[("a1", "a"), ("a2", "a"), ("b1", "b"), ("c1", "c"), ("d1", "d")],
@@ -90,16 +90,17 @@
     let counts: Vec<usize> = nodes
         .iter()
         .map(|(name, _)| {
-            let plan = Plan::new(name, members.clone(), &endpoints);
+            let assignment =
+                Assignment::new(name, members.clone(), &endpoints);
             let used = endpoints.iter();
-            used.filter(|e| plan.uses_endpoint(e.life())).count()
+            used.filter(|e| assignment.uses_endpoint(e.life())).count()
         })
         .collect();
     assert_eq!(counts.iter().sum::<usize>(), endpoints.len());
-    let most = endpoints.len().div_ceil(nodes.len());
-    assert!(counts.iter().all(|count| *count <= most), "{counts:?}");
-    let least = endpoints.len() / nodes.len();
-    assert!(counts.iter().all(|count| *count >= least), "{counts:?}");
+    let max = endpoints.len().div_ceil(nodes.len());
+    assert!(counts.iter().all(|count| *count <= max), "{counts:?}");
+    let min = endpoints.len() / nodes.len();
+    assert!(counts.iter().all(|count| *count >= min), "{counts:?}");
 }
 
 #[test]
@@ -107,18 +108,23 @@
     let nodes = [node("a1", "a"), node("b1", "b")];
     let members = Members::new(nodes);
     let endpoints = endpoints(&[("a", 4), ("b", 4)]);
-    let plan = Plan::new("a1", members, &endpoints);
+    let assignment = Assignment::new("a1", members, &endpoints);
     for endpoint in &endpoints {
         let record = endpoint.record();
         let near = record.failure_domain == "a";
-        assert_eq!(plan.uses_endpoint(endpoint.life()), near, "{}", record.id);
+        assert_eq!(
+            assignment.uses_endpoint(endpoint.life()),
+            near,
+            "{}",
+            record.id
+        );
     }
 }
 
 #[test]
 fn jobs_of_a_lost_node_spread_over_the_others() {
     let members = Members::new(["a", "b", "c"].map(|n| node(n, "x")));
-    let lost = head("gone", 3);
+    let lost = manifest("gone", 3);
     let mut owners: Vec<String> = (0..60)
         .map(|number| {
             let job: JobKey = format!("job-{number}").parse().expect("key");
@@ -136,18 +142,18 @@
 fn the_named_node_owns_a_job_as_long_as_it_is_there() {
     let job: JobKey = "job".parse().expect("key");
     let members = Members::new([node("a", "x"), node("b", "x")]);
-    assert_eq!(members.owner(&job, &head("b", 1)), Some("b"));
+    assert_eq!(members.owner(&job, &manifest("b", 1)), Some("b"));
     let fewer = Members::new([node("a", "x")]);
-    assert_eq!(fewer.owner(&job, &head("b", 1)), Some("a"));
-    assert_eq!(Members::default().owner(&job, &head("b", 1)), None);
+    assert_eq!(fewer.owner(&job, &manifest("b", 1)), Some("a"));
+    assert_eq!(Members::default().owner(&job, &manifest("b", 1)), None);
 }
 
 #[test]
 fn a_new_job_goes_to_the_node_with_the_least_open_items() {
     let members = Members::new([node("a", "x"), node("b", "x")]);
-    let jobs: Vec<(JobKey, JobHead)> = [("1", "a", 9), ("2", "b", 4)]
+    let jobs: Vec<(JobKey, JobManifest)> = [("1", "a", 9), ("2", "b", 4)]
         .map(|(key, owner, total)| {
-            (key.parse().expect("key"), head(owner, total))
+            (key.parse().expect("key"), manifest(owner, total))
         })
         .into();
     let backlog = Backlog::of(&members, jobs.iter().map(|(k, h)| (k, h)));
@@ -156,10 +162,10 @@
     assert_eq!((backlog.items_of("a"), backlog.items_of("b")), (9, 4));
 }
 
-/// Symptom: two moves a job, of which each costs several calls, while the
-/// fleet has enough slots for all. Events: twenty jobs arrive within the
-/// time in which nobody hears of them. Cause: all went to the same node,
-/// which looked idle to every front.
+/// Guards against two moves for each job, of which each costs several calls,
+/// while the fleet has enough slots for all jobs. Twenty jobs arrive before
+/// any backlog report about them, and all go to the same node, which looks
+/// idle to every front.
 #[test]
 fn jobs_of_one_moment_do_not_all_go_to_the_same_node() {
     let nodes = (0..30).map(|at| node(&format!("node-{at}"), "a"));
@@ -168,27 +174,27 @@
     for job in 0..20 {
         let job: JobKey = format!("job-{job}").parse().expect("key");
         let owner = members.least_loaded(&job, &Backlog::default());
-        let place = members
+        let index = members
             .nodes()
             .iter()
             .position(|n| Some(n.node.as_str()) == owner);
-        counts[place.expect("a member")] += 1;
+        counts[index.expect("a member")] += 1;
     }
     assert!(counts.iter().all(|count| *count <= 5), "{counts:?}");
 }
 
-/// Four of many find one that is not busy in fifteen of sixteen cases where
-/// half of the nodes are, whatever the size.
+/// If half of the nodes are busy, a sample of four contains a node that is not
+/// busy in fifteen of sixteen cases, whatever the size of the fleet.
 #[test]
 fn a_new_job_avoids_nodes_that_are_busy() {
     let nodes = (0..32).map(|at| node(&format!("node-{at:02}"), "a"));
     let members = Members::new(nodes);
     // Every other node has a job of ten items.
-    let busy: Vec<(JobKey, JobHead)> = (0..32)
+    let busy: Vec<(JobKey, JobManifest)> = (0..32)
         .step_by(2)
         .map(|at| {
             let key = format!("old-{at}").parse().expect("key");
-            (key, head(&format!("node-{at:02}"), 10))
+            (key, manifest(&format!("node-{at:02}"), 10))
         })
         .collect();
     let backlog = Backlog::of(&members, busy.iter().map(|(k, h)| (k, h)));
@@ -209,16 +215,16 @@
     assert!(Members::new([front]).is_empty());
 }
 
-/// Symptom: an item is left lying for good. Events: endpoints are taken away
-/// until a node has none; jobs of which something is listed stay its own.
-/// Cause: nobody saw that the node cannot run anything.
+/// Guards against an item that never runs. Endpoints are removed until a node
+/// has none, and the node keeps its jobs of which something is listed, since
+/// nobody detects that it cannot run anything.
 #[test]
-fn a_node_without_endpoints_is_known_as_such() {
+fn a_node_without_endpoints_is_detected() {
     let members = Members::new(["a1", "a2", "a3"].map(|n| node(n, "a")));
     let endpoints = endpoints(&[("a", 2)]);
-    let plan = Plan::new("a1", members, &endpoints);
+    let assignment = Assignment::new("a1", members, &endpoints);
     let without = ["a1", "a2", "a3"]
-        .map(|node| plan.is_without_share(node))
+        .map(|node| assignment.has_no_endpoints(node))
         .into_iter()
         .filter(|without| *without);
     assert_eq!(without.count(), 1);
@@ -236,16 +242,16 @@
     (members, endpoints(&by_domain))
 }
 
-/// Symptom: all nodes are busy for seconds after everything was started
-/// again, and serve nothing meanwhile. Events: nodes come back one after the
-/// other; each makes its plan again for each of them. Cause: a plan looked
-/// at every node for every endpoint.
+/// Guards against nodes that are busy for seconds after a restart of the whole
+/// fleet, and serve nothing meanwhile. Nodes come back one after the other,
+/// and each computes its assignment again for each of them, visiting every
+/// node for every endpoint.
 #[test]
-fn the_steps_of_a_plan_grow_with_the_endpoints_alone() {
+fn the_steps_of_an_assignment_grow_with_the_endpoints_alone() {
     let steps = |nodes: usize| {
         let (members, endpoints) = fleet(nodes);
-        let plan = Plan::new("node-0", members, &endpoints);
-        (plan.steps(), endpoints.len())
+        let assignment = Assignment::new("node-0", members, &endpoints);
+        (assignment.steps(), endpoints.len())
     };
     for nodes in [30, 300] {
         let (steps, endpoints) = steps(nodes);
@@ -253,22 +259,25 @@
     }
 }
 
-/// What a node loses and gains by a change elsewhere costs connections and
-/// prompts that were read in vain.
+/// Each endpoint that a node loses or gains by a change elsewhere costs
+/// connections and prompts that were prefilled in vain.
 #[test]
 fn few_endpoints_change_their_user_when_a_node_leaves() {
     let (members, endpoints) = fleet(60);
     let fewer = members.nodes().iter().skip(1).cloned();
-    let before = Plan::new("node-0", members.clone(), &endpoints);
-    let after = Plan::new("node-0", Members::new(fewer), &endpoints);
-    let user = |plan: &Plan, endpoint: &Endpoint| {
-        plan.user_of(endpoint.life()).map(|user| user.node.clone())
+    let before = Assignment::new("node-0", members.clone(), &endpoints);
+    let after = Assignment::new("node-0", Members::new(fewer), &endpoints);
+    let user = |assignment: &Assignment, endpoint: &Endpoint| {
+        assignment
+            .user_of(endpoint.life())
+            .map(|user| user.node.clone())
     };
     let moved = endpoints
         .iter()
         .filter(|e| user(&before, e) != user(&after, e))
         .count();
-    // Ten were the lost node's; the others move as shares become uneven.
+    // Ten endpoints belonged to the removed node; the others move because the
+    // endpoint counts become uneven.
     assert!(
         moved < endpoints.len() / 4,
         "{moved} of {}",
@@ -276,10 +285,11 @@
     );
 }
 
-/// Symptom: an idle front spends half of its processor on plans. Cause: each
-/// look made the lists anew that the plan is made of, to compare them.
+/// Guards against an idle front that spends half of its processor time on
+/// assignments, because each pass builds the lists of inputs again to compare
+/// them.
 #[test]
-fn a_plan_is_made_once_for_the_same_fleet() {
+fn an_assignment_is_computed_once_for_the_same_fleet() {
     let (members, endpoints) = fleet(30);
     let table = Arc::new(EndpointTable::new(endpoints.iter().cloned()));
     let route = Route::new("jobs", "a.example", "/", "engines")
@@ -293,15 +303,15 @@
     };
     let (first, members) = (config(1), Arc::new(members));
     let mut planner = Planner::new("node-0");
-    let plan = planner.plan(&first, &table, &members);
-    assert!(!plan.own().is_empty());
+    let assignment = planner.assignment(&first, &table, &members);
+    assert!(!assignment.own_endpoints().is_empty());
     for _ in 0..1_000 {
-        planner.plan(&first, &table, &members);
+        planner.assignment(&first, &table, &members);
     }
     // Another configuration that leads to the same services.
-    planner.plan(&config(2), &table, &members);
-    assert_eq!(planner.made(), 1);
+    planner.assignment(&config(2), &table, &members);
+    assert_eq!(planner.computed_count(), 1);
     let other = Arc::new(EndpointTable::new(endpoints.into_iter().skip(1)));
-    planner.plan(&first, &other, &members);
-    assert_eq!(planner.made(), 2);
+    planner.assignment(&first, &other, &members);
+    assert_eq!(planner.computed_count(), 2);
 }
--- /dev/null
+++ b/crates/quarantine/src/record.rs
@@ -0,0 +1,170 @@
+use base::UnixMillis;
+use serde::{Deserialize, Serialize};
+
+use crate::Crash;
+
+/// Maximum number of crashes in one record. Further crashes would not change
+/// the verdict on the request.
+const MAX_CRASHES: usize = 8;
+
+/// The crashes of endpoints that occurred while they ran one request.
+///
+/// # Example
+///
+/// ```
+/// use base::UnixMillis;
+/// use pomeloslip_quarantine::{Crash, CrashRecord, CrashedEndpoint};
+///
+/// let crash = |endpoint, began_ms| Crash {
+///     endpoint: CrashedEndpoint::new(endpoint),
+///     began_at: UnixMillis::new(began_ms),
+///     ended_at: UnixMillis::new(began_ms + 100),
+///     resumed_after: 0,
+///     reached: 0,
+/// };
+/// let mut record = CrashRecord::default();
+/// assert!(record.add(crash(1, 1_000)));
+/// // Runs that overlap count once, since a single event may have ended both
+/// // endpoints.
+/// assert!(record.add(crash(2, 1_010)));
+/// assert_eq!(record.evidence().len(), 1);
+/// assert!(record.add(crash(3, 1_500)));
+/// assert_eq!(record.evidence().len(), 2);
+/// ```
+#[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct CrashRecord {
+    /// Ordered by the time of the crash.
+    crashes: Vec<Crash>,
+    /// Number of probes: single sends that test whether the request still
+    /// crashes endpoints.
+    #[serde(rename = "trials")]
+    probes: u32,
+    /// Time of the last probe.
+    #[serde(rename = "tried_at")]
+    probed_at: Option<UnixMillis>,
+}
+
+impl CrashRecord {
+    /// Returns the crashes, oldest first.
+    #[inline]
+    pub fn crashes(&self) -> &[Crash] {
+        &self.crashes
+    }
+
+    /// Returns the number of probes.
+    #[inline]
+    pub fn probes(&self) -> u32 {
+        self.probes
+    }
+
+    /// Returns the time of the last probe.
+    #[inline]
+    pub fn probed_at(&self) -> Option<UnixMillis> {
+        self.probed_at
+    }
+
+    /// Returns the time of the last crash or probe.
+    pub fn changed_at(&self) -> UnixMillis {
+        let crashed_at = self.crashes.last().map(|crash| crash.ended_at);
+        crashed_at.max(self.probed_at).unwrap_or_default()
+    }
+
+    /// Reports whether the record contains a crash.
+    pub fn contains(&self, crash: &Crash) -> bool {
+        self.crashes.iter().any(|known| known.is_same(crash))
+    }
+
+    /// Adds a crash, and reports whether the record changed.
+    ///
+    /// If one crash interrupted several runs of the request, only the run
+    /// with the most progress is recorded, since the others would have got as
+    /// far.
+    pub fn add(&mut self, crash: Crash) -> bool {
+        let same = self.crashes.iter().position(|known| known.is_same(&crash));
+        if let Some(index) = same {
+            if self.crashes[index].progress() >= crash.progress() {
+                return false;
+            }
+            self.crashes.remove(index);
+        }
+        let before = |known: &Crash| known.ended_at <= crash.ended_at;
+        let index = self.crashes.partition_point(before);
+        self.crashes.insert(index, crash);
+        self.evict_surplus();
+        true
+    }
+
+    /// Merges another record of the same request, and reports whether this
+    /// record changed.
+    pub fn merge(&mut self, other: &CrashRecord) -> bool {
+        let before = self.clone();
+        for crash in &other.crashes {
+            self.add(*crash);
+        }
+        self.probes = self.probes.max(other.probes);
+        self.probed_at = self.probed_at.max(other.probed_at);
+        *self != before
+    }
+
+    /// Records the start of a probe.
+    pub fn begin_probe(&mut self, now: UnixMillis) {
+        self.probes += 1;
+        self.probed_at = Some(now);
+    }
+
+    /// Removes the crashes that a complete response refutes, and reports
+    /// whether none is left. The response was resumed after `resumed_after`;
+    /// a crash before that point is not refuted, since that part of the
+    /// response did not run again.
+    pub fn remove_refuted(&mut self, resumed_after: u64) -> bool {
+        self.crashes.retain(|crash| crash.reached < resumed_after);
+        self.crashes.is_empty()
+    }
+
+    /// Returns the crashes of this record that another one lacks.
+    #[must_use]
+    pub fn difference(&self, other: &CrashRecord) -> CrashRecord {
+        let is_known = |crash: &Crash| {
+            other.crashes.iter().any(|known| {
+                known.is_same(crash) && known.progress() >= crash.progress()
+            })
+        };
+        let remainder = self.crashes.iter().filter(|crash| !is_known(crash));
+        CrashRecord {
+            crashes: remainder.copied().collect(),
+            ..CrashRecord::default()
+        }
+    }
+
+    /// Returns the crashes that count as evidence against the request: those
+    /// whose runs do not overlap and that no other run refutes.
+    pub fn evidence(&self) -> Vec<&Crash> {
+        let mut evidence: Vec<&Crash> = Vec::new();
+        for crash in &self.crashes {
+            let follows =
+                evidence.last().is_none_or(|last| crash.follows(last));
+            if follows && !self.refutes(crash) {
+                evidence.push(crash);
+            }
+        }
+        evidence
+    }
+
+    fn refutes(&self, crash: &Crash) -> bool {
+        self.crashes.iter().any(|other| other.refutes(crash))
+    }
+
+    /// Evicts crashes over [`MAX_CRASHES`]: first those that are not evidence,
+    /// then the oldest.
+    fn evict_surplus(&mut self) {
+        while self.crashes.len() > MAX_CRASHES {
+            let evidence = self.evidence();
+            let is_surplus = |crash: &Crash| {
+                !evidence.iter().any(|kept| kept.is_same(crash))
+            };
+            let surplus = self.crashes.iter().position(is_surplus);
+            self.crashes.remove(surplus.unwrap_or(0));
+        }
+    }
+}
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,12 +1,13 @@
 //! Ordered operator rules: parse, compile once per revision, decide, explain.
 //!
-//! Operators drive the system by one YAML document ([`Config`]): customers,
-//! pools and an ordered list of rules. The first rule whose conditions hold
-//! decides; a request that no rule covers is refused as such.
+//! Operators control request routing with one YAML document ([`Config`]):
+//! customers, pools and an ordered list of rules. The first rule whose
+//! conditions all hold applies; a request that no rule matches is refused.
 //!
-//! A process parses a document once for each revision, compiles it
-//! ([`Compiled`]) and then decides each request ([`Compiled::decide`])
-//! without a lock or an allocation. The time is an argument.
+//! A process parses and compiles a document once per revision
+//! ([`CompiledConfig`]) and then decides each request
+//! ([`CompiledConfig::decide`]) without taking a lock or allocating. The
+//! current time is an argument.
 
 mod calendar;
 mod check;
@@ -22,8 +23,10 @@
 mod when;
 
 pub use crate::{
-    calendar::{Clock, DateRange, Day, TimeOfDay, Zone},
-    compiled::{Compiled, CustomerEntry, CustomerKey, PoolEntry, PoolKey},
+    calendar::{ClockTime, DateRange, Day, TimeOfDay, Zone},
+    compiled::{
+        CompiledConfig, CustomerEntry, CustomerKey, PoolEntry, PoolKey,
+    },
     config::{
         Config, CustomerConfig, CustomerLimits, OrderFencing, PoolConfig,
         Refuse, Rule, Then,
