--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,7 +1,9 @@
 use base::Millis;
 use indexmap::{IndexMap, IndexSet};
 
-use crate::{Endpoint, EndpointRecord, EndpointState, EndpointTable, LifeKey};
+use crate::{
+    Endpoint, EndpointRecord, EndpointState, EndpointTable, IncarnationKey,
+};
 
 /// How long after the key-value service's return a missing entry may still
 /// come back, in milliseconds. Endpoints renew their entries about every
@@ -39,7 +41,7 @@
         /// Id of the endpoint.
         id: String,
         /// The life that is over.
-        former: LifeKey,
+        former: IncarnationKey,
     },
     /// An entry tells of a life that is over, as a delayed write may.
     Outdated(String),
@@ -68,7 +70,7 @@
     /// Ids that are kept although no entry names them.
     kept: IndexSet<String>,
     /// The lives of all that is known.
-    lives: IndexSet<LifeKey>,
+    lives: IndexSet<IncarnationKey>,
     /// Ids whose entry tells of a life that is over, each told once.
     outdated: IndexSet<String>,
 }
@@ -149,13 +151,13 @@
     }
 
     fn insert(&mut self, endpoint: Endpoint) {
-        self.lives.insert(endpoint.life());
+        self.lives.insert(endpoint.incarnation_key());
         self.known.insert(endpoint.record().id.clone(), endpoint);
     }
 
     fn remove(&mut self, id: &str) -> Option<Endpoint> {
         let endpoint = self.known.swap_remove(id)?;
-        self.lives.swap_remove(&endpoint.life());
+        self.lives.swap_remove(&endpoint.incarnation_key());
         Some(endpoint)
     }
 
@@ -193,7 +195,7 @@
     }
 
     /// Tells whether a life of an endpoint is not over, whatever its state.
-    pub fn has_life(&self, life: LifeKey) -> bool {
+    pub fn has_life(&self, life: IncarnationKey) -> bool {
         self.lives.contains(&life)
     }
 
@@ -221,12 +223,12 @@
         changes.push(Change::Added(id));
         return Endpoint::new(record);
     };
-    if record.is_later_life_than(before.record()) {
-        let former = before.life();
+    if record.is_newer_incarnation_than(before.record()) {
+        let former = before.incarnation_key();
         changes.push(Change::Restarted { id, former });
         return Endpoint::new(record);
     }
-    if before.record().is_later_life_than(&record) {
+    if before.record().is_newer_incarnation_than(&record) {
         if outdated.insert(id.clone()) {
             changes.push(Change::Outdated(id));
         }
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -65,9 +65,9 @@
     Deserialize,
 )]
 #[serde(transparent)]
-pub struct LifeKey(u64);
+pub struct IncarnationKey(u64);
 
-impl LifeKey {
+impl IncarnationKey {
     /// Returns the key as a number that all nodes find for the same life.
     #[inline]
     pub fn as_u64(self) -> u64 {
@@ -77,15 +77,15 @@
 
 impl EndpointRecord {
     /// Returns the key of this life.
-    pub fn life(&self) -> LifeKey {
+    pub fn incarnation_key(&self) -> IncarnationKey {
         let id = base::stable_hash(&[&self.id]);
         let started = self.started_at.map_or(0, UnixMillis::as_ms);
-        LifeKey(mix(id ^ mix(started)))
+        IncarnationKey(mix(id ^ mix(started)))
     }
 
     /// Tells whether this entry is of a life that began after the one that
     /// another entry tells of.
-    pub fn is_later_life_than(&self, other: &EndpointRecord) -> bool {
+    pub fn is_newer_incarnation_than(&self, other: &EndpointRecord) -> bool {
         self.started_at > other.started_at
     }
 }
@@ -99,7 +99,7 @@
     record: Arc<EndpointRecord>,
     load: Arc<Counters>,
     spread: u64,
-    life: LifeKey,
+    life: IncarnationKey,
 }
 
 #[derive(Debug, Default)]
@@ -119,7 +119,7 @@
     pub fn new(record: EndpointRecord) -> Self {
         Self {
             spread: base::stable_hash(&[&record.id]),
-            life: record.life(),
+            life: record.incarnation_key(),
             record: Arc::new(record),
             load: Arc::default(),
         }
@@ -139,7 +139,7 @@
 
     /// Returns the key of its life.
     #[inline]
-    pub fn life(&self) -> LifeKey {
+    pub fn incarnation_key(&self) -> IncarnationKey {
         self.life
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,7 +28,7 @@
 
 pub use crate::{
     directory::{Change, Directory, LISTING_GRACE_MS, Listing, ListingUpdate},
-    endpoint::{Endpoint, EndpointRecord, EndpointState, LifeKey},
+    endpoint::{Endpoint, EndpointRecord, EndpointState, IncarnationKey},
     load::{Choice, LoadReport, Need, Verdict},
     route::{
         BatchTerms, Config, Destination, Route, RouteKind, RouteTable,
--- a/crates/fleet/src/selection.rs
+++ b/crates/fleet/src/selection.rs
@@ -1,7 +1,7 @@
 use base::{mix, stable_hash};
 use indexmap::IndexMap;
 
-use crate::{Endpoint, EndpointTable, LifeKey, table::window};
+use crate::{Endpoint, EndpointTable, IncarnationKey, table::window};
 
 /// How near an endpoint is to the node that chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -55,8 +55,8 @@
 
 #[derive(Clone, Debug, Default)]
 struct Near {
-    own: Vec<LifeKey>,
-    spill: Vec<LifeKey>,
+    own: Vec<IncarnationKey>,
+    spill: Vec<IncarnationKey>,
 }
 
 /// Endpoints of a service that a node spills to. Each costs a subscription
@@ -87,7 +87,7 @@
             others.sort_unstable_by_key(|e| mix(hash ^ e.spread()));
             others.truncate(SPILL);
             let lives = |all: Vec<&Endpoint>| {
-                all.into_iter().map(Endpoint::life).collect()
+                all.into_iter().map(Endpoint::incarnation_key).collect()
             };
             Near {
                 own: lives(own),
@@ -109,7 +109,7 @@
         &self,
         service: &str,
         start: u64,
-    ) -> impl Iterator<Item = (LifeKey, Standing)> {
+    ) -> impl Iterator<Item = (IncarnationKey, Standing)> {
         let near = self.by_service.get(service);
         let (own, spill) = near.map_or((&[][..], &[][..]), |near| {
             (near.own.as_slice(), near.spill.as_slice())
@@ -120,7 +120,7 @@
     }
 
     /// Returns all endpoints that the node sends to as a rule.
-    pub fn iter(&self) -> impl Iterator<Item = LifeKey> {
+    pub fn iter(&self) -> impl Iterator<Item = IncarnationKey> {
         let all = self.by_service.values();
         all.flat_map(|near| near.own.iter().chain(&near.spill).copied())
     }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use crate::{Endpoint, LifeKey};
+use crate::{Endpoint, IncarnationKey};
 
 /// The endpoints that may be used now.
 ///
@@ -27,7 +27,7 @@
 ///     state: EndpointState::Ready,
 /// });
 /// let table = EndpointTable::new([endpoint.clone()]);
-/// let found = table.get(endpoint.life()).expect("listed");
+/// let found = table.get(endpoint.incarnation_key()).expect("listed");
 /// assert_eq!(found.record().id, "e1");
 /// assert_eq!(table.of_service("other").len(), 0);
 /// ```
@@ -35,7 +35,7 @@
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
     services: IndexMap<String, Range<usize>>,
-    places: IndexMap<LifeKey, usize>,
+    places: IndexMap<IncarnationKey, usize>,
 }
 
 impl EndpointTable {
@@ -52,14 +52,14 @@
             table.endpoints.extend(endpoints);
             table.services.insert(service, first..table.endpoints.len());
         }
-        let lives = table.endpoints.iter().map(Endpoint::life);
+        let lives = table.endpoints.iter().map(Endpoint::incarnation_key);
         table.places = lives.zip(0..).collect();
         table
     }
 
     /// Returns the endpoint of a life, unless it takes no work any more.
     #[inline]
-    pub fn get(&self, life: LifeKey) -> Option<&Endpoint> {
+    pub fn get(&self, life: IncarnationKey) -> Option<&Endpoint> {
         self.places.get(&life).map(|place| &self.endpoints[*place])
     }
 
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -11,8 +11,8 @@
 
 use base::Millis;
 use pomeloslip_fleet::{
-    Endpoint, EndpointRecord, EndpointState, EndpointTable, LifeKey, Need,
-    Selection,
+    Endpoint, EndpointRecord, EndpointState, EndpointTable, IncarnationKey,
+    Need, Selection,
 };
 
 const SLOTS: u32 = 7;
@@ -184,9 +184,9 @@
     now: u64,
 ) {
     for (node, selection) in selections.iter().enumerate() {
-        let selected: HashSet<LifeKey> = selection.iter().collect();
+        let selected: HashSet<IncarnationKey> = selection.iter().collect();
         for (at, endpoint) in views[node].iter().enumerate() {
-            if selected.contains(&endpoint.life()) {
+            if selected.contains(&endpoint.incarnation_key()) {
                 let all: u32 = counts[at].iter().sum();
                 let others = all - counts[at][node];
                 endpoint.report_remote(others, Millis::new(now));
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -133,14 +133,17 @@
     before.begin();
     before.failed(Suspicion::Unreachable, now);
     let changes = directory.take(listing_of(2, &[life("a", Some(20))]), now);
-    let former = before.life();
+    let former = before.incarnation_key();
     let id = "a".to_owned();
     assert_eq!(changes, [Change::Restarted { id, former }]);
     let after = directory.get("a").expect("known");
-    assert_ne!(after.life(), former);
+    assert_ne!(after.incarnation_key(), former);
     assert_eq!(after.in_flight(), 0);
     assert!(!after.is_suspect(now));
-    assert!(!directory.has_life(former) && directory.has_life(after.life()));
+    assert!(
+        !directory.has_life(former)
+            && directory.has_life(after.incarnation_key())
+    );
 }
 
 /// Symptom: the same as above, where the first life told no start, as the
@@ -166,7 +169,7 @@
         ..life("a", Some(10))
     };
     directory.take(listing_of(1, &[life("a", Some(20))]), now);
-    let known = directory.get("a").expect("known").life();
+    let known = directory.get("a").expect("known").incarnation_key();
     let changes =
         directory.take(listing_of(2, std::slice::from_ref(&old)), now);
     assert_eq!(changes, [Change::Outdated("a".to_owned())]);
@@ -182,5 +185,5 @@
     let two = [life("a", None), life("b", None)];
     directory.take(listing_of(1, &two), Millis::new(0));
     assert_eq!(usable(&directory), 2);
-    assert_ne!(two[0].life(), two[1].life());
+    assert_ne!(two[0].incarnation_key(), two[1].incarnation_key());
 }
--- a/crates/jobs/src/online.rs
+++ b/crates/jobs/src/online.rs
@@ -1,7 +1,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use base::{Millis, UnixMillis, stable_hash};
-use fleet::LifeKey;
+use fleet::IncarnationKey;
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
@@ -41,7 +41,7 @@
     /// to. It subscribes to them until it names others.
     pub whole: bool,
     /// Requests in flight by endpoint.
-    pub counts: &'a [(LifeKey, u32)],
+    pub counts: &'a [(IncarnationKey, u32)],
 }
 
 /// Online requests in flight at the endpoints of one worker, from the load
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct OnlineLoad {
     inner: Mutex<Inner>,
-    changed: mpsc::UnboundedSender<LifeKey>,
+    changed: mpsc::UnboundedSender<IncarnationKey>,
 }
 
 /// Names a front among those that report to a worker.
@@ -75,9 +75,9 @@
 #[derive(Debug, Default)]
 struct Inner {
     fronts: IndexMap<FrontKey, Front>,
-    endpoints: IndexMap<LifeKey, Vec<Use>>,
+    endpoints: IndexMap<IncarnationKey, Vec<Use>>,
     /// Endpoints whose load has changed for some front.
-    dirty: IndexSet<LifeKey>,
+    dirty: IndexSet<IncarnationKey>,
     steps: u64,
 }
 
@@ -86,7 +86,7 @@
     name: String,
     stamp: Stamp,
     updated_at: Millis,
-    endpoints: Vec<LifeKey>,
+    endpoints: Vec<IncarnationKey>,
 }
 
 /// What one front has at one endpoint.
@@ -104,7 +104,7 @@
     /// Name of the front.
     pub front: String,
     /// Requests of all other fronts by endpoint.
-    pub counts: Vec<(LifeKey, u32)>,
+    pub counts: Vec<(IncarnationKey, u32)>,
 }
 
 /// Age at which a front's load update counts no more, in milliseconds: it
@@ -115,7 +115,7 @@
 impl OnlineLoad {
     /// Starts without any update; the receiver gets the endpoints that
     /// requests are on their way to.
-    pub fn new() -> (Self, mpsc::UnboundedReceiver<LifeKey>) {
+    pub fn new() -> (Self, mpsc::UnboundedReceiver<IncarnationKey>) {
         let (changed, changes) = mpsc::unbounded_channel();
         let load = Self {
             inner: Mutex::default(),
@@ -171,7 +171,7 @@
     /// something has changed, and none for the rest of the fleet.
     pub fn changes(&self, now: Millis) -> Vec<OthersUpdate> {
         let mut inner = self.lock();
-        let mut updates: IndexMap<FrontKey, Vec<(LifeKey, u32)>> =
+        let mut updates: IndexMap<FrontKey, Vec<(IncarnationKey, u32)>> =
             IndexMap::new();
         for endpoint in std::mem::take(&mut inner.dirty) {
             let uses = inner.endpoints.get(&endpoint);
@@ -194,7 +194,7 @@
     /// sends there before all others, has not named the endpoint.
     pub fn requests_at(
         &self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         first_user: &str,
         now: Millis,
     ) -> Option<u32> {
@@ -273,15 +273,15 @@
     }
 
     /// Ends the use of all endpoints of a front but these.
-    fn keep_only(&mut self, key: FrontKey, counts: &[(LifeKey, u32)]) {
+    fn keep_only(&mut self, key: FrontKey, counts: &[(IncarnationKey, u32)]) {
         let Some(front) = self.fronts.get_mut(&key) else {
             return;
         };
-        let kept: IndexSet<LifeKey> =
+        let kept: IndexSet<IncarnationKey> =
             counts.iter().map(|(endpoint, _)| *endpoint).collect();
         let before = std::mem::take(&mut front.endpoints);
         self.steps += before.len() as u64;
-        let (rest, gone): (Vec<LifeKey>, Vec<LifeKey>) =
+        let (rest, gone): (Vec<IncarnationKey>, Vec<IncarnationKey>) =
             before.into_iter().partition(|e| kept.contains(e));
         front.endpoints = rest;
         for endpoint in gone {
@@ -289,7 +289,7 @@
         }
     }
 
-    fn end_use(&mut self, endpoint: LifeKey, key: FrontKey) {
+    fn end_use(&mut self, endpoint: IncarnationKey, key: FrontKey) {
         let Some(uses) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
@@ -302,7 +302,12 @@
 
     /// Sets what a front has at an endpoint; tells whether it is more than
     /// before.
-    fn set(&mut self, key: FrontKey, endpoint: LifeKey, count: u32) -> bool {
+    fn set(
+        &mut self,
+        key: FrontKey,
+        endpoint: IncarnationKey,
+        count: u32,
+    ) -> bool {
         let uses = self.endpoints.entry(endpoint).or_default();
         self.steps += uses.len() as u64 + 1;
         let known = uses.iter_mut().find(|one| one.front == key);
@@ -330,7 +335,7 @@
     /// not count: what they had has ended, as a rule.
     fn others(
         &mut self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         key: FrontKey,
         now: Millis,
     ) -> u32 {
@@ -346,7 +351,7 @@
     /// Notes what a front is sent; tells whether it is something new.
     fn note_sent(
         &mut self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         key: FrontKey,
         others: u32,
     ) -> bool {
--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/plan.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use indexmap::IndexMap;
 
 use crate::{JobHead, JobKey, Members, NodeRecord, ring::Ring};
@@ -19,10 +19,10 @@
 pub struct Plan {
     node: String,
     members: Arc<Members>,
-    users: IndexMap<LifeKey, usize>,
+    users: IndexMap<IncarnationKey, usize>,
     /// Endpoints of each node, by its place among the members.
     counts: Vec<usize>,
-    own: Vec<LifeKey>,
+    own: Vec<IncarnationKey>,
     steps: usize,
 }
 
@@ -143,7 +143,7 @@
             let user = ring.find(endpoint.spread(), has_room);
             if let Some(user) = user {
                 self.counts[user] += 1;
-                self.users.insert(endpoint.life(), user);
+                self.users.insert(endpoint.incarnation_key(), user);
             }
             user.is_none()
         });
@@ -163,7 +163,7 @@
     }
 
     /// Returns the endpoints that this node uses.
-    pub fn own(&self) -> &[LifeKey] {
+    pub fn own(&self) -> &[IncarnationKey] {
         &self.own
     }
 
@@ -180,13 +180,13 @@
     }
 
     /// Returns the node that uses an endpoint.
-    pub fn user_of(&self, endpoint: LifeKey) -> Option<&NodeRecord> {
+    pub fn user_of(&self, endpoint: IncarnationKey) -> Option<&NodeRecord> {
         let place = self.users.get(&endpoint)?;
         self.members.nodes().get(*place)
     }
 
     /// Tells whether this node uses an endpoint.
-    pub fn uses_endpoint(&self, endpoint: LifeKey) -> bool {
+    pub fn uses_endpoint(&self, endpoint: IncarnationKey) -> bool {
         self.user_of(endpoint)
             .is_some_and(|user| user.node == self.node)
     }
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -13,7 +13,8 @@
 use base::{Clock, Millis, Snapshot};
 use error_stack::Report;
 use fleet::{
-    Config, Endpoint, EndpointRecord, LifeKey, LoadReport, Route, RouteKind,
+    Config, Endpoint, EndpointRecord, IncarnationKey, LoadReport, Route,
+    RouteKind,
 };
 use indexmap::IndexMap;
 use pass::{Counters, DirectoryView};
@@ -147,7 +148,7 @@
     pub async fn run(
         self,
         stop: Stop,
-        mut heard: mpsc::UnboundedReceiver<LifeKey>,
+        mut heard: mpsc::UnboundedReceiver<IncarnationKey>,
     ) {
         let Stop {
             asked: mut stop,
@@ -196,7 +197,7 @@
     Saved(Result<(), Report<JobError>>),
     Ended(RunId, RunEnd),
     Listed(JobKey, Result<Result<Stored, Stored>, Report<JobError>>),
-    Probed(LifeKey, Option<LoadReport>),
+    Probed(IncarnationKey, Option<LoadReport>),
     Moved(JobKey, Result<Stored, Report<JobError>>),
 }
 
@@ -224,7 +225,7 @@
     sender: mpsc::UnboundedSender<Event>,
     jobs: IndexMap<JobKey, Active>,
     runs: IndexMap<RunId, Run>,
-    probes: IndexMap<LifeKey, Probing>,
+    probes: IndexMap<IncarnationKey, Probing>,
     /// Which front sends to each endpoint before all others.
     first_users: Arc<Plan>,
     /// What the jobs were taken up by: the plan, and the count of changes
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use base::Millis;
-use fleet::{Config, Endpoint, LifeKey};
+use fleet::{Config, Endpoint, IncarnationKey};
 use pass::Counters;
 
 use super::{
@@ -41,7 +41,7 @@
         let view = self.runner.parts.endpoints.load_full();
         let own = plan.own().iter();
         let unknown = own.filter(|life| self.online(**life, now).is_none());
-        let unknown: Vec<LifeKey> = unknown.copied().collect();
+        let unknown: Vec<IncarnationKey> = unknown.copied().collect();
         self.probes.retain(|life, _| unknown.contains(life));
         for life in unknown {
             if let Some(endpoint) = view.table.get(life) {
@@ -52,7 +52,7 @@
 
     fn ask_load(&mut self, endpoint: &Endpoint, now: Millis) {
         let probe_ms = self.runner.options.probe_ms;
-        let life = endpoint.life();
+        let life = endpoint.incarnation_key();
         let probing = self.probes.entry(life).or_default();
         let recent = probing
             .asked_at
@@ -103,7 +103,7 @@
 
     /// Lets batch work at one endpoint give way as an online request is
     /// under way to it.
-    pub(super) fn give_way(&mut self, life: LifeKey) {
+    pub(super) fn give_way(&mut self, life: IncarnationKey) {
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
         let Some(endpoint) = view.table.get(life) else {
@@ -118,7 +118,7 @@
 
     /// Returns the online requests at an endpoint, if the fronts that use
     /// it report them.
-    fn online(&self, life: LifeKey, now: Millis) -> Option<u32> {
+    fn online(&self, life: IncarnationKey, now: Millis) -> Option<u32> {
         let first_user = self.first_users.user_of(life)?;
         let online = &self.runner.parts.online;
         online.requests_at(life, &first_user.node, now)
@@ -129,9 +129,12 @@
         endpoint: &Endpoint,
         now: Millis,
     ) -> Option<GateOrder> {
-        let life = endpoint.life();
-        let mine =
-            || self.runs.values().filter(|run| run.endpoint.life() == life);
+        let life = endpoint.incarnation_key();
+        let mine = || {
+            self.runs
+                .values()
+                .filter(|run| run.endpoint.incarnation_key() == life)
+        };
         let mut input = GateInput {
             mine: mine().count() as u32,
             mine_urgent: mine().filter(|run| self.is_urgent(run)).count()
@@ -143,7 +146,8 @@
             input.mine_reported = input.mine;
             input.running = online + input.mine;
         } else {
-            let (report, at) = self.probes.get(&endpoint.life())?.report?;
+            let (report, at) =
+                self.probes.get(&endpoint.incarnation_key())?.report?;
             let age_ms = now.saturating_ms_since(at);
             if age_ms > self.runner.options.report_age_ms {
                 return None;
@@ -202,9 +206,9 @@
     }
 
     /// Stops the run that is worth least to go on.
-    pub(super) fn preempt_one(&mut self, life: LifeKey) {
+    pub(super) fn preempt_one(&mut self, life: IncarnationKey) {
         let candidates = self.runs.iter().filter(|(_, run)| {
-            run.endpoint.life() == life && !self.is_urgent(run)
+            run.endpoint.incarnation_key() == life && !self.is_urgent(run)
         });
         let unix = self.runner.parts.clock.unix();
         let rank_of = |run: &Run| {
--- a/crates/jobs/tests/online.rs
+++ b/crates/jobs/tests/online.rs
@@ -1,12 +1,12 @@
 //! What fronts report of their requests in flight.
 
 use base::{Millis, UnixMillis};
-use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
+use fleet::{Endpoint, EndpointRecord, EndpointState, IncarnationKey};
 use pomeloslip_jobs::{FRONT_LOAD_LIFE_MS, FrontUpdate, OnlineLoad, Stamp};
 
 const NOW: Millis = Millis::new(5_000);
 
-fn life(id: &str) -> LifeKey {
+fn life(id: &str) -> IncarnationKey {
     let endpoint = Endpoint::new(EndpointRecord {
         id: id.to_owned(),
         started_at: None,
@@ -16,7 +16,7 @@
         slots: 8,
         state: EndpointState::Ready,
     });
-    endpoint.life()
+    endpoint.incarnation_key()
 }
 
 /// One front of a test.
@@ -26,7 +26,7 @@
     fn sends(
         &mut self,
         load: &OnlineLoad,
-        counts: &[(LifeKey, u32)],
+        counts: &[(IncarnationKey, u32)],
         whole: bool,
         now: Millis,
     ) -> bool {
@@ -194,7 +194,7 @@
 fn steps_of_a_request_do_not_grow_with_the_fleet() {
     let steps_at = |fronts: usize| {
         let (load, _heard) = OnlineLoad::new();
-        let lives: Vec<LifeKey> =
+        let lives: Vec<IncarnationKey> =
             (0..30).map(|at| life(&at.to_string())).collect();
         let names: Vec<String> =
             (0..fronts).map(|at| format!("front-{at}")).collect();
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -92,7 +92,8 @@
         .map(|(name, _)| {
             let plan = Plan::new(name, members.clone(), &endpoints);
             let used = endpoints.iter();
-            used.filter(|e| plan.uses_endpoint(e.life())).count()
+            used.filter(|e| plan.uses_endpoint(e.incarnation_key()))
+                .count()
         })
         .collect();
     assert_eq!(counts.iter().sum::<usize>(), endpoints.len());
@@ -111,7 +112,12 @@
     for endpoint in &endpoints {
         let record = endpoint.record();
         let near = record.failure_domain == "a";
-        assert_eq!(plan.uses_endpoint(endpoint.life()), near, "{}", record.id);
+        assert_eq!(
+            plan.uses_endpoint(endpoint.incarnation_key()),
+            near,
+            "{}",
+            record.id
+        );
     }
 }
 
@@ -262,7 +268,8 @@
     let before = Plan::new("node-0", members.clone(), &endpoints);
     let after = Plan::new("node-0", Members::new(fewer), &endpoints);
     let user = |plan: &Plan, endpoint: &Endpoint| {
-        plan.user_of(endpoint.life()).map(|user| user.node.clone())
+        plan.user_of(endpoint.incarnation_key())
+            .map(|user| user.node.clone())
     };
     let moved = endpoints
         .iter()
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use base::{Millis, UnixMillis};
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use indexmap::IndexMap;
 use pass::{Counters, Run, RunObserver};
 use quarantine::{
@@ -74,7 +74,7 @@
     cluster: ClusterState,
     quarantine: Quarantine,
     counters: Arc<Counters>,
-    lives: IndexMap<LifeKey, Examined>,
+    lives: IndexMap<IncarnationKey, Examined>,
 }
 
 /// What is known of an endpoint that runs were cut off at.
@@ -91,7 +91,7 @@
 
 /// What a look at an endpoint found.
 struct Finding {
-    life: LifeKey,
+    life: IncarnationKey,
     crashed: bool,
 }
 
@@ -136,7 +136,7 @@
         findings: &mpsc::UnboundedSender<Finding>,
     ) {
         self.forget_old();
-        let life = run.endpoint.life();
+        let life = run.endpoint.incarnation_key();
         match self.lives.get_mut(&life).map(|known| &mut known.state) {
             Some(Examination::UnderWay(runs)) => {
                 runs.push(run);
@@ -197,7 +197,7 @@
                 reached = run.reached;
                 "a request ran at an endpoint that crashed"
             );
-            let life = run.endpoint.life().as_u64();
+            let life = run.endpoint.incarnation_key().as_u64();
             let crash = Crash {
                 endpoint: CrashedEndpoint::new(life),
                 began_at: run.ended_at.saturating_sub_ms(run.ran_ms),
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -17,7 +17,7 @@
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 use base::UnixMillis;
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use jobs::Stamp;
 use pass::{Counters, LoadObserver};
 use tokio::{net::UdpSocket, sync::mpsc, time};
@@ -37,10 +37,10 @@
 
 /// Observes each request and passes the endpoint on to the sender's task.
 #[derive(Debug)]
-pub(crate) struct LoadNotifier(mpsc::UnboundedSender<LifeKey>);
+pub(crate) struct LoadNotifier(mpsc::UnboundedSender<IncarnationKey>);
 
 impl LoadNotifier {
-    pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<LifeKey>) {
+    pub(crate) fn new() -> (Self, mpsc::UnboundedReceiver<IncarnationKey>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self(sender), receiver)
     }
@@ -48,7 +48,7 @@
 
 impl LoadObserver for LoadNotifier {
     fn began(&self, endpoint: &Endpoint) {
-        let _ = self.0.send(endpoint.life());
+        let _ = self.0.send(endpoint.incarnation_key());
     }
 }
 
@@ -102,7 +102,7 @@
         to: SocketAddr,
         kind: Kind,
         whole: bool,
-        counts: &[(LifeKey, u32)],
+        counts: &[(IncarnationKey, u32)],
     ) {
         let mut parts = counts.chunks(wire::COUNTS_MOST);
         let first = parts.next().unwrap_or_default();
@@ -118,7 +118,7 @@
         to: SocketAddr,
         kind: Kind,
         whole: bool,
-        counts: &[(LifeKey, u32)],
+        counts: &[(IncarnationKey, u32)],
     ) {
         self.number += 1;
         let stamp = Stamp {
--- a/crates/node/src/load/front.rs
+++ b/crates/node/src/load/front.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use base::{Millis, Snapshot};
-use fleet::{EndpointTable, LifeKey, Selection};
+use fleet::{EndpointTable, IncarnationKey, Selection};
 use indexmap::IndexMap;
 use jobs::{
     FRONT_LOAD_LIFE_MS, JobView, Plan, Plans, ReportedBacklogs, Stamp,
@@ -30,7 +30,7 @@
     pub(crate) selection: Arc<Snapshot<Selection>>,
     /// Takes what workers report of their items.
     pub(crate) backlogs: Arc<ReportedBacklogs>,
-    pub(crate) began: mpsc::UnboundedReceiver<LifeKey>,
+    pub(crate) began: mpsc::UnboundedReceiver<IncarnationKey>,
 }
 
 /// What the selection was made of.
@@ -45,7 +45,7 @@
 struct State {
     made_of: Option<MadeOf>,
     /// Counts as they were sent last, of endpoints with requests.
-    sent: IndexMap<LifeKey, u32>,
+    sent: IndexMap<IncarnationKey, u32>,
     /// Workers that this front subscribes at, with the empty updates that
     /// are left to end that.
     workers: IndexMap<SocketAddr, u32>,
@@ -67,7 +67,7 @@
                     }
                 }
                 began = self.began.recv() => {
-                    let mut lives: Vec<LifeKey> = began.into_iter().collect();
+                    let mut lives: Vec<IncarnationKey> = began.into_iter().collect();
                     while let Ok(life) = self.began.try_recv() {
                         lives.push(life);
                     }
@@ -108,7 +108,8 @@
         if is_known {
             return false;
         }
-        let own = |e: &fleet::Endpoint| plan.uses_endpoint(e.life());
+        let own =
+            |e: &fleet::Endpoint| plan.uses_endpoint(e.incarnation_key());
         let selection = Selection::new(self.socket.node(), &table, own);
         log::info!(
             own = plan.own().len(),
@@ -132,7 +133,7 @@
     /// Returns the endpoints whose count is not what was sent last. Only
     /// those that had requests then can differ: the observer of requests
     /// reports all others.
-    fn changes(&self, state: &State) -> Vec<LifeKey> {
+    fn changes(&self, state: &State) -> Vec<IncarnationKey> {
         let view = self.cluster.endpoints.load();
         let changed = state.sent.iter().filter(|(life, sent)| {
             view.table.get(**life).map(|e| e.in_flight()) != Some(**sent)
@@ -140,7 +141,11 @@
         changed.map(|(life, _)| *life).collect()
     }
 
-    async fn send_counts(&mut self, state: &mut State, lives: &[LifeKey]) {
+    async fn send_counts(
+        &mut self,
+        state: &mut State,
+        lives: &[IncarnationKey],
+    ) {
         let updates = self.counts_by_worker(state, lives.iter().copied());
         for (to, counts) in updates {
             state.workers.insert(to, UNSUBSCRIBES);
@@ -152,7 +157,7 @@
     /// that is how it knows to whom to report.
     async fn send_whole(&mut self, state: &mut State) {
         let selection = self.selection.load_full();
-        let mut lives: Vec<LifeKey> =
+        let mut lives: Vec<IncarnationKey> =
             selection.iter().chain(state.sent.keys().copied()).collect();
         lives.sort_unstable();
         lives.dedup();
@@ -176,11 +181,11 @@
     fn counts_by_worker(
         &self,
         state: &mut State,
-        lives: impl Iterator<Item = LifeKey>,
-    ) -> IndexMap<SocketAddr, Vec<(LifeKey, u32)>> {
+        lives: impl Iterator<Item = IncarnationKey>,
+    ) -> IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> {
         let view = self.cluster.endpoints.load();
         let plan = self.plans.of_items();
-        let mut updates: IndexMap<SocketAddr, Vec<(LifeKey, u32)>> =
+        let mut updates: IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> =
             IndexMap::new();
         for life in lives {
             let Some(endpoint) = view.table.get(life) else {
--- a/crates/node/src/load/wire.rs
+++ b/crates/node/src/load/wire.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use fleet::LifeKey;
+use fleet::IncarnationKey;
 use jobs::Stamp;
 use serde::{Deserialize, Serialize};
 
@@ -40,7 +40,7 @@
     node: String,
     stamp: Stamp,
     whole: bool,
-    counts: Vec<(LifeKey, u32)>,
+    counts: Vec<(IncarnationKey, u32)>,
     /// Open items of the jobs that the sender runs, if it is a worker.
     open_items: Option<u32>,
 }
@@ -75,7 +75,7 @@
         node: &str,
         stamp: Stamp,
         whole: bool,
-        counts: Vec<(LifeKey, u32)>,
+        counts: Vec<(IncarnationKey, u32)>,
     ) -> Self {
         Self {
             version: VERSION,
@@ -137,7 +137,7 @@
         self.whole
     }
 
-    pub(super) fn counts(&self) -> &[(LifeKey, u32)] {
+    pub(super) fn counts(&self) -> &[(IncarnationKey, u32)] {
         &self.counts
     }
 }
--- a/crates/node/tests/unit/load_wire.rs
+++ b/crates/node/tests/unit/load_wire.rs
@@ -1,12 +1,12 @@
 //! Which datagrams are heeded.
 
-use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
+use fleet::{Endpoint, EndpointRecord, EndpointState, IncarnationKey};
 use jobs::Stamp;
 use yare::parameterized;
 
 use super::{COUNTS_MOST, Kind, LoadUpdate, VERSION};
 
-fn life() -> LifeKey {
+fn life() -> IncarnationKey {
     let endpoint = Endpoint::new(EndpointRecord {
         id: "e".to_owned(),
         started_at: None,
@@ -16,10 +16,10 @@
         slots: 8,
         state: EndpointState::Ready,
     });
-    endpoint.life()
+    endpoint.incarnation_key()
 }
 
-fn update(counts: Vec<(LifeKey, u32)>) -> LoadUpdate {
+fn update(counts: Vec<(IncarnationKey, u32)>) -> LoadUpdate {
     LoadUpdate::new(Kind::Own, "front-1", Stamp::default(), true, counts)
 }
 
--- a/crates/pass/src/pool.rs
+++ b/crates/pass/src/pool.rs
@@ -4,7 +4,7 @@
 };
 
 use bytes::Bytes;
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use http::{Request, response::Parts};
 use http_body_util::Full;
 use indexmap::IndexMap;
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     options: ChannelOptions,
-    lives: Mutex<IndexMap<LifeKey, Connections>>,
+    lives: Mutex<IndexMap<IncarnationKey, Connections>>,
 }
 
 /// The connections to one life of an endpoint.
@@ -68,7 +68,7 @@
     /// Returns an idle connection, the one that was used last.
     pub(crate) fn take(&self, endpoint: &Endpoint) -> Option<Channel> {
         let mut lives = self.lock();
-        let idle = &mut lives.get_mut(&endpoint.life())?.idle;
+        let idle = &mut lives.get_mut(&endpoint.incarnation_key())?.idle;
         idle.retain(|channel| !channel.is_spent());
         let at = idle.iter().rposition(Channel::is_ready)?;
         Some(idle.remove(at))
@@ -82,7 +82,8 @@
         let address = endpoint.record().address;
         let channel = Channel::open(address, &self.options).await?;
         let mut lives = self.lock();
-        let open = &mut lives.entry(endpoint.life()).or_default().open;
+        let open =
+            &mut lives.entry(endpoint.incarnation_key()).or_default().open;
         open.retain(|connection| !connection.is_finished());
         open.push(channel.abort_handle());
         Ok(channel)
@@ -92,7 +93,8 @@
     pub(crate) fn give_back(&self, endpoint: &Endpoint, mut channel: Channel) {
         channel.rest();
         let mut lives = self.lock();
-        let idle = &mut lives.entry(endpoint.life()).or_default().idle;
+        let idle =
+            &mut lives.entry(endpoint.incarnation_key()).or_default().idle;
         if idle.len() < IDLE_MOST {
             idle.push(channel);
         }
@@ -101,7 +103,7 @@
     /// Drops the idle connections to an endpoint, because one of them fell
     /// silent and its kin may have too.
     pub fn forget(&self, endpoint: &Endpoint) {
-        if let Some(known) = self.lock().get_mut(&endpoint.life()) {
+        if let Some(known) = self.lock().get_mut(&endpoint.incarnation_key()) {
             known.idle.clear();
         }
     }
@@ -112,7 +114,7 @@
     /// An endpoint that crashed behind a cut resets nothing: without this a
     /// request waits for an answer of a process that is gone until its time
     /// is up, while the endpoint that started in its place is idle.
-    pub fn end(&self, life: LifeKey) {
+    pub fn end(&self, life: IncarnationKey) {
         let Some(known) = self.lock().swap_remove(&life) else {
             return;
         };
@@ -177,11 +179,11 @@
     /// Drops the idle connections to lives of which `keep` is false. Their
     /// requests in flight go on: an endpoint that has left the list ends
     /// what it runs.
-    pub fn retain(&self, mut keep: impl FnMut(LifeKey) -> bool) {
+    pub fn retain(&self, mut keep: impl FnMut(IncarnationKey) -> bool) {
         self.lock().retain(|life, _| keep(*life));
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<LifeKey, Connections>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<IncarnationKey, Connections>> {
         self.lives.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/pass/tests/forward.rs
+++ b/crates/pass/tests/forward.rs
@@ -292,7 +292,7 @@
         forwarder.forward(request("r1", route(kind)), 1).await
     });
     until(|| gone.seen().len() == 1).await;
-    bench.pool.end(bench.endpoints[0].life());
+    bench.pool.end(bench.endpoints[0].incarnation_key());
     let response = pending.await.expect("an answer");
     assert_eq!(response.status().as_u16(), status);
 }
@@ -309,7 +309,7 @@
     let bench = bench(&[gone.address, other.address]);
     let request = request("r1", route(RouteKind::ResumableStream));
     let response = bench.forwarder.forward(request, 1).await;
-    bench.pool.end(bench.endpoints[0].life());
+    bench.pool.end(bench.endpoints[0].incarnation_key());
     let whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n".to_owned();
     assert_eq!(read(response).await, (200, Ok(whole)));
     assert_eq!(header(&other.seen()[0], "x-resume").as_deref(), Some("1"));
