--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -28,7 +28,7 @@
     /// The entries that are new or changed.
     pub records: Vec<EndpointRecord>,
     /// Ids whose entries are gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 /// How a listing changed what is believed.
@@ -77,12 +77,12 @@
 
 impl Directory {
     /// Takes note of a read that failed.
-    pub fn read_failed(&mut self, now: Millis) {
+    pub fn record_read_failure(&mut self, now: Millis) {
         self.failed_at = Some(now);
     }
 
     /// Tells whether any listing has arrived.
-    pub fn is_listed(&self) -> bool {
+    pub fn has_listing(&self) -> bool {
         self.listed
     }
 
@@ -101,28 +101,32 @@
     /// use pomeloslip_fleet::{Change, Directory, Listing};
     ///
     /// let mut directory = Directory::default();
-    /// let changes = directory.take(Listing::default(), Millis::new(0));
+    /// let changes = directory.apply_listing(Listing::default(), Millis::new(0));
     /// assert_eq!(changes, []);
-    /// assert!(directory.is_listed());
+    /// assert!(directory.has_listing());
     /// ```
-    pub fn take(&mut self, listing: Listing, now: Millis) -> Vec<Change> {
+    pub fn apply_listing(
+        &mut self,
+        listing: Listing,
+        now: Millis,
+    ) -> Vec<Change> {
         let listed: IndexSet<&str> =
             listing.records.iter().map(|r| r.id.as_str()).collect();
         let known = self.known.keys();
-        let gone = known.filter(|id| !listed.contains(id.as_str()));
-        let gone = gone.cloned().collect();
+        let removed = known.filter(|id| !listed.contains(id.as_str()));
+        let removed = removed.cloned().collect();
         let update = ListingUpdate {
             revision: listing.revision,
-            gone,
+            removed,
             records: listing.records,
         };
-        self.apply(update, now)
+        self.apply_update(update, now)
     }
 
     /// Takes what has changed since the last listing, at a cost that goes
     /// by the changes and not by the endpoints. An older update than the
     /// newest changes nothing.
-    pub fn apply(
+    pub fn apply_update(
         &mut self,
         update: ListingUpdate,
         now: Millis,
@@ -141,7 +145,7 @@
             self.insert(endpoint);
         }
         let kept = std::mem::take(&mut self.kept).into_iter();
-        for id in kept.chain(update.gone).collect::<IndexSet<_>>() {
+        for id in kept.chain(update.removed).collect::<IndexSet<_>>() {
             if let Some(endpoint) = self.remove(&id) {
                 self.outdated.swap_remove(&id);
                 self.miss(id, endpoint, now, &mut changes);
@@ -190,12 +194,12 @@
     }
 
     /// Tells whether an endpoint is kept although no entry names it.
-    pub fn keeps_any(&self) -> bool {
+    pub fn retains_missing(&self) -> bool {
         !self.kept.is_empty()
     }
 
     /// Tells whether a life of an endpoint is not over, whatever its state.
-    pub fn has_life(&self, life: IncarnationKey) -> bool {
+    pub fn has_incarnation(&self, life: IncarnationKey) -> bool {
         self.lives.contains(&life)
     }
 
@@ -209,7 +213,7 @@
 ///
 /// What goes wrong where lives are not told apart: an endpoint crashes
 /// behind a cut and starts again under its id before its entry lapses. Its
-/// connections, counted requests and suspicion would be those of a process
+/// connections, counted requests and failure_kind would be those of a process
 /// that is gone, seen as requests that hang on silent connections and as a
 /// load that never goes down.
 fn follow(
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -9,7 +9,7 @@
 use base::{Millis, UnixMillis, mix};
 use serde::{Deserialize, Serialize};
 
-use crate::{LoadReport, Suspicion};
+use crate::{FailureKind, LoadReport};
 
 /// Whether an endpoint takes new work.
 #[derive(
@@ -98,7 +98,7 @@
 pub struct Endpoint {
     record: Arc<EndpointRecord>,
     load: Arc<Counters>,
-    spread: u64,
+    id_hash: u64,
     life: IncarnationKey,
 }
 
@@ -118,7 +118,7 @@
     /// Makes an endpoint of which no load is known.
     pub fn new(record: EndpointRecord) -> Self {
         Self {
-            spread: base::stable_hash(&[&record.id]),
+            id_hash: base::stable_hash(&[&record.id]),
             life: record.incarnation_key(),
             record: Arc::new(record),
             load: Arc::default(),
@@ -132,7 +132,7 @@
         Self {
             record: Arc::new(record),
             load: self.load.clone(),
-            spread: self.spread,
+            id_hash: self.id_hash,
             life: self.life,
         }
     }
@@ -151,8 +151,8 @@
 
     /// Returns a hash of the id, for choices that spread evenly.
     #[inline]
-    pub fn spread(&self) -> u64 {
-        self.spread
+    pub fn id_hash(&self) -> u64 {
+        self.id_hash
     }
 
     /// Returns the requests of this process that it runs.
@@ -162,18 +162,18 @@
     }
 
     /// Counts a request as sent.
-    pub fn begin(&self) {
+    pub fn begin_request(&self) {
         self.load.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a request as over.
-    pub fn end(&self) {
+    pub fn end_request(&self) {
         let old = self.load.in_flight.fetch_sub(1, Ordering::Relaxed);
         debug_assert!(old > 0, "more ends than begins");
     }
 
     /// Takes note of a load that the endpoint has reported.
-    pub fn report(&self, report: LoadReport, now: Millis) {
+    pub fn record_load(&self, report: LoadReport, now: Millis) {
         let load = &self.load;
         let all = report.running.saturating_add(report.waiting);
         load.reported.store(all, Ordering::Relaxed);
@@ -185,7 +185,7 @@
 
     /// Takes note of the online requests that other nodes have there, by
     /// their load updates.
-    pub fn report_remote(&self, requests: u32, now: Millis) {
+    pub fn record_remote_load(&self, requests: u32, now: Millis) {
         let load = &self.load;
         load.remote.store(requests, Ordering::Relaxed);
         load.remote_at_ms
@@ -219,16 +219,16 @@
     }
 
     /// Takes note of a request that failed for the endpoint's sake.
-    pub fn failed(&self, suspicion: Suspicion, now: Millis) {
+    pub fn record_failure(&self, failure_kind: FailureKind, now: Millis) {
         let before = self.load.failures.fetch_add(1, Ordering::Relaxed);
-        let until = now.saturating_add_ms(suspicion.pause_ms(before));
+        let until = now.saturating_add_ms(failure_kind.backoff_ms(before));
         self.load
             .avoid_until_ms
             .fetch_max(until.as_ms(), Ordering::Relaxed);
     }
 
     /// Takes note of a request that went well.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         if self.load.failures.load(Ordering::Relaxed) != 0 {
             self.load.failures.store(0, Ordering::Relaxed);
             self.load.avoid_until_ms.store(0, Ordering::Relaxed);
--- a/crates/fleet/src/suspect.rs
+++ b/crates/fleet/src/failure.rs
@@ -1,10 +1,10 @@
 /// How grave a failure is for the trust in an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Suspicion {
+pub enum FailureKind {
     /// No connection, or one that fell silent: probably gone.
     Unreachable,
     /// An answer that broke off or was not one.
-    BadAnswer,
+    BadResponse,
     /// The endpoint said that it is full.
     Full,
 }
@@ -26,25 +26,27 @@
 /// Failures after which the pause grows no more.
 const DOUBLINGS: u32 = 3;
 
-impl Suspicion {
+impl FailureKind {
     /// Returns the pause after the given number of earlier failures in a
     /// row.
     ///
     /// # Example
     ///
     /// ```
-    /// use pomeloslip_fleet::Suspicion;
+    /// use pomeloslip_fleet::FailureKind;
     ///
-    /// let first = Suspicion::Unreachable.pause_ms(0);
-    /// assert_eq!(Suspicion::Unreachable.pause_ms(2), 4 * first);
-    /// assert_eq!(Suspicion::Full.pause_ms(9), Suspicion::Full.pause_ms(0));
+    /// let first = FailureKind::Unreachable.backoff_ms(0);
+    /// assert_eq!(FailureKind::Unreachable.backoff_ms(2), 4 * first);
+    /// assert_eq!(FailureKind::Full.backoff_ms(9), FailureKind::Full.backoff_ms(0));
     /// ```
-    pub fn pause_ms(self, failures_before: u32) -> u64 {
+    pub fn backoff_ms(self, failures_before: u32) -> u64 {
         let doubled = |ms: u64| ms << failures_before.min(DOUBLINGS);
         match self {
-            Suspicion::Unreachable => doubled(UNREACHABLE_MS).min(LONGEST_MS),
-            Suspicion::BadAnswer => doubled(BAD_ANSWER_MS).min(LONGEST_MS),
-            Suspicion::Full => FULL_MS,
+            FailureKind::Unreachable => {
+                doubled(UNREACHABLE_MS).min(LONGEST_MS)
+            }
+            FailureKind::BadResponse => doubled(BAD_ANSWER_MS).min(LONGEST_MS),
+            FailureKind::Full => FULL_MS,
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -20,21 +20,21 @@
 
 mod directory;
 mod endpoint;
+mod failure;
 mod load;
 mod route;
 mod selection;
-mod suspect;
 mod table;
 
 pub use crate::{
     directory::{Change, Directory, LISTING_GRACE_MS, Listing, ListingUpdate},
     endpoint::{Endpoint, EndpointRecord, EndpointState, IncarnationKey},
-    load::{Choice, LoadReport, Need, Verdict},
+    failure::FailureKind,
+    load::{Choice, ChooseError, EndpointQuery, LoadReport},
     route::{
-        BatchTerms, Config, Destination, Route, RouteKind, RouteTable,
+        BatchDeadlines, Config, Destination, Route, RouteKind, RouteTable,
         ServiceSpec, TransferLimits,
     },
-    selection::{SPILL, Selection, Standing},
-    suspect::Suspicion,
+    selection::{MAX_SPILL_ENDPOINTS, Selection, SelectionTier},
     table::EndpointTable,
 };
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,7 +1,7 @@
 use base::{Millis, mix};
 use serde::{Deserialize, Serialize};
 
-use crate::{Endpoint, EndpointTable, Selection, Standing};
+use crate::{Endpoint, EndpointTable, Selection, SelectionTier};
 
 /// A load that an endpoint has told with an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 
 /// What a request wants of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct EndpointQuery<'a> {
     /// Service that the request goes to.
     pub service: &'a str,
     /// Failure domain of the caller's node; preferred among equals.
@@ -34,7 +34,7 @@
 /// Why there is no endpoint for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum ChooseError {
     /// None is listed that could take it.
     NoEndpoint,
     /// All hold as many requests as they may.
@@ -82,15 +82,17 @@
     ///
     /// # Errors
     ///
-    /// The [`Verdict`] that a refusal tells.
+    /// The [`ChooseError`] that a refusal tells.
     pub fn choose(
         &self,
         selection: &Selection,
-        need: &Need<'_>,
+        need: &EndpointQuery<'_>,
         now: Millis,
-    ) -> Result<Choice, Verdict> {
+    ) -> Result<Choice, ChooseError> {
         let mut look = Look::new(need, now);
-        for (life, standing) in selection.of(need.service, need.affinity) {
+        for (life, standing) in
+            selection.candidates(need.service, need.affinity)
+        {
             if let Some(endpoint) = self.get(life) {
                 look.at(endpoint, standing);
             }
@@ -98,7 +100,7 @@
         if look.draw.is_empty() && !look.full {
             let start = mix(need.affinity ^ now.as_ms());
             for endpoint in self.window(need.service, start, OTHERS_MOST) {
-                look.at(endpoint, Standing::Other);
+                look.at(endpoint, SelectionTier::Other);
             }
         }
         look.result()
@@ -107,7 +109,7 @@
 
 /// One search for an endpoint.
 struct Look<'a> {
-    need: &'a Need<'a>,
+    need: &'a EndpointQuery<'a>,
     now: Millis,
     draw: Draw<'a>,
     full: bool,
@@ -115,7 +117,7 @@
 }
 
 impl<'a> Look<'a> {
-    fn new(need: &'a Need<'a>, now: Millis) -> Self {
+    fn new(need: &'a EndpointQuery<'a>, now: Millis) -> Self {
         Self {
             need,
             now,
@@ -125,7 +127,7 @@
         }
     }
 
-    fn at(&mut self, endpoint: &'a Endpoint, standing: Standing) {
+    fn at(&mut self, endpoint: &'a Endpoint, standing: SelectionTier) {
         let record = endpoint.record();
         if self.need.tried.contains(&record.id) {
             return;
@@ -144,15 +146,15 @@
         });
     }
 
-    fn result(self) -> Result<Choice, Verdict> {
+    fn result(self) -> Result<Choice, ChooseError> {
         match self.draw.best() {
             Some(best) => Ok(Choice {
                 endpoint: best.endpoint.clone(),
                 estimated_load: best.load,
                 candidates: self.candidates,
             }),
-            None if self.full => Err(Verdict::AllFull),
-            None => Err(Verdict::NoEndpoint),
+            None if self.full => Err(ChooseError::AllFull),
+            None => Err(ChooseError::NoEndpoint),
         }
     }
 }
@@ -228,13 +230,13 @@
 
     fn of(
         endpoint: &Endpoint,
-        standing: Standing,
+        standing: SelectionTier,
         load: u32,
-        need: &Need<'_>,
+        need: &EndpointQuery<'_>,
         now: Millis,
     ) -> Self {
         let record = endpoint.record();
-        let other_share = standing != Standing::Own;
+        let other_share = standing != SelectionTier::Own;
         let crowded = is_crowded(load, record.slots, other_share);
         let other_domain = record.failure_domain != need.failure_domain;
         Self {
@@ -242,7 +244,7 @@
             crowded,
             other_share: !crowded && other_share,
             other_domain: !crowded && other_domain,
-            affinity: mix(need.affinity ^ endpoint.spread()),
+            affinity: mix(need.affinity ^ endpoint.id_hash()),
         }
     }
 }
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -27,7 +27,7 @@
 impl RouteKind {
     /// Tells whether a request that may have run may be sent once more.
     #[inline]
-    pub fn repeatable(self) -> bool {
+    pub fn is_repeatable(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
@@ -51,7 +51,7 @@
 /// Times of the jobs of a batch route, counted from their submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BatchTerms {
+pub struct BatchDeadlines {
     /// When all results are due, in milliseconds.
     pub due_in_ms: u64,
     /// When an item without a result may be given up, in milliseconds.
@@ -75,7 +75,7 @@
     max_attempts: u32,
     priority: u32,
     gap_target_ms: u64,
-    batch: BatchTerms,
+    batch: BatchDeadlines,
     #[serde(default)]
     public: bool,
 }
@@ -107,7 +107,7 @@
             max_attempts: 1,
             priority: 0,
             gap_target_ms: 0,
-            batch: BatchTerms {
+            batch: BatchDeadlines {
                 due_in_ms: DEFAULT_BATCH_MS,
                 give_up_in_ms: DEFAULT_BATCH_MS,
             },
@@ -161,7 +161,7 @@
 
     /// Sets the times of jobs.
     #[must_use]
-    pub fn with_batch(mut self, terms: BatchTerms) -> Self {
+    pub fn with_batch(mut self, terms: BatchDeadlines) -> Self {
         self.batch = terms;
         self
     }
@@ -230,7 +230,7 @@
 
     /// Returns the times of jobs.
     #[inline]
-    pub fn batch(&self) -> BatchTerms {
+    pub fn batch(&self) -> BatchDeadlines {
         self.batch
     }
 
--- a/crates/fleet/src/selection.rs
+++ b/crates/fleet/src/selection.rs
@@ -5,7 +5,7 @@
 
 /// How near an endpoint is to the node that chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum SelectionTier {
     /// One of the node's own share, which no other node uses first.
     Own,
     /// One of those that the node goes to when its own share is full.
@@ -27,7 +27,7 @@
 /// ```
 /// use pomeloslip_fleet::{
 ///     Endpoint, EndpointRecord, EndpointState, EndpointTable, Selection,
-///     Standing,
+///     SelectionTier,
 /// };
 ///
 /// let endpoints = (0..100).map(|number| {
@@ -44,9 +44,9 @@
 /// let table = EndpointTable::new(endpoints);
 /// let own = |endpoint: &Endpoint| endpoint.record().id == "7";
 /// let selection = Selection::new("front-1", &table, own);
-/// let all: Vec<_> = selection.of("engines", 0).collect();
+/// let all: Vec<_> = selection.candidates("engines", 0).collect();
 /// assert_eq!(all.len(), 25);
-/// assert_eq!(all[0].1, Standing::Own);
+/// assert_eq!(all[0].1, SelectionTier::Own);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
@@ -62,7 +62,7 @@
 /// Endpoints of a service that a node spills to. Each costs a subscription
 /// to its load. With few of them, a node refuses requests whose selection
 /// happens to be full, and enough must be left where many are dark.
-pub const SPILL: usize = 24;
+pub const MAX_SPILL_ENDPOINTS: usize = 24;
 
 /// Endpoints of the own share that one request looks at. A fleet with more
 /// endpoints a node than this is far from full, so that the first few that
@@ -84,8 +84,8 @@
             let all = table.of_service(service).iter();
             let (own, mut others): (Vec<_>, Vec<_>) =
                 all.partition(|endpoint| is_own(endpoint));
-            others.sort_unstable_by_key(|e| mix(hash ^ e.spread()));
-            others.truncate(SPILL);
+            others.sort_unstable_by_key(|e| mix(hash ^ e.id_hash()));
+            others.truncate(MAX_SPILL_ENDPOINTS);
             let lives = |all: Vec<&Endpoint>| {
                 all.into_iter().map(Endpoint::incarnation_key).collect()
             };
@@ -105,18 +105,18 @@
     /// Returns the endpoints of a service that a request looks at. Of a
     /// large own share they are some that lie side by side, and `start`
     /// draws the first of them.
-    pub fn of(
+    pub fn candidates(
         &self,
         service: &str,
         start: u64,
-    ) -> impl Iterator<Item = (IncarnationKey, Standing)> {
+    ) -> impl Iterator<Item = (IncarnationKey, SelectionTier)> {
         let near = self.by_service.get(service);
         let (own, spill) = near.map_or((&[][..], &[][..]), |near| {
             (near.own.as_slice(), near.spill.as_slice())
         });
         let own = window(own, start, OWN_MOST);
-        let own = own.map(|life| (*life, Standing::Own));
-        own.chain(spill.iter().map(|life| (*life, Standing::Spill)))
+        let own = own.map(|life| (*life, SelectionTier::Own));
+        own.chain(spill.iter().map(|life| (*life, SelectionTier::Spill)))
     }
 
     /// Returns all endpoints that the node sends to as a rule.
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -11,8 +11,8 @@
 
 use base::Millis;
 use pomeloslip_fleet::{
-    Endpoint, EndpointRecord, EndpointState, EndpointTable, IncarnationKey,
-    Need, Selection,
+    Endpoint, EndpointQuery, EndpointRecord, EndpointState, EndpointTable,
+    IncarnationKey, Selection,
 };
 
 const SLOTS: u32 = 7;
@@ -100,7 +100,7 @@
         for (at, engine) in engines.iter_mut().enumerate() {
             engine.running.retain(|(node, ends)| {
                 if *ends <= now {
-                    views[*node][at].end();
+                    views[*node][at].end_request();
                 }
                 *ends > now
             });
@@ -128,7 +128,7 @@
         let rest = u64::from(random.below(1_000) < rate % 1_000);
         for _ in 0..rate / 1_000 + rest {
             let node = random.below(nodes as u64) as usize;
-            let need = Need {
+            let need = EndpointQuery {
                 service: "engines",
                 failure_domain: "east",
                 affinity: random.below(1_000),
@@ -138,7 +138,7 @@
             let selection = &selections[node];
             match tables[node].choose(selection, &need, Millis::new(now)) {
                 Ok(choice) => {
-                    choice.endpoint.begin();
+                    choice.endpoint.begin_request();
                     let id = &choice.endpoint.record().id;
                     let at: usize = id.parse().expect("a number");
                     engines[at].waiting.push_back((node, now));
@@ -189,7 +189,7 @@
             if selected.contains(&endpoint.incarnation_key()) {
                 let all: u32 = counts[at].iter().sum();
                 let others = all - counts[at][node];
-                endpoint.report_remote(others, Millis::new(now));
+                endpoint.record_remote_load(others, Millis::new(now));
             }
         }
     }
--- a/crates/fleet/tests/load.rs
+++ b/crates/fleet/tests/load.rs
@@ -2,8 +2,8 @@
 
 use base::Millis;
 use pomeloslip_fleet::{
-    Endpoint, EndpointRecord, EndpointState, EndpointTable, LoadReport, Need,
-    Selection, Suspicion, Verdict,
+    ChooseError, Endpoint, EndpointQuery, EndpointRecord, EndpointState,
+    EndpointTable, FailureKind, LoadReport, Selection,
 };
 
 const NOW: Millis = Millis::new(10_000);
@@ -20,8 +20,8 @@
     })
 }
 
-fn need(tried: &[String]) -> Need<'_> {
-    Need {
+fn need(tried: &[String]) -> EndpointQuery<'_> {
+    EndpointQuery {
         service: "engines",
         failure_domain: "east",
         affinity: 7,
@@ -36,20 +36,23 @@
     Selection::new("node", table, is_own)
 }
 
-fn chosen(table: &EndpointTable, need: &Need<'_>) -> String {
+fn chosen(table: &EndpointTable, need: &EndpointQuery<'_>) -> String {
     let selection = selection(table, &[]);
     let choice = table.choose(&selection, need, NOW).expect("an endpoint");
     choice.endpoint.record().id.clone()
 }
 
-fn verdict(table: &EndpointTable, need: &Need<'_>) -> Option<Verdict> {
+fn verdict(
+    table: &EndpointTable,
+    need: &EndpointQuery<'_>,
+) -> Option<ChooseError> {
     table.choose(&selection(table, &[]), need, NOW).err()
 }
 
 #[test]
 fn a_free_slot_goes_before_the_own_domain() {
     let (near, far) = (endpoint("near", "east"), endpoint("far", "west"));
-    (0..8).for_each(|_| near.begin());
+    (0..8).for_each(|_| near.begin_request());
     let table = EndpointTable::new([near, far]);
     assert_eq!(chosen(&table, &need(&[])), "far");
 }
@@ -69,7 +72,7 @@
     let table = EndpointTable::new(all);
     let first = chosen(&table, &need(&[]));
     assert_eq!(chosen(&table, &need(&[])), first);
-    let others = (0..50).map(|affinity| Need {
+    let others = (0..50).map(|affinity| EndpointQuery {
         affinity,
         ..need(&[])
     });
@@ -84,43 +87,43 @@
     let table = EndpointTable::new([endpoint("a", "east")]);
     let tried = ["a".to_owned()];
     let verdict = verdict(&table, &need(&tried));
-    assert_eq!(verdict, Some(Verdict::NoEndpoint));
+    assert_eq!(verdict, Some(ChooseError::NoEndpoint));
 }
 
 #[test]
 fn a_queue_is_bounded() {
     let only = endpoint("a", "east");
-    (0..10).for_each(|_| only.begin());
+    (0..10).for_each(|_| only.begin_request());
     let table = EndpointTable::new([only]);
     let verdict = verdict(&table, &need(&[]));
-    assert_eq!(verdict, Some(Verdict::AllFull));
+    assert_eq!(verdict, Some(ChooseError::AllFull));
 }
 
 #[test]
 fn a_suspect_is_used_only_where_no_other_is_left() {
     let (bad, good) = (endpoint("bad", "east"), endpoint("good", "west"));
-    bad.failed(Suspicion::Unreachable, NOW);
-    (0..5).for_each(|_| good.begin());
+    bad.record_failure(FailureKind::Unreachable, NOW);
+    (0..5).for_each(|_| good.begin_request());
     let table = EndpointTable::new([bad.clone(), good]);
     assert_eq!(chosen(&table, &need(&[])), "good");
     let tried = ["good".to_owned()];
     assert_eq!(chosen(&table, &need(&tried)), "bad");
-    bad.succeeded();
+    bad.record_success();
     assert_eq!(chosen(&table, &need(&[])), "bad");
 }
 
 #[test]
 fn reported_load_of_others_counts_until_it_is_old() {
     let one = endpoint("a", "east");
-    one.begin();
+    one.begin_request();
     let report = LoadReport {
         running: 5,
         waiting: 1,
         slots: 8,
     };
-    one.report(report, NOW);
+    one.record_load(report, NOW);
     assert_eq!(one.estimated_load(NOW), 6);
-    one.begin();
+    one.begin_request();
     assert_eq!(one.estimated_load(NOW), 7);
     assert_eq!(one.estimated_load(Millis::new(20_000)), 2);
 }
@@ -133,8 +136,8 @@
         waiting: 0,
         slots: 8,
     };
-    one.report(report, NOW);
-    one.report_remote(2, NOW);
+    one.record_load(report, NOW);
+    one.record_remote_load(2, NOW);
     assert_eq!(one.estimated_load(NOW), 2);
 }
 
@@ -144,7 +147,7 @@
 #[test]
 fn nodes_use_their_own_shares_first() {
     let (idle, own) = (endpoint("idle", "east"), endpoint("own", "east"));
-    (0..7).for_each(|_| own.begin());
+    (0..7).for_each(|_| own.begin_request());
     let table = EndpointTable::new([idle, own.clone()]);
     let selection = selection(&table, &["own"]);
     let chosen = || {
@@ -152,7 +155,7 @@
         choice.expect("an endpoint").endpoint.record().id.clone()
     };
     assert_eq!(chosen(), "own");
-    own.begin();
+    own.begin_request();
     assert_eq!(chosen(), "idle", "no slot is free");
 }
 
@@ -196,10 +199,10 @@
     let selection = selection(&table, &["1"]);
     for life in selection.iter() {
         let endpoint = table.get(life).expect("listed");
-        (0..10).for_each(|_| endpoint.begin());
+        (0..10).for_each(|_| endpoint.begin_request());
     }
     let verdict = table.choose(&selection, &need(&[]), NOW).err();
-    assert_eq!(verdict, Some(Verdict::AllFull));
+    assert_eq!(verdict, Some(ChooseError::AllFull));
 }
 
 /// An endpoint that drains has left the table, and the selection may be
@@ -211,7 +214,7 @@
     let selection = selection(&before, &["b"]);
     let after = EndpointTable::new([stays]);
     for affinity in 0..50 {
-        let need = Need {
+        let need = EndpointQuery {
             affinity,
             ..need(&[])
         };
@@ -228,7 +231,7 @@
     let table = EndpointTable::new(all);
     let mut counts = [0_u32; 6];
     for request in 0..6_000 {
-        let need = Need {
+        let need = EndpointQuery {
             affinity: base::mix(request),
             ..need(&[])
         };
--- a/crates/fleet/tests/routes.rs
+++ b/crates/fleet/tests/routes.rs
@@ -63,5 +63,5 @@
     resumable_stream = { RouteKind::ResumableStream, true },
 )]
 fn only_some_kinds_may_be_sent_again(kind: RouteKind, repeatable: bool) {
-    assert_eq!(kind.repeatable(), repeatable);
+    assert_eq!(kind.is_repeatable(), repeatable);
 }
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -4,7 +4,7 @@
 
 use base::{Customer, UnixMillis, timer::Timer};
 use error_stack::{Report, ResultExt};
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use kv::{
     Compare, GetReply, Kv, KvError, Op, Patient, Txn, TxnReply,
     ops::{Outcome, Verdict, Writer},
@@ -31,7 +31,7 @@
     /// When it arrived.
     pub submitted_at: UnixMillis,
     /// Its times.
-    pub terms: BatchTerms,
+    pub terms: BatchDeadlines,
     /// Node that runs the items.
     pub owner: String,
     /// Whose job it is; none where callers need no key.
--- a/crates/jobs/src/plan.rs
+++ b/crates/jobs/src/plan.rs
@@ -66,7 +66,7 @@
         endpoints: impl IntoIterator<Item = &'a Endpoint>,
     ) -> Self {
         let mut endpoints: Vec<&Endpoint> = endpoints.into_iter().collect();
-        endpoints.sort_by_key(|endpoint| endpoint.spread());
+        endpoints.sort_by_key(|endpoint| endpoint.id_hash());
         let members = members.into();
         let mut plan = Self {
             node: node.to_owned(),
@@ -140,7 +140,7 @@
         endpoints.retain(|endpoint| {
             let counts = &self.counts;
             let has_room = |node: usize| counts[node] < room;
-            let user = ring.find(endpoint.spread(), has_room);
+            let user = ring.find(endpoint.id_hash(), has_room);
             if let Some(user) = user {
                 self.counts[user] += 1;
                 self.users.insert(endpoint.incarnation_key(), user);
--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,7 +1,7 @@
 use std::{fmt, str::FromStr};
 
 use base::{Customer, UnixMillis};
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -370,7 +370,7 @@
     host: String,
     path: String,
     submitted_at: UnixMillis,
-    terms: BatchTerms,
+    terms: BatchDeadlines,
     owner: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     customer: Option<Customer>,
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use base::{SystemClock, UnixMillis, timer::Timer};
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use kv::Memory;
 use pomeloslip_jobs::{
     ItemInput, ItemResult, ItemState, JobKey, Ledger, NewJob,
@@ -40,7 +40,7 @@
         host: "a.example".to_owned(),
         path: "/batch/".to_owned(),
         submitted_at: UnixMillis::new(1_000),
-        terms: BatchTerms {
+        terms: BatchDeadlines {
             due_in_ms: 10_000,
             give_up_in_ms: 60_000,
         },
--- a/crates/node/src/load/front.rs
+++ b/crates/node/src/load/front.rs
@@ -233,7 +233,7 @@
         let view = self.cluster.endpoints.load();
         for (life, count) in update.counts() {
             if let Some(endpoint) = view.table.get(*life) {
-                endpoint.report_remote(*count, now);
+                endpoint.record_remote_load(*count, now);
             }
         }
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -187,15 +187,15 @@
     while changes.changed().await.is_ok() {
         let status = feed.status();
         if let Some(at) = status.failed_at {
-            directory.read_failed(at);
+            directory.record_read_failure(at);
         }
         if status.revision == 0 {
             continue;
         }
         // What is kept without an entry may have to go by now.
         let is_known =
-            directory.is_listed() && known.content == status.content;
-        if is_known && !directory.keeps_any() {
+            directory.has_listing() && known.content == status.content;
+        if is_known && !directory.retains_missing() {
             confirm_endpoints(&cluster, status.revision);
             continue;
         }
@@ -207,14 +207,14 @@
         let update = entries.decode(&delta, &*dialect);
         let now = cluster.clock().now();
         let changes = match delta.whole {
-            true => directory.take(
+            true => directory.apply_listing(
                 Listing {
                     revision: update.revision,
                     records: update.records,
                 },
                 now,
             ),
-            false => directory.apply(update, now),
+            false => directory.apply_update(update, now),
         };
         log_changes(&changes, directory.revision());
         cluster.endpoints.publish(DirectoryView {
@@ -227,7 +227,7 @@
             }
         }
         if !changes.is_empty() {
-            pool.retain(|life| directory.has_life(life));
+            pool.retain(|life| directory.has_incarnation(life));
         }
     }
 }
@@ -279,7 +279,7 @@
             self.ids.clear();
         }
         for (key, _) in &delta.deleted {
-            update.gone.extend(self.ids.swap_remove(key));
+            update.removed.extend(self.ids.swap_remove(key));
         }
         for kv in &delta.items {
             match dialect.endpoint(kv) {
@@ -294,7 +294,7 @@
                         error:%;
                         "an endpoint's entry cannot be read and is not used"
                     );
-                    update.gone.extend(self.ids.swap_remove(&kv.key));
+                    update.removed.extend(self.ids.swap_remove(&kv.key));
                 }
             }
         }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -22,7 +22,7 @@
 use base::{Clock, SystemClock, timer::Timer};
 use bytes::Bytes;
 use fleet::{
-    BatchTerms, Config, EndpointRecord, LoadReport, Route, RouteKind,
+    BatchDeadlines, Config, EndpointRecord, LoadReport, Route, RouteKind,
     RouteTable,
 };
 use http::{HeaderMap, HeaderName, Method, Uri};
@@ -404,7 +404,7 @@
 pub(crate) fn routes() -> Vec<Route> {
     let route =
         |name, prefix| Route::new(name, "a.example", prefix, "engines");
-    let terms = BatchTerms {
+    let terms = BatchDeadlines {
         due_in_ms: 5_000,
         give_up_in_ms: 60_000,
     };
--- a/crates/node/tests/spool.rs
+++ b/crates/node/tests/spool.rs
@@ -8,7 +8,7 @@
     Cuttable, Engine, Node, call, call_until, furnish, ready, start, start_by,
     start_front_for_losses, start_with_disk,
 };
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use jobs::{ItemInput, NewJob, decode_new_job, encode_new_job};
 use kv::Memory;
 use store::Spool;
@@ -58,7 +58,7 @@
         host: "a.example".to_owned(),
         path: "/batch/1".to_owned(),
         submitted_at: base::UnixMillis::new(1),
-        terms: BatchTerms {
+        terms: BatchDeadlines {
             due_in_ms: 1_000,
             give_up_in_ms: u64::MAX / 2,
         },
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use base::{SteppedClock, UnixMillis, timer::Timer};
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use jobs::{
     BulkCache, ItemInput, JobView, Ledger, NewJob, NoSiblings, Stored,
 };
@@ -20,7 +20,7 @@
         host: "a.example".to_owned(),
         path: "/batch/1".to_owned(),
         submitted_at: UnixMillis::new(1_000),
-        terms: BatchTerms {
+        terms: BatchDeadlines {
             due_in_ms: 18_000,
             give_up_in_ms: 60_000,
         },
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -1,7 +1,7 @@
 use std::{sync::Arc, time::Duration};
 
 use base::{Clock, Millis};
-use fleet::{Endpoint, LoadReport, Suspicion};
+use fleet::{Endpoint, FailureKind, LoadReport};
 use http::{HeaderMap, StatusCode, header};
 use quarantine::Cleared;
 use tokio::time;
@@ -56,11 +56,11 @@
         }
     }
 
-    fn suspicion(self) -> Suspicion {
+    fn failure_kind(self) -> FailureKind {
         match self {
-            Failure::Connect | Failure::Silent => Suspicion::Unreachable,
-            Failure::NotExecuted(_) => Suspicion::Full,
-            _ => Suspicion::BadAnswer,
+            Failure::Connect | Failure::Silent => FailureKind::Unreachable,
+            Failure::NotExecuted(_) => FailureKind::Full,
+            _ => FailureKind::BadResponse,
         }
     }
 }
@@ -96,7 +96,7 @@
         offer: Offer<'_>,
     ) -> Result<Exchange, Failure> {
         let endpoint = offer.endpoint.clone();
-        endpoint.begin();
+        endpoint.begin_request();
         self.observer.began(&endpoint);
         let mut run = Run::begin(
             offer.request.clone(),
@@ -178,7 +178,7 @@
         let headers = &head.headers;
         let now = self.clock.now();
         if let Some(report) = load_report(headers, self.names) {
-            offer.endpoint.report(report, now);
+            offer.endpoint.record_load(report, now);
         }
         channel.note_keep_alive(headers, self.pool.options());
         let reusable = !says_close(headers);
@@ -197,7 +197,7 @@
         );
         match failure {
             None => {
-                offer.endpoint.succeeded();
+                offer.endpoint.record_success();
                 exchange.note_if_whole();
                 Ok(exchange)
             }
@@ -211,7 +211,7 @@
     /// Remembers a failure against the endpoint.
     fn note(&self, offer: &Offer<'_>, failure: Failure) {
         let now: Millis = self.clock.now();
-        offer.endpoint.failed(failure.suspicion(), now);
+        offer.endpoint.record_failure(failure.failure_kind(), now);
         let record = offer.endpoint.record();
         if matches!(failure, Failure::Connect | Failure::Silent) {
             self.pool.forget(offer.endpoint);
@@ -233,7 +233,7 @@
 impl Drop for Begun {
     fn drop(&mut self) {
         if let Some(endpoint) = &self.0 {
-            endpoint.end();
+            endpoint.end_request();
         }
     }
 }
--- a/crates/pass/src/exchange.rs
+++ b/crates/pass/src/exchange.rs
@@ -144,7 +144,7 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.run.endpoint().end();
+        self.run.endpoint().end_request();
         let Some(channel) = self.channel.take() else {
             return;
         };
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -6,8 +6,8 @@
 
 use base::{Clock, Snapshot};
 use fleet::{
-    Choice, Endpoint, EndpointTable, Need, Route, RouteKind, Selection,
-    Verdict,
+    Choice, ChooseError, Endpoint, EndpointQuery, EndpointTable, Route,
+    RouteKind, Selection,
 };
 use http::Response;
 use quarantine::{Cleared, Held, Quarantine, QuarantineOptions};
@@ -280,7 +280,7 @@
                 Err(failure) => tries.note(failure, request.route())?,
             }
             if tries.offers >= self.options.offers_most {
-                return Err(self.refuse(Verdict::AllFull, request, tries));
+                return Err(self.refuse(ChooseError::AllFull, request, tries));
             }
         }
     }
@@ -290,7 +290,7 @@
         let left = request.left();
         let route = request.route();
         let last = tries.used + 1 >= route.max_attempts();
-        if !route.kind().repeatable() || last {
+        if !route.kind().is_repeatable() || last {
             // The timer of the whole request ends it, as its own outcome.
             return left + AFTER_THE_END;
         }
@@ -305,14 +305,14 @@
     /// Refuses for want of room; the request may have run before.
     fn refuse(
         &self,
-        verdict: Verdict,
+        verdict: ChooseError,
         request: &Inbound,
         tries: &Tries,
     ) -> Refusal {
         if tries.used > 0 {
             return Refusal::unknown("no other endpoint is left");
         }
-        if verdict == Verdict::NoEndpoint {
+        if verdict == ChooseError::NoEndpoint {
             let back_ms = match self.endpoints.load().table.is_empty() {
                 true => self.options.start_retry_after_ms,
                 false => self.options.retry_after_ms,
@@ -357,16 +357,16 @@
         request: &Inbound,
         sent: &mut Sent,
         tried: &[String],
-    ) -> Result<Choice, Verdict> {
+    ) -> Result<Choice, ChooseError> {
         let route = request.route();
         let returns = request.has_waited();
         let spread = base_spread(request.id());
         let Some(service) = route.service(spread) else {
-            return Err(Verdict::NoEndpoint);
+            return Err(ChooseError::NoEndpoint);
         };
         let view = self.endpoints.load();
         sent.directory_revision = view.revision;
-        let need = Need {
+        let need = EndpointQuery {
             service,
             failure_domain: &self.failure_domain,
             affinity: request.affinity(),
@@ -476,7 +476,7 @@
 /// Tells whether an error of an endpoint is better tried elsewhere.
 fn worth_another(route: &Route, exchange: &Exchange, tries: &Tries) -> bool {
     exchange.status().is_server_error()
-        && route.kind().repeatable()
+        && route.kind().is_repeatable()
         && tries.used < route.max_attempts()
 }
 
@@ -530,7 +530,7 @@
             return Ok(());
         }
         self.ran();
-        if route.kind().repeatable() && self.used < route.max_attempts() {
+        if route.kind().is_repeatable() && self.used < route.max_attempts() {
             return Ok(());
         }
         Err(Refusal::unknown("the endpoint's answer is lost"))
--- a/crates/pass/tests/forward.rs
+++ b/crates/pass/tests/forward.rs
@@ -246,7 +246,7 @@
 async fn a_full_fleet_is_refused_early_and_truly() {
     let one = Scripted::start(vec![Act::Answer(good("x"))]).await;
     let bench = bench(&[one.address]);
-    (0..40).for_each(|_| bench.endpoints[0].begin());
+    (0..40).for_each(|_| bench.endpoints[0].begin_request());
     let began = std::time::Instant::now();
     let request = request("r1", route(RouteKind::AtMostOnce));
     let response = bench.forwarder.forward(request, 1).await;
