--- a/crates/bench/benches/routing.rs
+++ b/crates/bench/benches/routing.rs
@@ -15,8 +15,8 @@
 use error_stack::Report;
 use pomeloslip_bench::{BenchError, Options, Table, run};
 use router::{
-    Affinity, Ejection, HealthPolicy, Listed, Policy, Probing, Query, Router,
-    RouterOptions,
+    Affinity, Ejection, HealthPolicy, ListedEndpoint, Policy, Probing, Query,
+    Router, RouterOptions,
 };
 
 use self::{
@@ -102,10 +102,10 @@
     vec![
         ("random", plain().policy(Policy::Random)),
         ("round robin", plain().policy(Policy::RoundRobin)),
-        ("least of two", plain().policy(Policy::LeastOfTwo)),
+        ("least of two", plain().policy(Policy::PowerOfTwoChoices)),
         ("probing, latency", plain().policy(latency)),
         ("probing, load", plain().policy(least)),
-        ("affinity, two", affinity.policy(Policy::LeastOfTwo)),
+        ("affinity, two", affinity.policy(Policy::PowerOfTwoChoices)),
         ("affinity, load", affinity.policy(least)),
     ]
 }
@@ -224,7 +224,7 @@
         for scenario in scenarios {
             for far_penalty in [0, 1, 2, 4] {
                 let name = format!("{far_penalty} less");
-                let options = plain().far_penalty(far_penalty);
+                let options = plain().other_domain_penalty(far_penalty);
                 self.row(&mut table, &scenario, &name, options);
             }
         }
@@ -315,7 +315,7 @@
         let title = "Health: ejection against a health value";
         let mut table = Table::new(title, &COLUMNS);
         let ejection = HealthPolicy::Ejection(Ejection::default());
-        let value = |sensitivity| HealthPolicy::Value { sensitivity };
+        let value = |sensitivity| HealthPolicy::Score { sensitivity };
         let kinds = [
             ("off", HealthPolicy::Off),
             ("ejection", ejection),
@@ -335,7 +335,7 @@
     fn brown_out(&self) -> Table {
         let title = "Retry budget: overload and a brown-out";
         let mut table = Table::new(title, &COLUMNS);
-        let value = HealthPolicy::Value { sensitivity: 1 };
+        let value = HealthPolicy::Score { sensitivity: 1 };
         for scenario in [brown_out(), overload()] {
             for budget in [false, true] {
                 let name = if budget { "budget" } else { "no budget" };
@@ -440,11 +440,11 @@
     let options = RouterOptions::default().subset(known);
     let mut router = Router::new("entry", options);
     let pool = router.pool("pool");
-    let listed: Vec<Listed> = (0..known)
+    let listed: Vec<ListedEndpoint> = (0..known)
         .map(|at| {
             let name = format!("endpoint-{at}").parse();
             let name = name.unwrap_or_else(|_| unreachable!());
-            Listed::new(name, at % 4 == 0, &format!("10.0.0.1:{at}"))
+            ListedEndpoint::new(name, at % 4 == 0, &format!("10.0.0.1:{at}"))
         })
         .collect();
     router.list(pool, &listed);
--- a/crates/bench/benches/routing/sim.rs
+++ b/crates/bench/benches/routing/sim.rs
@@ -5,8 +5,8 @@
 use base::{Incarnation, Millis};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use router::{
-    EndpointKey, Failure, Listed, PoolKey, Query, Refused, Report, Router,
-    RouterOptions,
+    EndpointKey, EndpointReport, Failure, ListedEndpoint, PoolKey, Query,
+    RefusalReason, Router, RouterOptions,
 };
 use slotmap::SecondaryMap;
 
@@ -266,7 +266,7 @@
             if endpoint.is_down(self.now_ms) {
                 router.failed(key, Failure::Unreachable, now);
             } else if endpoint.is_full() {
-                router.refused(key, Refused::Full, now);
+                router.refused(key, RefusalReason::Full, now);
             } else {
                 router.sent(key, now);
                 return self.accept(request, key, place);
@@ -326,16 +326,16 @@
         self.random.random_bool(share).then_some(delay_ms)
     }
 
-    fn report(&mut self, place: usize) -> Report {
+    fn report(&mut self, place: usize) -> EndpointReport {
         let lag_ms = self.scenario.lag_ms;
         let (running, waiting) =
             self.endpoints[place].load(self.now_ms, lag_ms);
-        Report {
+        EndpointReport {
             running,
             waiting,
             up: !self.endpoints[place].is_down(self.now_ms),
             incarnation: Incarnation::new(place as u64 + 1),
-            ..Report::default()
+            ..EndpointReport::default()
         }
     }
 
@@ -457,13 +457,13 @@
 }
 
 fn entry(at: usize, count: usize, options: RouterOptions) -> Entry {
-    let listed: Vec<Listed> = (0..count)
+    let listed: Vec<ListedEndpoint> = (0..count)
         .map(|place| {
             let name = format!("endpoint-{place}");
             let near = place % DOMAINS == at % DOMAINS;
             let address = format!("10.0.0.1:{place}");
             let name = name.parse().unwrap_or_else(|_| unreachable!());
-            Listed::new(name, near, &address)
+            ListedEndpoint::new(name, near, &address)
         })
         .collect();
     let mut router = Router::new(&format!("entry-{at}"), options);
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -2,7 +2,7 @@
 
 use base::{Millis, RequestDigest};
 use quarantine::{Crash, CrashedEndpoint, Quarantine};
-use router::{EndpointKey, Failure, Refused, Report};
+use router::{EndpointKey, EndpointReport, Failure, RefusalReason};
 use wire::message::{Load, RefusalKind};
 
 use super::{Fleet, Target};
@@ -117,11 +117,11 @@
     /// Notes that the endpoint did not take the call.
     pub(crate) fn refused(&self, kind: RefusalKind) {
         let why = match kind {
-            RefusalKind::Full => Refused::Full,
-            RefusalKind::Leaving => Refused::Leaving,
-            RefusalKind::EndpointDown => Refused::Down,
-            RefusalKind::WrongTarget => Refused::WrongTarget,
-            _ => Refused::Other,
+            RefusalKind::Full => RefusalReason::Full,
+            RefusalKind::Leaving => RefusalReason::Leaving,
+            RefusalKind::EndpointDown => RefusalReason::Down,
+            RefusalKind::WrongTarget => RefusalReason::WrongTarget,
+            _ => RefusalReason::Other,
         };
         let now = self.fleet.timer.now();
         self.fleet.router().refused(self.key, why, now);
@@ -149,8 +149,8 @@
 
 /// Returns what a router needs of a load. Batch items give way at once, so
 /// they do not count.
-pub(super) fn report(load: &Load) -> Report {
-    Report {
+pub(super) fn report(load: &Load) -> EndpointReport {
+    EndpointReport {
         running: load.running.saturating_sub(load.batch_running),
         waiting: load.waiting,
         first_token_ms: load.first_token_ms,
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -18,7 +18,8 @@
 use error_stack::Report;
 use indexmap::IndexMap;
 use router::{
-    EndpointKey, Failure, Listed, Listing, Query, Router, RouterOptions,
+    EndpointKey, Failure, ListChanges, ListedEndpoint, Query, Router,
+    RouterOptions,
 };
 use slotmap::SecondaryMap;
 use wire::{LinkError, Links};
@@ -111,10 +112,10 @@
         }
         let mut now = Targets::clone(&before);
         for (pool, targets) in &pools {
-            let listed: Vec<Listed> =
+            let listed: Vec<ListedEndpoint> =
                 targets.iter().map(|one| self.listed(one)).collect();
             let pool = router.pool(pool);
-            let Listing { added, removed } = router.list(pool, &listed);
+            let ListChanges { added, removed } = router.list(pool, &listed);
             for key in removed {
                 now.remove(key);
             }
@@ -126,10 +127,10 @@
         self.targets.publish(now);
     }
 
-    fn listed(&self, target: &Target) -> Listed {
+    fn listed(&self, target: &Target) -> ListedEndpoint {
         let near = target.failure_domain == self.here;
         let address = target.route.address();
-        Listed::new(target.name.clone(), near, &address)
+        ListedEndpoint::new(target.name.clone(), near, &address)
     }
 
     /// Chooses an endpoint of a pool that was not tried and counts a call
@@ -167,7 +168,7 @@
     fn reported(
         &self,
         key: EndpointKey,
-        report: &router::Report,
+        report: &router::EndpointReport,
         now: Millis,
     ) -> EndpointKey {
         let mut router = self.router();
@@ -193,7 +194,7 @@
 
     /// Notes that a life of a companion takes no new work.
     pub(crate) fn note_leaving(&self, incarnation: Incarnation) {
-        self.router().leaving(incarnation);
+        self.router().mark_leaving(incarnation);
     }
 
     /// Returns all endpoints in use, for `/status`.
@@ -204,7 +205,7 @@
             Some(EndpointStatus {
                 target: targets.get(view.key)?.clone(),
                 in_flight: view.in_flight,
-                open: view.open,
+                open: view.selectable,
             })
         });
         views.collect()
@@ -231,7 +232,7 @@
             Route::Companion(address) => *address,
             Route::Direct(_) => {
                 let now = self.timer.now();
-                return self.router().try_again(key, now);
+                return self.router().readmit(key, now);
             }
         };
         if target.probing.swap(true, Ordering::AcqRel) {
--- a/crates/router/examples/embed_router.rs
+++ b/crates/router/examples/embed_router.rs
@@ -11,8 +11,8 @@
 
 use base::{EndpointName, Incarnation, Millis};
 use pomeloslip_router::{
-    EndpointKey, Failure, Listed, PoolKey, Query, Refused, Report, Router,
-    RouterOptions,
+    EndpointKey, EndpointReport, Failure, ListedEndpoint, PoolKey, Query,
+    RefusalReason, Router, RouterOptions,
 };
 
 type Error = Box<dyn std::error::Error>;
@@ -60,9 +60,9 @@
             .zip(7_001..)
             .map(|(name, port)| {
                 let address = format!("127.0.0.1:{port}");
-                Ok(Listed::new(name.parse()?, true, &address))
+                Ok(ListedEndpoint::new(name.parse()?, true, &address))
             })
-            .collect::<Result<Vec<Listed>, Error>>()?;
+            .collect::<Result<Vec<ListedEndpoint>, Error>>()?;
         let added = router.list(pool, &listed).added;
         let named = added.into_iter();
         let names = named.map(|(key, at)| (key, listed[at].name().clone()));
@@ -102,7 +102,7 @@
         match outcome {
             Outcome::Answered => self.router.answered(key, Some(40), now),
             Outcome::Refused => {
-                self.router.refused(key, Refused::Leaving, now);
+                self.router.refused(key, RefusalReason::Leaving, now);
             }
             Outcome::NoConnection => {
                 self.router.failed(key, Failure::Unreachable, now);
@@ -127,11 +127,11 @@
             match call(name.as_str(), number) {
                 Outcome::NoConnection => self.router.probe_failed(key),
                 outcome => {
-                    let report = Report {
+                    let report = EndpointReport {
                         up: true,
                         leaving: matches!(outcome, Outcome::Refused),
                         incarnation: Incarnation::new(1),
-                        ..Report::default()
+                        ..EndpointReport::default()
                     };
                     let life = self.router.probed(key, &report, now);
                     self.names.insert(life, name);
--- a/crates/router/src/endpoint.rs
+++ b/crates/router/src/endpoint.rs
@@ -14,35 +14,35 @@
 
 /// Weight of the latest report in the mean of what others send. Entries that
 /// all believe one late report run to the same endpoint in turns.
-const OTHERS_WEIGHT: f64 = 0.5;
+const OTHER_CALLS_WEIGHT: f64 = 0.5;
 
 /// An endpoint as a list shows it.
 ///
 /// # Example
 ///
 /// ```
-/// use pomeloslip_router::Listed;
+/// use pomeloslip_router::ListedEndpoint;
 ///
 /// let name: base::EndpointName = "korv-lm-1".parse()?;
-/// let here = Listed::new(name.clone(), true, "10.0.0.1:7000");
-/// let moved = Listed::new(name, true, "10.0.0.2:7000");
+/// let here = ListedEndpoint::new(name.clone(), true, "10.0.0.1:7000");
+/// let moved = ListedEndpoint::new(name, true, "10.0.0.2:7000");
 /// assert_ne!(here, moved);
 /// # Ok::<(), base::IdError>(())
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq, Hash)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub(crate) name: EndpointName,
-    pub(crate) near: bool,
+    pub(crate) same_domain: bool,
     pub(crate) address_hash: u64,
 }
 
-impl Listed {
-    /// Makes an endpoint; `near` says that it is in the entry's own failure
+impl ListedEndpoint {
+    /// Makes an endpoint; `same_domain` says that it is in the entry's own failure
     /// domain. The same name at another address is another endpoint.
-    pub fn new(name: EndpointName, near: bool, address: &str) -> Self {
+    pub fn new(name: EndpointName, same_domain: bool, address: &str) -> Self {
         Self {
             name,
-            near,
+            same_domain,
             address_hash: stable_hash(&[address]),
         }
     }
@@ -56,7 +56,7 @@
 
 /// What a companion says of its endpoint, in an answer or to a probe.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Report {
+pub struct EndpointReport {
     /// Calls that run at the endpoint.
     pub running: u32,
     /// Calls that wait for it.
@@ -73,9 +73,9 @@
 
 /// A report and what followed it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct LastReport {
     /// Calls of other entries, a mean over the last reports.
-    pub(crate) others: f64,
+    pub(crate) other_calls: f64,
     pub(crate) waiting: u32,
     pub(crate) first_token_ms: u32,
     pub(crate) at: Millis,
@@ -93,7 +93,7 @@
     /// Own calls in flight.
     pub in_flight: u32,
     /// Whether it may be chosen.
-    pub open: bool,
+    pub selectable: bool,
     /// Whether it takes no new work.
     pub leaving: bool,
 }
@@ -101,7 +101,7 @@
 /// All that is known of one life of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) listed: Listed,
+    pub(crate) listed: ListedEndpoint,
     pub(crate) pool: PoolKey,
     /// Place in the order of prefixes, the same at all entries.
     pub(crate) name_hash: u64,
@@ -109,7 +109,7 @@
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) leaving: bool,
     pub(crate) health: Health,
-    pub(crate) seen: Option<Seen>,
+    pub(crate) last_report: Option<LastReport>,
     /// Mean time to the first token of own calls, and the load at which
     /// they were sent.
     pub(crate) latency_ms: f64,
@@ -118,7 +118,7 @@
 }
 
 impl Endpoint {
-    pub(crate) fn new(listed: Listed, pool: PoolKey) -> Self {
+    pub(crate) fn new(listed: ListedEndpoint, pool: PoolKey) -> Self {
         Self {
             name_hash: stable_hash(&[listed.name.as_str()]),
             listed,
@@ -127,42 +127,51 @@
             incarnation: None,
             leaving: false,
             health: Health::default(),
-            seen: None,
+            last_report: None,
             latency_ms: 0.0,
             latency_load: 0.0,
             probed: None,
         }
     }
 
-    pub(crate) fn is_open(&self) -> bool {
-        !self.leaving && self.health.is_open(self.in_flight)
+    pub(crate) fn is_selectable(&self) -> bool {
+        !self.leaving && self.health.is_selectable(self.in_flight)
     }
 
     /// Returns the requests that the endpoint probably has: the own ones,
-    /// which are known exactly, and those of others by a fresh report.
+    /// which are known exactly, and those of other_calls by a fresh report.
     pub(crate) fn load(&self, now: Millis, max_age_ms: u64) -> f64 {
         let own = f64::from(self.in_flight);
         self.fresh(now, max_age_ms)
-            .map_or(own, |seen| own + seen.others)
+            .map_or(own, |last_report| own + last_report.other_calls)
     }
 
     /// Tells whether calls waited at the last fresh report.
     pub(crate) fn is_queueing(&self, now: Millis, max_age_ms: u64) -> bool {
         self.fresh(now, max_age_ms)
-            .is_some_and(|seen| seen.waiting > 0)
+            .is_some_and(|last_report| last_report.waiting > 0)
     }
 
-    fn fresh(&self, now: Millis, max_age_ms: u64) -> Option<&Seen> {
-        let seen = self.seen.as_ref();
-        seen.filter(|seen| now.saturating_ms_since(seen.at) <= max_age_ms)
+    fn fresh(&self, now: Millis, max_age_ms: u64) -> Option<&LastReport> {
+        let last_report = self.last_report.as_ref();
+        last_report.filter(|last_report| {
+            now.saturating_ms_since(last_report.at) <= max_age_ms
+        })
     }
 
-    pub(crate) fn note(&mut self, report: &Report, now: Millis) {
+    pub(crate) fn record_report(
+        &mut self,
+        report: &EndpointReport,
+        now: Millis,
+    ) {
         let requests = report.running + report.waiting;
-        let others = f64::from(requests.saturating_sub(self.in_flight));
-        let before = self.seen.as_ref().map_or(others, |seen| seen.others);
-        self.seen = Some(Seen {
-            others: before + OTHERS_WEIGHT * (others - before),
+        let other_calls = f64::from(requests.saturating_sub(self.in_flight));
+        let before = self
+            .last_report
+            .as_ref()
+            .map_or(other_calls, |last_report| last_report.other_calls);
+        self.last_report = Some(LastReport {
+            other_calls: before + OTHER_CALLS_WEIGHT * (other_calls - before),
             waiting: report.waiting,
             first_token_ms: report.first_token_ms,
             at: now,
@@ -170,7 +179,7 @@
         });
     }
 
-    pub(crate) fn note_latency(&mut self, ms: u64, load: f64) {
+    pub(crate) fn record_latency(&mut self, ms: u64, load: f64) {
         let ms = ms as f64;
         if self.latency_ms == 0.0 {
             (self.latency_ms, self.latency_load) = (ms, load);
@@ -182,9 +191,9 @@
 
     /// Returns the latency that a call would probably see at this load.
     pub(crate) fn latency_at(&self, load: f64) -> f64 {
-        match &self.seen {
-            Some(seen) if seen.first_token_ms > 0 => {
-                f64::from(seen.first_token_ms)
+        match &self.last_report {
+            Some(last_report) if last_report.first_token_ms > 0 => {
+                f64::from(last_report.first_token_ms)
             }
             _ => self.latency_ms * (load + 1.0) / (self.latency_load + 1.0),
         }
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -2,21 +2,21 @@
 
 use crate::options::{Ejection, HealthPolicy};
 
-/// Highest health value, at which an endpoint starts.
-const VALUE_MAX: u32 = 1_000;
+/// Highest health score, at which an endpoint starts.
+const MAX_SCORE: u32 = 1_000;
 
-/// Shortest time between two rises of the health value, in milliseconds;
+/// Shortest time between two rises of the health score, in milliseconds;
 /// probes for the load come more often.
-const RAISE_INTERVAL_MS: u64 = 1_000;
+const SCORE_RAISE_INTERVAL_MS: u64 = 1_000;
 
 /// Weight of the latest call in the share of failures.
-const SHARE_WEIGHT: f64 = 0.1;
+const FAILURE_SHARE_WEIGHT: f64 = 0.1;
 
 /// Answered calls after which earlier times out are forgotten.
-const FORGIVEN_AFTER: u32 = 50;
+const ANSWERS_TO_RESET_EJECTIONS: u32 = 50;
 
 /// Most doublings of the time out.
-const DOUBLINGS_MAX: u32 = 10;
+const MAX_DOUBLINGS: u32 = 10;
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
@@ -30,7 +30,7 @@
 
 /// Why an endpoint did not take a call; the call did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
-pub enum Refused {
+pub enum RefusalReason {
     /// It has no room; this says nothing against its health.
     Full,
     /// It takes no new work in this life.
@@ -45,11 +45,11 @@
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
-    Open,
+    Selectable,
     /// Out until a time, and then until a probe succeeds.
     Ejected(Millis),
     /// Back for one call at a time.
-    Trial,
+    HalfOpen,
 }
 
 /// What an entry's own calls say of an endpoint.
@@ -60,74 +60,75 @@
     failure_share: f64,
     ejections: u32,
     answered_in_row: u32,
-    value: u32,
-    raised: Option<Millis>,
+    score: u32,
+    score_raised_at: Option<Millis>,
 }
 
 impl Default for Health {
     fn default() -> Self {
         Self {
-            state: State::Open,
+            state: State::Selectable,
             failures_in_row: 0,
             failure_share: 0.0,
             ejections: 0,
             answered_in_row: 0,
-            value: VALUE_MAX,
-            raised: None,
+            score: MAX_SCORE,
+            score_raised_at: None,
         }
     }
 }
 
 impl Health {
     /// Tells whether the endpoint may be chosen.
-    pub(crate) fn is_open(&self, in_flight: u32) -> bool {
+    pub(crate) fn is_selectable(&self, in_flight: u32) -> bool {
         match self.state {
-            State::Open => true,
+            State::Selectable => true,
             State::Ejected(_) => false,
-            State::Trial => in_flight == 0,
+            State::HalfOpen => in_flight == 0,
         }
     }
 
-    pub(crate) fn is_out(&self) -> bool {
+    pub(crate) fn is_ejected(&self) -> bool {
         matches!(self.state, State::Ejected(_))
     }
 
-    /// Returns the health value; the same for all unless values are used.
-    pub(crate) fn value(&self) -> u32 {
-        self.value
+    /// Returns the health score; the same for all unless values are used.
+    pub(crate) fn score(&self) -> u32 {
+        self.score
     }
 
     pub(crate) fn answered(&mut self) {
         self.failures_in_row = 0;
-        self.failure_share *= 1.0 - SHARE_WEIGHT;
+        self.failure_share *= 1.0 - FAILURE_SHARE_WEIGHT;
         self.answered_in_row += 1;
-        if self.answered_in_row >= FORGIVEN_AFTER {
+        if self.answered_in_row >= ANSWERS_TO_RESET_EJECTIONS {
             self.ejections = 0;
         }
-        if self.state == State::Trial {
-            self.state = State::Open;
+        if self.state == State::HalfOpen {
+            self.state = State::Selectable;
         }
     }
 
-    /// Notes a failure; `may_eject` is false when too many are out already.
+    /// Notes a failure; `is_ejection_allowed` is false when too many are out already.
     pub(crate) fn failed(
         &mut self,
         policy: &HealthPolicy,
         failure: Failure,
-        may_eject: bool,
+        is_ejection_allowed: bool,
         now: Millis,
     ) {
         self.failures_in_row += 1;
         self.answered_in_row = 0;
-        self.failure_share += SHARE_WEIGHT * (1.0 - self.failure_share);
+        self.failure_share +=
+            FAILURE_SHARE_WEIGHT * (1.0 - self.failure_share);
         match policy {
             HealthPolicy::Off => {}
-            HealthPolicy::Value { sensitivity } => {
-                self.value = self.value.saturating_sub(*sensitivity);
+            HealthPolicy::Score { sensitivity } => {
+                self.score = self.score.saturating_sub(*sensitivity);
             }
             HealthPolicy::Ejection(options) => {
                 let unreachable = failure == Failure::Unreachable;
-                let outlier = may_eject && self.is_outlier(options);
+                let outlier = is_ejection_allowed && self.is_outlier(options);
                 if unreachable || outlier {
                     self.eject(options, now);
                 }
@@ -136,16 +137,16 @@
     }
 
     fn is_outlier(&self, options: &Ejection) -> bool {
-        self.state == State::Trial
+        self.state == State::HalfOpen
             || self.failures_in_row >= options.failures_in_row
             || self.failure_share >= options.failure_share
     }
 
     fn eject(&mut self, options: &Ejection, now: Millis) {
-        if self.is_out() {
+        if self.is_ejected() {
             return;
         }
-        let doublings = self.ejections.min(DOUBLINGS_MAX);
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
         let out_ms = (options.base_ms << doublings).min(options.max_ms);
         self.state = State::Ejected(now.saturating_add_ms(out_ms));
         self.ejections += 1;
@@ -157,7 +158,7 @@
     pub(crate) fn wants_probe(&self, now: Millis) -> bool {
         match self.state {
             State::Ejected(until) => now >= until,
-            _ => self.value < VALUE_MAX,
+            _ => self.score < MAX_SCORE,
         }
     }
 
@@ -168,21 +169,21 @@
         if let State::Ejected(until) = self.state
             && now >= until
         {
-            self.state = State::Trial;
+            self.state = State::HalfOpen;
         }
-        let is_due = self.raised.is_none_or(|last| {
-            now.saturating_ms_since(last) >= RAISE_INTERVAL_MS
+        let is_due = self.score_raised_at.is_none_or(|last| {
+            now.saturating_ms_since(last) >= SCORE_RAISE_INTERVAL_MS
         });
-        if is_due && self.value < VALUE_MAX {
-            self.value += 1;
-            self.raised = Some(now);
+        if is_due && self.score < MAX_SCORE {
+            self.score += 1;
+            self.score_raised_at = Some(now);
         }
     }
 
     /// Notes a probe that failed.
     pub(crate) fn probe_failed(&mut self, policy: &HealthPolicy) {
-        if let HealthPolicy::Value { sensitivity } = policy {
-            self.value = self.value.saturating_sub(*sensitivity);
+        if let HealthPolicy::Score { sensitivity } = policy {
+            self.score = self.score.saturating_sub(*sensitivity);
         }
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,14 +13,14 @@
 //!
 //! ```
 //! use base::Millis;
-//! use pomeloslip_router::{Listed, Query, Router, RouterOptions};
+//! use pomeloslip_router::{ListedEndpoint, Query, Router, RouterOptions};
 //!
 //! let mut router = Router::new("entry-1", RouterOptions::default());
 //! let now = Millis::new(0);
 //! let names = ["korv-lm-1", "korv-lm-2"];
 //! let listed = names.map(|name| {
 //!     let name = name.parse().expect("a valid name");
-//!     Listed::new(name, true, "127.0.0.1:7000")
+//!     ListedEndpoint::new(name, true, "127.0.0.1:7000")
 //! });
 //! let pool = router.pool("korv-lm");
 //! router.list(pool, &listed);
@@ -39,11 +39,11 @@
 mod subset;
 
 pub use crate::{
-    endpoint::{EndpointKey, EndpointView, Listed, Report},
-    health::{Failure, Refused},
+    endpoint::{EndpointKey, EndpointReport, EndpointView, ListedEndpoint},
+    health::{Failure, RefusalReason},
     options::{
         Affinity, Ejection, HealthPolicy, Policy, Probing, RouterOptions,
     },
-    router::{Listing, PoolKey, Router},
+    router::{ListChanges, PoolKey, Router},
     select::{Choice, Query},
 };
--- a/crates/router/src/options.rs
+++ b/crates/router/src/options.rs
@@ -6,7 +6,7 @@
     /// Each in turn.
     RoundRobin,
     /// The less loaded of two drawn at random.
-    LeastOfTwo,
+    PowerOfTwoChoices,
     /// By the reports of probes that run beside the requests.
     Probing(Probing),
 }
@@ -65,7 +65,7 @@
     /// Each failure takes `sensitivity` from a value of 1,000, each
     /// successful probe a second gives 1 back, and only endpoints with the
     /// best value are chosen.
-    Value {
+    Score {
         /// What a failure costs.
         sensitivity: u32,
     },
@@ -118,7 +118,7 @@
     pub subset: usize,
     /// How much less loaded an endpoint of another failure domain must be
     /// to be chosen, in requests.
-    pub far_penalty: u32,
+    pub other_domain_penalty: u32,
     /// Age up to which the load in a report counts, in milliseconds.
     pub report_max_age_ms: u64,
     /// Age up to which a queue in a report keeps prefixes away, in
@@ -145,7 +145,7 @@
             affinity: Some(Affinity { bound: 1.25 }),
             health: HealthPolicy::Ejection(Ejection::default()),
             subset: 16,
-            far_penalty: 0,
+            other_domain_penalty: 0,
             report_max_age_ms: 500,
             queue_max_age_ms: 1_000,
             retry_ratio: 0.2,
@@ -180,9 +180,9 @@
     }
 
     /// Sets how much less loaded an endpoint elsewhere must be.
-    pub fn far_penalty(self, far_penalty: u32) -> Self {
+    pub fn other_domain_penalty(self, other_domain_penalty: u32) -> Self {
         Self {
-            far_penalty,
+            other_domain_penalty,
             ..self
         }
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,8 +6,10 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::{
-    endpoint::{Endpoint, EndpointKey, EndpointView, Listed, Report},
-    health::{Failure, Refused},
+    endpoint::{
+        Endpoint, EndpointKey, EndpointReport, EndpointView, ListedEndpoint,
+    },
+    health::{Failure, RefusalReason},
     options::{Policy, RouterOptions},
     select::{Choice, Draw, Query, Selection},
     subset,
@@ -20,11 +22,11 @@
 
 /// Lives that are remembered as leaving. A life that is older than so many
 /// later ones has long ended.
-const LEAVING_KEPT: usize = 1_024;
+const MAX_LEAVING_REMEMBERED: usize = 1_024;
 
 /// Probes that one tick asks for at most, so that a long outage ends in no
 /// burst.
-const PROBES_PER_TICK: usize = 32;
+const MAX_PROBES_PER_TICK: usize = 32;
 
 #[derive(Clone, Debug)]
 struct Pool {
@@ -35,7 +37,7 @@
 
 /// How a new list changed what a router knows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Listing {
+pub struct ListChanges {
     /// New endpoints, with their places in the list.
     pub added: Vec<(EndpointKey, usize)>,
     /// Endpoints that are not used any more.
@@ -98,23 +100,27 @@
     /// # Example
     ///
     /// ```
-    /// use pomeloslip_router::{Listed, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
     /// let first = router.list(pool, std::slice::from_ref(&one));
     /// assert_eq!(first.added.len(), 1);
     /// assert_eq!(router.list(pool, &[one]).added, []);
     /// assert_eq!(router.list(pool, &[]).removed, [first.added[0].0]);
     /// # Ok::<(), base::IdError>(())
     /// ```
-    pub fn list(&mut self, pool: PoolKey, listed: &[Listed]) -> Listing {
+    pub fn list(
+        &mut self,
+        pool: PoolKey,
+        listed: &[ListedEndpoint],
+    ) -> ListChanges {
         let Some(known) = self.pools.get(pool) else {
-            return Listing::default();
+            return ListChanges::default();
         };
         let old = known.members.clone();
-        let find = |one: &Listed| {
+        let find = |one: &ListedEndpoint| {
             old.iter()
                 .copied()
                 .find(|key| self.endpoints[*key].listed == *one)
@@ -126,12 +132,12 @@
         };
         let (leaving, staying): (Vec<usize>, Vec<usize>) =
             (0..listed.len()).partition(|at| is_leaving(*at));
-        let offered: Vec<Listed> =
+        let offered: Vec<ListedEndpoint> =
             staying.iter().map(|at| listed[*at].clone()).collect();
         let size = self.options.subset;
         let chosen = subset::choose(&self.entry, &offered, size);
         let places = chosen.into_iter().map(|at| staying[at]).chain(leaving);
-        let mut listing = Listing::default();
+        let mut listing = ListChanges::default();
         let mut members = Vec::new();
         for at in places {
             let key = known[at].unwrap_or_else(|| {
@@ -156,11 +162,11 @@
     ///
     /// ```
     /// use base::Millis;
-    /// use pomeloslip_router::{Listed, Query, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Query, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// let choice = router.choose(pool, &Query::default(), now, 7);
@@ -188,8 +194,8 @@
             turn: known.turn,
         };
         let endpoint = selection.choose(&known.members, query, &mut draw)?;
-        if let Some(seen) = &mut self.endpoints[endpoint].seen {
-            seen.uses += 1;
+        if let Some(last_report) = &mut self.endpoints[endpoint].last_report {
+            last_report.uses += 1;
         }
         let probes = self.probes(pool, &mut draw);
         Some(Choice { endpoint, probes })
@@ -203,7 +209,7 @@
         let mut probes = Vec::new();
         for _ in 0..probing.probes.min(members.len() as u32) {
             let key = members[draw.below(members.len())];
-            if self.endpoints[key].is_open() && !probes.contains(&key) {
+            if self.endpoints[key].is_selectable() && !probes.contains(&key) {
                 probes.push(key);
             }
         }
@@ -238,16 +244,16 @@
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{Listed, Report, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, EndpointReport, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
-    /// let life = |number| Report {
+    /// let life = |number| EndpointReport {
     ///     incarnation: Incarnation::new(number),
-    ///     ..Report::default()
+    ///     ..EndpointReport::default()
     /// };
     /// assert_eq!(router.reported(key, &life(1), now), key);
     /// assert_ne!(router.reported(key, &life(2), now), key);
@@ -256,7 +262,7 @@
     pub fn reported(
         &mut self,
         key: EndpointKey,
-        report: &Report,
+        report: &EndpointReport,
         now: Millis,
     ) -> EndpointKey {
         let Some(endpoint) = self.endpoints.get(key) else {
@@ -265,16 +271,20 @@
         let is_other = endpoint
             .incarnation
             .is_some_and(|known| known != report.incarnation);
-        let key = if is_other { self.renew(key) } else { key };
+        let key = if is_other {
+            self.replace_incarnation(key)
+        } else {
+            key
+        };
         let left = self.leaving.contains(&report.incarnation);
         let endpoint = &mut self.endpoints[key];
         endpoint.incarnation = Some(report.incarnation);
         endpoint.leaving |= report.leaving || left;
-        endpoint.note(report, now);
+        endpoint.record_report(report, now);
         key
     }
 
-    fn renew(&mut self, old: EndpointKey) -> EndpointKey {
+    fn replace_incarnation(&mut self, old: EndpointKey) -> EndpointKey {
         let Some(before) = self.endpoints.remove(old) else {
             return old;
         };
@@ -302,46 +312,53 @@
             endpoint.health.answered();
             if let Some(ms) = first_token_ms {
                 let load = endpoint.load(now, max_age_ms);
-                endpoint.note_latency(ms, load);
+                endpoint.record_latency(ms, load);
             }
         }
     }
 
     /// Notes a call that failed.
     pub fn failed(&mut self, key: EndpointKey, failure: Failure, now: Millis) {
-        let may_eject = self.may_eject(key);
+        let is_ejection_allowed = self.is_ejection_allowed(key);
         let policy = self.options.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.health.failed(&policy, failure, may_eject, now);
+            endpoint
+                .health
+                .failed(&policy, failure, is_ejection_allowed, now);
         }
     }
 
     /// At most half of a pool is taken out for calls that were lost: when
     /// all fail, the cause is not the endpoint, and the rest would be
     /// overloaded by what is left.
-    fn may_eject(&self, key: EndpointKey) -> bool {
+    fn is_ejection_allowed(&self, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else {
             return false;
         };
         let members = &self.pools[endpoint.pool].members;
-        let is_out =
-            |key: &&EndpointKey| self.endpoints[**key].health.is_out();
-        (members.iter().filter(is_out).count() + 1) * 2 <= members.len()
+        let is_ejected =
+            |key: &&EndpointKey| self.endpoints[**key].health.is_ejected();
+        (members.iter().filter(is_ejected).count() + 1) * 2 <= members.len()
     }
 
     /// Notes that an endpoint did not take a call.
-    pub fn refused(&mut self, key: EndpointKey, why: Refused, now: Millis) {
+    pub fn refused(
+        &mut self,
+        key: EndpointKey,
+        why: RefusalReason,
+        now: Millis,
+    ) {
         let policy = self.options.health;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
         match why {
-            Refused::Leaving => endpoint.leaving = true,
-            Refused::Down | Refused::WrongTarget => {
+            RefusalReason::Leaving => endpoint.leaving = true,
+            RefusalReason::Down | RefusalReason::WrongTarget => {
                 let failure = Failure::Unreachable;
                 endpoint.health.failed(&policy, failure, true, now);
             }
-            Refused::Full | Refused::Other => {}
+            RefusalReason::Full | RefusalReason::Other => {}
         }
     }
 
@@ -352,26 +369,26 @@
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{Listed, Query, Report, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Query, EndpointReport, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// let life = Incarnation::new(1);
-    /// router.leaving(life);
-    /// let report = Report {
+    /// router.mark_leaving(life);
+    /// let report = EndpointReport {
     ///     incarnation: life,
-    ///     ..Report::default()
+    ///     ..EndpointReport::default()
     /// };
     /// router.reported(key, &report, now);
     /// assert_eq!(router.choose(pool, &Query::default(), now, 7), None);
     /// # Ok::<(), base::IdError>(())
     /// ```
-    pub fn leaving(&mut self, incarnation: Incarnation) {
+    pub fn mark_leaving(&mut self, incarnation: Incarnation) {
         if !self.leaving.contains(&incarnation) {
-            if self.leaving.len() >= LEAVING_KEPT {
+            if self.leaving.len() >= MAX_LEAVING_REMEMBERED {
                 self.leaving.pop_front();
             }
             self.leaving.push_back(incarnation);
@@ -387,7 +404,7 @@
     pub fn probed(
         &mut self,
         key: EndpointKey,
-        report: &Report,
+        report: &EndpointReport,
         now: Millis,
     ) -> EndpointKey {
         let policy = self.options.health;
@@ -410,7 +427,7 @@
     }
 
     /// Brings an endpoint that cannot be probed back for one call.
-    pub fn try_again(&mut self, key: EndpointKey, now: Millis) {
+    pub fn readmit(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.health.probed(now);
         }
@@ -423,11 +440,11 @@
     ///
     /// ```
     /// use base::Millis;
-    /// use pomeloslip_router::{Listed, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// // Nothing is known of it yet.
@@ -449,7 +466,7 @@
             let wanted = endpoint.leaving
                 || endpoint.incarnation.is_none()
                 || endpoint.health.wants_probe(now);
-            if is_due && wanted && probes.len() < PROBES_PER_TICK {
+            if is_due && wanted && probes.len() < MAX_PROBES_PER_TICK {
                 endpoint.probed = Some(now);
                 probes.push(key);
             }
@@ -483,7 +500,7 @@
             key,
             name: endpoint.listed.name.clone(),
             in_flight: endpoint.in_flight,
-            open: endpoint.is_open(),
+            selectable: endpoint.is_selectable(),
             leaving: endpoint.leaving,
         })
     }
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -1,4 +1,4 @@
-//! The choice among the endpoints of a pool.
+//! The choice choose_among the endpoints of a pool.
 
 use base::Millis;
 use slotmap::SlotMap;
@@ -78,7 +78,7 @@
 }
 
 impl Selection<'_> {
-    /// Chooses among all that take work; if none does, among those that are
+    /// Chooses choose_among all that take work; if none does, choose_among those that are
     /// out: better one that failed a moment ago than none.
     pub(crate) fn choose(
         &self,
@@ -90,52 +90,60 @@
             let tried = |key: &EndpointKey| query.tried.contains(key);
             members.iter().copied().filter(move |key| !tried(key))
         };
-        let open: Vec<EndpointKey> =
-            untried().filter(|key| self.at(*key).is_open()).collect();
-        if let Some(key) = self.among(&open, query, draw) {
+        let open: Vec<EndpointKey> = untried()
+            .filter(|key| self.at(*key).is_selectable())
+            .collect();
+        if let Some(key) = self.choose_among(&open, query, draw) {
             return Some(key);
         }
         let out: Vec<EndpointKey> =
             untried().filter(|key| !self.at(*key).leaving).collect();
-        self.among(&out, query, draw)
+        self.choose_among(&out, query, draw)
     }
 
-    fn among(
+    fn choose_among(
         &self,
         open: &[EndpointKey],
         query: &Query<'_>,
         draw: &mut Draw,
     ) -> Option<EndpointKey> {
-        let best = self.best_values(open);
+        let best = self.best_scores(open);
         if let Some(key) = self.by_prefix(&best, query.prefix) {
             return Some(key);
         }
-        let (near, far): (Vec<_>, Vec<_>) =
-            best.into_iter().partition(|key| self.at(*key).listed.near);
+        let (near, far): (Vec<_>, Vec<_>) = best
+            .into_iter()
+            .partition(|key| self.at(*key).listed.same_domain);
         let near = self.pick(&near, draw);
         let far = self.pick(&far, draw);
         match (near, far) {
-            (Some(near), Some(far)) => Some(self.nearer(near, far)),
+            (Some(near), Some(far)) => {
+                Some(self.prefer_same_domain(near, far))
+            }
             (near, far) => near.or(far),
         }
     }
 
     /// Own failure domain first; others by need, when it is more loaded.
-    fn nearer(&self, near: EndpointKey, far: EndpointKey) -> EndpointKey {
-        let penalty = f64::from(self.options.far_penalty);
+    fn prefer_same_domain(
+        &self,
+        near: EndpointKey,
+        far: EndpointKey,
+    ) -> EndpointKey {
+        let penalty = f64::from(self.options.other_domain_penalty);
         let spills = self.load(far) + penalty < self.load(near);
         if spills { far } else { near }
     }
 
-    fn best_values(&self, open: &[EndpointKey]) -> Vec<EndpointKey> {
-        if !matches!(self.options.health, HealthPolicy::Value { .. }) {
+    fn best_scores(&self, open: &[EndpointKey]) -> Vec<EndpointKey> {
+        if !matches!(self.options.health, HealthPolicy::Score { .. }) {
             return open.to_vec();
         }
-        let value = |key: &EndpointKey| self.at(*key).health.value();
-        let best = open.iter().map(value).max();
+        let score = |key: &EndpointKey| self.at(*key).health.score();
+        let best = open.iter().map(score).max();
         open.iter()
             .copied()
-            .filter(|key| Some(value(key)) == best)
+            .filter(|key| Some(score(key)) == best)
             .collect()
     }
 
@@ -150,14 +158,16 @@
         match &self.options.policy {
             Policy::Random => Some(set[draw.below(set.len())]),
             Policy::RoundRobin => Some(set[self.turn % set.len()]),
-            Policy::LeastOfTwo => Some(self.least_of_two(set, draw)),
+            Policy::PowerOfTwoChoices => {
+                Some(self.power_of_two_choices(set, draw))
+            }
             Policy::Probing(probing) => self
                 .by_reports(set, probing)
-                .or_else(|| Some(self.least_of_two(set, draw))),
+                .or_else(|| Some(self.power_of_two_choices(set, draw))),
         }
     }
 
-    fn least_of_two(
+    fn power_of_two_choices(
         &self,
         set: &[EndpointKey],
         draw: &mut Draw,
@@ -226,10 +236,13 @@
     }
 
     fn is_fresh(&self, key: EndpointKey, probing: &Probing) -> bool {
-        self.at(key).seen.as_ref().is_some_and(|seen| {
-            let age_ms = self.now.saturating_ms_since(seen.at);
-            seen.uses < probing.uses && age_ms <= probing.max_age_ms
-        })
+        self.at(key)
+            .last_report
+            .as_ref()
+            .is_some_and(|last_report| {
+                let age_ms = self.now.saturating_ms_since(last_report.at);
+                last_report.uses < probing.uses && age_ms <= probing.max_age_ms
+            })
     }
 
     fn load(&self, key: EndpointKey) -> f64 {
--- a/crates/router/src/subset.rs
+++ b/crates/router/src/subset.rs
@@ -7,16 +7,16 @@
 
 use base::stable_hash;
 
-use crate::endpoint::Listed;
+use crate::endpoint::ListedEndpoint;
 
 /// Least share of the subset that is left for other failure domains, so
 /// that an entry whose own domain is lost still knows somebody.
-const FAR_SHARE: usize = 4;
+const OTHER_DOMAIN_DIVISOR: usize = 4;
 
 /// Returns the places in `listed` of those to use, own domain first.
 pub(crate) fn choose(
     entry: &str,
-    listed: &[Listed],
+    listed: &[ListedEndpoint],
     size: usize,
 ) -> Vec<usize> {
     if listed.len() <= size {
@@ -28,14 +28,14 @@
         .map(|(at, one)| (stable_hash(&[entry, one.name.as_str()]), at))
         .collect();
     ranked.sort_unstable();
-    let of = |near: bool| {
+    let of = |same_domain: bool| {
         ranked
             .iter()
             .map(|(_, at)| *at)
-            .filter(move |at| listed[*at].near == near)
+            .filter(move |at| listed[*at].same_domain == same_domain)
     };
     let far_count = of(false).count();
-    let far_kept = (size / FAR_SHARE).min(far_count);
+    let far_kept = (size / OTHER_DOMAIN_DIVISOR).min(far_count);
     let mut chosen: Vec<usize> = of(true).take(size - far_kept).collect();
     let rest = size - chosen.len();
     chosen.extend(of(false).take(rest));
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -2,25 +2,29 @@
 
 use base::{Incarnation, Millis};
 use pomeloslip_router::{
-    Affinity, EndpointKey, Failure, HealthPolicy, Listed, Policy, PoolKey,
-    Probing, Query, Refused, Report, Router, RouterOptions,
+    Affinity, EndpointKey, EndpointReport, Failure, HealthPolicy,
+    ListedEndpoint, Policy, PoolKey, Probing, Query, RefusalReason, Router,
+    RouterOptions,
 };
 use yare::parameterized;
 
 const T0: Millis = Millis::new(0);
 
-fn listed(name: &str, near: bool) -> Listed {
+fn listed(name: &str, near: bool) -> ListedEndpoint {
     let valid = name.parse().expect("a valid name");
-    Listed::new(valid, near, &format!("{name}:7000"))
+    ListedEndpoint::new(valid, near, &format!("{name}:7000"))
 }
 
-fn many(count: usize, near: usize) -> Vec<Listed> {
+fn many(count: usize, near: usize) -> Vec<ListedEndpoint> {
     (0..count)
         .map(|at| listed(&format!("e{at}"), at < near))
         .collect()
 }
 
-fn router(options: RouterOptions, list: &[Listed]) -> (Router, PoolKey) {
+fn router(
+    options: RouterOptions,
+    list: &[ListedEndpoint],
+) -> (Router, PoolKey) {
     let mut router = Router::new("entry-1", options);
     let pool = router.pool("pool");
     router.list(pool, list);
@@ -31,11 +35,11 @@
     RouterOptions::default().affinity(None)
 }
 
-fn report(life: u64) -> Report {
-    Report {
+fn report(life: u64) -> EndpointReport {
+    EndpointReport {
         up: true,
         incarnation: Incarnation::new(life),
-        ..Report::default()
+        ..EndpointReport::default()
     }
 }
 
@@ -58,7 +62,7 @@
 #[parameterized(
     random = { Policy::Random },
     round_robin = { Policy::RoundRobin },
-    least_of_two = { Policy::LeastOfTwo },
+    least_of_two = { Policy::PowerOfTwoChoices },
     probing = { Policy::Probing(Probing::default()) },
 )]
 fn every_policy_spreads_and_never_repeats_a_try(policy: Policy) {
@@ -84,7 +88,9 @@
 
 #[test]
 fn own_domain_first_and_others_by_need() {
-    let options = plain().policy(Policy::LeastOfTwo).far_penalty(2);
+    let options = plain()
+        .policy(Policy::PowerOfTwoChoices)
+        .other_domain_penalty(2);
     let (mut router, pool) = router(options, &many(2, 1));
     let (near, far) = (key(&router, "e0"), key(&router, "e1"));
     let mut chosen = Vec::new();
@@ -119,7 +125,7 @@
 #[test]
 fn entries_use_different_parts_and_keep_them() {
     let list = many(100, 0);
-    let part = |entry: &str, list: &[Listed]| {
+    let part = |entry: &str, list: &[ListedEndpoint]| {
         let mut router = Router::new(entry, plain().subset(10));
         let pool = router.pool("pool");
         router.list(pool, list);
@@ -130,7 +136,7 @@
     };
     let first = part("entry-1", &list);
     assert_ne!(first, part("entry-2", &list));
-    let without: Vec<Listed> = list
+    let without: Vec<ListedEndpoint> = list
         .iter()
         .filter(|one| one.name().as_str() != first[0])
         .cloned()
@@ -148,7 +154,7 @@
     let old = choose(&mut router, pool, T0, 1).unwrap();
     router.sent(old, T0);
     assert_eq!(router.reported(old, &report(1), T0), old);
-    router.refused(old, Refused::Leaving, T0);
+    router.refused(old, RefusalReason::Leaving, T0);
     assert_eq!(choose(&mut router, pool, T0, 1), None);
 
     let new = router.probed(old, &report(2), T0);
@@ -159,7 +165,7 @@
     router.failed(old, Failure::Unreachable, T0);
     let views: Vec<_> = router.endpoints().collect();
     assert_eq!(views.len(), 1);
-    assert_eq!((views[0].in_flight, views[0].open), (1, true));
+    assert_eq!((views[0].in_flight, views[0].selectable), (1, true));
 }
 
 /// Symptom: new work at an endpoint that leaves. Events: its companion says
@@ -171,7 +177,7 @@
     let (mut router, pool) = router(plain().subset(2), &list);
     let leaving = router.endpoints().next().unwrap();
     router.reported(leaving.key, &report(7), T0);
-    router.leaving(Incarnation::new(7));
+    router.mark_leaving(Incarnation::new(7));
     let listing = router.list(pool, &list);
     // Another one takes its place in the subset.
     assert_eq!(listing.added.len(), 1);
@@ -184,7 +190,7 @@
 #[test]
 fn a_life_that_left_before_it_was_known_gets_nothing() {
     let (mut router, pool) = router(plain(), &many(1, 1));
-    router.leaving(Incarnation::new(7));
+    router.mark_leaving(Incarnation::new(7));
     let key = key(&router, "e0");
     router.probed(key, &report(7), T0);
     assert_eq!(choose(&mut router, pool, T0, 1), None);
@@ -246,7 +252,7 @@
             router.failed(*key, Failure::Lost, T0);
         }
     }
-    assert_eq!(router.endpoints().filter(|v| v.open).count(), 5);
+    assert_eq!(router.endpoints().filter(|v| v.selectable).count(), 5);
 }
 
 #[test]
@@ -254,9 +260,9 @@
     let (mut router, _) = router(plain(), &many(1, 1));
     let key = key(&router, "e0");
     for _ in 0..50 {
-        router.refused(key, Refused::Full, T0);
+        router.refused(key, RefusalReason::Full, T0);
     }
-    assert!(router.endpoints().all(|view| view.open));
+    assert!(router.endpoints().all(|view| view.selectable));
 }
 
 #[test]
@@ -292,7 +298,7 @@
 
 #[test]
 fn health_values_prefer_the_best_and_recover_by_probes() {
-    let health = HealthPolicy::Value { sensitivity: 2 };
+    let health = HealthPolicy::Score { sensitivity: 2 };
     let (mut router, pool) = router(plain().health(health), &many(2, 2));
     let (bad, good) = (key(&router, "e0"), key(&router, "e1"));
     router.reported(bad, &report(1), T0);
@@ -320,7 +326,7 @@
     let told = [(4, 10), (0, 90), (1, 20)];
     for (at, (running, first_token_ms)) in told.into_iter().enumerate() {
         let key = key(&router, &format!("e{at}"));
-        let report = Report {
+        let report = EndpointReport {
             running,
             first_token_ms,
             ..report(at as u64 + 1)
@@ -338,7 +344,7 @@
     let (mut router, pool) = router(options, &many(4, 4));
     let query = Query::default().prefix(Some(42));
     let home = router.choose(pool, &query, T0, 1).unwrap().endpoint;
-    let report = Report {
+    let report = EndpointReport {
         waiting: 1,
         ..report(1)
     };
