--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -39,7 +39,7 @@
     fn from(change: Change) -> Self {
         match change.delta {
             Some(delta) => Event::Changed(delta),
-            None => Event::Noticed(change.revision),
+            None => Event::RevisionAnnounced(change.revision),
         }
     }
 }
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -24,7 +24,7 @@
 };
 use rules::{Compiled, Config};
 use serde::{Deserialize, Serialize};
-use spread::{Action, Document, Event, Message, Spread, Stamp};
+use spread::{Action, Document, Event, Message, Propagator, Stamp};
 use tokio::sync::{Notify, mpsc, watch};
 
 use self::follow::Change;
@@ -129,7 +129,7 @@
 }
 
 struct Joined {
-    spread: Spread,
+    spread: Propagator,
     outgoing: mpsc::UnboundedSender<Outgoing>,
 }
 
@@ -151,7 +151,7 @@
     /// Takes part in spreading; returns what is to be sent.
     pub(crate) fn join(
         &self,
-        spread: Spread,
+        spread: Propagator,
     ) -> mpsc::UnboundedReceiver<Outgoing> {
         let (outgoing, receiver) = mpsc::unbounded_channel();
         *self.joined() = Some(Joined { spread, outgoing });
@@ -206,7 +206,7 @@
         joined.as_ref().map_or_else(Part::default, |joined| Part {
             service_calls,
             is_relay: joined.spread.is_relay(),
-            heard: joined.spread.heard(),
+            heard: joined.spread.newest_known(),
             conflicts: joined.spread.conflicts(),
         })
     }
@@ -332,7 +332,7 @@
             revision: next.revision,
             delta: self.joined().as_ref().and_then(|joined| {
                 let spread = &joined.spread;
-                spread.change(next.revision, &next.text, next.stamp())
+                spread.delta_for_edit(next.revision, &next.text, next.stamp())
             }),
         };
         let change =
--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/neighbours.rs
@@ -11,7 +11,7 @@
 use error_stack::{Report, ResultExt};
 use quarantine::{CaseNews, Quarantine};
 use serde::{Deserialize, Serialize};
-use spread::{Event, Message, Options, Spread};
+use spread::{Event, Message, Options, Propagator};
 use tokio::task::JoinSet;
 use wire::{Links, message::ConfigText};
 
@@ -58,7 +58,7 @@
     /// Talks to neighbours until the process ends.
     pub(crate) async fn work(self, store: Arc<ConfigStore>, timer: Timer) {
         let me = self.links.identity();
-        let spread = Spread::new(
+        let spread = Propagator::new(
             me.vm.clone(),
             me.failure_domain.clone(),
             self.addresses,
@@ -101,7 +101,7 @@
 async fn converse(asker: Asker, to: Outgoing, store: Arc<ConfigStore>) {
     let peer = to.0;
     let event = match asker.ask(to).await {
-        Ok(message) => Event::Answer { peer, message },
+        Ok(message) => Event::Response { peer, message },
         Err(report) => {
             log::debug!(error:? = report; "a neighbour does not answer");
             Event::Failed { peer }
@@ -147,7 +147,7 @@
         };
         quarantine.take_news(question.held_requests);
         let reply = Envelope {
-            message: self.handle(Event::Question(question.message))?,
+            message: self.handle(Event::Request(question.message))?,
             held_requests: quarantine.news(),
         };
         serde_json::to_vec(&reply).ok().map(Bytes::from)
--- a/crates/spread/src/document.rs
+++ b/crates/spread/src/document.rs
@@ -9,7 +9,7 @@
 use crate::split;
 
 /// Removals that are remembered; a process that misses more gets the whole.
-const REMOVED_MAX: usize = 1_024;
+const MAX_REMOVED_REMEMBERED: usize = 1_024;
 
 /// When and by which edit a configuration was accepted.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
 /// let old = Document::new(Revision::new(1), old, Stamp::default());
 /// let new = "tenants:\n  - tenant: a\n  - tenant: c\n";
 /// let new = old.successor(Revision::new(2), new, Stamp::default());
-/// let delta = new.since(old.revision());
+/// let delta = new.delta_since(old.revision());
 /// assert_eq!(delta.text_bytes(), "  - tenant: c\n".len());
 /// assert_eq!(old.apply(&delta).unwrap().text(), new.text());
 /// ```
@@ -139,7 +139,7 @@
             .collect();
         // A part that stays keeps its revision only while those that stay
         // are in the old order: the receiver puts changed parts at their
-        // places among the rest, whose order it takes from what it has.
+        // changed among the rest, whose order it takes from what it has.
         let mut after = None;
         for part in &mut next.parts {
             let Some((at, was)) = old.get(&part.name) else {
@@ -158,13 +158,13 @@
         });
         next.removed = self.removed.iter().cloned().chain(gone).collect();
         next.complete_from = self.complete_from;
-        next.forget();
+        next.prune_removed();
         next
     }
 
     /// Bounds what is remembered of removed parts.
-    fn forget(&mut self) {
-        let over = self.removed.len().saturating_sub(REMOVED_MAX);
+    fn prune_removed(&mut self) {
+        let over = self.removed.len().saturating_sub(MAX_REMOVED_REMEMBERED);
         for removed in self.removed.drain(..over) {
             self.complete_from = self.complete_from.max(removed.revision);
         }
@@ -172,7 +172,7 @@
 
     /// Returns what a process with revision `base` lacks; the whole if that
     /// is not known.
-    pub fn since(&self, base: Revision) -> Delta {
+    pub fn delta_since(&self, base: Revision) -> Delta {
         let known = base >= self.complete_from && base <= self.revision;
         let base = match known {
             true => base,
@@ -194,7 +194,7 @@
 
     /// Makes a document of a delta that is the whole; `None` if it is not
     /// or is damaged.
-    pub fn of_whole(delta: &Delta) -> Option<Self> {
+    pub fn from_full_delta(delta: &Delta) -> Option<Self> {
         if delta.base != Revision::default() {
             return None;
         }
@@ -209,7 +209,7 @@
             return None;
         }
         if delta.base == Revision::default() {
-            return Self::of_whole(delta);
+            return Self::from_full_delta(delta);
         }
         let parts = delta.parts.iter().map(|(_, part)| &part.name);
         let removed = delta.removed.iter().map(|removed| &removed.name);
@@ -226,16 +226,16 @@
         complete_from: Revision,
         delta: &Delta,
     ) -> Option<Self> {
-        let mut places = delta.parts.iter().peekable();
+        let mut changed = delta.parts.iter().peekable();
         let mut kept = parts.drain(..);
         let mut merged = Vec::new();
         loop {
             let here = merged.len() as u32;
-            match places.next_if(|(at, _)| *at <= here) {
+            match changed.next_if(|(at, _)| *at <= here) {
                 Some((_, part)) => merged.push(part.clone()),
                 None => match kept.next() {
                     Some(part) => merged.push(part),
-                    None if places.peek().is_none() => break,
+                    None if changed.peek().is_none() => break,
                     None => return None,
                 },
             }
@@ -256,7 +256,7 @@
             parts: merged,
             removed,
         };
-        next.forget();
+        next.prune_removed();
         (stable_hash(&[&next.text()]) == delta.digest).then_some(next)
     }
 
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -4,13 +4,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Most processes that are remembered.
-const MEMBERS_MAX: usize = 4_096;
+const MAX_MEMBERS: usize = 4_096;
 
 /// Most hints in one answer of processes in the asker's failure domain.
-const HINTS_DOMAIN_MAX: usize = 32;
+const MAX_SAME_DOMAIN_HINTS: usize = 32;
 
 /// Most hints in one answer of other processes.
-const HINTS_OTHER_MAX: usize = 8;
+const MAX_OTHER_DOMAIN_HINTS: usize = 8;
 
 /// What one process tells another about a third.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     vm: VmId,
     failure_domain: FailureDomain,
     address: Option<SocketAddr>,
-    /// Time since somebody heard of it, in milliseconds.
+    /// Time since somebody heard_at of it, in milliseconds.
     age_ms: u64,
 }
 
@@ -28,17 +28,17 @@
     address: Option<SocketAddr>,
     /// Its number in the choice of relays.
     rank: u64,
-    heard: Millis,
-    /// When a call to it failed last; older hints are no sign of life.
-    failed: Option<Millis>,
+    heard_at: Millis,
+    /// When a call to it failed_at last; older hints are no sign of life.
+    failed_at: Option<Millis>,
 }
 
-/// Processes that were heard of, and when.
+/// Processes that were heard_at of, and when.
 #[derive(Clone, Debug)]
 pub(crate) struct Members {
-    me: VmId,
+    own_vm: VmId,
     failure_domain: FailureDomain,
-    live_ms: u64,
+    member_ttl_ms: u64,
     /// The own number in the choice of relays.
     rank: u64,
     known: BTreeMap<VmId, Member>,
@@ -46,33 +46,33 @@
 
 impl Members {
     pub(crate) fn new(
-        me: VmId,
+        own_vm: VmId,
         failure_domain: FailureDomain,
-        live_ms: u64,
+        member_ttl_ms: u64,
     ) -> Self {
         Self {
-            rank: rank(&failure_domain, &me),
-            me,
+            rank: rank(&failure_domain, &own_vm),
+            own_vm,
             failure_domain,
-            live_ms,
+            member_ttl_ms,
             known: BTreeMap::new(),
         }
     }
 
     /// Notes a sign of life.
-    pub(crate) fn heard(
+    pub(crate) fn record_heard(
         &mut self,
         vm: &VmId,
         failure_domain: &FailureDomain,
         address: Option<SocketAddr>,
         at: Millis,
     ) {
-        if *vm == self.me {
+        if *vm == self.own_vm {
             return;
         }
         if let Some(member) = self.known.get_mut(vm) {
-            if member.failed < Some(at) && member.heard <= at {
-                member.heard = at;
+            if member.failed_at < Some(at) && member.heard_at <= at {
+                member.heard_at = at;
                 if member.failure_domain != *failure_domain {
                     member.failure_domain = failure_domain.clone();
                     member.rank = rank(failure_domain, vm);
@@ -81,39 +81,39 @@
             }
             return;
         }
-        if self.known.len() < MEMBERS_MAX {
+        if self.known.len() < MAX_MEMBERS {
             let member = Member {
                 failure_domain: failure_domain.clone(),
                 address,
                 rank: rank(failure_domain, vm),
-                heard: at,
-                failed: None,
+                heard_at: at,
+                failed_at: None,
             };
             self.known.insert(vm.clone(), member);
         }
     }
 
-    /// Notes that a call to an address failed.
-    pub(crate) fn failed(&mut self, address: SocketAddr, now: Millis) {
+    /// Notes that a call to an address failed_at.
+    pub(crate) fn record_failure(&mut self, address: SocketAddr, now: Millis) {
         let members = self.known.values_mut();
         for member in members.filter(|m| m.address == Some(address)) {
-            member.failed = Some(now);
+            member.failed_at = Some(now);
         }
     }
 
     /// Forgets who was silent for long.
     pub(crate) fn expire(&mut self, now: Millis) {
-        let keep_ms = self.live_ms.saturating_mul(2);
+        let keep_ms = self.member_ttl_ms.saturating_mul(2);
         self.known
-            .retain(|_, m| now.saturating_ms_since(m.heard) < keep_ms);
+            .retain(|_, m| now.saturating_ms_since(m.heard_at) < keep_ms);
     }
 
-    pub(crate) fn hear(&mut self, hint: &Hint, now: Millis) {
+    pub(crate) fn apply_hint(&mut self, hint: &Hint, now: Millis) {
         let at = now.as_ms().saturating_sub(hint.age_ms);
         let at = Millis::new(at);
         let domain = &hint.failure_domain;
-        if now.saturating_ms_since(at) < self.live_ms {
-            self.heard(&hint.vm, domain, hint.address, at);
+        if now.saturating_ms_since(at) < self.member_ttl_ms {
+            self.record_heard(&hint.vm, domain, hint.address, at);
         }
     }
 
@@ -128,25 +128,29 @@
             vm: vm.clone(),
             failure_domain: member.failure_domain.clone(),
             address: member.address,
-            age_ms: now.saturating_ms_since(member.heard),
+            age_ms: now.saturating_ms_since(member.heard_at),
         };
         let live = || self.live(now);
         let own = live().filter(|(_, m)| m.failure_domain == *domain);
-        let mut hints: Vec<_> = own.take(HINTS_DOMAIN_MAX).map(hint).collect();
+        let mut hints: Vec<_> =
+            own.take(MAX_SAME_DOMAIN_HINTS).map(hint).collect();
         let others: Vec<_> = live()
             .filter(|(_, m)| m.failure_domain != *domain)
             .collect();
         let start = random as usize % others.len().max(1);
         let turn = others.iter().cycle().skip(start);
-        let count = others.len().min(HINTS_OTHER_MAX);
+        let count = others.len().min(MAX_OTHER_DOMAIN_HINTS);
         hints.extend(turn.take(count).copied().map(hint));
         hints
     }
 
     fn live(&self, now: Millis) -> impl Iterator<Item = (&VmId, &Member)> {
         self.known.iter().filter(move |(_, member)| {
-            member.failed.is_none_or(|failed| failed < member.heard)
-                && now.saturating_ms_since(member.heard) < self.live_ms
+            member
+                .failed_at
+                .is_none_or(|failed_at| failed_at < member.heard_at)
+                && now.saturating_ms_since(member.heard_at)
+                    < self.member_ttl_ms
         })
     }
 
@@ -165,7 +169,7 @@
             .live(now)
             .filter(|(_, member)| member.failure_domain == self.failure_domain)
             .map(|(vm, member)| (member.rank, vm, member.address))
-            .chain([(self.rank, &self.me, None)]);
+            .chain([(self.rank, &self.own_vm, None)]);
         let mut ranked: Vec<_> = own.collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         let chosen = ranked.into_iter().take(count);
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -88,11 +88,11 @@
     /// The watch at the service delivered a change.
     Changed(Delta),
     /// The watch delivered that a revision exists, without the change.
-    Noticed(Revision),
+    RevisionAnnounced(Revision),
     /// Another process asks or tells.
-    Question(Message),
+    Request(Message),
     /// A neighbour answers.
-    Answer {
+    Response {
         /// The neighbour.
         peer: SocketAddr,
         /// What it says.
--- a/crates/spread/src/options.rs
+++ b/crates/spread/src/options.rs
@@ -1,4 +1,4 @@
-/// Pauses and counts of a [`Spread`](crate::Spread).
+/// Pauses and counts of a [`Propagator`](crate::Propagator).
 ///
 /// # Example
 ///
@@ -15,24 +15,24 @@
     /// Neighbours that a process talks to, beside the relays of its domain.
     pub fanout: usize,
     /// Pause between two comparisons with a neighbour.
-    pub ask_ms: u64,
+    pub exchange_interval_ms: u64,
     /// The same while nothing is in force.
-    pub ask_first_ms: u64,
+    pub initial_exchange_interval_ms: u64,
     /// Silence after which a process counts as gone.
-    pub live_ms: u64,
+    pub member_ttl_ms: u64,
     /// Pause before a neighbour that did not answer is tried again.
-    pub down_ms: u64,
+    pub peer_retry_ms: u64,
     /// Answers of neighbours that are awaited before the first revision is
     /// applied, unless the service gave one.
-    pub settle_answers: usize,
+    pub settle_responses: usize,
     /// Longest wait for them.
     pub settle_ms: u64,
     /// Time after the start in which nobody is a relay: who knows nobody
     /// would take itself for one.
-    pub learn_ms: u64,
+    pub discovery_ms: u64,
     /// Hints about other processes are asked for in each of this many
     /// comparisons.
-    pub hints_every: u64,
+    pub exchanges_per_hints: u64,
 }
 
 impl Default for Options {
@@ -40,14 +40,14 @@
         Self {
             relays: 2,
             fanout: 5,
-            ask_ms: 1_000,
-            ask_first_ms: 100,
-            live_ms: 30_000,
-            down_ms: 3_000,
-            settle_answers: 3,
+            exchange_interval_ms: 1_000,
+            initial_exchange_interval_ms: 100,
+            member_ttl_ms: 30_000,
+            peer_retry_ms: 3_000,
+            settle_responses: 3,
             settle_ms: 1_000,
-            learn_ms: 6_000,
-            hints_every: 4,
+            discovery_ms: 6_000,
+            exchanges_per_hints: 4,
         }
     }
 }
--- a/crates/spread/src/propagator.rs
+++ b/crates/spread/src/propagator.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
-    /// It did not answer; tried again then.
+    /// It did not response; tried again then.
     down_until: Option<Millis>,
 }
 
 /// Decides how one process takes part in spreading configurations.
 ///
-/// [`Spread::handle`] takes what happened with the time and a random number
+/// [`Propagator::handle`] takes what happened with the time and a random number
 /// and says what to do. A revision is applied only if it is higher than the
 /// one in force, whoever offers it and in whatever order.
 ///
@@ -25,19 +25,19 @@
 ///
 /// ```
 /// use base::{Millis, Revision};
-/// use pomeloslip_spread::{Action, Event, Options, Spread, Stamp};
+/// use pomeloslip_spread::{Action, Event, Options, Propagator, Stamp};
 ///
 /// let vm = "entry-1".parse()?;
 /// let domain = "tallinn-a".parse()?;
 /// let now = Millis::new(0);
-/// let mut spread = Spread::new(vm, domain, vec![], Options::default(), now);
+/// let mut propagator = Propagator::new(vm, domain, vec![], Options::default(), now);
 /// let mut offer = |revision| {
 ///     let event = Event::Found {
 ///         revision: Revision::new(revision),
 ///         text: "rules: []\n".to_owned(),
 ///         stamp: Stamp::default(),
 ///     };
-///     let actions = spread.handle(now, event, 1);
+///     let actions = propagator.handle(now, event, 1);
 ///     actions.iter().any(|action| matches!(action, Action::Apply(_)))
 /// };
 /// assert!(offer(2));
@@ -45,29 +45,29 @@
 /// # Ok::<(), base::IdError>(())
 /// ```
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct Propagator {
     vm: VmId,
     failure_domain: FailureDomain,
     options: Options,
-    started: Millis,
+    started_at: Millis,
     /// In the order in which this process prefers them.
     peers: Vec<Peer>,
     members: Members,
     document: Option<Document>,
-    since: Millis,
-    heard: Revision,
+    in_force_since: Millis,
+    newest_known: Revision,
     /// Found before the first may be applied.
     candidate: Option<Document>,
-    answers: usize,
-    next_ask: Millis,
-    turn: u64,
-    wants_whole: bool,
+    responses: usize,
+    next_exchange_at: Millis,
+    exchange_count: u64,
+    needs_full_delta: bool,
     is_relay: bool,
     conflicts: u64,
 }
 
-impl Spread {
-    /// Makes the state of a process that has just started.
+impl Propagator {
+    /// Makes the state of a process that has just started_at.
     pub fn new(
         vm: VmId,
         failure_domain: FailureDomain,
@@ -87,22 +87,22 @@
             down_until: None,
         });
         let domain = failure_domain.clone();
-        let members = Members::new(vm.clone(), domain, options.live_ms);
+        let members = Members::new(vm.clone(), domain, options.member_ttl_ms);
         Self {
             vm,
             failure_domain,
             options,
-            started: now,
+            started_at: now,
             peers: peers.collect(),
             members,
             document: None,
-            since: now,
-            heard: Revision::default(),
+            in_force_since: now,
+            newest_known: Revision::default(),
             candidate: None,
-            answers: 0,
-            next_ask: now,
-            turn: 0,
-            wants_whole: false,
+            responses: 0,
+            next_exchange_at: now,
+            exchange_count: 0,
+            needs_full_delta: false,
             is_relay: false,
             conflicts: 0,
         }
@@ -120,16 +120,16 @@
         document.map_or(Revision::default(), Document::revision)
     }
 
-    /// Returns since when it is in force.
+    /// Returns in_force_since when it is in force.
     #[inline]
-    pub fn since(&self) -> Millis {
-        self.since
+    pub fn in_force_since(&self) -> Millis {
+        self.in_force_since
     }
 
-    /// Returns the newest revision heard of, in force here or not.
+    /// Returns the newest revision newest_known of, in force here or not.
     #[inline]
-    pub fn heard(&self) -> Revision {
-        self.heard
+    pub fn newest_known(&self) -> Revision {
+        self.newest_known
     }
 
     /// Returns whether this process watches the service.
@@ -147,7 +147,7 @@
 
     /// Returns the change that an edit of what is in force would be, for
     /// the watchers; `None` if the edit is not of that.
-    pub fn change(
+    pub fn delta_for_edit(
         &self,
         revision: Revision,
         text: &str,
@@ -155,7 +155,8 @@
     ) -> Option<Delta> {
         let now = self.document.as_ref()?;
         (now.revision().get() + 1 == revision.get()).then(|| {
-            now.successor(revision, text, stamp).since(now.revision())
+            now.successor(revision, text, stamp)
+                .delta_since(now.revision())
         })
     }
 
@@ -174,36 +175,52 @@
                 text,
                 stamp,
             } => {
-                self.answers = self.answers.max(self.options.settle_answers);
-                self.found(now, revision, &text, stamp, false, &mut actions);
+                self.responses =
+                    self.responses.max(self.options.settle_responses);
+                self.apply_full_text(
+                    now,
+                    revision,
+                    &text,
+                    stamp,
+                    false,
+                    &mut actions,
+                );
             }
             Event::Accepted {
                 revision,
                 text,
                 stamp,
             } => {
-                self.answers = self.answers.max(self.options.settle_answers);
-                self.found(now, revision, &text, stamp, true, &mut actions);
+                self.responses =
+                    self.responses.max(self.options.settle_responses);
+                self.apply_full_text(
+                    now,
+                    revision,
+                    &text,
+                    stamp,
+                    true,
+                    &mut actions,
+                );
             }
             Event::Changed(delta) => {
-                self.hear_of(delta.revision());
+                self.note_revision(delta.revision());
                 if delta.revision() > self.revision()
-                    && !self.put_on(now, &delta, &mut actions)
+                    && !self.apply_delta(now, &delta, &mut actions)
                 {
                     actions.push(Action::Read);
                 }
             }
-            Event::Noticed(revision) => {
-                self.hear_of(revision);
+            Event::RevisionAnnounced(revision) => {
+                self.note_revision(revision);
                 if revision > self.revision() {
                     actions.push(Action::Read);
                 }
             }
-            Event::Question(question) => {
-                self.question(now, &question, random, &mut actions);
+            Event::Request(request) => {
+                self.request(now, &request, random, &mut actions);
             }
-            Event::Answer { peer, message } => {
-                self.answer(now, peer, &message, &mut actions);
+            Event::Response { peer, message } => {
+                self.response(now, peer, &message, &mut actions);
             }
             Event::Failed { peer } => self.failed(now, peer),
         }
@@ -213,49 +230,50 @@
 
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.members.expire(now);
-        self.elect(now, actions);
-        self.probe(now, actions);
-        if now < self.next_ask {
+        self.update_relay_role(now, actions);
+        self.retry_down_peers(now, actions);
+        if now < self.next_exchange_at {
             return;
         }
         let pause_ms = match self.document {
-            Some(_) => self.options.ask_ms,
-            None => self.options.ask_first_ms,
+            Some(_) => self.options.exchange_interval_ms,
+            None => self.options.initial_exchange_interval_ms,
         };
-        self.next_ask = now.saturating_add_ms(pause_ms);
+        self.next_exchange_at = now.saturating_add_ms(pause_ms);
         let contacts = self.contacts(now);
         if contacts.is_empty() {
             return;
         }
-        let at = (self.turn % contacts.len() as u64) as usize;
-        self.ask(contacts[at], actions);
+        let at = (self.exchange_count % contacts.len() as u64) as usize;
+        self.compare_with(contacts[at], actions);
     }
 
-    fn ask(&mut self, peer: SocketAddr, actions: &mut Vec<Action>) {
+    fn compare_with(&mut self, peer: SocketAddr, actions: &mut Vec<Action>) {
         let mut message = self.message(Step::Ask);
-        message.wants_hints =
-            self.turn.is_multiple_of(self.options.hints_every);
-        self.turn += 1;
+        message.wants_hints = self
+            .exchange_count
+            .is_multiple_of(self.options.exchanges_per_hints);
+        self.exchange_count += 1;
         actions.push(send(peer, message));
     }
 
     /// Decides whether this process watches the service.
-    fn elect(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let learns =
-            now.saturating_ms_since(self.started) < self.options.learn_ms;
+    fn update_relay_role(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let is_discovering = now.saturating_ms_since(self.started_at)
+            < self.options.discovery_ms;
         let relays = self.members.relays(self.options.relays, now);
         let chosen = relays.iter().any(|(vm, _)| *vm == self.vm);
-        let is_relay = chosen && (!learns || self.peers.is_empty());
+        let is_relay = chosen && (!is_discovering || self.peers.is_empty());
         if is_relay != self.is_relay {
             self.is_relay = is_relay;
             actions.push(Action::Watch(is_relay));
         }
     }
 
-    /// Tries preferred neighbours again that did not answer, so that parted
+    /// Tries preferred neighbours again that did not response, so that parted
     /// regions find each other soon after they are connected again.
-    fn probe(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let until = now.saturating_add_ms(self.options.down_ms);
+    fn retry_down_peers(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let until = now.saturating_add_ms(self.options.peer_retry_ms);
         let preferred = self.peers.iter_mut().take(self.options.fanout);
         let due: Vec<_> = preferred
             .filter(|peer| peer.down_until.is_some_and(|at| at <= now))
@@ -265,18 +283,18 @@
             })
             .collect();
         for peer in due {
-            self.ask(peer, actions);
+            self.compare_with(peer, actions);
         }
     }
 
     /// Returns whom this process talks to: the first neighbours in its
-    /// order that answer, and the relays of its failure domain.
+    /// order that response, and the relays of its failure domain.
     fn contacts(&self, now: Millis) -> Vec<SocketAddr> {
         let up = self.peers.iter().filter(|p| p.down_until.is_none());
         let up = up.map(|peer| peer.address);
         let mut contacts: Vec<_> = up.take(self.options.fanout).collect();
         if contacts.is_empty() {
-            // Nobody answers; somebody may by now.
+            // Nobody responses; somebody may by now.
             let all = self.peers.iter().map(|peer| peer.address);
             contacts = all.collect();
         }
@@ -296,8 +314,8 @@
             step,
             revision,
             digest: document.map_or(0, Document::digest),
-            heard: self.heard,
-            base: match self.wants_whole {
+            heard: self.newest_known,
+            base: match self.needs_full_delta {
                 true => Revision::default(),
                 false => revision,
             },
@@ -307,42 +325,42 @@
         }
     }
 
-    fn question(
+    fn request(
         &mut self,
         now: Millis,
-        question: &Message,
+        request: &Message,
         random: u64,
         actions: &mut Vec<Action>,
     ) {
-        self.hear(now, question, None, actions);
-        let mut reply = self.message(question.step);
-        reply.delta = self.lacked_by(question);
-        if question.wants_hints {
-            let domain = &question.failure_domain;
+        self.apply_message(now, request, None, actions);
+        let mut reply = self.message(request.step);
+        reply.delta = self.delta_for(request);
+        if request.wants_hints {
+            let domain = &request.failure_domain;
             reply.hints = self.members.hints(domain, now, random);
         }
         actions.push(Action::Reply(Box::new(reply)));
     }
 
-    fn answer(
+    fn response(
         &mut self,
         now: Millis,
         peer: SocketAddr,
-        answer: &Message,
+        response: &Message,
         actions: &mut Vec<Action>,
     ) {
-        self.answers += 1;
+        self.responses += 1;
         if let Some(peer) = self.peer(peer) {
             peer.down_until = None;
         }
-        for hint in &answer.hints {
-            self.members.hear(hint, now);
+        for hint in &response.hints {
+            self.members.apply_hint(hint, now);
         }
-        self.hear(now, answer, Some(peer), actions);
-        if answer.step == Step::FollowUp {
+        self.apply_message(now, response, Some(peer), actions);
+        if response.step == Step::FollowUp {
             return;
         }
-        if let Some(delta) = self.lacked_by(answer) {
+        if let Some(delta) = self.delta_for(response) {
             let mut message = self.message(Step::FollowUp);
             message.delta = Some(delta);
             actions.push(send(peer, message));
@@ -350,7 +368,7 @@
     }
 
     /// Takes in what any message says.
-    fn hear(
+    fn apply_message(
         &mut self,
         now: Millis,
         message: &Message,
@@ -358,39 +376,39 @@
         actions: &mut Vec<Action>,
     ) {
         let domain = &message.failure_domain;
-        self.members.heard(&message.vm, domain, address, now);
-        self.hear_of(message.heard.max(message.revision));
+        self.members.record_heard(&message.vm, domain, address, now);
+        self.note_revision(message.heard.max(message.revision));
         let digest = self.document.as_ref().map(Document::digest);
         let same = message.revision == self.revision();
         if same && digest.is_some_and(|digest| digest != message.digest) {
             self.conflicts += 1;
         }
         let Some(delta) = &message.delta else { return };
-        self.hear_of(delta.revision());
+        self.note_revision(delta.revision());
         if delta.revision() <= self.revision() {
             return;
         }
-        let fits = self.put_on(now, delta, actions);
+        let is_applicable = self.apply_delta(now, delta, actions);
         // One that starts later only means that a revision was missed;
         // one that leads elsewhere, that what it is put on is not what
         // its sender means by this revision.
-        if !fits && delta.base() <= self.revision() {
-            self.wants_whole = true;
+        if !is_applicable && delta.base() <= self.revision() {
+            self.needs_full_delta = true;
         }
     }
 
-    fn hear_of(&mut self, revision: Revision) {
-        self.heard = self.heard.max(revision);
+    fn note_revision(&mut self, revision: Revision) {
+        self.newest_known = self.newest_known.max(revision);
     }
 
     /// Returns what the sender of a message lacks.
-    fn lacked_by(&self, message: &Message) -> Option<Delta> {
+    fn delta_for(&self, message: &Message) -> Option<Delta> {
         let document = self.document.as_ref()?;
         let lacks = message.revision < document.revision();
-        lacks.then(|| document.since(message.base))
+        lacks.then(|| document.delta_since(message.base))
     }
 
-    fn found(
+    fn apply_full_text(
         &mut self,
         now: Millis,
         revision: Revision,
@@ -399,7 +417,7 @@
         is_edit: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.hear_of(revision);
+        self.note_revision(revision);
         if revision <= self.revision() {
             return;
         }
@@ -408,12 +426,12 @@
             None => Document::new(revision, text, stamp),
         };
         if is_edit && self.document.is_none() {
-            self.tell(now, &next, Revision::default(), actions);
+            self.push_to_contacts(now, &next, Revision::default(), actions);
         }
-        self.adopt(now, next, actions);
+        self.accept_document(now, next, actions);
     }
 
-    fn put_on(
+    fn apply_delta(
         &mut self,
         now: Millis,
         delta: &Delta,
@@ -421,18 +439,18 @@
     ) -> bool {
         let next = match &self.document {
             Some(document) => document.apply(delta),
-            None => Document::of_whole(delta),
+            None => Document::from_full_delta(delta),
         };
-        let fits = next.is_some();
+        let is_applicable = next.is_some();
         if let Some(next) = next {
-            self.adopt(now, next, actions);
+            self.accept_document(now, next, actions);
         }
-        fits
+        is_applicable
     }
 
     /// Takes a document that is newer than the one in force; the first one
-    /// waits for [`Spread::settle`].
-    fn adopt(
+    /// waits for [`Propagator::settle`].
+    fn accept_document(
         &mut self,
         now: Millis,
         next: Document,
@@ -443,8 +461,8 @@
         }
         match &self.document {
             Some(before) => {
-                self.tell(now, &next, before.revision(), actions);
-                self.put_in_force(now, next, actions);
+                self.push_to_contacts(now, &next, before.revision(), actions);
+                self.set_in_force(now, next, actions);
             }
             None => {
                 let known = self.candidate.as_ref().map(Document::revision);
@@ -455,62 +473,62 @@
         }
     }
 
-    fn put_in_force(
+    fn set_in_force(
         &mut self,
         now: Millis,
         next: Document,
         actions: &mut Vec<Action>,
     ) {
-        self.wants_whole = false;
-        self.since = now;
+        self.needs_full_delta = false;
+        self.in_force_since = now;
         self.document = Some(next.clone());
         actions.push(Action::Apply(next));
     }
 
-    /// Applies the newest of what was found first, once enough others were
+    /// Applies the newest of what was apply_full_text first, once enough others were
     /// asked.
     ///
     /// A process that restarts does not know which revision it had. The
-    /// first neighbour that answers may lag behind it, so some more are
+    /// first neighbour that responses may lag behind it, so some more are
     /// awaited, but not for long: one that serves nobody is worse.
     fn settle(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.document.is_none()
             && self.is_settled(now)
-            && let Some(found) = self.candidate.take()
+            && let Some(candidate) = self.candidate.take()
         {
-            self.put_in_force(now, found, actions);
+            self.set_in_force(now, candidate, actions);
         }
     }
 
     fn is_settled(&self, now: Millis) -> bool {
-        let wanted = self.options.settle_answers.min(self.peers.len());
-        let waited = now.saturating_ms_since(self.started);
-        self.answers >= wanted || waited >= self.options.settle_ms
+        let wanted = self.options.settle_responses.min(self.peers.len());
+        let waited = now.saturating_ms_since(self.started_at);
+        self.responses >= wanted || waited >= self.options.settle_ms
     }
 
-    fn tell(
+    fn push_to_contacts(
         &self,
         now: Millis,
         next: &Document,
         base: Revision,
         actions: &mut Vec<Action>,
     ) {
-        let delta = next.since(base);
+        let delta = next.delta_since(base);
         for peer in self.contacts(now) {
             let mut message = self.message(Step::Tell);
             message.revision = next.revision();
             message.base = next.revision();
             message.digest = next.digest();
-            message.heard = self.heard.max(next.revision());
+            message.heard = self.newest_known.max(next.revision());
             message.delta = Some(delta.clone());
             actions.push(send(peer, message));
         }
     }
 
     fn failed(&mut self, now: Millis, address: SocketAddr) {
-        self.answers += 1;
-        self.members.failed(address, now);
-        let until = now.saturating_add_ms(self.options.down_ms);
+        self.responses += 1;
+        self.members.record_failure(address, now);
+        let until = now.saturating_add_ms(self.options.peer_retry_ms);
         if let Some(peer) = self.peer(address) {
             peer.down_until = Some(until);
         }
--- a/crates/spread/src/split.rs
+++ b/crates/spread/src/split.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 
 /// Longest name of a part, in characters.
-const NAME_MAX_CHARS: usize = 64;
+const MAX_NAME_CHARS: usize = 64;
 
 /// Cuts a text into named parts whose concatenation is the text.
 ///
-/// A part begins at each key of the document and at each item of a list
+/// A part part_starting_at at each key of the document and at each item of a list
 /// below it, so that a customer, a pool or a rule is a part. The cut is made
 /// by lines and not by a YAML parser: any cut is right, since the parts are
 /// put together before anybody reads them, and a build that parses
@@ -25,13 +25,13 @@
 /// assert_eq!(parts[1].1, "  - tenant: a\n    weight: 2\n");
 /// ```
 pub fn split(text: &str) -> Vec<(String, &str)> {
-    let mut cutter = Cutter::default();
+    let mut splitter = Splitter::default();
     let mut parts: Vec<(String, &str)> = Vec::new();
     let mut start = 0;
     let mut name = String::new();
     let mut at = 0;
     for line in text.split_inclusive('\n') {
-        if let Some(next) = cutter.begins(line) {
+        if let Some(next) = splitter.part_starting_at(line) {
             if at > start {
                 parts.push((std::mem::take(&mut name), &text[start..at]));
             }
@@ -48,16 +48,16 @@
 
 /// What the lines so far say about the next one.
 #[derive(Default)]
-struct Cutter {
+struct Splitter {
     section: String,
     /// Indentation of the items of this section, once seen.
     indent: Option<usize>,
     used: HashMap<String, u32>,
 }
 
-impl Cutter {
-    /// Returns the name of the part that begins with a line, if one does.
-    fn begins(&mut self, line: &str) -> Option<String> {
+impl Splitter {
+    /// Returns the name of the part that part_starting_at with a line, if one does.
+    fn part_starting_at(&mut self, line: &str) -> Option<String> {
         let content = line.trim_start();
         let indent = line.len() - content.len();
         let item = content.strip_prefix("- ");
@@ -65,22 +65,22 @@
             if *self.indent.get_or_insert(indent) != indent {
                 return None;
             }
-            let name = format!("{}/{}", self.section, short(item));
-            return Some(self.unique(name));
+            let name = format!("{}/{}", self.section, name_prefix(item));
+            return Some(self.unique_name(name));
         }
         let is_key = indent == 0
             && content.starts_with(|first: char| first.is_alphanumeric());
         if !is_key {
             return None;
         }
-        self.section = short(content).trim_end_matches(':').to_owned();
+        self.section = name_prefix(content).trim_end_matches(':').to_owned();
         self.indent = None;
         let name = self.section.clone();
-        Some(self.unique(name))
+        Some(self.unique_name(name))
     }
 
     /// Two parts may begin alike; the second gets a number.
-    fn unique(&mut self, name: String) -> String {
+    fn unique_name(&mut self, name: String) -> String {
         let used = self.used.entry(name.clone()).or_default();
         *used += 1;
         match *used {
@@ -92,7 +92,7 @@
 
 /// Takes the start of a line, which names what the part is about: an item
 /// in braces ends its first member at the comma.
-fn short(line: &str) -> String {
+fn name_prefix(line: &str) -> String {
     let first = line.split(',').next().unwrap_or_default();
-    first.trim_end().chars().take(NAME_MAX_CHARS).collect()
+    first.trim_end().chars().take(MAX_NAME_CHARS).collect()
 }
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 use base::{Millis, Revision};
 use pomeloslip_spread::{
-    Action, Event, Message, Options, Spread, Stamp, Step,
+    Action, Event, Message, Options, Propagator, Stamp, Step,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -19,7 +19,7 @@
 const HEALED_MS: u64 = 15_000;
 
 /// What is on its way, or due.
-enum Due {
+enum Scheduled {
     Tick(usize),
     Ask(usize, usize, Message),
     Answer(usize, usize, Message),
@@ -32,8 +32,8 @@
     random: StdRng,
     now: u64,
     seq: u64,
-    queue: BTreeMap<(u64, u64), (u64, Due)>,
-    processes: Vec<Spread>,
+    queue: BTreeMap<(u64, u64), (u64, Scheduled)>,
+    processes: Vec<Propagator>,
     /// Life of each process; what was sent to an earlier one is lost.
     lives: Vec<u64>,
     watching: BTreeSet<usize>,
@@ -57,19 +57,19 @@
     ([127, 0, 0, 1], 1_000 + at as u16).into()
 }
 
-fn process(at: usize, now: u64) -> Spread {
+fn process(at: usize, now: u64) -> Propagator {
     let others = (0..PROCESSES).filter(|other| *other != at);
     let options = Options {
         fanout: 3,
         relays: 1,
-        live_ms: 5_000,
-        learn_ms: 1_500,
+        member_ttl_ms: 5_000,
+        discovery_ms: 1_500,
         ..Options::default()
     };
     let domain = format!("domain-{}", at % DOMAINS).parse().unwrap();
     let vm = format!("entry-{at}").parse().unwrap();
     let peers = others.map(address).collect();
-    Spread::new(vm, domain, peers, options, Millis::new(now))
+    Propagator::new(vm, domain, peers, options, Millis::new(now))
 }
 
 impl Sim {
@@ -97,10 +97,10 @@
         let text = format!("tenants:\n{customers}rules: []\n");
         sim.accepted.insert(1, text);
         for at in 0..PROCESSES {
-            sim.push(TICK_MS, at, Due::Tick(at));
+            sim.push(TICK_MS, at, Scheduled::Tick(at));
             sim.read(at);
         }
-        sim.push(500, 0, Due::Chaos);
+        sim.push(500, 0, Scheduled::Chaos);
         sim
     }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    fn push(&mut self, after_ms: u64, to: usize, due: Due) {
+    fn push(&mut self, after_ms: u64, to: usize, due: Scheduled) {
         self.seq += 1;
         let life = self.lives[to];
         self.queue
@@ -147,35 +147,37 @@
         }
     }
 
-    fn run_due(&mut self, life: u64, due: Due) {
+    fn run_due(&mut self, life: u64, due: Scheduled) {
         match due {
-            Due::Tick(at) => {
-                self.push(TICK_MS, at, Due::Tick(at));
+            Scheduled::Tick(at) => {
+                self.push(TICK_MS, at, Scheduled::Tick(at));
                 // A paused process skips some.
                 if !self.chance(0.05) {
                     self.handle(at, Event::Tick, None);
                 }
             }
-            Due::Ask(from, to, message) => {
-                let event = Event::Question(message);
+            Scheduled::Ask(from, to, message) => {
+                let event = Event::Request(message);
                 self.handle(to, event, Some(from));
             }
-            Due::Answer(from, to, message) if life == self.lives[to] => {
+            Scheduled::Answer(from, to, message) if life == self.lives[to] => {
                 let peer = address(from);
-                self.handle(to, Event::Answer { peer, message }, None);
+                self.handle(to, Event::Response { peer, message }, None);
             }
-            Due::Fail(from, to) if life == self.lives[to] => {
+            Scheduled::Fail(from, to) if life == self.lives[to] => {
                 let peer = address(from);
                 self.handle(to, Event::Failed { peer }, None);
             }
-            Due::Service(to, event) if life == self.lives[to] => {
+            Scheduled::Service(to, event) if life == self.lives[to] => {
                 self.handle(to, event, None);
             }
-            Due::Answer(..) | Due::Fail(..) | Due::Service(..) => {}
-            Due::Chaos => {
+            Scheduled::Answer(..)
+            | Scheduled::Fail(..)
+            | Scheduled::Service(..) => {}
+            Scheduled::Chaos => {
                 if self.rough {
                     self.chaos();
-                    self.push(500, 0, Due::Chaos);
+                    self.push(500, 0, Scheduled::Chaos);
                 }
             }
         }
@@ -216,7 +218,7 @@
                 }
                 Action::Reply(message) => {
                     let to = asker.unwrap();
-                    self.carry(at, to, Due::Answer, *message);
+                    self.carry(at, to, Scheduled::Answer, *message);
                 }
                 Action::Watch(true) => {
                     self.watching.insert(at);
@@ -243,9 +245,9 @@
     fn send(&mut self, from: usize, peer: SocketAddr, message: Message) {
         let to = usize::from(peer.port() - 1_000);
         assert!(message.step() != Step::Tell || message.delta().is_some());
-        let arrived = self.carry(from, to, Due::Ask, message);
+        let arrived = self.carry(from, to, Scheduled::Ask, message);
         if !arrived {
-            self.push(500, from, Due::Fail(to, from));
+            self.push(500, from, Scheduled::Fail(to, from));
         }
     }
 
@@ -254,7 +256,7 @@
         &mut self,
         from: usize,
         to: usize,
-        make: impl Fn(usize, usize, Message) -> Due,
+        make: impl Fn(usize, usize, Message) -> Scheduled,
         message: Message,
     ) -> bool {
         // The first third of the processes are a region of their own.
@@ -280,7 +282,7 @@
             stamp: Stamp::default(),
         };
         let delay = self.delay();
-        self.push(delay, at, Due::Service(at, event));
+        self.push(delay, at, Scheduled::Service(at, event));
     }
 
     fn chaos(&mut self) {
@@ -333,7 +335,8 @@
         let text = self.accepted[&newest].replacen(&from, &to, 1);
         let revision = Revision::new(newest + 1);
         let stamp = Stamp::default();
-        let delta = self.processes[at].change(revision, &text, stamp.clone());
+        let delta =
+            self.processes[at].delta_for_edit(revision, &text, stamp.clone());
         self.accepted.insert(newest + 1, text.clone());
         self.held = newest + 1;
         let accepted = Event::Accepted {
@@ -349,10 +352,10 @@
             }
             let event = match &delta {
                 Some(delta) => Event::Changed(delta.clone()),
-                None => Event::Noticed(revision),
+                None => Event::RevisionAnnounced(revision),
             };
             let delay = self.delay();
-            self.push(delay, relay, Due::Service(relay, event));
+            self.push(delay, relay, Scheduled::Service(relay, event));
         }
     }
 }
--- a/crates/spread/tests/document.rs
+++ b/crates/spread/tests/document.rs
@@ -44,7 +44,7 @@
     let edited = text(&customers, |customer| 1 + u64::from(customer == 700));
     let two = Revision::new(2);
     let new = old.successor(two, &edited, Stamp::default());
-    let delta = new.since(old.revision());
+    let delta = new.delta_since(old.revision());
     let moved = "  - tenant: t700\n    weight: 2\n";
     assert_eq!(delta.text_bytes(), moved.len());
     let bytes = serde_json::to_vec(&delta).unwrap().len();
@@ -60,13 +60,16 @@
     let stamp = Stamp::default;
     let two = one.successor(Revision::new(2), "rules: [2]\n", stamp());
     let three = two.successor(Revision::new(3), "a: 1\n", stamp());
-    let step = three.since(Revision::new(2));
+    let step = three.delta_since(Revision::new(2));
     assert!(one.apply(&step).is_none(), "a revision is missing");
     assert!(three.apply(&step).is_none(), "it is in force already");
-    assert!(Document::of_whole(&step).is_none(), "it is not the whole");
+    assert!(
+        Document::from_full_delta(&step).is_none(),
+        "it is not the whole"
+    );
     let other = document(2, "tenants: []\n");
     assert!(other.apply(&step).is_none(), "another text as revision 2");
-    let whole = three.since(Revision::default());
+    let whole = three.delta_since(Revision::default());
     assert_eq!(other.apply(&whole).unwrap().text(), "a: 1\n");
 }
 
@@ -91,7 +94,8 @@
             let number = Revision::new(revision);
             newest = newest.successor(number, &text, Stamp::default());
             for old in &mut kept {
-                let next = old.apply(&newest.since(old.revision())).unwrap();
+                let next =
+                    old.apply(&newest.delta_since(old.revision())).unwrap();
                 assert_eq!(next.text(), text, "seed {seed}");
                 // Half of them miss this revision.
                 if random.random() {
--- a/crates/spread/tests/spread.rs
+++ b/crates/spread/tests/spread.rs
@@ -6,7 +6,7 @@
 
 use base::{Millis, Revision};
 use common::Sim;
-use pomeloslip_spread::{Action, Event, Options, Spread, Stamp};
+use pomeloslip_spread::{Action, Event, Options, Propagator, Stamp};
 
 const SEEDS: u64 = 300;
 
@@ -59,7 +59,7 @@
         let domain = "tallinn-a".parse().unwrap();
         let peers = alive.iter().filter(|o| *o != at);
         let peers = peers.map(|o| address(*o)).collect();
-        Spread::new(vm, domain, peers, options, started)
+        Propagator::new(vm, domain, peers, options, started)
     };
     let mut all: Vec<_> = alive.iter().map(make).collect();
     for at in 0..all.len() {
@@ -70,7 +70,7 @@
         });
         let Some(message) = sent else { continue };
         for other in (0..all.len()).filter(|other| *other != at) {
-            let question = Event::Question(message.clone());
+            let question = Event::Request(message.clone());
             all[other].handle(now, question, 0);
         }
     }
@@ -105,7 +105,7 @@
     let make = |vm: &str, peers| {
         let domain = "tallinn-a".parse().unwrap();
         let vm = vm.parse().unwrap();
-        Spread::new(vm, domain, peers, Options::default(), Millis::new(0))
+        Propagator::new(vm, domain, peers, Options::default(), Millis::new(0))
     };
     let mut restarted = make("entry-1", peers.clone());
     let mut applied = Vec::new();
@@ -122,12 +122,12 @@
             let Action::Send { message, .. } = action else {
                 continue;
             };
-            let question = Event::Question(*message);
+            let question = Event::Request(*message);
             for reply in other.handle(now, question, 0) {
                 let Action::Reply(message) = reply else {
                     continue;
                 };
-                let event = Event::Answer {
+                let event = Event::Response {
                     peer: *peer,
                     message: *message,
                 };
