--- a/crates/bench/benches/routing/sim.rs
+++ b/crates/bench/benches/routing/sim.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use router::{
     EndpointKey, EndpointReport, Failure, ListedEndpoint, PoolKey, Query,
-    RefusalReason, Router, RouterOptions,
+    Refusal, Router, RouterOptions,
 };
 use slotmap::SecondaryMap;
 
@@ -266,7 +266,7 @@
             if endpoint.is_down(self.now_ms) {
                 router.failed(key, Failure::Unreachable, now);
             } else if endpoint.is_full() {
-                router.refused(key, RefusalReason::Full, now);
+                router.refused(key, Refusal::Full, now);
             } else {
                 router.sent(key, now);
                 return self.accept(request, key, place);
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -2,7 +2,7 @@
 
 use base::{Millis, RequestDigest};
 use quarantine::{Crash, CrashedEndpoint, Quarantine};
-use router::{EndpointKey, EndpointReport, Failure, RefusalReason};
+use router::{EndpointKey, EndpointReport, Failure, Refusal};
 use wire::message::{Load, RefusalKind};
 
 use super::{Fleet, Target};
@@ -117,11 +117,11 @@
     /// Notes that the endpoint did not take the call.
     pub(crate) fn refused(&self, kind: RefusalKind) {
         let why = match kind {
-            RefusalKind::Full => RefusalReason::Full,
-            RefusalKind::Leaving => RefusalReason::Leaving,
-            RefusalKind::EndpointDown => RefusalReason::Down,
-            RefusalKind::WrongTarget => RefusalReason::WrongTarget,
-            _ => RefusalReason::Other,
+            RefusalKind::Full => Refusal::Full,
+            RefusalKind::Leaving => Refusal::Leaving,
+            RefusalKind::EndpointDown => Refusal::Down,
+            RefusalKind::WrongTarget => Refusal::WrongTarget,
+            _ => Refusal::Other,
         };
         let now = self.fleet.timer.now();
         self.fleet.router().refused(self.key, why, now);
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -101,15 +101,11 @@
     /// use pomeloslip_fleet::{Change, Directory, Listing};
     ///
     /// let mut directory = Directory::default();
-    /// let changes = directory.apply_listing(Listing::default(), Millis::new(0));
+    /// let changes = directory.reconcile(Listing::default(), Millis::new(0));
     /// assert_eq!(changes, []);
     /// assert!(directory.has_listing());
     /// ```
-    pub fn apply_listing(
-        &mut self,
-        listing: Listing,
-        now: Millis,
-    ) -> Vec<Change> {
+    pub fn reconcile(&mut self, listing: Listing, now: Millis) -> Vec<Change> {
         let listed: IndexSet<&str> =
             listing.records.iter().map(|r| r.id.as_str()).collect();
         let known = self.known.keys();
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -33,9 +33,8 @@
 #[test]
 fn a_missing_entry_means_gone_while_the_service_answers() {
     let mut directory = Directory::default();
-    directory.apply_listing(listing(1, &["a", "b"]), Millis::new(0));
-    let changes =
-        directory.apply_listing(listing(2, &["a"]), Millis::new(1_000));
+    directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
+    let changes = directory.reconcile(listing(2, &["a"]), Millis::new(1_000));
     assert_eq!(changes, [Change::Gone("b".to_owned())]);
     assert_eq!(usable(&directory), 1);
 }
@@ -47,14 +46,14 @@
 #[test]
 fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
     let mut directory = Directory::default();
-    directory.apply_listing(listing(1, &["a", "b"]), Millis::new(0));
+    directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
     directory.record_read_failure(Millis::new(5_000));
-    let changes = directory.apply_listing(listing(9, &[]), Millis::new(5_500));
+    let changes = directory.reconcile(listing(9, &[]), Millis::new(5_500));
     assert_eq!(changes.len(), 2);
     assert!(changes.iter().all(|c| matches!(c, Change::Kept(_))));
     assert_eq!(usable(&directory), 2);
     let after = Millis::new(5_000 + LISTING_GRACE_MS);
-    let changes = directory.apply_listing(listing(10, &["a"]), after);
+    let changes = directory.reconcile(listing(10, &["a"]), after);
     assert_eq!(changes, [Change::Gone("b".to_owned())]);
     assert_eq!(usable(&directory), 1);
 }
@@ -66,21 +65,21 @@
         revision: 1,
         records: vec![record("a", EndpointState::Draining)],
     };
-    directory.apply_listing(draining, Millis::new(0));
+    directory.reconcile(draining, Millis::new(0));
     directory.record_read_failure(Millis::new(10));
-    let changes = directory.apply_listing(listing(2, &[]), Millis::new(20));
+    let changes = directory.reconcile(listing(2, &[]), Millis::new(20));
     assert_eq!(changes, [Change::Gone("a".to_owned())]);
 }
 
 #[test]
 fn a_draining_endpoint_gets_no_new_work() {
     let mut directory = Directory::default();
-    directory.apply_listing(listing(1, &["a"]), Millis::new(0));
+    directory.reconcile(listing(1, &["a"]), Millis::new(0));
     let draining = Listing {
         revision: 2,
         records: vec![record("a", EndpointState::Draining)],
     };
-    let changes = directory.apply_listing(draining, Millis::new(1));
+    let changes = directory.reconcile(draining, Millis::new(1));
     assert_eq!(changes, [Change::Draining("a".to_owned())]);
     assert_eq!(usable(&directory), 0);
     assert!(directory.get("a").is_some());
@@ -92,9 +91,9 @@
 #[test]
 fn an_older_listing_changes_nothing() {
     let mut directory = Directory::default();
-    directory.apply_listing(listing(5, &["a"]), Millis::new(0));
+    directory.reconcile(listing(5, &["a"]), Millis::new(0));
     assert_eq!(
-        directory.apply_listing(listing(4, &["a", "b"]), Millis::new(1)),
+        directory.reconcile(listing(4, &["a", "b"]), Millis::new(1)),
         []
     );
     assert_eq!(usable(&directory), 1);
@@ -104,9 +103,9 @@
 #[test]
 fn what_is_known_of_the_load_outlives_a_new_listing() {
     let mut directory = Directory::default();
-    directory.apply_listing(listing(1, &["a"]), Millis::new(0));
+    directory.reconcile(listing(1, &["a"]), Millis::new(0));
     directory.get("a").expect("listed").begin_request();
-    directory.apply_listing(listing(2, &["a"]), Millis::new(1));
+    directory.reconcile(listing(2, &["a"]), Millis::new(1));
     assert_eq!(directory.get("a").expect("listed").in_flight(), 1);
 }
 
@@ -132,12 +131,12 @@
 fn a_restarted_endpoint_has_nothing_of_the_life_before() {
     let now = Millis::new(1_000);
     let mut directory = Directory::default();
-    directory.apply_listing(listing_of(1, &[life("a", Some(10))]), now);
+    directory.reconcile(listing_of(1, &[life("a", Some(10))]), now);
     let before = directory.get("a").expect("known").clone();
     before.begin_request();
     before.record_failure(FailureKind::Unreachable, now);
     let changes =
-        directory.apply_listing(listing_of(2, &[life("a", Some(20))]), now);
+        directory.reconcile(listing_of(2, &[life("a", Some(20))]), now);
     let former = before.incarnation_key();
     let id = "a".to_owned();
     assert_eq!(changes, [Change::Restarted { id, former }]);
@@ -157,9 +156,9 @@
 fn a_start_that_is_told_for_the_first_time_is_a_restart() {
     let mut directory = Directory::default();
     let now = Millis::new(0);
-    directory.apply_listing(listing_of(1, &[life("a", None)]), now);
+    directory.reconcile(listing_of(1, &[life("a", None)]), now);
     let changes =
-        directory.apply_listing(listing_of(2, &[life("a", Some(7))]), now);
+        directory.reconcile(listing_of(2, &[life("a", Some(7))]), now);
     assert!(matches!(changes[..], [Change::Restarted { .. }]));
 }
 
@@ -174,14 +173,14 @@
         state: EndpointState::Draining,
         ..life("a", Some(10))
     };
-    directory.apply_listing(listing_of(1, &[life("a", Some(20))]), now);
+    directory.reconcile(listing_of(1, &[life("a", Some(20))]), now);
     let known = directory.get("a").expect("known").incarnation_key();
-    let changes = directory
-        .apply_listing(listing_of(2, std::slice::from_ref(&old)), now);
+    let changes =
+        directory.reconcile(listing_of(2, std::slice::from_ref(&old)), now);
     assert_eq!(changes, [Change::Outdated("a".to_owned())]);
     assert_eq!(usable(&directory), 1);
     assert!(directory.has_incarnation(known));
-    let again = directory.apply_listing(listing_of(3, &[old]), now);
+    let again = directory.reconcile(listing_of(3, &[old]), now);
     assert_eq!(again, [], "told once");
 }
 
@@ -189,7 +188,7 @@
 fn two_endpoints_at_one_address_are_two_lives() {
     let mut directory = Directory::default();
     let two = [life("a", None), life("b", None)];
-    directory.apply_listing(listing_of(1, &two), Millis::new(0));
+    directory.reconcile(listing_of(1, &two), Millis::new(0));
     assert_eq!(usable(&directory), 2);
     assert_ne!(two[0].incarnation_key(), two[1].incarnation_key());
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -207,7 +207,7 @@
         let update = entries.decode(&delta, &*dialect);
         let now = cluster.clock().now();
         let changes = match delta.whole {
-            true => directory.apply_listing(
+            true => directory.reconcile(
                 Listing {
                     revision: update.revision,
                     records: update.records,
--- a/crates/router/examples/embed_router.rs
+++ b/crates/router/examples/embed_router.rs
@@ -12,7 +12,7 @@
 use base::{EndpointName, Incarnation, Millis};
 use pomeloslip_router::{
     EndpointKey, EndpointReport, Failure, ListedEndpoint, PoolKey, Query,
-    RefusalReason, Router, RouterOptions,
+    Refusal, Router, RouterOptions,
 };
 
 type Error = Box<dyn std::error::Error>;
@@ -102,7 +102,7 @@
         match outcome {
             Outcome::Answered => self.router.answered(key, Some(40), now),
             Outcome::Refused => {
-                self.router.refused(key, RefusalReason::Leaving, now);
+                self.router.refused(key, Refusal::Leaving, now);
             }
             Outcome::NoConnection => {
                 self.router.failed(key, Failure::Unreachable, now);
--- a/crates/router/src/endpoint.rs
+++ b/crates/router/src/endpoint.rs
@@ -159,11 +159,7 @@
         })
     }
 
-    pub(crate) fn record_report(
-        &mut self,
-        report: &EndpointReport,
-        now: Millis,
-    ) {
+    pub(crate) fn record(&mut self, report: &EndpointReport, now: Millis) {
         let requests = report.running + report.waiting;
         let other_calls = f64::from(requests.saturating_sub(self.in_flight));
         let before = self
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -30,7 +30,7 @@
 
 /// Why an endpoint did not take a call; the call did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
-pub enum RefusalReason {
+pub enum Refusal {
     /// It has no room; this says nothing against its health.
     Full,
     /// It takes no new work in this life.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -40,7 +40,7 @@
 
 pub use crate::{
     endpoint::{EndpointKey, EndpointReport, EndpointView, ListedEndpoint},
-    health::{Failure, RefusalReason},
+    health::{Failure, Refusal},
     options::{
         Affinity, Ejection, HealthPolicy, Policy, Probing, RouterOptions,
     },
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -9,7 +9,7 @@
     endpoint::{
         Endpoint, EndpointKey, EndpointReport, EndpointView, ListedEndpoint,
     },
-    health::{Failure, RefusalReason},
+    health::{Failure, Refusal},
     options::{Policy, RouterOptions},
     select::{Choice, Draw, Query, Selection},
     subset,
@@ -280,7 +280,7 @@
         let endpoint = &mut self.endpoints[key];
         endpoint.incarnation = Some(report.incarnation);
         endpoint.leaving |= report.leaving || left;
-        endpoint.record_report(report, now);
+        endpoint.record(report, now);
         key
     }
 
@@ -342,23 +342,18 @@
     }
 
     /// Notes that an endpoint did not take a call.
-    pub fn refused(
-        &mut self,
-        key: EndpointKey,
-        why: RefusalReason,
-        now: Millis,
-    ) {
+    pub fn refused(&mut self, key: EndpointKey, why: Refusal, now: Millis) {
         let policy = self.options.health;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
         match why {
-            RefusalReason::Leaving => endpoint.leaving = true,
-            RefusalReason::Down | RefusalReason::WrongTarget => {
+            Refusal::Leaving => endpoint.leaving = true,
+            Refusal::Down | Refusal::WrongTarget => {
                 let failure = Failure::Unreachable;
                 endpoint.health.failed(&policy, failure, true, now);
             }
-            RefusalReason::Full | RefusalReason::Other => {}
+            Refusal::Full | Refusal::Other => {}
         }
     }
 
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -117,19 +117,13 @@
         let near = self.pick(&near, draw);
         let far = self.pick(&far, draw);
         match (near, far) {
-            (Some(near), Some(far)) => {
-                Some(self.prefer_same_domain(near, far))
-            }
+            (Some(near), Some(far)) => Some(self.prefer_near(near, far)),
             (near, far) => near.or(far),
         }
     }
 
     /// Own failure domain first; others by need, when it is more loaded.
-    fn prefer_same_domain(
-        &self,
-        near: EndpointKey,
-        far: EndpointKey,
-    ) -> EndpointKey {
+    fn prefer_near(&self, near: EndpointKey, far: EndpointKey) -> EndpointKey {
         let penalty = f64::from(self.options.other_domain_penalty);
         let spills = self.load(far) + penalty < self.load(near);
         if spills { far } else { near }
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -3,7 +3,7 @@
 use base::{Incarnation, Millis};
 use pomeloslip_router::{
     Affinity, EndpointKey, EndpointReport, Failure, HealthPolicy,
-    ListedEndpoint, Policy, PoolKey, Probing, Query, RefusalReason, Router,
+    ListedEndpoint, Policy, PoolKey, Probing, Query, Refusal, Router,
     RouterOptions,
 };
 use yare::parameterized;
@@ -154,7 +154,7 @@
     let old = choose(&mut router, pool, T0, 1).unwrap();
     router.sent(old, T0);
     assert_eq!(router.reported(old, &report(1), T0), old);
-    router.refused(old, RefusalReason::Leaving, T0);
+    router.refused(old, Refusal::Leaving, T0);
     assert_eq!(choose(&mut router, pool, T0, 1), None);
 
     let new = router.probed(old, &report(2), T0);
@@ -260,7 +260,7 @@
     let (mut router, _) = router(plain(), &many(1, 1));
     let key = key(&router, "e0");
     for _ in 0..50 {
-        router.refused(key, RefusalReason::Full, T0);
+        router.refused(key, Refusal::Full, T0);
     }
     assert!(router.endpoints().all(|view| view.selectable));
 }
