--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -5,94 +5,102 @@
     Endpoint, EndpointRecord, EndpointState, EndpointTable, IncarnationKey,
 };
 
-/// How long after the key-value service's return a missing entry may still
-/// come back, in milliseconds. Endpoints renew their entries about every
-/// second, so that living ones are listed again within two; half a second
-/// is for the time between two listings.
+/// How long after a failed read of the key-value service a missing entry is
+/// still retained, in milliseconds.
+///
+/// Endpoints renew their entries about every second, so live endpoints are
+/// listed again within two seconds; the other half second covers the interval
+/// between two listings.
 pub const LISTING_GRACE_MS: u64 = 2_500;
 
-/// What one read of the key-value service listed.
+/// The result of one full read of the key-value service.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Revision of the service at the read.
+    /// Revision of the key-value service at the time of the read.
     pub revision: u64,
-    /// The entries.
+    /// All endpoint entries.
     pub records: Vec<EndpointRecord>,
 }
 
-/// What has changed in the key-value service since a revision.
+/// Changes in the key-value service since an earlier revision.
 #[derive(Clone, Debug, Default)]
 pub struct ListingUpdate {
-    /// Revision that this reaches.
+    /// Revision that the update leads to.
     pub revision: u64,
-    /// The entries that are new or changed.
+    /// New and changed entries.
     pub records: Vec<EndpointRecord>,
-    /// Ids whose entries are gone.
+    /// Ids of the removed entries.
     pub removed: Vec<String>,
 }
 
-/// How a listing changed what is believed.
+/// How a listing or an update changed the directory.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// An endpoint is new.
+    /// A new endpoint was listed.
     Added(String),
-    /// An endpoint has started again under its id; the life before is over.
+    /// An endpoint restarted under the same id; its previous incarnation has
+    /// ended.
     Restarted {
         /// Id of the endpoint.
         id: String,
-        /// The life that is over.
+        /// Previous incarnation, which has ended.
         former: IncarnationKey,
     },
-    /// An entry tells of a life that is over, as a delayed write may.
+    /// An entry describes an incarnation that has ended, for example because
+    /// of a delayed write.
     Outdated(String),
-    /// An endpoint takes no new work any more.
+    /// An endpoint accepts no new work any more.
     Draining(String),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     Gone(String),
-    /// An entry is missing after an outage; the endpoint is kept for now.
+    /// An entry is missing after an outage of the key-value service; the
+    /// endpoint is retained for now.
     Kept(String),
 }
 
-/// Follows the listings of the key-value service.
+/// Tracks the endpoints listed in the key-value service.
 ///
-/// While the service is away, entries lapse although their endpoints live:
-/// their heartbeats cannot arrive. A directory that took the first listing
-/// after an outage at its word would drop the whole fleet at once, seen as
-/// refusals of all requests for two seconds. So an entry that is missing
-/// within [`LISTING_GRACE_MS`] of a failed read is kept until that time is
-/// over; at any other time a missing entry means that the endpoint is gone.
+/// While the key-value service is unavailable, entries expire although their
+/// endpoints are alive, because no heartbeat can arrive. A directory that
+/// trusted the first listing after an outage would drop the whole fleet at
+/// once and refuse all requests for two seconds. An entry that is missing
+/// within [`LISTING_GRACE_MS`] of a failed read is therefore retained until
+/// that time has passed; at any other time a missing entry means that the
+/// endpoint is gone.
 #[derive(Debug, Default)]
 pub struct Directory {
     known: IndexMap<String, Endpoint>,
     revision: u64,
     failed_at: Option<Millis>,
     listed: bool,
-    /// Ids that are kept although no entry names them.
-    kept: IndexSet<String>,
-    /// The lives of all that is known.
-    lives: IndexSet<IncarnationKey>,
-    /// Ids whose entry tells of a life that is over, each told once.
+    /// Ids of endpoints that are retained although their entries are missing.
+    retained: IndexSet<String>,
+    /// Incarnations of all known endpoints.
+    incarnations: IndexSet<IncarnationKey>,
+    /// Ids whose current entry describes an ended incarnation; each is
+    /// reported once.
     outdated: IndexSet<String>,
 }
 
 impl Directory {
-    /// Takes note of a read that failed.
+    /// Records a failed read of the key-value service.
     pub fn record_read_failure(&mut self, now: Millis) {
         self.failed_at = Some(now);
     }
 
-    /// Tells whether any listing has arrived.
+    /// Reports whether any listing has been applied.
     pub fn has_listing(&self) -> bool {
         self.listed
     }
 
-    /// Returns the revision of the newest listing.
+    /// Returns the revision of the latest listing or update.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a listing and returns what it changed. An older listing than
-    /// the newest, as a delayed answer may bring, changes nothing.
+    /// Applies a full listing and returns the resulting changes. A listing
+    /// that is older than the latest one, as a delayed response may be,
+    /// changes nothing.
     ///
     /// # Example
     ///
@@ -119,9 +127,9 @@
         self.apply_update(update, now)
     }
 
-    /// Takes what has changed since the last listing, at a cost that goes
-    /// by the changes and not by the endpoints. An older update than the
-    /// newest changes nothing.
+    /// Applies the changes since the last listing, at a cost proportional to
+    /// the number of changes, not of endpoints. An update that is older than
+    /// the latest one changes nothing.
     pub fn apply_update(
         &mut self,
         update: ListingUpdate,
@@ -134,34 +142,38 @@
         self.listed = true;
         let mut changes = Vec::new();
         for record in update.records {
-            self.kept.swap_remove(&record.id);
+            self.retained.swap_remove(&record.id);
             let before = self.remove(&record.id);
-            let endpoint =
-                follow(before, record, &mut self.outdated, &mut changes);
+            let endpoint = update_endpoint(
+                before,
+                record,
+                &mut self.outdated,
+                &mut changes,
+            );
             self.insert(endpoint);
         }
-        let kept = std::mem::take(&mut self.kept).into_iter();
-        for id in kept.chain(update.removed).collect::<IndexSet<_>>() {
+        let retained = std::mem::take(&mut self.retained).into_iter();
+        for id in retained.chain(update.removed).collect::<IndexSet<_>>() {
             if let Some(endpoint) = self.remove(&id) {
                 self.outdated.swap_remove(&id);
-                self.miss(id, endpoint, now, &mut changes);
+                self.handle_missing(id, endpoint, now, &mut changes);
             }
         }
         changes
     }
 
     fn insert(&mut self, endpoint: Endpoint) {
-        self.lives.insert(endpoint.incarnation_key());
+        self.incarnations.insert(endpoint.incarnation_key());
         self.known.insert(endpoint.record().id.clone(), endpoint);
     }
 
     fn remove(&mut self, id: &str) -> Option<Endpoint> {
         let endpoint = self.known.swap_remove(id)?;
-        self.lives.swap_remove(&endpoint.incarnation_key());
+        self.incarnations.swap_remove(&endpoint.incarnation_key());
         Some(endpoint)
     }
 
-    fn miss(
+    fn handle_missing(
         &mut self,
         id: String,
         endpoint: Endpoint,
@@ -174,14 +186,14 @@
         let draining = endpoint.record().state == EndpointState::Draining;
         if recent_failure && !draining {
             changes.push(Change::Kept(id.clone()));
-            self.kept.insert(id);
+            self.retained.insert(id);
             self.insert(endpoint);
         } else {
             changes.push(Change::Gone(id));
         }
     }
 
-    /// Returns the endpoints that take new work.
+    /// Returns the endpoints that accept new work.
     pub fn table(&self) -> EndpointTable {
         let ready = self.known.values().filter(|endpoint| {
             endpoint.record().state == EndpointState::Ready
@@ -189,30 +201,31 @@
         EndpointTable::new(ready.cloned())
     }
 
-    /// Tells whether an endpoint is kept although no entry names it.
+    /// Reports whether any endpoint is retained although its entry is missing.
     pub fn retains_missing(&self) -> bool {
-        !self.kept.is_empty()
+        !self.retained.is_empty()
     }
 
-    /// Tells whether a life of an endpoint is not over, whatever its state.
-    pub fn has_incarnation(&self, life: IncarnationKey) -> bool {
-        self.lives.contains(&life)
+    /// Reports whether an incarnation is current, whatever the endpoint's
+    /// state.
+    pub fn has_incarnation(&self, incarnation: IncarnationKey) -> bool {
+        self.incarnations.contains(&incarnation)
     }
 
-    /// Returns the endpoint of an id, whatever its state.
+    /// Returns the endpoint with this id, whatever its state.
     pub fn get(&self, id: &str) -> Option<&Endpoint> {
         self.known.get(id)
     }
 }
 
-/// Takes the entry of an endpoint that may be known already.
+/// Applies the entry of an endpoint that may be known already.
 ///
-/// What goes wrong where lives are not told apart: an endpoint crashes
-/// behind a cut and starts again under its id before its entry lapses. Its
-/// connections, counted requests and failure_kind would be those of a process
-/// that is gone, seen as requests that hang on silent connections and as a
-/// load that never goes down.
-fn follow(
+/// Incarnations must be told apart: an endpoint may crash during a network
+/// partition and restart under the same id before its entry expires. Its
+/// connections, in-flight counts and failure history would otherwise be those
+/// of a process that is gone: requests would hang on dead connections and the
+/// load would never decrease.
+fn update_endpoint(
     before: Option<Endpoint>,
     record: EndpointRecord,
     outdated: &mut IndexSet<String>,
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -11,47 +11,49 @@
 
 use crate::{FailureKind, LoadReport};
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Ready,
-    /// Ends what it runs and then leaves.
+    /// Finishes its running requests and then shuts down.
     Draining,
 }
 
-/// What the key-value service says of one endpoint.
+/// The entry of one endpoint in the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointRecord {
-    /// Id of the endpoint. It may start again under the same id.
+    /// Id of the endpoint, which stays the same across restarts.
     pub id: String,
-    /// When this life of it started, if it says so. A restarted endpoint
-    /// holds and knows nothing of the life before.
+    /// When this incarnation started, if the entry has it. A restarted
+    /// endpoint keeps no state of its previous incarnation.
     #[serde(default)]
     pub started_at: Option<UnixMillis>,
-    /// Where it listens. Another life may get the same address later.
+    /// Address that it listens on. Another incarnation may later get the same
+    /// address.
     pub address: SocketAddr,
     /// Service that it belongs to.
     pub service: String,
-    /// Failure domain that it stands in.
+    /// Failure domain that it runs in.
     pub failure_domain: String,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: EndpointState,
 }
 
-/// Tells one life of an endpoint from all others, also from those under
-/// the same id or address.
+/// Identifies one incarnation of an endpoint, distinct from all others,
+/// including those with the same id or address.
 ///
-/// A hash of the id and the start: two of a million lives share one with a
-/// chance of one in thirty million, and a request that then reaches the
-/// wrong endpoint names its target and is turned away.
+/// The key is a hash of the id and the start time. Among a million
+/// incarnations two share a key with a probability of one in thirty million; a
+/// request that then reaches the wrong endpoint names its target and is
+/// rejected there.
 #[derive(
     Clone,
     Copy,
@@ -68,7 +70,7 @@
 pub struct IncarnationKey(u64);
 
 impl IncarnationKey {
-    /// Returns the key as a number that all nodes find for the same life.
+    /// Returns the key as a number, which is the same on all nodes.
     #[inline]
     pub fn as_u64(self) -> u64 {
         self.0
@@ -76,30 +78,30 @@
 }
 
 impl EndpointRecord {
-    /// Returns the key of this life.
+    /// Returns the key of the entry's incarnation.
     pub fn incarnation_key(&self) -> IncarnationKey {
         let id = base::stable_hash(&[&self.id]);
         let started = self.started_at.map_or(0, UnixMillis::as_ms);
         IncarnationKey(mix(id ^ mix(started)))
     }
 
-    /// Tells whether this entry is of a life that began after the one that
-    /// another entry tells of.
+    /// Reports whether this entry is of a later incarnation than another
+    /// entry.
     pub fn is_newer_incarnation_than(&self, other: &EndpointRecord) -> bool {
         self.started_at > other.started_at
     }
 }
 
-/// One endpoint with what this process knows of its load.
+/// An endpoint with the load that this process knows of.
 ///
-/// The record is replaced with the table that holds it, the counters live
-/// as long as the endpoint does: all tables share them.
+/// The record is replaced together with the table that holds it. The counters
+/// are shared by all tables and live as long as the endpoint's incarnation.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     record: Arc<EndpointRecord>,
     load: Arc<Counters>,
     id_hash: u64,
-    life: IncarnationKey,
+    incarnation: IncarnationKey,
 }
 
 #[derive(Debug, Default)]
@@ -115,64 +117,64 @@
 }
 
 impl Endpoint {
-    /// Makes an endpoint of which no load is known.
+    /// Creates an endpoint without any known load.
     pub fn new(record: EndpointRecord) -> Self {
         Self {
             id_hash: base::stable_hash(&[&record.id]),
-            life: record.incarnation_key(),
+            incarnation: record.incarnation_key(),
             record: Arc::new(record),
             load: Arc::default(),
         }
     }
 
-    /// Replaces the record by another one of the same life and keeps the
-    /// load.
+    /// Replaces the record by another one of the same incarnation and keeps
+    /// the load.
     #[must_use]
     pub fn with_record(&self, record: EndpointRecord) -> Self {
         Self {
             record: Arc::new(record),
             load: self.load.clone(),
             id_hash: self.id_hash,
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 
-    /// Returns the key of its life.
+    /// Returns the key of its incarnation.
     #[inline]
     pub fn incarnation_key(&self) -> IncarnationKey {
-        self.life
+        self.incarnation
     }
 
-    /// Returns what the key-value service says of it.
+    /// Returns its entry in the key-value service.
     #[inline]
     pub fn record(&self) -> &EndpointRecord {
         &self.record
     }
 
-    /// Returns a hash of the id, for choices that spread evenly.
+    /// Returns a hash of the id, for choices that are evenly distributed.
     #[inline]
     pub fn id_hash(&self) -> u64 {
         self.id_hash
     }
 
-    /// Returns the requests of this process that it runs.
+    /// Returns the number of in-flight requests of this process.
     #[inline]
     pub fn in_flight(&self) -> u32 {
         self.load.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Counts a request as sent.
+    /// Counts a request as in flight.
     pub fn begin_request(&self) {
         self.load.in_flight.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a request as over.
+    /// Counts a request as ended.
     pub fn end_request(&self) {
         let old = self.load.in_flight.fetch_sub(1, Ordering::Relaxed);
         debug_assert!(old > 0, "more ends than begins");
     }
 
-    /// Takes note of a load that the endpoint has reported.
+    /// Records a load that the endpoint reported.
     pub fn record_load(&self, report: LoadReport, now: Millis) {
         let load = &self.load;
         let all = report.running.saturating_add(report.waiting);
@@ -183,8 +185,8 @@
             .store(now.as_ms().max(1), Ordering::Relaxed);
     }
 
-    /// Takes note of the online requests that other nodes have there, by
-    /// their load updates.
+    /// Records the number of online requests that other nodes have at the
+    /// endpoint, according to their load updates.
     pub fn record_remote_load(&self, requests: u32, now: Millis) {
         let load = &self.load;
         load.remote.store(requests, Ordering::Relaxed);
@@ -192,25 +194,26 @@
             .store(now.as_ms().max(1), Ordering::Relaxed);
     }
 
-    /// Estimates the requests that it holds from all callers.
+    /// Estimates the number of requests that it holds for all callers.
     ///
-    /// Own requests are known to the moment. Those of others are what they
-    /// reported within `REMOTE_LIFE_MS`, without batch work, which gives way.
-    /// Failing that they are what the last report held beyond the own ones of that time; after
-    /// `REPORT_LIFE_MS` the report says nothing any more.
+    /// The process's own requests are counted exactly. Those of others are
+    /// taken from load updates of the last `REMOTE_LOAD_TTL_MS`, without batch
+    /// work, which is preempted for online requests. Without such an update,
+    /// they are the requests in the endpoint's last report beyond the own ones
+    /// at that time; a report is ignored after `REPORTED_LOAD_TTL_MS`.
     pub fn estimated_load(&self, now: Millis) -> u32 {
         self.in_flight().saturating_add(self.remote(now))
     }
 
     fn remote(&self, now: Millis) -> u32 {
-        let remote_at = self.load.remote_at_ms.load(Ordering::Relaxed);
-        let remote_age_ms = now.as_ms().saturating_sub(remote_at);
-        if remote_at != 0 && remote_age_ms <= REMOTE_LIFE_MS {
+        let remote_at_ms = self.load.remote_at_ms.load(Ordering::Relaxed);
+        let remote_age_ms = now.as_ms().saturating_sub(remote_at_ms);
+        if remote_at_ms != 0 && remote_age_ms <= REMOTE_LOAD_TTL_MS {
             return self.load.remote.load(Ordering::Relaxed);
         }
-        let at = self.load.reported_at_ms.load(Ordering::Relaxed);
-        let age_ms = now.as_ms().saturating_sub(at);
-        if at == 0 || age_ms > REPORT_LIFE_MS {
+        let reported_at_ms = self.load.reported_at_ms.load(Ordering::Relaxed);
+        let age_ms = now.as_ms().saturating_sub(reported_at_ms);
+        if reported_at_ms == 0 || age_ms > REPORTED_LOAD_TTL_MS {
             return 0;
         }
         let reported = self.load.reported.load(Ordering::Relaxed);
@@ -218,7 +221,7 @@
         reported.saturating_sub(own)
     }
 
-    /// Takes note of a request that failed for the endpoint's sake.
+    /// Records a request whose failure is attributed to the endpoint.
     pub fn record_failure(&self, failure_kind: FailureKind, now: Millis) {
         let before = self.load.failures.fetch_add(1, Ordering::Relaxed);
         let until = now.saturating_add_ms(failure_kind.backoff_ms(before));
@@ -227,7 +230,7 @@
             .fetch_max(until.as_ms(), Ordering::Relaxed);
     }
 
-    /// Takes note of a request that went well.
+    /// Records a successful request.
     pub fn record_success(&self) {
         if self.load.failures.load(Ordering::Relaxed) != 0 {
             self.load.failures.store(0, Ordering::Relaxed);
@@ -235,17 +238,18 @@
         }
     }
 
-    /// Tells whether it is better left alone after failures.
+    /// Reports whether the endpoint should be avoided because of recent
+    /// failures.
     #[inline]
     pub fn is_suspect(&self, now: Millis) -> bool {
         now.as_ms() < self.load.avoid_until_ms.load(Ordering::Relaxed)
     }
 }
 
-/// How long a reported load counts, in milliseconds: about the length of
-/// one streamed answer, after which what ran then has ended.
-const REPORT_LIFE_MS: u64 = 700;
+/// How long a reported load is used, in milliseconds: about the length of one
+/// streamed response, after which the requests of that time have ended.
+const REPORTED_LOAD_TTL_MS: u64 = 700;
 
-/// How long a load update of other nodes counts, in milliseconds: all of it is
-/// sent again every half second.
-const REMOTE_LIFE_MS: u64 = 1_300;
+/// How long a load update of other nodes is used, in milliseconds. Each node
+/// sends its full update again every half second.
+const REMOTE_LOAD_TTL_MS: u64 = 1_300;
--- a/crates/fleet/src/failure.rs
+++ b/crates/fleet/src/failure.rs
@@ -1,34 +1,37 @@
-/// How grave a failure is for the trust in an endpoint.
+/// Kind of a failure, which determines how long the endpoint is avoided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureKind {
-    /// No connection, or one that fell silent: probably gone.
+    /// No connection, or no response on it: the endpoint is probably gone.
     Unreachable,
-    /// An answer that broke off or was not one.
+    /// A response that was truncated or invalid.
     BadResponse,
-    /// The endpoint said that it is full.
+    /// The endpoint reported that it is full.
     Full,
 }
 
-/// First pause after an unreachable endpoint, in milliseconds. About as long
-/// as its restart takes at least.
-const UNREACHABLE_MS: u64 = 500;
+/// Initial backoff for an unreachable endpoint, in milliseconds. A restart
+/// takes at least about this long.
+const UNREACHABLE_BACKOFF_MS: u64 = 500;
 
-/// First pause after a bad answer. Such answers are single events on sound
-/// endpoints too, so that the pause only spreads the next requests.
-const BAD_ANSWER_MS: u64 = 100;
+/// Initial backoff after a bad response, in milliseconds. Healthy endpoints
+/// produce a bad response now and then, so the backoff only spreads the next
+/// requests over other endpoints.
+const BAD_RESPONSE_BACKOFF_MS: u64 = 100;
 
-/// Pause of an endpoint that is full: one or two steps of a stream.
-const FULL_MS: u64 = 60;
+/// Backoff for an endpoint that is full, in milliseconds: one or two steps of
+/// a stream.
+const FULL_BACKOFF_MS: u64 = 60;
 
-/// Longest pause, so that an endpoint that is back is found within seconds.
-const LONGEST_MS: u64 = 4_000;
+/// Maximum backoff, in milliseconds; a recovered endpoint is used again within
+/// seconds.
+const MAX_BACKOFF_MS: u64 = 4_000;
 
-/// Failures after which the pause grows no more.
-const DOUBLINGS: u32 = 3;
+/// Number of consecutive failures after which the backoff no longer grows.
+const MAX_DOUBLINGS: u32 = 3;
 
 impl FailureKind {
-    /// Returns the pause after the given number of earlier failures in a
-    /// row.
+    /// Returns the backoff after the given number of earlier consecutive
+    /// failures.
     ///
     /// # Example
     ///
@@ -40,13 +43,15 @@
     /// assert_eq!(FailureKind::Full.backoff_ms(9), FailureKind::Full.backoff_ms(0));
     /// ```
     pub fn backoff_ms(self, failures_before: u32) -> u64 {
-        let doubled = |ms: u64| ms << failures_before.min(DOUBLINGS);
+        let doubled = |ms: u64| ms << failures_before.min(MAX_DOUBLINGS);
         match self {
             FailureKind::Unreachable => {
-                doubled(UNREACHABLE_MS).min(LONGEST_MS)
+                doubled(UNREACHABLE_BACKOFF_MS).min(MAX_BACKOFF_MS)
             }
-            FailureKind::BadResponse => doubled(BAD_ANSWER_MS).min(LONGEST_MS),
-            FailureKind::Full => FULL_MS,
+            FailureKind::BadResponse => {
+                doubled(BAD_RESPONSE_BACKOFF_MS).min(MAX_BACKOFF_MS)
+            }
+            FailureKind::Full => FULL_BACKOFF_MS,
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a node decides by: routes, endpoints and their load.
+//! Routes, endpoints and endpoint load: the data on which a node bases its
+//! routing decisions.
 //!
-//! Nothing here does I/O. A [`Config`] is the operators' newest word; its
-//! [`RouteTable`] answers which [`Route`] a request takes. A [`Directory`]
-//! turns successive listings of the key-value service into the endpoints
-//! that may be used now, and [`EndpointTable::choose`] picks one by load
-//! among the few that a [`Selection`] names.
+//! This crate does no I/O. A [`Config`] is the operators' latest
+//! configuration; its [`RouteTable`] maps a request to a [`Route`]. A
+//! [`Directory`] turns successive listings of the key-value service into the
+//! set of usable endpoints, and [`EndpointTable::choose`] picks one by load
+//! among the few endpoints of a [`Selection`].
 //!
 //! ```
 //! use pomeloslip_fleet::{Route, RouteKind, RouteTable};
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -3,112 +3,116 @@
 
 use crate::{Endpoint, EndpointTable, Selection, SelectionTier};
 
-/// A load that an endpoint has told with an answer.
+/// A load that an endpoint reported with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// What a request wants of an endpoint.
+/// What a request requires of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointQuery<'a> {
     /// Service that the request goes to.
     pub service: &'a str,
-    /// Failure domain of the caller's node; preferred among equals.
+    /// Failure domain of the caller's node; preferred among otherwise equal
+    /// endpoints.
     pub failure_domain: &'a str,
-    /// Hash of the prompt's shared parts; requests of the same hash prefer
-    /// the same endpoint among equals, whose memory holds those parts.
+    /// Hash of the prompt's shared parts. Requests with the same hash prefer
+    /// the same endpoint among otherwise equal ones, because its cache holds
+    /// those parts.
     pub affinity: u64,
-    /// Ids of endpoints that the request must not go to again.
+    /// Ids of endpoints that must not be chosen again.
     pub tried: &'a [String],
-    /// Requests that may wait at an endpoint beyond its slots.
+    /// Number of requests that may wait at an endpoint beyond its slots.
     pub queue_allowance: u32,
 }
 
-/// Why there is no endpoint for a request.
+/// Why no endpoint was chosen for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChooseError {
-    /// None is listed that could take it.
+    /// No listed endpoint can take the request.
     NoEndpoint,
-    /// All hold as many requests as they may.
+    /// All endpoints hold as many requests as they may.
     AllFull,
 }
 
-/// An endpoint for a request, and what it was chosen by.
+/// The endpoint that was chosen for a request, and the basis of the choice.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The endpoint.
+    /// The chosen endpoint.
     pub endpoint: Endpoint,
-    /// Its load as it was estimated.
+    /// Its estimated load.
     pub estimated_load: u32,
-    /// Endpoints that were looked at.
+    /// Number of endpoints that were considered.
     pub candidates: usize,
 }
 
-/// Endpoints outside the selection that a request looks at if those of the
-/// selection are gone or were tried. More than a request may be offered to, so
-/// that one is found whatever was tried.
-const OTHERS_MOST: usize = 8;
+/// Maximum number of endpoints outside the selection that a request considers
+/// if those of the selection are gone or were tried. It exceeds the maximum
+/// number of attempts, so an untried endpoint is always among them.
+const MAX_OTHER_ENDPOINTS: usize = 8;
 
 impl EndpointTable {
     /// Picks an endpoint with free slots.
     ///
-    /// Those of the node's own share with a free slot go first, of them the
-    /// own failure domain and then the endpoint that the affinity names. If
-    /// there is none, the best of a few is taken that the affinity draws
-    /// from the rest of the selection. Endpoints with recent failures are
-    /// used only where no other is left.
+    /// Endpoints of the node's own share with a free slot are preferred, then
+    /// among these the own failure domain, then the endpoint that the affinity
+    /// ranks first. If there is none, the best of a few endpoints is taken
+    /// that the affinity draws from the remainder of the selection. Endpoints
+    /// with recent failures are used only if no other is left.
     ///
-    /// Others are taken where the selection is gone or was tried, and not
-    /// where it is full: their load is not known, and is as a rule that of
-    /// the selection. What goes wrong with that: in a burst, requests go to
-    /// engines that look idle and are full; their first events are late, and
-    /// nobody is told to come back.
+    /// Endpoints outside the selection are taken if the selection is gone or
+    /// was tried, but not if it is full: their load is not known, and is
+    /// usually the same as that of the selection. In a burst, requests would
+    /// otherwise go to engines that look idle but are full; their first events
+    /// would be late, and no caller would be told to retry later.
     ///
-    /// The number of endpoints that are looked at has a bound, however many
-    /// the service has, so that a request costs the same in a large fleet.
+    /// The number of considered endpoints is bounded regardless of the size of
+    /// the service, so a request costs the same in a large fleet.
     ///
-    /// Plain least load over all was rejected. What nodes know of each
-    /// other's requests is some milliseconds old, so that many of them send
-    /// to the one endpoint that looks idle, and requests are late while many
-    /// slots are free.
+    /// Choosing the least loaded of all endpoints does not work: what nodes
+    /// know of each other's requests is some milliseconds old, so many of them
+    /// send to the same endpoint that looks idle, and requests are late while
+    /// many slots are free.
     ///
     /// # Errors
     ///
-    /// The [`ChooseError`] that a refusal tells.
+    /// Returns a [`ChooseError`] that says why the request is refused.
     pub fn choose(
         &self,
         selection: &Selection,
         need: &EndpointQuery<'_>,
         now: Millis,
     ) -> Result<Choice, ChooseError> {
-        let mut look = Look::new(need, now);
-        for (life, standing) in
+        let mut search = Search::new(need, now);
+        for (incarnation, standing) in
             selection.candidates(need.service, need.affinity)
         {
-            if let Some(endpoint) = self.get(life) {
-                look.at(endpoint, standing);
+            if let Some(endpoint) = self.get(incarnation) {
+                search.consider(endpoint, standing);
             }
         }
-        if look.draw.is_empty() && !look.full {
+        if search.draw.is_empty() && !search.full {
             let start = mix(need.affinity ^ now.as_ms());
-            for endpoint in self.window(need.service, start, OTHERS_MOST) {
-                look.at(endpoint, SelectionTier::Other);
+            for endpoint in
+                self.window(need.service, start, MAX_OTHER_ENDPOINTS)
+            {
+                search.consider(endpoint, SelectionTier::Other);
             }
         }
-        look.result()
+        search.result()
     }
 }
 
-/// One search for an endpoint.
-struct Look<'a> {
+/// State of one search for an endpoint.
+struct Search<'a> {
     need: &'a EndpointQuery<'a>,
     now: Millis,
     draw: Draw<'a>,
@@ -116,7 +120,7 @@
     candidates: usize,
 }
 
-impl<'a> Look<'a> {
+impl<'a> Search<'a> {
     fn new(need: &'a EndpointQuery<'a>, now: Millis) -> Self {
         Self {
             need,
@@ -127,15 +131,15 @@
         }
     }
 
-    fn at(&mut self, endpoint: &'a Endpoint, standing: SelectionTier) {
+    fn consider(&mut self, endpoint: &'a Endpoint, standing: SelectionTier) {
         let record = endpoint.record();
         if self.need.tried.contains(&record.id) {
             return;
         }
         self.candidates += 1;
         let load = endpoint.estimated_load(self.now);
-        let most = record.slots.saturating_add(self.need.queue_allowance);
-        if load >= most {
+        let limit = record.slots.saturating_add(self.need.queue_allowance);
+        if load >= limit {
             self.full = true;
             return;
         }
@@ -159,27 +163,28 @@
     }
 }
 
-/// Endpoints that are drawn where the node's own share has no free slot.
+/// Number of endpoints that are drawn if the node's own share has no free
+/// slot.
 ///
-/// The least loaded of all was rejected. In a burst nearly all are full; the
-/// one that is not is seen by every node, and requests of many arrive there
-/// before any of them hears of the others. Of a few that are drawn for each
-/// request, the best is another one for most nodes.
-const DRAWN: usize = 3;
+/// Taking the least loaded of all does not work: in a burst nearly all
+/// endpoints are full, every node sees the one that is not, and requests of
+/// many nodes arrive there before any node learns of the others. The best of a
+/// few that are drawn per request differs between most nodes.
+const MAX_DRAWN: usize = 3;
 
-/// An endpoint that has room.
+/// An endpoint that can take the request.
 struct Candidate<'a> {
     rank: Rank,
     endpoint: &'a Endpoint,
     load: u32,
 }
 
-/// The candidates that a choice is made among.
+/// The best candidates so far.
 #[derive(Default)]
 struct Draw<'a> {
-    /// The best of the node's own share with a free slot.
+    /// The best endpoint of the node's own share with a free slot.
     own: Option<Candidate<'a>>,
-    /// Some of all others, those that the affinity names first.
+    /// Other candidates, those that the affinity ranks first.
     drawn: Vec<Candidate<'a>>,
 }
 
@@ -196,9 +201,9 @@
         let new = order(&candidate.rank);
         let before = |known: &Candidate<'_>| order(&known.rank) < new;
         let at = self.drawn.partition_point(before);
-        if at < DRAWN {
+        if at < MAX_DRAWN {
             self.drawn.insert(at, candidate);
-            self.drawn.truncate(DRAWN);
+            self.drawn.truncate(MAX_DRAWN);
         }
     }
 
@@ -213,7 +218,7 @@
     }
 }
 
-/// Order of preference; the least goes first.
+/// Order of preference; the lowest rank is preferred.
 #[derive(Eq, Ord, PartialEq, PartialOrd)]
 struct Rank {
     suspect: bool,
@@ -249,21 +254,21 @@
     }
 }
 
-/// Free slots of an endpoint outside the own share that other nodes have
-/// taken meanwhile, as a rule: what is known of them is up to fifty
-/// milliseconds old.
-const UNSURE_SLOTS: u32 = 1;
+/// Number of free slots of an endpoint outside the own share that are assumed
+/// to be taken: knowledge of other nodes' requests is up to fifty milliseconds
+/// old.
+const ASSUMED_TAKEN_SLOTS: u32 = 1;
 
-/// Tells whether a request may have to wait at an endpoint.
+/// Reports whether a request may have to wait at an endpoint.
 ///
-/// All crowded endpoints are equals, so that requests spread over them by
-/// hash. With the last free slots first, all nodes sent to the few endpoints
-/// that seemed to have one: at a fleet of 51 full engines some had twelve
-/// requests waiting and most had none.
+/// All crowded endpoints rank equal, so that requests are distributed over
+/// them by hash. When the last free slots were preferred instead, all nodes
+/// sent to the few endpoints that seemed to have one: in a fleet of 51 full
+/// engines some had twelve waiting requests and most had none.
 fn is_crowded(load: u32, slots: u32, other_share: bool) -> bool {
-    let unsure = match other_share {
-        true => UNSURE_SLOTS,
+    let assumed_taken = match other_share {
+        true => ASSUMED_TAKEN_SLOTS,
         false => 0,
     };
-    load.saturating_add(unsure) >= slots.max(1)
+    load.saturating_add(assumed_taken) >= slots.max(1)
 }
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -4,34 +4,34 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated of a request.
+/// How requests of a route may be retried and what kind of response they get.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// May run once at most; the safe assumption.
+    /// The request may run at most once; the safe default.
     #[default]
     AtMostOnce,
-    /// Answers with a stream of events; runs once at most.
+    /// The response is a stream of events; the request runs at most once.
     Stream,
-    /// Answers with a stream of events, which another endpoint can take up
+    /// The response is a stream of events, which another endpoint can resume
     /// after the last event that arrived.
     ResumableStream,
-    /// Takes jobs of many items that run later.
+    /// Accepts jobs of many items that run later.
     Batch,
 }
 
 impl RouteKind {
-    /// Tells whether a request that may have run may be sent once more.
+    /// Reports whether a request that may have run may be sent again.
     #[inline]
     pub fn is_repeatable(self) -> bool {
         matches!(self, RouteKind::Idempotent | RouteKind::ResumableStream)
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Reports whether the response is a stream of events.
     #[inline]
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream | RouteKind::ResumableStream)
@@ -44,24 +44,25 @@
 pub struct Destination {
     /// Name of the service.
     pub service: String,
-    /// Share, relative to the route's other destinations.
+    /// Weight relative to the route's other destinations.
     pub weight: u32,
 }
 
-/// Times of the jobs of a batch route, counted from their submission.
+/// Deadlines of the jobs of a batch route, relative to their submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchDeadlines {
-    /// When all results are due, in milliseconds.
+    /// Time until all results are due, in milliseconds.
     pub due_in_ms: u64,
-    /// When an item without a result may be given up, in milliseconds.
+    /// Time after which an item without a result may be given up, in
+    /// milliseconds.
     pub give_up_in_ms: u64,
 }
 
-/// One rule: requests of a host below a path prefix go to services.
+/// A routing rule: requests to a host below a path prefix go to services.
 ///
-/// Built with [`Route::new`] and the `with_` methods, which state what
-/// differs from the defaults.
+/// Built with [`Route::new`] and the `with_` methods, which set the values
+/// that differ from the defaults.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -80,18 +81,18 @@
     public: bool,
 }
 
-/// Time after which a request without a route's own bound is ended.
+/// Timeout of a request whose route sets none.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
-/// Latency objective of a route that states none.
+/// Latency objective of a route that sets none.
 const DEFAULT_TARGET_LATENCY_MS: u64 = 1_000;
 
-/// Jobs of a route that states no terms are due within a day, as in the
+/// Deadline of the jobs of a route that sets none: one day, as in the
 /// project's own batch interface.
-const DEFAULT_BATCH_MS: u64 = 86_400_000;
+const DEFAULT_BATCH_DEADLINE_MS: u64 = 86_400_000;
 
 impl Route {
-    /// Makes a route to one service for requests that run once at most.
+    /// Creates a route to one service for requests that run at most once.
     pub fn new(name: &str, host: &str, prefix: &str, service: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -108,29 +109,29 @@
             priority: 0,
             gap_target_ms: 0,
             batch: BatchDeadlines {
-                due_in_ms: DEFAULT_BATCH_MS,
-                give_up_in_ms: DEFAULT_BATCH_MS,
+                due_in_ms: DEFAULT_BATCH_DEADLINE_MS,
+                give_up_in_ms: DEFAULT_BATCH_DEADLINE_MS,
             },
             public: false,
         }
     }
 
-    /// Sets the services and their shares.
+    /// Sets the services and their weights.
     #[must_use]
     pub fn with_destinations(mut self, to: Vec<Destination>) -> Self {
         self.destinations = to;
         self
     }
 
-    /// Sets what may be repeated.
+    /// Sets the kind of the route.
     #[must_use]
     pub fn with_kind(mut self, kind: RouteKind) -> Self {
         self.kind = kind;
         self
     }
 
-    /// Sets the longest time that a request is kept waiting and the time
-    /// within which its answer (for a stream: its first event) is wanted.
+    /// Sets the request timeout and the latency objective of the response (for
+    /// a stream: of its first event).
     #[must_use]
     pub fn with_times(mut self, timeout_ms: u64, target_ms: u64) -> Self {
         self.timeout_ms = timeout_ms;
@@ -138,28 +139,29 @@
         self
     }
 
-    /// Sets on how many endpoints one request may run; at least one.
+    /// Sets the maximum number of endpoints on which one request may run; at
+    /// least one.
     #[must_use]
     pub fn with_max_attempts(mut self, max_attempts: u32) -> Self {
         self.max_attempts = max_attempts.max(1);
         self
     }
 
-    /// Sets the rank; 0 is the highest.
+    /// Sets the priority; 0 is the highest.
     #[must_use]
     pub fn with_priority(mut self, priority: u32) -> Self {
         self.priority = priority;
         self
     }
 
-    /// Sets the longest pause between events that is still in time.
+    /// Sets the target for the maximum pause between events.
     #[must_use]
     pub fn with_gap_target_ms(mut self, gap_ms: u64) -> Self {
         self.gap_target_ms = gap_ms;
         self
     }
 
-    /// Sets the times of jobs.
+    /// Sets the deadlines of jobs.
     #[must_use]
     pub fn with_batch(mut self, terms: BatchDeadlines) -> Self {
         self.batch = terms;
@@ -191,63 +193,64 @@
         &self.prefix
     }
 
-    /// Returns what may be repeated.
+    /// Returns the kind of the route.
     #[inline]
     pub fn kind(&self) -> RouteKind {
         self.kind
     }
 
-    /// Returns the longest time that a request is kept waiting.
+    /// Returns the request timeout.
     #[inline]
     pub fn timeout_ms(&self) -> u64 {
         self.timeout_ms
     }
 
-    /// Returns the time within which an answer is wanted.
+    /// Returns the latency objective.
     #[inline]
     pub fn target_latency_ms(&self) -> u64 {
         self.target_latency_ms
     }
 
-    /// Returns on how many endpoints one request may run.
+    /// Returns the maximum number of endpoints on which one request may run.
     #[inline]
     pub fn max_attempts(&self) -> u32 {
         self.max_attempts
     }
 
-    /// Returns the rank; 0 is the highest.
+    /// Returns the priority; 0 is the highest.
     #[inline]
     pub fn priority(&self) -> u32 {
         self.priority
     }
 
-    /// Returns the longest pause between events that is in time; 0 if the
-    /// route states none.
+    /// Returns the target for the maximum pause between events; 0 if the route
+    /// sets none.
     #[inline]
     pub fn gap_target_ms(&self) -> u64 {
         self.gap_target_ms
     }
 
-    /// Returns the times of jobs.
+    /// Returns the deadlines of jobs.
     #[inline]
     pub fn batch(&self) -> BatchDeadlines {
         self.batch
     }
 
-    /// Tells whether callers need no key.
+    /// Reports whether callers need no key.
     #[inline]
     pub fn is_public(&self) -> bool {
         self.public
     }
 
-    /// Returns the services and their shares.
+    /// Returns the services and their weights.
     #[inline]
     pub fn destinations(&self) -> &[Destination] {
         &self.destinations
     }
 
-    /// Returns the service for a request, by a number that is spread
-    /// evenly, for example a hash of its id; none if no share is positive.
+    /// Returns the service for a request, chosen by a uniformly distributed
+    /// number such as a hash of the request id; `None` if no weight is
+    /// positive.
     ///
     /// # Example
     ///
@@ -264,26 +267,26 @@
     /// assert_eq!(route.service(3), Some("b"));
     /// assert_eq!(route.service(4), Some("a"));
     /// ```
-    pub fn service(&self, spread: u64) -> Option<&str> {
+    pub fn service(&self, hash: u64) -> Option<&str> {
         let total: u64 =
             self.destinations.iter().map(|d| u64::from(d.weight)).sum();
-        let mut rest = spread.checked_rem(total)?;
+        let mut remaining = hash.checked_rem(total)?;
         for destination in &self.destinations {
             let weight = u64::from(destination.weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(&destination.service);
             }
-            rest -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// Routes by host and longest path prefix.
+/// Routes, looked up by host and longest path prefix.
 ///
-/// The prefixes of a host are sorted from the longest, so that the first
-/// match decides, as with the operators' rules. A tree was rejected: hosts
-/// have tens of routes and a scan of them costs less than a microsecond.
+/// The prefixes of a host are sorted by descending length, so the first match
+/// decides, as in the operators' rules. Hosts have tens of routes, and a
+/// linear scan of them takes less than a microsecond, so a tree is not needed.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: IndexMap<String, Vec<Arc<Route>>>,
@@ -291,7 +294,7 @@
 }
 
 impl RouteTable {
-    /// Sorts routes by host and prefix.
+    /// Creates a table, sorted by host and prefix.
     pub fn new(routes: Vec<Route>) -> Self {
         let mut table = Self::default();
         for route in routes {
@@ -309,7 +312,8 @@
         table
     }
 
-    /// Returns the route of a request. `host` may have a port and capitals.
+    /// Returns the route of a request. `host` may have a port and upper-case
+    /// letters.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or_default();
         let routes = match self.by_host.get(host) {
@@ -319,7 +323,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Returns the route of a name.
+    /// Returns the route with this name.
     pub fn by_name(&self, name: &str) -> Option<&Arc<Route>> {
         self.by_name.get(name)
     }
@@ -329,26 +333,26 @@
         self.by_name.values()
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Tells whether there is no route.
+    /// Reports whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 }
 
-/// What clients may send and how long they may take.
+/// Limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TransferLimits {
-    /// Bytes of a request's line and headers.
+    /// Maximum size of a request's line and headers.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// Time for a request's headers.
+    /// Timeout for receiving a request's headers.
     pub header_timeout_ms: u64,
     /// Time that a connection may be idle between requests.
     pub idle_timeout_ms: u64,
@@ -356,7 +360,7 @@
 
 impl Default for TransferLimits {
     /// 16 KiB of headers and 4 MiB of body hold the largest prompts of both
-    /// users; the times are generous for clients on slow links.
+    /// users; the timeouts are generous for clients on slow links.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
@@ -367,13 +371,14 @@
     }
 }
 
-/// What the operators say of a service.
+/// The operators' settings of a service.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: String,
-    /// Connections that one endpoint accepts from all callers.
+    /// Maximum number of connections that one endpoint accepts from all
+    /// callers.
     pub max_connections: u32,
     /// Whether its endpoints are model engines.
     pub engine: bool,
@@ -388,8 +393,8 @@
     pub routes: RouteTable,
     /// The services by name.
     pub services: IndexMap<String, ServiceSpec>,
-    /// Limits towards clients.
+    /// Limits for clients.
     pub limits: TransferLimits,
-    /// The customers; without them nobody needs a key.
+    /// The customers; if absent, no caller needs a key.
     pub customers: Option<Customers>,
 }
--- a/crates/fleet/src/selection.rs
+++ b/crates/fleet/src/selection.rs
@@ -3,24 +3,24 @@
 
 use crate::{Endpoint, EndpointTable, IncarnationKey, table::window};
 
-/// How near an endpoint is to the node that chooses.
+/// How an endpoint relates to the node that chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SelectionTier {
-    /// One of the node's own share, which no other node uses first.
+    /// Belongs to the node's own share, which no other node uses first.
     Own,
-    /// One of those that the node goes to when its own share is full.
+    /// Used when the node's own share is full.
     Spill,
-    /// Any other.
+    /// Any other endpoint of the service.
     Other,
 }
 
-/// The few endpoints that a node sends to as a rule.
+/// The subset of endpoints that a node normally sends requests to.
 ///
-/// Where every node sends to every endpoint, each pair of them needs load
-/// updates, connections and a place in each choice, so that the cost of a
-/// node grows with the fleet. Here a node has its own share, which shrinks
-/// and grows with the ratio of endpoints to nodes alone, and a fixed number
-/// of others to spill to.
+/// If every node sent to every endpoint, each pair would need load updates,
+/// connections and an evaluation in each choice, and the cost of a node would
+/// grow with the fleet. Instead, a node has its own share, whose size depends
+/// only on the ratio of endpoints to nodes, and a fixed number of other
+/// endpoints to spill over to.
 ///
 /// # Example
 ///
@@ -50,30 +50,32 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
-    by_service: IndexMap<String, Near>,
+    by_service: IndexMap<String, ServiceSelection>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Near {
+struct ServiceSelection {
     own: Vec<IncarnationKey>,
     spill: Vec<IncarnationKey>,
 }
 
-/// Endpoints of a service that a node spills to. Each costs a subscription
-/// to its load. With few of them, a node refuses requests whose selection
-/// happens to be full, and enough must be left where many are dark.
+/// Maximum number of a service's endpoints that a node spills over to. Each
+/// costs a subscription to its load. With too few, a node refuses requests
+/// while its selection happens to be full; the number also has to suffice
+/// while many endpoints are unreachable.
 pub const MAX_SPILL_ENDPOINTS: usize = 24;
 
-/// Endpoints of the own share that one request looks at. A fleet with more
-/// endpoints a node than this is far from full, so that the first few that
-/// the affinity names do.
-const OWN_MOST: usize = 32;
+/// Maximum number of endpoints of the own share that one request considers. A
+/// fleet with more endpoints per node is far from full, so the first few that
+/// the affinity determines suffice.
+const MAX_OWN_ENDPOINTS: usize = 32;
 
 impl Selection {
-    /// Selects for one node; `is_own` tells its own share.
+    /// Creates the selection of one node; `is_own` reports whether an endpoint
+    /// belongs to its own share.
     ///
-    /// This walks over the table, and is for changes of the table and of
-    /// the nodes alone.
+    /// This scans the whole table and is meant to run only when the table or
+    /// the set of nodes changes.
     pub fn new(
         node: &str,
         table: &EndpointTable,
@@ -86,12 +88,12 @@
                 all.partition(|endpoint| is_own(endpoint));
             others.sort_unstable_by_key(|e| mix(hash ^ e.id_hash()));
             others.truncate(MAX_SPILL_ENDPOINTS);
-            let lives = |all: Vec<&Endpoint>| {
+            let incarnations = |all: Vec<&Endpoint>| {
                 all.into_iter().map(Endpoint::incarnation_key).collect()
             };
-            Near {
-                own: lives(own),
-                spill: lives(others),
+            ServiceSelection {
+                own: incarnations(own),
+                spill: incarnations(others),
             }
         };
         let services = table.services();
@@ -102,9 +104,9 @@
         }
     }
 
-    /// Returns the endpoints of a service that a request looks at. Of a
-    /// large own share they are some that lie side by side, and `start`
-    /// draws the first of them.
+    /// Returns the endpoints of a service that a request considers. Of a large
+    /// own share, these are some adjacent ones, and `start` determines the
+    /// first of them.
     pub fn candidates(
         &self,
         service: &str,
@@ -114,12 +116,16 @@
         let (own, spill) = near.map_or((&[][..], &[][..]), |near| {
             (near.own.as_slice(), near.spill.as_slice())
         });
-        let own = window(own, start, OWN_MOST);
-        let own = own.map(|life| (*life, SelectionTier::Own));
-        own.chain(spill.iter().map(|life| (*life, SelectionTier::Spill)))
+        let own = window(own, start, MAX_OWN_ENDPOINTS);
+        let own = own.map(|incarnation| (*incarnation, SelectionTier::Own));
+        own.chain(
+            spill
+                .iter()
+                .map(|incarnation| (*incarnation, SelectionTier::Spill)),
+        )
     }
 
-    /// Returns all endpoints that the node sends to as a rule.
+    /// Returns all selected endpoints.
     pub fn iter(&self) -> impl Iterator<Item = IncarnationKey> {
         let all = self.by_service.values();
         all.flat_map(|near| near.own.iter().chain(&near.spill).copied())
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -6,9 +6,9 @@
 
 /// The endpoints that may be used now.
 ///
-/// One arena, in which the endpoints of a service lie side by side. A life
-/// is found by its key in constant time, so that neither a request nor an
-/// update of load walks over the fleet.
+/// All endpoints are in one vector, in which those of a service are adjacent.
+/// An incarnation is looked up by its key in constant time, so neither a
+/// request nor a load update scans the fleet.
 ///
 /// # Example
 ///
@@ -35,11 +35,11 @@
 pub struct EndpointTable {
     endpoints: Vec<Endpoint>,
     services: IndexMap<String, Range<usize>>,
-    places: IndexMap<IncarnationKey, usize>,
+    positions: IndexMap<IncarnationKey, usize>,
 }
 
 impl EndpointTable {
-    /// Makes a table of endpoints.
+    /// Creates a table of endpoints.
     pub fn new(endpoints: impl IntoIterator<Item = Endpoint>) -> Self {
         let mut by_service: IndexMap<String, Vec<Endpoint>> = IndexMap::new();
         for endpoint in endpoints {
@@ -52,15 +52,19 @@
             table.endpoints.extend(endpoints);
             table.services.insert(service, first..table.endpoints.len());
         }
-        let lives = table.endpoints.iter().map(Endpoint::incarnation_key);
-        table.places = lives.zip(0..).collect();
+        let incarnations =
+            table.endpoints.iter().map(Endpoint::incarnation_key);
+        table.positions = incarnations.zip(0..).collect();
         table
     }
 
-    /// Returns the endpoint of a life, unless it takes no work any more.
+    /// Returns the endpoint of an incarnation, unless it accepts no work any
+    /// more.
     #[inline]
-    pub fn get(&self, life: IncarnationKey) -> Option<&Endpoint> {
-        self.places.get(&life).map(|place| &self.endpoints[*place])
+    pub fn get(&self, incarnation: IncarnationKey) -> Option<&Endpoint> {
+        self.positions
+            .get(&incarnation)
+            .map(|position| &self.endpoints[*position])
     }
 
     /// Returns the endpoints of a service.
@@ -74,15 +78,15 @@
         self.services.keys().map(String::as_str)
     }
 
-    /// Returns up to `most` endpoints of a service that lie side by side;
-    /// `start` draws the first one.
+    /// Returns up to `max` adjacent endpoints of a service; `start` determines
+    /// the first one.
     pub(crate) fn window(
         &self,
         service: &str,
         start: u64,
-        most: usize,
+        max: usize,
     ) -> impl Iterator<Item = &Endpoint> {
-        window(self.of_service(service), start, most)
+        window(self.of_service(service), start, max)
     }
 
     /// Returns all endpoints.
@@ -90,25 +94,26 @@
         self.endpoints.iter()
     }
 
-    /// Returns how many endpoints there are.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Tells whether there is no endpoint.
+    /// Reports whether there is no endpoint.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 }
 
-/// Returns up to `most` entries of a ring, from the one on that `start`
-/// draws, without a step for each entry before it.
+/// Returns up to `max` consecutive entries of a circular slice, beginning at
+/// the index that `start` determines modulo the length, in constant time per
+/// entry.
 pub(crate) fn window<T>(
-    ring: &[T],
+    entries: &[T],
     start: u64,
-    most: usize,
+    max: usize,
 ) -> impl Iterator<Item = &T> {
-    let first = start.checked_rem(ring.len() as u64).unwrap_or(0) as usize;
-    let steps = 0..most.min(ring.len());
-    steps.map(move |step| &ring[(first + step) % ring.len()])
+    let first = start.checked_rem(entries.len() as u64).unwrap_or(0) as usize;
+    let steps = 0..max.min(entries.len());
+    steps.map(move |step| &entries[(first + step) % entries.len()])
 }
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -1,11 +1,11 @@
-//! A burst of many nodes before engines that are nearly full, by a stepped
-//! clock and without a network: the shipped choice, old views, queues.
+//! Simulates a burst of requests from many nodes to engines that are nearly
+//! full, with a stepped clock and without a network. It uses the real endpoint
+//! choice, delayed knowledge of other nodes' load, and queues at the engines.
 //!
-//! The pattern: seventeen nodes send 355 streams a second for 2.4 s to 38
-//! engines of seven slots; a stream holds a slot for 0.75 s on average, so
-//! that all slots are wanted. What a node knows of the others is up to a
-//! tenth of a second old. A first event is in time if it waits 240 ms at the
-//! most for a slot.
+//! Load: seventeen nodes send 355 streams a second for 2.4 s to 38 engines
+//! with seven slots each. A stream holds a slot for 0.75 s on average, so all
+//! slots are needed. What a node knows of the others is up to a tenth of a
+//! second old. A first event is in time if it waits at most 240 ms for a slot.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -20,30 +20,30 @@
 const UPDATE_MS: u64 = 50;
 const PATIENCE_MS: u64 = 240;
 
-/// A fleet and the load that it gets.
+/// A fleet and its load.
 #[derive(Clone, Copy)]
 struct Fleet {
     nodes: usize,
     engines: usize,
-    /// Arrivals in a second.
+    /// Arrivals per second.
     rate: u64,
 }
 
-/// The fleet in whose bursts the pattern was found.
+/// The fleet in which the failure was first observed.
 const SMALL: Fleet = Fleet {
     nodes: 17,
     engines: 38,
     rate: 355,
 };
 
-/// Ten times as many of all.
+/// Ten times as many nodes, engines and requests.
 const LARGE: Fleet = Fleet {
     nodes: 170,
     engines: 380,
     rate: 3_550,
 };
 
-/// Numbers that look random and are the same each time.
+/// Deterministic pseudo-random numbers.
 struct Random(u64);
 
 impl Random {
@@ -55,9 +55,9 @@
 
 #[derive(Default)]
 struct Engine {
-    /// Node and end of each stream that runs.
+    /// Node and end time of each running stream.
     running: Vec<(usize, u64)>,
-    /// Node and arrival of each that waits.
+    /// Node and arrival time of each waiting request.
     waiting: VecDeque<(usize, u64)>,
 }
 
@@ -69,7 +69,7 @@
     longest_queue: usize,
 }
 
-/// Plays a burst.
+/// Simulates one burst.
 fn play(fleet: Fleet, seed: u64) -> Outcome {
     let Fleet {
         nodes,
@@ -117,14 +117,16 @@
             }
         }
         if now % UPDATE_MS == 0 {
-            // What the nodes hear now was sent one update before.
+            // The counts that the nodes receive now are one update interval
+            // old.
             report(&views, &selections, &counts, now);
             count(&views, &mut counts);
         }
         if now > BURST_MS {
             continue;
         }
-        // Whole arrivals of each millisecond, and the rest by chance.
+        // The integer part of the arrivals of each millisecond, and the
+        // fraction at random.
         let rest = u64::from(random.below(1_000) < rate % 1_000);
         for _ in 0..rate / 1_000 + rest {
             let node = random.below(nodes as u64) as usize;
@@ -175,8 +177,8 @@
     }
 }
 
-/// Reports to each node what the others have at the endpoints that it sends
-/// to as a rule; of others it hears nothing.
+/// Records at each node the load of the others at its selected endpoints; it
+/// learns nothing of other endpoints.
 fn report(
     views: &[Vec<Endpoint>],
     selections: &[Selection],
@@ -195,12 +197,12 @@
     }
 }
 
-/// Symptom: first events come a second late in a burst while most engines
-/// have no queue. Events: nearly all engines are full; one gets a free slot,
-/// every node sees it, and ten requests arrive there before any node hears
-/// of the others. Cause: each node took the least loaded of all.
+/// Guards against first events that are a second late in a burst while most
+/// engines have no queue: when each node took the least loaded of all engines,
+/// every node saw the one with a free slot, and ten requests arrived there
+/// before any node learned of the others.
 ///
-/// With the least loaded of all 1,149 of 8,600 were late, and 17 requests
+/// With that choice 1,149 of 8,600 first events were late, and 17 requests
 /// waited at one engine.
 #[test]
 fn nodes_do_not_all_send_to_the_one_engine_with_a_free_slot() {
@@ -219,9 +221,10 @@
     assert_eq!(all.refused, 0, "{all:?}");
 }
 
-/// A node of a large fleet hears of the load of a few endpoints alone, and of
-/// the others it knows its own requests. Ten times the fleet and the load do
-/// as well as the small one, where a selection is half of all endpoints.
+/// A node of a large fleet receives the load of a few endpoints only, and
+/// knows just its own requests at the others. Ten times the fleet and the load
+/// must perform as well as the small fleet, where a selection covers half of
+/// all endpoints.
 #[test]
 fn a_large_fleet_does_as_well_with_a_selection() {
     let outcome = play(LARGE, 1);
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a directory believes after each listing.
+//! The state of a directory after each listing.
 
 use base::{Millis, UnixMillis};
 use pomeloslip_fleet::{
@@ -39,10 +39,9 @@
     assert_eq!(usable(&directory), 1);
 }
 
-/// Symptom: all requests refused for two seconds after an outage of the
-/// key-value service. Events: the service is away, the endpoints' entries
-/// lapse, it returns and lists none of them. Cause: a listing right after
-/// an outage does not show who lives.
+/// Guards against refusing all requests for two seconds after an outage of the
+/// key-value service. During the outage the endpoints' entries expire, and the
+/// first listing afterwards does not show which endpoints are alive.
 #[test]
 fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
     let mut directory = Directory::default();
@@ -85,9 +84,8 @@
     assert!(directory.get("a").is_some());
 }
 
-/// Symptom: an endpoint that is gone is used again. Events: a listing is
-/// delayed on its way, a newer one arrives first. Cause: answers on several
-/// connections overtake each other.
+/// Guards against using a removed endpoint again when a delayed listing
+/// arrives after a newer one, as responses on several connections may.
 #[test]
 fn an_older_listing_changes_nothing() {
     let mut directory = Directory::default();
@@ -123,10 +121,10 @@
     }
 }
 
-/// Symptom: an endpoint that is idle gets no work. Events: it crashes behind
-/// a cut with requests in flight, starts again under its id, and its entry
-/// never lapses. Cause: its load and failures counted as those of the life
-/// before.
+/// Guards against a restarted endpoint that gets no work because load and
+/// failures of its previous incarnation still count. The endpoint crashes
+/// during a network partition with requests in flight and restarts under its
+/// id before its entry expires.
 #[test]
 fn a_restarted_endpoint_has_nothing_of_the_life_before() {
     let now = Millis::new(1_000);
@@ -150,8 +148,8 @@
     );
 }
 
-/// Symptom: the same as above, where the first life told no start, as the
-/// entries of most endpoints do.
+/// The same failure if the entry of the first incarnation has no start time,
+/// as the entries of most endpoints.
 #[test]
 fn a_start_that_is_told_for_the_first_time_is_a_restart() {
     let mut directory = Directory::default();
@@ -162,9 +160,9 @@
     assert!(matches!(changes[..], [Change::Restarted { .. }]));
 }
 
-/// Symptom: a running endpoint is taken for one that is gone. Events: it
-/// restarts, and a write of its former life that was under way arrives
-/// after its new entry. Cause: the newest write taken for the newest life.
+/// Guards against treating a running endpoint as gone when a delayed write of
+/// its previous incarnation arrives after its new entry: the latest write is
+/// not always of the latest incarnation.
 #[test]
 fn an_entry_of_a_life_that_is_over_changes_nothing() {
     let mut directory = Directory::default();
--- a/crates/fleet/tests/load.rs
+++ b/crates/fleet/tests/load.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request gets.
+//! The choice of an endpoint for a request.
 
 use base::Millis;
 use pomeloslip_fleet::{
@@ -30,7 +30,7 @@
     }
 }
 
-/// Selects endpoints for a node whose own share are those of these ids.
+/// Creates the selection of a node whose own share consists of these ids.
 fn selection(table: &EndpointTable, own: &[&str]) -> Selection {
     let is_own = |e: &Endpoint| own.contains(&e.record().id.as_str());
     Selection::new("node", table, is_own)
@@ -141,9 +141,9 @@
     assert_eq!(one.estimated_load(NOW), 2);
 }
 
-/// Symptom: requests wait at one endpoint while others are idle. Events:
-/// many nodes see the same endpoint as the least loaded and all send there
-/// before they hear of each other. Cause: least load by old knowledge.
+/// Guards against requests that wait at one endpoint while others are idle:
+/// many nodes see the same endpoint as the least loaded, by stale knowledge,
+/// and all send there.
 #[test]
 fn nodes_use_their_own_shares_first() {
     let (idle, own) = (endpoint("idle", "east"), endpoint("own", "east"));
@@ -159,8 +159,8 @@
     assert_eq!(chosen(), "idle", "no slot is free");
 }
 
-/// Symptom: the choice for one request takes a tenth of a front's processor
-/// before three thousand endpoints. Cause: it looked at all of them.
+/// Guards against a choice that considers all endpoints, which took a tenth of
+/// a front's processor for each request with three thousand endpoints.
 #[test]
 fn a_choice_looks_at_as_many_endpoints_in_a_large_fleet() {
     let looked_at = |size: usize| {
@@ -174,9 +174,9 @@
     assert!(looked_at(3_000) <= 32);
 }
 
-/// Symptom: a request is refused although slots are free. Events: all
-/// endpoints that the node sends to as a rule have just been replaced. Cause:
-/// it looked at no others.
+/// Guards against refusing a request although slots are free, because all
+/// endpoints of the node's selection have just been replaced and no others are
+/// considered.
 #[test]
 fn others_are_taken_where_the_whole_selection_is_gone() {
     let all: Vec<Endpoint> =
@@ -187,10 +187,10 @@
     assert!(gone.choose(&selection, &need(&[]), NOW).is_ok());
 }
 
-/// Symptom: queues of nineteen at some engines, half of the first events of a
-/// second late. Events: a burst while engines are replaced, so that all
-/// slots are wanted. Cause: a node whose selection was full sent to others,
-/// of whose requests it knew none.
+/// Guards against queues of nineteen requests at some engines and half of a
+/// second's first events late. In a burst during a replacement of engines all
+/// slots were needed, and nodes whose selection was full sent to other
+/// endpoints, whose load they did not know.
 #[test]
 fn others_are_not_taken_where_the_whole_selection_is_full() {
     let all: Vec<Endpoint> =
@@ -205,8 +205,7 @@
     assert_eq!(verdict, Some(ChooseError::AllFull));
 }
 
-/// An endpoint that drains has left the table, and the selection may be
-/// older than that.
+/// A draining endpoint has left the table, and the selection may be older.
 #[test]
 fn an_endpoint_that_has_left_the_table_is_not_chosen() {
     let (stays, leaves) = (endpoint("a", "east"), endpoint("b", "east"));
@@ -223,8 +222,9 @@
     }
 }
 
-/// Symptom: two of six endpoints of a plain service get no request all day.
-/// Cause: all requests without a prompt preferred the same endpoints.
+/// Guards against two of six endpoints of a plain service getting no request
+/// all day, because all requests without a prompt preferred the same
+/// endpoints.
 #[test]
 fn requests_of_different_affinity_use_all_endpoints_evenly() {
     let all = (0..6).map(|n| endpoint(&n.to_string(), "west"));
--- a/crates/fleet/tests/routes.rs
+++ b/crates/fleet/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! The route of a request.
 
 use pomeloslip_fleet::{Destination, Route, RouteKind, RouteTable};
 use yare::parameterized;
--- a/crates/router/examples/embed_router.rs
+++ b/crates/router/examples/embed_router.rs
@@ -1,9 +1,9 @@
-//! A program that routes its own calls by the router, without the daemons.
+//! A program that routes its own calls with the router, without the daemons.
 //!
-//! Four replicas answer; one of them breaks, and one says that it leaves.
-//! The program makes the calls itself (here a function that makes up their
-//! outcome) and tells the router what happened. Time and random numbers are
-//! arguments, so that every run prints the same.
+//! Four replicas respond; one of them breaks, and one announces that it is
+//! leaving. The program makes the calls itself (here a function simulates
+//! their outcome) and passes the outcomes to the router. Time and random
+//! numbers are arguments, so every run prints the same.
 //!
 //! Run it with `cargo run -p pomeloslip-router --example embed_router`.
 
@@ -20,20 +20,20 @@
 const CALLS: u64 = 400;
 const CALL_EVERY_MS: u64 = 20;
 
-/// From this call on, the second replica does not answer.
+/// From this call on, the second replica does not respond.
 const BROKEN_FROM: u64 = 100;
 
-/// From this call on, the third replica refuses because it leaves.
+/// From this call on, the third replica refuses calls because it is leaving.
 const LEAVING_FROM: u64 = 200;
 
-/// What became of a call.
+/// Outcome of a call.
 enum Outcome {
     Answered,
     Refused,
     NoConnection,
 }
 
-/// Makes up what a replica does with the call of a number.
+/// Simulates the outcome of a call at a replica.
 fn call(replica: &str, number: u64) -> Outcome {
     match replica {
         "korv-lm-2" if number >= BROKEN_FROM => Outcome::NoConnection,
@@ -47,7 +47,7 @@
     pool: PoolKey,
     names: BTreeMap<EndpointKey, EndpointName>,
     answered: BTreeMap<String, u64>,
-    /// Calls that met a replica which did not serve them.
+    /// Attempts at a replica that did not serve them.
     missed: u64,
 }
 
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Serves one request: tries replicas until one answers.
+    /// Serves one request: tries replicas until one responds.
     fn serve(&mut self, number: u64) -> bool {
         let now = Millis::new(number * CALL_EVERY_MS);
         let mut tried = Vec::new();
@@ -116,8 +116,9 @@
         is_answered
     }
 
-    /// Probes what the router wants to hear of. A program with I/O sends
-    /// the probes in the background and hands the answers in as they come.
+    /// Probes the endpoints that the router returns. A program with I/O sends
+    /// the probes in the background and passes the responses in as they
+    /// arrive.
     fn tick(&mut self, number: u64) {
         let now = Millis::new(number * CALL_EVERY_MS);
         for key in self.router.tick(now) {
@@ -158,8 +159,8 @@
         println!("{name}: {count}");
     }
     assert_eq!(served, CALLS);
-    // One refusal is enough for the one that leaves; the broken one is
-    // tried again now and then only by probes.
+    // The leaving replica refuses only once; the broken one is retried now and
+    // then, only by probes.
     assert!(program.missed < 20, "{} misses", program.missed);
     Ok(())
 }
--- a/crates/router/src/endpoint.rs
+++ b/crates/router/src/endpoint.rs
@@ -4,19 +4,20 @@
 use crate::{health::Health, router::PoolKey};
 
 new_key_type! {
-    /// Names one life of one endpoint. The key of an earlier life is
-    /// unknown to the router, and events about it change nothing.
+    /// Identifies one incarnation of one endpoint. Events with the key of an
+    /// earlier incarnation are ignored.
     pub struct EndpointKey;
 }
 
-/// Weight of the latest call in the mean latency.
+/// Weight of the latest call in the moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// Weight of the latest report in the mean of what others send. Entries that
-/// all believe one late report run to the same endpoint in turns.
+/// Weight of the latest report in the moving average of the calls of other
+/// entries. Without averaging, entries that all trust one late report move to
+/// the same endpoint together, one after the other.
 const OTHER_CALLS_WEIGHT: f64 = 0.5;
 
-/// An endpoint as a list shows it.
+/// An endpoint as it appears in a list.
 ///
 /// # Example
 ///
@@ -37,8 +38,9 @@
 }
 
 impl ListedEndpoint {
-    /// Makes an endpoint; `same_domain` says that it is in the entry's own failure
-    /// domain. The same name at another address is another endpoint.
+    /// Creates a listed endpoint; `same_domain` reports whether it is in the
+    /// entry's own failure domain. The same name at another address is another
+    /// endpoint.
     pub fn new(name: EndpointName, same_domain: bool, address: &str) -> Self {
         Self {
             name,
@@ -54,64 +56,66 @@
     }
 }
 
-/// What a companion says of its endpoint, in an answer or to a probe.
+/// State of an endpoint that its companion reports, in a response or to a
+/// probe.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointReport {
-    /// Calls that run at the endpoint.
+    /// Number of running calls at the endpoint.
     pub running: u32,
-    /// Calls that wait for it.
+    /// Number of calls that wait for it.
     pub waiting: u32,
-    /// Recent time to the first token, in milliseconds; 0 if not told.
+    /// Recent time to the first token, in milliseconds; 0 if not reported.
     pub first_token_ms: u32,
-    /// Set when it takes no new work.
+    /// Whether the endpoint accepts no new work.
     pub leaving: bool,
-    /// Set when it answers.
+    /// Whether the endpoint responds.
     pub up: bool,
-    /// Life of the companion.
+    /// Incarnation of the companion.
     pub incarnation: Incarnation,
 }
 
-/// A report and what followed it.
+/// The last report and its use since then.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastReport {
-    /// Calls of other entries, a mean over the last reports.
+    /// Calls of other entries, a moving average over the last reports.
     pub(crate) other_calls: f64,
     pub(crate) waiting: u32,
     pub(crate) first_token_ms: u32,
     pub(crate) at: Millis,
-    /// Choices that it has served.
+    /// Number of choices that have used this report.
     pub(crate) uses: u32,
 }
 
-/// An endpoint for people and metrics.
+/// State of an endpoint for status pages and metrics.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndpointView {
-    /// Names its life.
+    /// Key of its incarnation.
     pub key: EndpointKey,
     /// Its name.
     pub name: EndpointName,
-    /// Own calls in flight.
+    /// Number of this entry's in-flight calls.
     pub in_flight: u32,
     /// Whether it may be chosen.
     pub selectable: bool,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub leaving: bool,
 }
 
-/// All that is known of one life of an endpoint.
+/// State of one incarnation of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) listed: ListedEndpoint,
     pub(crate) pool: PoolKey,
-    /// Place in the order of prefixes, the same at all entries.
+    /// Hash of the name, by which prefixes rank endpoints; the same at all
+    /// entries.
     pub(crate) name_hash: u64,
     pub(crate) in_flight: u32,
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) leaving: bool,
     pub(crate) health: Health,
     pub(crate) last_report: Option<LastReport>,
-    /// Mean time to the first token of own calls, and the load at which
-    /// they were sent.
+    /// Moving average of the time to the first token of own calls, and of the
+    /// load at which they were sent.
     pub(crate) latency_ms: f64,
     pub(crate) latency_load: f64,
     pub(crate) probed: Option<Millis>,
@@ -138,15 +142,16 @@
         !self.leaving && self.health.is_selectable(self.in_flight)
     }
 
-    /// Returns the requests that the endpoint probably has: the own ones,
-    /// which are known exactly, and those of other_calls by a fresh report.
+    /// Returns the estimated number of requests at the endpoint: the own ones,
+    /// which are counted exactly, and those of others from a fresh report.
     pub(crate) fn load(&self, now: Millis, max_age_ms: u64) -> f64 {
         let own = f64::from(self.in_flight);
         self.fresh(now, max_age_ms)
             .map_or(own, |last_report| own + last_report.other_calls)
     }
 
-    /// Tells whether calls waited at the last fresh report.
+    /// Reports whether calls were waiting at the time of the last fresh
+    /// report.
     pub(crate) fn is_queueing(&self, now: Millis, max_age_ms: u64) -> bool {
         self.fresh(now, max_age_ms)
             .is_some_and(|last_report| last_report.waiting > 0)
@@ -185,7 +190,7 @@
         self.latency_load += LATENCY_WEIGHT * (load - self.latency_load);
     }
 
-    /// Returns the latency that a call would probably see at this load.
+    /// Returns the estimated latency of a call at this load.
     pub(crate) fn latency_at(&self, load: f64) -> f64 {
         match &self.last_report {
             Some(last_report) if last_report.first_token_ms > 0 => {
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -2,57 +2,58 @@
 
 use crate::options::{Ejection, HealthPolicy};
 
-/// Highest health score, at which an endpoint starts.
+/// Maximum health score, at which an endpoint starts.
 const MAX_SCORE: u32 = 1_000;
 
-/// Shortest time between two rises of the health score, in milliseconds;
-/// probes for the load come more often.
+/// Minimum interval between two increases of the health score, in
+/// milliseconds; probes for the load are more frequent.
 const SCORE_RAISE_INTERVAL_MS: u64 = 1_000;
 
-/// Weight of the latest call in the share of failures.
+/// Weight of the latest call in the moving average of failures.
 const FAILURE_SHARE_WEIGHT: f64 = 0.1;
 
-/// Answered calls after which earlier times out are forgotten.
+/// Number of consecutive successful calls after which earlier ejections no
+/// longer lengthen the next one.
 const ANSWERS_TO_RESET_EJECTIONS: u32 = 50;
 
-/// Most doublings of the time out.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 10;
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum Failure {
-    /// There is no connection or nobody answers on it: the endpoint takes
-    /// nothing now.
+    /// No connection, or no response on it: the endpoint currently accepts
+    /// nothing.
     Unreachable,
-    /// The call or its answer was lost after it had been sent.
+    /// The call or its response was lost after the call had been sent.
     Lost,
 }
 
-/// Why an endpoint did not take a call; the call did not run.
+/// Why an endpoint did not accept a call; the call did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum Refusal {
-    /// It has no room; this says nothing against its health.
+    /// It is at capacity; this does not count against its health.
     Full,
-    /// It takes no new work in this life.
+    /// This incarnation accepts no new work.
     Leaving,
     /// Its companion cannot reach it.
     Down,
-    /// Another endpoint lives at its address.
+    /// Another endpoint has its address now.
     WrongTarget,
-    /// For another reason.
+    /// Any other reason.
     Other,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum State {
     Selectable,
-    /// Out until a time, and then until a probe succeeds.
+    /// Not selectable until this time, and then until a probe succeeds.
     Ejected(Millis),
-    /// Back for one call at a time.
+    /// Selectable for one call at a time.
     HalfOpen,
 }
 
-/// What an entry's own calls say of an endpoint.
+/// Health of an endpoint according to the entry's own calls.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     state: State,
@@ -79,7 +80,7 @@
 }
 
 impl Health {
-    /// Tells whether the endpoint may be chosen.
+    /// Reports whether the endpoint may be chosen.
     pub(crate) fn is_selectable(&self, in_flight: u32) -> bool {
         match self.state {
             State::Selectable => true,
@@ -92,7 +93,8 @@
         matches!(self.state, State::Ejected(_))
     }
 
-    /// Returns the health score; the same for all unless values are used.
+    /// Returns the health score; the same for all endpoints unless the policy
+    /// uses scores.
     pub(crate) fn score(&self) -> u32 {
         self.score
     }
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Notes a failure; `is_ejection_allowed` is false when too many are out already.
+    /// Records a failure; `is_ejection_allowed` is false if too many endpoints
+    /// are ejected already.
     pub(crate) fn failed(
         &mut self,
         policy: &HealthPolicy,
@@ -154,7 +157,8 @@
         self.failure_share = 0.0;
     }
 
-    /// Tells whether a probe could bring the endpoint back or nearer to it.
+    /// Reports whether a successful probe could make the endpoint selectable
+    /// or raise its score.
     pub(crate) fn wants_probe(&self, now: Millis) -> bool {
         match self.state {
             State::Ejected(until) => now >= until,
@@ -162,9 +166,8 @@
         }
     }
 
-    /// Notes a successful probe. One that comes before the time out is over
-    /// changes nothing: an endpoint that fails each call may still answer
-    /// probes.
+    /// Records a successful probe. It does not end an ejection early: an
+    /// endpoint that fails every call may still answer probes.
     pub(crate) fn probed(&mut self, now: Millis) {
         if let State::Ejected(until) = self.state
             && now >= until
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Notes a probe that failed.
+    /// Records a failed probe.
     pub(crate) fn probe_failed(&mut self, policy: &HealthPolicy) {
         if let HealthPolicy::Score { sensitivity } = policy {
             self.score = self.score.saturating_sub(*sensitivity);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,15 +1,15 @@
 //! Endpoint selection and health as a state machine without I/O.
 //!
-//! A [`Router`] holds what one entry knows of the endpoints of its pools.
-//! The entry tells it what happened (listed, sent, reported, refused,
-//! answered, failed, tick) and asks it where a request goes; time and random
-//! numbers are arguments, so that a run can be replayed from a seed. Each
-//! life of an endpoint has a key of its own: what an earlier life still does
-//! cannot change what is known of the next.
+//! A [`Router`] holds the knowledge of one entry about the endpoints of its
+//! pools. The entry passes events to it (list, sent, report, refusal,
+//! response, failure, tick) and asks it for the endpoint of each request. Time
+//! and random numbers are arguments, so a run can be replayed from a seed.
+//! Each incarnation of an endpoint has its own key, so late events of an
+//! earlier incarnation cannot affect the state of the next.
 //!
 //! Policies are values ([`Policy`], [`HealthPolicy`], [`Affinity`]), so that
-//! one bench compares them; `docs/design/routing.md` has the comparison and
-//! the reasons for the defaults.
+//! one benchmark can compare them; `docs/design/routing.md` has the comparison
+//! and the reasons for the defaults.
 //!
 //! ```
 //! use base::Millis;
--- a/crates/router/src/options.rs
+++ b/crates/router/src/options.rs
@@ -1,33 +1,34 @@
-/// How one of several endpoints that take work is chosen.
+/// How one of several selectable endpoints is chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// Any.
+    /// Uniformly at random.
     Random,
-    /// Each in turn.
+    /// Round robin.
     RoundRobin,
-    /// The less loaded of two drawn at random.
+    /// The less loaded of two endpoints drawn at random.
     PowerOfTwoChoices,
-    /// By the reports of probes that run beside the requests.
+    /// By the reports of probes that are sent asynchronously with the
+    /// requests.
     Probing(Probing),
 }
 
 /// Asynchronous probing as published for Prequal.
 ///
-/// Each request sends a few probes whose reports serve later requests. Of
-/// the reported endpoints, those with more requests in flight than a
-/// quantile are hot, and the one with the lowest latency is chosen among the
-/// others. The default quantile of 0 leaves those with the fewest requests:
-/// latency lags behind load, and choosing by it sends too much to the
-/// endpoint that was fast a moment ago (measured in the bench `routing`).
+/// Each request sends a few probes whose reports serve later requests. Of the
+/// endpoints with a report, those with more in-flight requests than a quantile
+/// are hot, and the one with the lowest latency is chosen among the others.
+/// The default quantile of 0 keeps only those with the fewest requests:
+/// latency lags behind load, and choosing by it sends too much to the endpoint
+/// that was fast a moment ago (measured in the benchmark `routing`).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Probing {
-    /// Probes that a request sends.
+    /// Number of probes per request.
     pub probes: u32,
-    /// Requests that one report serves.
+    /// Number of requests that one report serves.
     pub uses: u32,
-    /// Age at which a report is forgotten, in milliseconds.
+    /// Maximum age of a report, in milliseconds.
     pub max_age_ms: u64,
-    /// Quantile of the requests in flight above which an endpoint is hot.
+    /// Quantile of the in-flight requests above which an endpoint is hot.
     pub hot_quantile: f64,
 }
 
@@ -42,45 +43,45 @@
     }
 }
 
-/// Sends requests that start alike to the same endpoint, whose cache of
-/// prompt prefixes then helps them.
+/// Sends requests with the same prompt prefix to the same endpoint, which may
+/// have the prefix in its cache.
 ///
-/// The order of the endpoints for a prefix follows from a hash alone
-/// (rendezvous hashing), so that entries agree without talking and the loss
-/// of an endpoint moves only its own prefixes.
+/// The order of the endpoints for a prefix follows from a hash (rendezvous
+/// hashing), so that entries agree without communication and the loss of an
+/// endpoint moves only its own prefixes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Affinity {
-    /// An endpoint is passed over if its load is above this multiple of the
-    /// mean.
+    /// An endpoint is skipped if its load is above this multiple of the mean.
     pub bound: f64,
 }
 
-/// How failures keep an endpoint from being chosen.
+/// How failures affect the choice of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HealthPolicy {
-    /// Not at all.
+    /// Failures are ignored.
     Off,
-    /// It is taken out for a while.
+    /// Failing endpoints are ejected for a while.
     Ejection(Ejection),
-    /// Each failure takes `sensitivity` from a value of 1,000, each
-    /// successful probe a second gives 1 back, and only endpoints with the
-    /// best value are chosen.
+    /// Each failure subtracts `sensitivity` from a score of at most 1,000, a
+    /// successful probe adds 1 at most once a second, and only endpoints with
+    /// the best score are chosen.
     Score {
-        /// What a failure costs.
+        /// Amount that a failure subtracts from the score.
         sensitivity: u32,
     },
 }
 
-/// Takes endpoints out that fail, as outlier ejection does.
+/// Ejects failing endpoints (outlier ejection).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ejection {
-    /// Failures in a row that take an endpoint out.
+    /// Number of consecutive failures that eject an endpoint.
     pub failures_in_row: u32,
-    /// Share of failures among recent calls that takes it out.
+    /// Share of failures among recent calls that ejects an endpoint.
     pub failure_share: f64,
-    /// First time out, in milliseconds; it doubles with each that follows.
+    /// Duration of the first ejection, in milliseconds; it doubles with each
+    /// further one.
     pub base_ms: u64,
-    /// Longest time out, in milliseconds.
+    /// Maximum duration of an ejection, in milliseconds.
     pub max_ms: u64,
 }
 
@@ -110,31 +111,30 @@
 pub struct RouterOptions {
     /// How an endpoint is chosen.
     pub policy: Policy,
-    /// Whether prompt prefixes decide first.
+    /// Prompt-prefix affinity, which takes precedence over the policy.
     pub affinity: Option<Affinity>,
-    /// How failures count.
+    /// How failures affect the choice.
     pub health: HealthPolicy,
-    /// Most endpoints of a pool that this entry uses.
+    /// Maximum number of endpoints of a pool that this entry uses.
     pub subset: usize,
-    /// How much less loaded an endpoint of another failure domain must be
-    /// to be chosen, in requests.
+    /// Number of requests by which an endpoint of another failure domain must
+    /// be less loaded to be chosen.
     pub other_domain_penalty: u32,
-    /// Age up to which the load in a report counts, in milliseconds.
+    /// Maximum age of a report whose load is used, in milliseconds.
     pub report_max_age_ms: u64,
-    /// Age up to which a queue in a report keeps prefixes away, in
-    /// milliseconds.
+    /// Maximum age of a report whose queue diverts prefixes to another
+    /// endpoint, in milliseconds.
     pub queue_max_age_ms: u64,
-    /// Retries per request that a pool's budget allows.
+    /// Number of retries per request that a pool's budget allows.
     pub retry_ratio: f64,
-    /// Retries that it allows beside, per window.
+    /// Number of additional retries that the budget allows per window.
     pub retry_minimum: u32,
-    /// Window of the budget, in milliseconds.
+    /// Window of the retry budget, in milliseconds.
     pub retry_window_ms: u64,
-    /// Pause between two probes of an endpoint that is out, in
-    /// milliseconds.
+    /// Interval between probes of an ejected endpoint, in milliseconds.
     pub recovery_probe_ms: u64,
-    /// Pause between two probes of an endpoint that leaves, in
-    /// milliseconds; they find out that a new process lives there.
+    /// Interval between probes of an endpoint that accepts no new work, in
+    /// milliseconds; they detect a new process at its address.
     pub leaving_probe_ms: u64,
 }
 
@@ -163,23 +163,25 @@
         Self { policy, ..self }
     }
 
-    /// Sets whether prompt prefixes decide first.
+    /// Sets the prompt-prefix affinity; `None` turns it off.
     pub fn affinity(self, affinity: Option<Affinity>) -> Self {
         Self { affinity, ..self }
     }
 
-    /// Sets how failures count.
+    /// Sets how failures affect the choice.
     pub fn health(self, health: HealthPolicy) -> Self {
         Self { health, ..self }
     }
 
-    /// Sets the most endpoints of a pool that are used; 0 is taken as 1.
+    /// Sets the maximum number of endpoints of a pool that are used; 0 is
+    /// treated as 1.
     pub fn subset(self, subset: usize) -> Self {
         let subset = subset.max(1);
         Self { subset, ..self }
     }
 
-    /// Sets how much less loaded an endpoint elsewhere must be.
+    /// Sets the number of requests by which an endpoint of another failure
+    /// domain must be less loaded.
     pub fn other_domain_penalty(self, other_domain_penalty: u32) -> Self {
         Self {
             other_domain_penalty,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -16,16 +16,16 @@
 };
 
 new_key_type! {
-    /// Names a pool of a router.
+    /// Identifies a pool of a router.
     pub struct PoolKey;
 }
 
-/// Lives that are remembered as leaving. A life that is older than so many
-/// later ones has long ended.
+/// Maximum number of incarnations that are remembered as leaving. The oldest
+/// ones have ended long before.
 const MAX_LEAVING_REMEMBERED: usize = 1_024;
 
-/// Probes that one tick asks for at most, so that a long outage ends in no
-/// burst.
+/// Maximum number of probes per tick, so that the end of a long outage causes
+/// no burst.
 const MAX_PROBES_PER_TICK: usize = 32;
 
 #[derive(Clone, Debug)]
@@ -35,16 +35,17 @@
     budget: RetryBudget,
 }
 
-/// How a new list changed what a router knows.
+/// How a new list changed the endpoints in use.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ListChanges {
-    /// New endpoints, with their places in the list.
+    /// New endpoints with their indices in the list.
     pub added: Vec<(EndpointKey, usize)>,
-    /// Endpoints that are not used any more.
+    /// Endpoints that are no longer used.
     pub removed: Vec<EndpointKey>,
 }
 
-/// What one entry knows of the endpoints of its pools, and its choices.
+/// Knowledge of one entry about the endpoints of its pools, and the choice
+/// among them.
 #[derive(Clone, Debug)]
 pub struct Router {
     entry: String,
@@ -56,8 +57,8 @@
 }
 
 impl Router {
-    /// Makes a router that knows no endpoint; `entry` is the name of the
-    /// entry, by which entries use different parts of large pools.
+    /// Creates a router without endpoints. `entry` is the name of the entry,
+    /// which determines its subset of large pools.
     pub fn new(entry: &str, options: RouterOptions) -> Self {
         Self {
             entry: entry.to_owned(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Returns the key of a pool, which is made if it is new.
+    /// Returns the key of a pool, which is created if it does not exist.
     pub fn pool(&mut self, name: &str) -> PoolKey {
         if let Some(key) = self.names.get(name) {
             return *key;
@@ -88,14 +89,14 @@
         key
     }
 
-    /// Returns the key of a pool that is known.
+    /// Returns the key of a pool, if it exists.
     pub fn find_pool(&self, name: &str) -> Option<PoolKey> {
         self.names.get(name).copied()
     }
 
-    /// Replaces the list of a pool; endpoints that stay keep what is known
-    /// of them. Those that leave and are still listed stay known without
-    /// counting, so that the lagging list cannot bring them back.
+    /// Replaces the list of a pool; endpoints that stay keep their state.
+    /// Leaving endpoints that are still listed stay known but do not count
+    /// towards the subset, so that an outdated list cannot bring them back.
     ///
     /// # Example
     ///
@@ -156,7 +157,8 @@
         listing
     }
 
-    /// Chooses where a request goes; `None` if all were tried or leave.
+    /// Chooses the endpoint of a request; `None` if all were tried or are
+    /// leaving.
     ///
     /// # Example
     ///
@@ -216,7 +218,7 @@
         probes
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn sent(&mut self, key: EndpointKey, now: Millis) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -225,20 +227,20 @@
         self.pools[endpoint.pool].budget.record_request(now);
     }
 
-    /// Notes that a request is no longer at an endpoint, however it ended.
+    /// Records that a request has ended at an endpoint, whatever the outcome.
     pub fn ended(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes what a companion says and returns the key under which its
-    /// endpoint is known now: a new life of the companion is a new endpoint.
+    /// Records a companion's report and returns the current key of its
+    /// endpoint: a new incarnation of the companion is a new endpoint.
     ///
-    /// A load that describes the old life, calls in flight there and its
-    /// failures say nothing of the new one; one would notice the mixture by
-    /// a restarted endpoint that nobody chooses, or by in-flight counts
-    /// below zero. The keys keep the two apart.
+    /// Load, in-flight calls and failures of the old incarnation do not apply
+    /// to the new one. Mixing them would show as a restarted endpoint that is
+    /// never chosen, or as negative in-flight counts. Separate keys keep them
+    /// apart.
     ///
     /// # Example
     ///
@@ -299,8 +301,8 @@
         key
     }
 
-    /// Notes that an answer has come and, if known, its time to the first
-    /// token. It is told before [`Router::ended`].
+    /// Records a response and, if known, its time to the first token. This
+    /// must be called before [`Router::ended`].
     pub fn answered(
         &mut self,
         key: EndpointKey,
@@ -317,7 +319,7 @@
         }
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call.
     pub fn failed(&mut self, key: EndpointKey, failure: Failure, now: Millis) {
         let is_ejection_allowed = self.is_ejection_allowed(key);
         let policy = self.options.health;
@@ -328,9 +330,9 @@
         }
     }
 
-    /// At most half of a pool is taken out for calls that were lost: when
-    /// all fail, the cause is not the endpoint, and the rest would be
-    /// overloaded by what is left.
+    /// Reports whether one more endpoint of the pool may be ejected for lost
+    /// calls. At most half of a pool is ejected: if all endpoints fail, the
+    /// cause is elsewhere, and the remaining ones would be overloaded.
     fn is_ejection_allowed(&self, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else {
             return false;
@@ -341,7 +343,7 @@
         (members.iter().filter(is_ejected).count() + 1) * 2 <= members.len()
     }
 
-    /// Notes that an endpoint did not take a call.
+    /// Records that an endpoint did not accept a call.
     pub fn refused(&mut self, key: EndpointKey, why: Refusal, now: Millis) {
         let policy = self.options.health;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
@@ -357,8 +359,8 @@
         }
     }
 
-    /// Notes that a life takes no new work, also if it is not known yet
-    /// which endpoint it is.
+    /// Records that an incarnation accepts no new work, even if it is not
+    /// known yet which endpoint it belongs to.
     ///
     /// # Example
     ///
@@ -395,7 +397,8 @@
         }
     }
 
-    /// Notes the answer to a probe, as [`Router::reported`] does.
+    /// Records the response to a probe and returns the endpoint's key as
+    /// [`Router::reported`] does.
     pub fn probed(
         &mut self,
         key: EndpointKey,
@@ -413,7 +416,7 @@
         key
     }
 
-    /// Notes a probe without an answer.
+    /// Records a probe without a response.
     pub fn probe_failed(&mut self, key: EndpointKey) {
         let policy = self.options.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
@@ -421,15 +424,17 @@
         }
     }
 
-    /// Brings an endpoint that cannot be probed back for one call.
+    /// Makes an ejected endpoint that cannot be probed selectable for one
+    /// call.
     pub fn readmit(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.health.probed(now);
         }
     }
 
-    /// Returns the endpoints to probe now: those that are out and could come
-    /// back, and those that leave, where a new process may live.
+    /// Returns the endpoints to probe now: those that are ejected and could
+    /// recover, and those that are leaving, whose address may belong to a new
+    /// process.
     ///
     /// # Example
     ///
@@ -469,7 +474,7 @@
         probes
     }
 
-    /// Takes a retry out of a pool's budget and tells whether there was one.
+    /// Takes a retry from a pool's budget and reports whether one was left.
     /// Refusals that cost the endpoint nothing need none.
     ///
     /// # Example
@@ -489,7 +494,7 @@
         pool.is_some_and(|pool| pool.budget.try_retry(now))
     }
 
-    /// Returns what is known of all endpoints in use.
+    /// Returns the state of all endpoints in use.
     pub fn endpoints(&self) -> impl Iterator<Item = EndpointView> + '_ {
         self.endpoints.iter().map(|(key, endpoint)| EndpointView {
             key,
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -1,4 +1,4 @@
-//! The choice choose_among the endpoints of a pool.
+//! Selection of an endpoint from a pool.
 
 use base::Millis;
 use slotmap::SlotMap;
@@ -8,7 +8,7 @@
     options::{HealthPolicy, Policy, Probing, RouterOptions},
 };
 
-/// What a request asks of the choice.
+/// Criteria of one request for the selection of an endpoint.
 ///
 /// # Example
 ///
@@ -20,34 +20,35 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Query<'a> {
-    /// Hash of how the prompt starts.
+    /// Hash of the prompt prefix.
     pub prefix: Option<u64>,
-    /// Endpoints that are not to be chosen again.
+    /// Endpoints that must not be chosen again.
     pub tried: &'a [EndpointKey],
 }
 
 impl<'a> Query<'a> {
-    /// Sets the hash of how the prompt starts.
+    /// Sets the hash of the prompt prefix.
     pub fn prefix(self, prefix: Option<u64>) -> Self {
         Self { prefix, ..self }
     }
 
-    /// Sets the endpoints that are not to be chosen again.
+    /// Sets the endpoints that must not be chosen again.
     pub fn tried(self, tried: &'a [EndpointKey]) -> Self {
         Self { tried, ..self }
     }
 }
 
-/// Where a request goes.
+/// The result of a selection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// The endpoint.
+    /// The endpoint that the request goes to.
     pub endpoint: EndpointKey,
-    /// Endpoints to probe beside the request.
+    /// Endpoints to probe along with the request.
     pub probes: Vec<EndpointKey>,
 }
 
-/// Draws numbers from one random number (SplitMix64).
+/// Pseudo-random number generator with one random number as its seed
+/// (SplitMix64).
 pub(crate) struct Draw(u64);
 
 impl Draw {
@@ -61,25 +62,28 @@
     }
 }
 
-/// Spreads neighbouring numbers over all bits.
+/// Mixes the bits of a number, so that consecutive numbers differ in all bits
+/// (the SplitMix64 finalizer).
 fn mix(number: u64) -> u64 {
     let z = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// The members of a pool at one moment.
+/// The endpoints of a pool at one moment.
 pub(crate) struct Selection<'a> {
     pub(crate) options: &'a RouterOptions,
     pub(crate) endpoints: &'a SlotMap<EndpointKey, Endpoint>,
     pub(crate) now: Millis,
-    /// Requests that were chosen for before; decides turns.
+    /// Number of selections in this pool so far; the position of the round
+    /// robin.
     pub(crate) turn: usize,
 }
 
 impl Selection<'_> {
-    /// Chooses choose_among all that take work; if none does, choose_among those that are
-    /// out: better one that failed a moment ago than none.
+    /// Chooses among all selectable endpoints. If there are none, chooses
+    /// among the ejected ones: an endpoint that failed recently is better than
+    /// none.
     pub(crate) fn choose(
         &self,
         members: &[EndpointKey],
@@ -122,7 +126,8 @@
         }
     }
 
-    /// Own failure domain first; others by need, when it is more loaded.
+    /// Prefers the own failure domain, unless its endpoint is more loaded by
+    /// more than the penalty.
     fn prefer_near(&self, near: EndpointKey, far: EndpointKey) -> EndpointKey {
         let penalty = f64::from(self.options.other_domain_penalty);
         let spills = self.load(far) + penalty < self.load(near);
@@ -180,10 +185,10 @@
         }
     }
 
-    /// Returns the first endpoint in the prefix's order that is not too
-    /// loaded (bounded loads) and has no queue, in which a request would
-    /// lose more than a cached prefix saves. Failure domains do not count here: a cached
-    /// prefix saves far more than the way to another domain costs.
+    /// Returns the first endpoint in the prefix's order that is not overloaded
+    /// (bounded loads) and has no queue, because waiting costs more than a
+    /// cached prefix saves. Failure domains are ignored here: a cached prefix
+    /// saves far more than the network path to another domain costs.
     fn by_prefix(
         &self,
         set: &[EndpointKey],
--- a/crates/router/src/subset.rs
+++ b/crates/router/src/subset.rs
@@ -1,19 +1,21 @@
-//! Which endpoints of a large pool an entry uses.
+//! The subset of a large pool that an entry uses.
 //!
 //! With 340 entries and 2,200 endpoints an entry sends six requests a second
-//! and cannot know all. Each takes a few by rendezvous hashing of its own
-//! name with theirs, so that the choice stays when the list changes and
-//! differs between entries.
+//! and cannot have current load data of all endpoints. Each entry takes a few
+//! by rendezvous hashing of its own name with theirs, so that the subset is
+//! stable when the list changes and differs between entries.
 
 use base::stable_hash;
 
 use crate::endpoint::ListedEndpoint;
 
-/// Least share of the subset that is left for other failure domains, so
-/// that an entry whose own domain is lost still knows somebody.
+/// Divisor for the part of the subset that is reserved for other failure
+/// domains: one in four. An entry whose own domain fails then still knows some
+/// endpoints.
 const OTHER_DOMAIN_DIVISOR: usize = 4;
 
-/// Returns the places in `listed` of those to use, own domain first.
+/// Returns the indices in `listed` of the endpoints to use, own failure domain
+/// first.
 pub(crate) fn choose(
     entry: &str,
     listed: &[ListedEndpoint],
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,4 @@
-//! Choices, lives and recovery of endpoints.
+//! Choice, incarnations and recovery of endpoints.
 
 use base::{Incarnation, Millis};
 use pomeloslip_router::{
@@ -99,13 +99,14 @@
         router.sent(key, T0);
         chosen.push(key);
     }
-    // The far one is taken once it is less loaded by more than two.
+    // The endpoint of the other domain is taken once it is less loaded by more
+    // than two.
     assert_eq!(chosen, [near, near, near, far, near]);
 }
 
-/// Symptom: requests to endpoints of a lost failure domain. Events: all
-/// endpoints of the entry's own domain become unreachable. Cause would be a
-/// subset or a preference that knows only the own domain.
+/// Guards against requests to endpoints of a failed failure domain: all
+/// endpoints of the entry's own domain become unreachable, and the subset or
+/// the preference must not be limited to that domain.
 #[test]
 fn a_lost_own_domain_spills_over() {
     let (mut router, pool) = router(plain().subset(8), &many(100, 50));
@@ -145,9 +146,10 @@
     assert!(first[1..].iter().all(|name| after.contains(name)));
 }
 
-/// Symptom: a restarted endpoint gets nothing, or its count of calls is off.
-/// Events: calls run at one life, the companion restarts at the same address
-/// and answers, the old calls end. Cause would be one record for both lives.
+/// Guards against a restarted endpoint that gets no calls or a wrong in-flight
+/// count. Calls run at one incarnation, the companion restarts at the same
+/// address and responds, and the old calls end; one record for both
+/// incarnations would mix them up.
 #[test]
 fn a_new_life_is_a_new_endpoint() {
     let (mut router, pool) = router(plain(), &many(1, 1));
@@ -168,9 +170,9 @@
     assert_eq!((views[0].in_flight, views[0].selectable), (1, true));
 }
 
-/// Symptom: new work at an endpoint that leaves. Events: its companion says
-/// so, and the platform's list still shows it for a minute. Cause would be a
-/// list that overrules the companion.
+/// Guards against new work at a leaving endpoint. Its companion has announced
+/// that it is leaving, but the platform's list still has it for a minute; the
+/// list must not override the companion.
 #[test]
 fn a_lagging_list_does_not_bring_a_leaving_one_back() {
     let list = many(3, 3);
@@ -179,7 +181,7 @@
     router.reported(leaving.key, &report(7), T0);
     router.mark_leaving(Incarnation::new(7));
     let listing = router.list(pool, &list);
-    // Another one takes its place in the subset.
+    // Another endpoint replaces it in the subset.
     assert_eq!(listing.added.len(), 1);
     for random in 0..50 {
         let chosen = choose(&mut router, pool, T0, random).unwrap();
@@ -240,9 +242,9 @@
     assert_eq!(router.tick(Millis::new(3_000)), [key]);
 }
 
-/// Symptom: one endpoint gets the load of all. Events: every call to every
-/// endpoint fails for a while. Cause would be taking out endpoint after
-/// endpoint for what is not theirs.
+/// Guards against ejecting one endpoint after the other when every call to
+/// every endpoint fails for a while, which would leave the load of all to one
+/// endpoint.
 #[test]
 fn a_brown_out_takes_out_at_most_half() {
     let (mut router, _) = router(plain(), &many(10, 10));
@@ -292,7 +294,8 @@
         router.sent(key, T0);
         at_home += u32::from(key == home);
     }
-    // The mean at the end is 10; a quarter more and one for rounding.
+    // The final mean is 10; the bound allows a quarter more, and rounding adds
+    // one.
     assert!((10..=14).contains(&at_home), "{at_home}");
 }
 
