--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -217,8 +217,8 @@
             return 0;
         }
         let reported = self.load.reported.load(Ordering::Relaxed);
-        let own = self.load.own_at_report.load(Ordering::Relaxed);
-        reported.saturating_sub(own)
+        let own_in_flight = self.load.own_at_report.load(Ordering::Relaxed);
+        reported.saturating_sub(own_in_flight)
     }
 
     /// Records a request whose failure is attributed to the endpoint.
--- a/crates/fleet/src/failure.rs
+++ b/crates/fleet/src/failure.rs
@@ -40,7 +40,8 @@
     ///
     /// let first = FailureKind::Unreachable.backoff_ms(0);
     /// assert_eq!(FailureKind::Unreachable.backoff_ms(2), 4 * first);
-    /// assert_eq!(FailureKind::Full.backoff_ms(9), FailureKind::Full.backoff_ms(0));
+    /// let full = FailureKind::Full;
+    /// assert_eq!(full.backoff_ms(9), full.backoff_ms(0));
     /// ```
     pub fn backoff_ms(self, failures_before: u32) -> u64 {
         let doubled = |ms: u64| ms << failures_before.min(MAX_DOUBLINGS);
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -88,21 +88,21 @@
     pub fn choose(
         &self,
         selection: &Selection,
-        need: &EndpointQuery<'_>,
+        query: &EndpointQuery<'_>,
         now: Millis,
     ) -> Result<Choice, ChooseError> {
-        let mut search = Search::new(need, now);
-        for (incarnation, standing) in
-            selection.candidates(need.service, need.affinity)
+        let mut search = Search::new(query, now);
+        for (incarnation, tier) in
+            selection.candidates(query.service, query.affinity)
         {
             if let Some(endpoint) = self.get(incarnation) {
-                search.consider(endpoint, standing);
+                search.consider(endpoint, tier);
             }
         }
         if search.draw.is_empty() && !search.full {
-            let start = mix(need.affinity ^ now.as_ms());
+            let start = mix(query.affinity ^ now.as_ms());
             for endpoint in
-                self.window(need.service, start, MAX_OTHER_ENDPOINTS)
+                self.window(query.service, start, MAX_OTHER_ENDPOINTS)
             {
                 search.consider(endpoint, SelectionTier::Other);
             }
@@ -113,7 +113,7 @@
 
 /// State of one search for an endpoint.
 struct Search<'a> {
-    need: &'a EndpointQuery<'a>,
+    query: &'a EndpointQuery<'a>,
     now: Millis,
     draw: Draw<'a>,
     full: bool,
@@ -121,9 +121,9 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(need: &'a EndpointQuery<'a>, now: Millis) -> Self {
+    fn new(query: &'a EndpointQuery<'a>, now: Millis) -> Self {
         Self {
-            need,
+            query,
             now,
             draw: Draw::default(),
             full: false,
@@ -131,20 +131,20 @@
         }
     }
 
-    fn consider(&mut self, endpoint: &'a Endpoint, standing: SelectionTier) {
+    fn consider(&mut self, endpoint: &'a Endpoint, tier: SelectionTier) {
         let record = endpoint.record();
-        if self.need.tried.contains(&record.id) {
+        if self.query.tried.contains(&record.id) {
             return;
         }
         self.candidates += 1;
         let load = endpoint.estimated_load(self.now);
-        let limit = record.slots.saturating_add(self.need.queue_allowance);
+        let limit = record.slots.saturating_add(self.query.queue_allowance);
         if load >= limit {
             self.full = true;
             return;
         }
         self.draw.offer(Candidate {
-            rank: Rank::of(endpoint, standing, load, self.need, self.now),
+            rank: Rank::of(endpoint, tier, load, self.query, self.now),
             endpoint,
             load,
         });
@@ -235,21 +235,21 @@
 
     fn of(
         endpoint: &Endpoint,
-        standing: SelectionTier,
+        tier: SelectionTier,
         load: u32,
-        need: &EndpointQuery<'_>,
+        query: &EndpointQuery<'_>,
         now: Millis,
     ) -> Self {
         let record = endpoint.record();
-        let other_share = standing != SelectionTier::Own;
+        let other_share = tier != SelectionTier::Own;
         let crowded = is_crowded(load, record.slots, other_share);
-        let other_domain = record.failure_domain != need.failure_domain;
+        let other_domain = record.failure_domain != query.failure_domain;
         Self {
             suspect: endpoint.is_suspect(now),
             crowded,
             other_share: !crowded && other_share,
             other_domain: !crowded && other_domain,
-            affinity: mix(need.affinity ^ endpoint.id_hash()),
+            affinity: mix(query.affinity ^ endpoint.id_hash()),
         }
     }
 }
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -18,7 +18,7 @@
 const SLOTS: u32 = 7;
 const BURST_MS: u64 = 2_400;
 const UPDATE_MS: u64 = 50;
-const PATIENCE_MS: u64 = 240;
+const MAX_WAIT_MS: u64 = 240;
 
 /// A fleet and its load.
 #[derive(Clone, Copy)]
@@ -70,7 +70,7 @@
 }
 
 /// Simulates one burst.
-fn play(fleet: Fleet, seed: u64) -> Outcome {
+fn simulate_burst(fleet: Fleet, seed: u64) -> Outcome {
     let Fleet {
         nodes,
         engines: engine_count,
@@ -108,7 +108,7 @@
                 let Some((node, arrived)) = engine.waiting.pop_front() else {
                     break;
                 };
-                match now - arrived <= PATIENCE_MS {
+                match now - arrived <= MAX_WAIT_MS {
                     true => outcome.in_time += 1,
                     false => outcome.late += 1,
                 }
@@ -127,8 +127,8 @@
         }
         // The integer part of the arrivals of each millisecond, and the
         // fraction at random.
-        let rest = u64::from(random.below(1_000) < rate % 1_000);
-        for _ in 0..rate / 1_000 + rest {
+        let fraction = u64::from(random.below(1_000) < rate % 1_000);
+        for _ in 0..rate / 1_000 + fraction {
             let node = random.below(nodes as u64) as usize;
             let need = EndpointQuery {
                 service: "engines",
@@ -208,7 +208,7 @@
 fn nodes_do_not_all_send_to_the_one_engine_with_a_free_slot() {
     let mut all = Outcome::default();
     for seed in 1..=10 {
-        let one = play(SMALL, seed);
+        let one = simulate_burst(SMALL, seed);
         all.in_time += one.in_time;
         all.late += one.late;
         all.refused += one.refused;
@@ -227,7 +227,7 @@
 /// all endpoints.
 #[test]
 fn a_large_fleet_does_as_well_with_a_selection() {
-    let outcome = play(LARGE, 1);
+    let outcome = simulate_burst(LARGE, 1);
     println!("one burst: {outcome:?}");
     let ended = f64::from(outcome.in_time + outcome.late);
     let share_late = f64::from(outcome.late) / ended;
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_is_known_of_the_load_outlives_a_new_listing() {
+fn in_flight_counts_survive_a_new_listing() {
     let mut directory = Directory::default();
     directory.reconcile(listing(1, &["a"]), Millis::new(0));
     directory.get("a").expect("listed").begin_request();
@@ -107,7 +107,7 @@
     assert_eq!(directory.get("a").expect("listed").in_flight(), 1);
 }
 
-fn life(id: &str, started_ms: Option<u64>) -> EndpointRecord {
+fn incarnation(id: &str, started_ms: Option<u64>) -> EndpointRecord {
     EndpointRecord {
         started_at: started_ms.map(UnixMillis::new),
         ..record(id, EndpointState::Ready)
@@ -126,15 +126,15 @@
 /// during a network partition with requests in flight and restarts under its
 /// id before its entry expires.
 #[test]
-fn a_restarted_endpoint_has_nothing_of_the_life_before() {
+fn a_restarted_endpoint_keeps_no_state_of_its_previous_incarnation() {
     let now = Millis::new(1_000);
     let mut directory = Directory::default();
-    directory.reconcile(listing_of(1, &[life("a", Some(10))]), now);
+    directory.reconcile(listing_of(1, &[incarnation("a", Some(10))]), now);
     let before = directory.get("a").expect("known").clone();
     before.begin_request();
     before.record_failure(FailureKind::Unreachable, now);
     let changes =
-        directory.reconcile(listing_of(2, &[life("a", Some(20))]), now);
+        directory.reconcile(listing_of(2, &[incarnation("a", Some(20))]), now);
     let former = before.incarnation_key();
     let id = "a".to_owned();
     assert_eq!(changes, [Change::Restarted { id, former }]);
@@ -151,12 +151,12 @@
 /// The same failure if the entry of the first incarnation has no start time,
 /// as the entries of most endpoints.
 #[test]
-fn a_start_that_is_told_for_the_first_time_is_a_restart() {
+fn a_start_time_that_first_appears_is_a_restart() {
     let mut directory = Directory::default();
     let now = Millis::new(0);
-    directory.reconcile(listing_of(1, &[life("a", None)]), now);
+    directory.reconcile(listing_of(1, &[incarnation("a", None)]), now);
     let changes =
-        directory.reconcile(listing_of(2, &[life("a", Some(7))]), now);
+        directory.reconcile(listing_of(2, &[incarnation("a", Some(7))]), now);
     assert!(matches!(changes[..], [Change::Restarted { .. }]));
 }
 
@@ -164,14 +164,14 @@
 /// its previous incarnation arrives after its new entry: the latest write is
 /// not always of the latest incarnation.
 #[test]
-fn an_entry_of_a_life_that_is_over_changes_nothing() {
+fn an_entry_of_an_ended_incarnation_changes_nothing() {
     let mut directory = Directory::default();
     let now = Millis::new(0);
     let old = EndpointRecord {
         state: EndpointState::Draining,
-        ..life("a", Some(10))
+        ..incarnation("a", Some(10))
     };
-    directory.reconcile(listing_of(1, &[life("a", Some(20))]), now);
+    directory.reconcile(listing_of(1, &[incarnation("a", Some(20))]), now);
     let known = directory.get("a").expect("known").incarnation_key();
     let changes =
         directory.reconcile(listing_of(2, std::slice::from_ref(&old)), now);
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn two_endpoints_at_one_address_are_two_lives() {
+fn two_endpoints_at_one_address_are_two_incarnations() {
     let mut directory = Directory::default();
-    let two = [life("a", None), life("b", None)];
+    let two = [incarnation("a", None), incarnation("b", None)];
     directory.reconcile(listing_of(1, &two), Millis::new(0));
     assert_eq!(usable(&directory), 2);
     assert_ne!(two[0].incarnation_key(), two[1].incarnation_key());
--- a/crates/fleet/tests/load.rs
+++ b/crates/fleet/tests/load.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_word_of_other_nodes_goes_before_a_report() {
+fn load_updates_of_other_nodes_override_a_report() {
     let one = endpoint("a", "east");
     let report = LoadReport {
         running: 8,
@@ -197,8 +197,8 @@
         (0..100).map(|n| endpoint(&n.to_string(), "east")).collect();
     let table = EndpointTable::new(all.iter().cloned());
     let selection = selection(&table, &["1"]);
-    for life in selection.iter() {
-        let endpoint = table.get(life).expect("listed");
+    for incarnation in selection.iter() {
+        let endpoint = table.get(incarnation).expect("listed");
         (0..10).for_each(|_| endpoint.begin_request());
     }
     let verdict = table.choose(&selection, &need(&[]), NOW).err();
--- a/crates/router/examples/embed_router.rs
+++ b/crates/router/examples/embed_router.rs
@@ -48,7 +48,7 @@
     names: BTreeMap<EndpointKey, EndpointName>,
     answered: BTreeMap<String, u64>,
     /// Attempts at a replica that did not serve them.
-    missed: u64,
+    failed_attempts: u64,
 }
 
 impl Program {
@@ -71,7 +71,7 @@
             router,
             pool,
             answered: BTreeMap::new(),
-            missed: 0,
+            failed_attempts: 0,
         })
     }
 
@@ -89,7 +89,7 @@
             if self.attempt(key, number, now) {
                 return true;
             }
-            self.missed += 1;
+            self.failed_attempts += 1;
         }
     }
 
@@ -134,8 +134,8 @@
                         incarnation: Incarnation::new(1),
                         ..EndpointReport::default()
                     };
-                    let life = self.router.probed(key, &report, now);
-                    self.names.insert(life, name);
+                    let incarnation = self.router.probed(key, &report, now);
+                    self.names.insert(incarnation, name);
                 }
             }
         }
@@ -153,7 +153,7 @@
     println!("{served} of {CALLS} calls answered");
     println!(
         "{} attempts met a replica that did not serve",
-        program.missed
+        program.failed_attempts
     );
     for (name, count) in &program.answered {
         println!("{name}: {count}");
@@ -161,6 +161,10 @@
     assert_eq!(served, CALLS);
     // The leaving replica refuses only once; the broken one is retried now and
     // then, only by probes.
-    assert!(program.missed < 20, "{} misses", program.missed);
+    assert!(
+        program.failed_attempts < 20,
+        "{} misses",
+        program.failed_attempts
+    );
     Ok(())
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,7 +13,9 @@
 //!
 //! ```
 //! use base::Millis;
-//! use pomeloslip_router::{ListedEndpoint, Query, Router, RouterOptions};
+//! use pomeloslip_router::{
+//!     Failure, ListedEndpoint, Query, Router, RouterOptions,
+//! };
 //!
 //! let mut router = Router::new("entry-1", RouterOptions::default());
 //! let now = Millis::new(0);
@@ -26,7 +28,7 @@
 //! router.list(pool, &listed);
 //! let first = router.choose(pool, &Query::default(), now, 7).unwrap();
 //! router.sent(first.endpoint, now);
-//! router.failed(first.endpoint, pomeloslip_router::Failure::Unreachable, now);
+//! router.failed(first.endpoint, Failure::Unreachable, now);
 //! let second = router.choose(pool, &Query::default(), now, 7).unwrap();
 //! assert_ne!(first.endpoint, second.endpoint);
 //! ```
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 struct Pool {
     members: Vec<EndpointKey>,
-    turn: usize,
+    selection_count: usize,
     budget: RetryBudget,
 }
 
@@ -78,7 +78,7 @@
         let options = &self.options;
         let key = self.pools.insert(Pool {
             members: Vec::new(),
-            turn: 0,
+            selection_count: 0,
             budget: RetryBudget::new(
                 options.retry_ratio,
                 options.retry_minimum,
@@ -105,7 +105,8 @@
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let first = router.list(pool, std::slice::from_ref(&one));
     /// assert_eq!(first.added.len(), 1);
     /// assert_eq!(router.list(pool, &[one]).added, []);
@@ -168,7 +169,8 @@
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// let choice = router.choose(pool, &Query::default(), now, 7);
@@ -186,14 +188,14 @@
         random: u64,
     ) -> Option<Choice> {
         let known = self.pools.get_mut(pool)?;
-        known.turn = known.turn.wrapping_add(1);
+        known.selection_count = known.selection_count.wrapping_add(1);
         let known = &self.pools[pool];
         let mut draw = Draw::new(random);
         let selection = Selection {
             options: &self.options,
             endpoints: &self.endpoints,
             now,
-            turn: known.turn,
+            selection_count: known.selection_count,
         };
         let endpoint = selection.choose(&known.members, query, &mut draw)?;
         if let Some(last_report) = &mut self.endpoints[endpoint].last_report {
@@ -246,19 +248,22 @@
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{ListedEndpoint, EndpointReport, Router, RouterOptions};
+    /// use pomeloslip_router::{
+    ///     EndpointReport, ListedEndpoint, Router, RouterOptions,
+    /// };
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
-    /// let life = |number| EndpointReport {
+    /// let report = |number| EndpointReport {
     ///     incarnation: Incarnation::new(number),
     ///     ..EndpointReport::default()
     /// };
-    /// assert_eq!(router.reported(key, &life(1), now), key);
-    /// assert_ne!(router.reported(key, &life(2), now), key);
+    /// assert_eq!(router.reported(key, &report(1), now), key);
+    /// assert_ne!(router.reported(key, &report(2), now), key);
     /// # Ok::<(), base::IdError>(())
     /// ```
     pub fn reported(
@@ -270,18 +275,18 @@
         let Some(endpoint) = self.endpoints.get(key) else {
             return key;
         };
-        let is_other = endpoint
+        let is_restarted = endpoint
             .incarnation
             .is_some_and(|known| known != report.incarnation);
-        let key = if is_other {
+        let key = if is_restarted {
             self.replace_incarnation(key)
         } else {
             key
         };
-        let left = self.leaving.contains(&report.incarnation);
+        let has_left = self.leaving.contains(&report.incarnation);
         let endpoint = &mut self.endpoints[key];
         endpoint.incarnation = Some(report.incarnation);
-        endpoint.leaving |= report.leaving || left;
+        endpoint.leaving |= report.leaving || has_left;
         endpoint.record(report, now);
         key
     }
@@ -366,17 +371,20 @@
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{ListedEndpoint, Query, EndpointReport, Router, RouterOptions};
+    /// use pomeloslip_router::{
+    ///     EndpointReport, ListedEndpoint, Query, Router, RouterOptions,
+    /// };
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
-    /// let life = Incarnation::new(1);
-    /// router.mark_leaving(life);
+    /// let incarnation = Incarnation::new(1);
+    /// router.mark_leaving(incarnation);
     /// let report = EndpointReport {
-    ///     incarnation: life,
+    ///     incarnation,
     ///     ..EndpointReport::default()
     /// };
     /// router.reported(key, &report, now);
@@ -444,7 +452,8 @@
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = ListedEndpoint::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// // Nothing is known of it yet.
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -77,7 +77,7 @@
     pub(crate) now: Millis,
     /// Number of selections in this pool so far; the position of the round
     /// robin.
-    pub(crate) turn: usize,
+    pub(crate) selection_count: usize,
 }
 
 impl Selection<'_> {
@@ -156,7 +156,7 @@
         }
         match &self.options.policy {
             Policy::Random => Some(set[draw.below(set.len())]),
-            Policy::RoundRobin => Some(set[self.turn % set.len()]),
+            Policy::RoundRobin => Some(set[self.selection_count % set.len()]),
             Policy::PowerOfTwoChoices => {
                 Some(self.power_of_two_choices(set, draw))
             }
--- a/crates/router/src/subset.rs
+++ b/crates/router/src/subset.rs
@@ -27,19 +27,19 @@
     let mut ranked: Vec<(u64, usize)> = listed
         .iter()
         .enumerate()
-        .map(|(at, one)| (stable_hash(&[entry, one.name.as_str()]), at))
+        .map(|(index, one)| (stable_hash(&[entry, one.name.as_str()]), index))
         .collect();
     ranked.sort_unstable();
     let of = |same_domain: bool| {
         ranked
             .iter()
-            .map(|(_, at)| *at)
-            .filter(move |at| listed[*at].same_domain == same_domain)
+            .map(|(_, index)| *index)
+            .filter(move |index| listed[*index].same_domain == same_domain)
     };
     let far_count = of(false).count();
-    let far_kept = (size / OTHER_DOMAIN_DIVISOR).min(far_count);
-    let mut chosen: Vec<usize> = of(true).take(size - far_kept).collect();
-    let rest = size - chosen.len();
-    chosen.extend(of(false).take(rest));
+    let reserved = (size / OTHER_DOMAIN_DIVISOR).min(far_count);
+    let mut chosen: Vec<usize> = of(true).take(size - reserved).collect();
+    let remaining = size - chosen.len();
+    chosen.extend(of(false).take(remaining));
     chosen
 }
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -10,14 +10,14 @@
 
 const T0: Millis = Millis::new(0);
 
-fn listed(name: &str, near: bool) -> ListedEndpoint {
+fn listed(name: &str, same_domain: bool) -> ListedEndpoint {
     let valid = name.parse().expect("a valid name");
-    ListedEndpoint::new(valid, near, &format!("{name}:7000"))
+    ListedEndpoint::new(valid, same_domain, &format!("{name}:7000"))
 }
 
-fn many(count: usize, near: usize) -> Vec<ListedEndpoint> {
+fn many(count: usize, same_domain: usize) -> Vec<ListedEndpoint> {
     (0..count)
-        .map(|at| listed(&format!("e{at}"), at < near))
+        .map(|at| listed(&format!("e{at}"), at < same_domain))
         .collect()
 }
 
@@ -35,10 +35,10 @@
     RouterOptions::default().affinity(None)
 }
 
-fn report(life: u64) -> EndpointReport {
+fn report(incarnation: u64) -> EndpointReport {
     EndpointReport {
         up: true,
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         ..EndpointReport::default()
     }
 }
@@ -92,7 +92,7 @@
         .policy(Policy::PowerOfTwoChoices)
         .other_domain_penalty(2);
     let (mut router, pool) = router(options, &many(2, 1));
-    let (near, far) = (key(&router, "e0"), key(&router, "e1"));
+    let (same_domain, far) = (key(&router, "e0"), key(&router, "e1"));
     let mut chosen = Vec::new();
     for random in 0..5 {
         let key = choose(&mut router, pool, T0, random).unwrap();
@@ -101,7 +101,10 @@
     }
     // The endpoint of the other domain is taken once it is less loaded by more
     // than two.
-    assert_eq!(chosen, [near, near, near, far, near]);
+    assert_eq!(
+        chosen,
+        [same_domain, same_domain, same_domain, far, same_domain]
+    );
 }
 
 /// Guards against requests to endpoints of a failed failure domain: all
@@ -113,20 +116,20 @@
     let views: Vec<_> = router.endpoints().collect();
     assert_eq!(views.len(), 8);
     let is_near = |name: &str| name[1..].parse::<usize>().unwrap() < 50;
-    let near: Vec<_> =
+    let same_domain: Vec<_> =
         views.iter().filter(|v| is_near(v.name.as_str())).collect();
-    assert_eq!(near.len(), 6);
-    for view in &near {
+    assert_eq!(same_domain.len(), 6);
+    for view in &same_domain {
         router.failed(view.key, Failure::Unreachable, T0);
     }
     let chosen = choose(&mut router, pool, T0, 3).unwrap();
-    assert!(near.iter().all(|view| view.key != chosen));
+    assert!(same_domain.iter().all(|view| view.key != chosen));
 }
 
 #[test]
 fn entries_use_different_parts_and_keep_them() {
     let list = many(100, 0);
-    let part = |entry: &str, list: &[ListedEndpoint]| {
+    let subset_names = |entry: &str, list: &[ListedEndpoint]| {
         let mut router = Router::new(entry, plain().subset(10));
         let pool = router.pool("pool");
         router.list(pool, list);
@@ -135,14 +138,14 @@
         names.sort();
         names
     };
-    let first = part("entry-1", &list);
-    assert_ne!(first, part("entry-2", &list));
+    let first = subset_names("entry-1", &list);
+    assert_ne!(first, subset_names("entry-2", &list));
     let without: Vec<ListedEndpoint> = list
         .iter()
         .filter(|one| one.name().as_str() != first[0])
         .cloned()
         .collect();
-    let after = part("entry-1", &without);
+    let after = subset_names("entry-1", &without);
     assert!(first[1..].iter().all(|name| after.contains(name)));
 }
 
@@ -151,7 +154,7 @@
 /// address and responds, and the old calls end; one record for both
 /// incarnations would mix them up.
 #[test]
-fn a_new_life_is_a_new_endpoint() {
+fn a_new_incarnation_is_a_new_endpoint() {
     let (mut router, pool) = router(plain(), &many(1, 1));
     let old = choose(&mut router, pool, T0, 1).unwrap();
     router.sent(old, T0);
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn a_life_that_left_before_it_was_known_gets_nothing() {
+fn an_incarnation_that_left_before_it_was_known_gets_nothing() {
     let (mut router, pool) = router(plain(), &many(1, 1));
     router.mark_leaving(Incarnation::new(7));
     let key = key(&router, "e0");
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn an_ejected_one_comes_back_by_probe_and_one_call() {
+fn an_ejected_endpoint_recovers_by_a_probe_and_one_call() {
     let (mut router, pool) = router(plain(), &many(2, 2));
     let (bad, good) = (key(&router, "e0"), key(&router, "e1"));
     router.reported(bad, &report(1), T0);
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn a_second_time_out_is_longer() {
+fn a_second_ejection_is_longer() {
     let (mut router, _) = router(plain(), &many(1, 1));
     let key = key(&router, "e0");
     router.reported(key, &report(1), T0);
@@ -246,7 +249,7 @@
 /// every endpoint fails for a while, which would leave the load of all to one
 /// endpoint.
 #[test]
-fn a_brown_out_takes_out_at_most_half() {
+fn a_brown_out_ejects_at_most_half() {
     let (mut router, _) = router(plain(), &many(10, 10));
     let keys: Vec<_> = router.endpoints().map(|v| v.key).collect();
     for _ in 0..20 {
@@ -300,7 +303,7 @@
 }
 
 #[test]
-fn health_values_prefer_the_best_and_recover_by_probes() {
+fn health_scores_prefer_the_best_and_recover_by_probes() {
     let health = HealthPolicy::Score { sensitivity: 2 };
     let (mut router, pool) = router(plain().health(health), &many(2, 2));
     let (bad, good) = (key(&router, "e0"), key(&router, "e1"));
@@ -326,8 +329,8 @@
         ..Probing::default()
     });
     let (mut router, pool) = router(plain().policy(policy), &many(3, 3));
-    let told = [(4, 10), (0, 90), (1, 20)];
-    for (at, (running, first_token_ms)) in told.into_iter().enumerate() {
+    let reports = [(4, 10), (0, 90), (1, 20)];
+    for (at, (running, first_token_ms)) in reports.into_iter().enumerate() {
         let key = key(&router, &format!("e{at}"));
         let report = EndpointReport {
             running,
--- a/crates/spread/src/document.rs
+++ b/crates/spread/src/document.rs
@@ -8,44 +8,46 @@
 
 use crate::split;
 
-/// Removals that are remembered; a process that misses more gets the whole.
+/// Maximum number of removals that are remembered; a process that missed more
+/// gets the full document.
 const MAX_REMOVED_REMEMBERED: usize = 1_024;
 
-/// When and by which edit a configuration was accepted.
+/// Acceptance time and edit id of a configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// When it was accepted.
+    /// Time at which it was accepted.
     pub accepted: UnixMillis,
-    /// Names the edit, so that one whose answer was lost is recognised.
+    /// Id of the edit, by which an edit whose response was lost is recognized.
     pub operation: String,
 }
 
-/// A piece of a configuration that changes as one.
+/// A named part of a configuration, the unit of change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     name: Arc<str>,
-    /// The revision that changed it last, or a later one.
+    /// Revision that last changed it, or a later one.
     revision: Revision,
     text: Arc<str>,
 }
 
-/// Names a part that is gone, with the revision that removed it.
+/// A removed part, with the revision that removed it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct Removed {
     name: Arc<str>,
     revision: Revision,
 }
 
-/// What a process needs to come from one revision to another.
+/// The difference that takes a process from one revision to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Oldest revision that it can be put on; 0 if it is the whole.
+    /// Oldest revision that it can be applied to; 0 if it is the full
+    /// document.
     base: Revision,
     revision: Revision,
     digest: u64,
     complete_from: Revision,
     stamp: Stamp,
-    /// Changed parts with their place in the new order.
+    /// Changed parts with their index in the new order.
     parts: Vec<(u32, Part)>,
     removed: Vec<Removed>,
 }
@@ -57,13 +59,14 @@
         self.revision
     }
 
-    /// Returns the oldest revision that it can be put on, 0 for the whole.
+    /// Returns the oldest revision that it can be applied to, 0 for a full
+    /// document.
     #[inline]
     pub fn base(&self) -> Revision {
         self.base
     }
 
-    /// Returns how many bytes of configuration it moves.
+    /// Returns the number of bytes of configuration text in it.
     pub fn text_bytes(&self) -> usize {
         self.parts.iter().map(|(_, part)| part.text.len()).sum()
     }
@@ -71,14 +74,14 @@
 
 /// One accepted configuration in parts.
 ///
-/// Each part has the revision that changed it last. What a process with
-/// revision R lacks are the parts with a higher one and the names removed
-/// since, so one customer's change moves one customer's bytes. A digest over the
-/// whole text tells whether the pieces were put together right.
+/// Each part has the revision that last changed it. A process with revision R
+/// lacks the parts with a higher revision and the removals since, so a change
+/// of one customer transfers only that customer's bytes. A digest of the full
+/// text verifies the result of applying a delta.
 ///
-/// Rejected: a log of changes, which a process has to have seen from its
-/// start on; and a list of digests of all parts in each comparison, 11 KB
-/// for 1,400 customers.
+/// Alternatives: a log of changes would have to be seen from its start, and a
+/// list of digests of all parts in each comparison would take 11 KB for 1,400
+/// customers.
 ///
 /// # Example
 ///
@@ -98,7 +101,7 @@
 pub struct Document {
     revision: Revision,
     digest: u64,
-    /// Differences from revisions before this one are not known.
+    /// Deltas from revisions before this one are not available.
     complete_from: Revision,
     stamp: Stamp,
     parts: Vec<Part>,
@@ -106,7 +109,7 @@
 }
 
 impl Document {
-    /// Makes a document of which only this revision is known.
+    /// Creates a document without knowledge of earlier revisions.
     pub fn new(revision: Revision, text: &str, stamp: Stamp) -> Self {
         let part = |(name, text): (String, &str)| Part {
             name: name.into(),
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Makes the document that a later text is, by comparing the two.
+    /// Creates the document of a later text by comparing it with this one.
     pub fn successor(
         &self,
         revision: Revision,
@@ -137,17 +140,18 @@
             .enumerate()
             .map(|(at, part)| (part.name.clone(), (at, part)))
             .collect();
-        // A part that stays keeps its revision only while those that stay
-        // are in the old order: the receiver puts changed parts at their
-        // changed among the rest, whose order it takes from what it has.
-        let mut after = None;
+        // An unchanged part keeps its revision only if the unchanged parts are
+        // still in the old order: the receiver inserts changed parts at their
+        // indices among the remaining ones, whose order it takes from its own
+        // document.
+        let mut last_unchanged = None;
         for part in &mut next.parts {
-            let Some((at, was)) = old.get(&part.name) else {
+            let Some((at, before)) = old.get(&part.name) else {
                 continue;
             };
-            if was.text == part.text && after < Some(*at) {
-                after = Some(*at);
-                part.revision = was.revision;
+            if before.text == part.text && last_unchanged < Some(*at) {
+                last_unchanged = Some(*at);
+                part.revision = before.revision;
             }
         }
         let names: HashSet<_> = next.parts.iter().map(|p| &p.name).collect();
@@ -162,7 +166,7 @@
         next
     }
 
-    /// Bounds what is remembered of removed parts.
+    /// Limits the number of remembered removals.
     fn prune_removed(&mut self) {
         let over = self.removed.len().saturating_sub(MAX_REMOVED_REMEMBERED);
         for removed in self.removed.drain(..over) {
@@ -170,8 +174,8 @@
         }
     }
 
-    /// Returns what a process with revision `base` lacks; the whole if that
-    /// is not known.
+    /// Returns the delta for a process with revision `base`; the full document
+    /// if the differences from that revision are not available.
     pub fn delta_since(&self, base: Revision) -> Delta {
         let known = base >= self.complete_from && base <= self.revision;
         let base = match known {
@@ -192,8 +196,8 @@
         }
     }
 
-    /// Makes a document of a delta that is the whole; `None` if it is not
-    /// or is damaged.
+    /// Creates a document from a delta that is a full document; `None` if the
+    /// delta is not full or is damaged.
     pub fn from_full_delta(delta: &Delta) -> Option<Self> {
         if delta.base != Revision::default() {
             return None;
@@ -201,9 +205,9 @@
         Self::assemble(Vec::new(), Vec::new(), delta.complete_from, delta)
     }
 
-    /// Puts a delta on this document; `None` if it does not fit, because it
-    /// starts later, is no newer, or leads to another text than its sender
-    /// has.
+    /// Applies a delta to this document; `None` if the delta is not applicable
+    /// because it starts at a later revision, is not newer, or results in
+    /// another text than its sender has.
     pub fn apply(&self, delta: &Delta) -> Option<Self> {
         if delta.revision <= self.revision || delta.base > self.revision {
             return None;
@@ -213,8 +217,8 @@
         }
         let parts = delta.parts.iter().map(|(_, part)| &part.name);
         let removed = delta.removed.iter().map(|removed| &removed.name);
-        let out: HashSet<_> = parts.chain(removed).collect();
-        let kept = self.parts.iter().filter(|p| !out.contains(&p.name));
+        let replaced: HashSet<_> = parts.chain(removed).collect();
+        let kept = self.parts.iter().filter(|p| !replaced.contains(&p.name));
         let kept = kept.cloned().collect();
         let known = self.removed.clone();
         Self::assemble(kept, known, self.complete_from, delta)
@@ -260,7 +264,7 @@
         (stable_hash(&[&next.text()]) == delta.digest).then_some(next)
     }
 
-    /// Returns the whole text.
+    /// Returns the full text.
     pub fn text(&self) -> String {
         self.parts.iter().map(|part| part.text.as_ref()).collect()
     }
@@ -271,19 +275,19 @@
         self.revision
     }
 
-    /// Returns the digest over the whole text.
+    /// Returns the digest of the full text.
     #[inline]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns when and by which edit it was accepted.
+    /// Returns its acceptance time and edit id.
     #[inline]
     pub fn stamp(&self) -> &Stamp {
         &self.stamp
     }
 
-    /// Returns the revision that changed a part last, or a later one.
+    /// Returns the revision that last changed a part, or a later one.
     pub fn part_revision(&self, name: &str) -> Option<Revision> {
         let mut parts = self.parts.iter();
         parts.find(|p| p.name.as_ref() == name).map(|p| p.revision)
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,13 +1,14 @@
-//! How accepted configurations reach every process, without I/O.
+//! Propagation of accepted configurations to every process, without I/O.
 //!
-//! Few processes of each failure domain, the relays, watch the key-value
-//! service. What changes goes on from process to process, and neighbours
-//! compare revisions in between, so that no relay needs to be alive.
-//! [`Propagator`] decides this for one process; [`Document`] is a configuration
-//! in parts and [`Delta`] what moves.
+//! A few processes of each failure domain, the relays, watch the key-value
+//! service. Changes are pushed from process to process, and peers compare
+//! revisions periodically, so propagation does not depend on any particular
+//! relay. [`Propagator`] makes these decisions for one process; [`Document`]
+//! is a configuration in parts and [`Delta`] the difference between two
+//! revisions.
 //!
-//! The promise: the revision that a process applies is higher than all that
-//! it applied before.
+//! Invariant: a process applies only revisions that are higher than all it
+//! applied before.
 
 mod document;
 mod members;
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -3,22 +3,24 @@
 use base::{FailureDomain, Millis, VmId, stable_hash};
 use serde::{Deserialize, Serialize};
 
-/// Most processes that are remembered.
+/// Maximum number of processes that are remembered.
 const MAX_MEMBERS: usize = 4_096;
 
-/// Most hints in one answer of processes in the asker's failure domain.
+/// Maximum number of hints in one response about processes in the requester's
+/// failure domain.
 const MAX_SAME_DOMAIN_HINTS: usize = 32;
 
-/// Most hints in one answer of other processes.
+/// Maximum number of hints in one response about processes in other failure
+/// domains.
 const MAX_OTHER_DOMAIN_HINTS: usize = 8;
 
-/// What one process tells another about a third.
+/// Membership information about a process that one process passes to another.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Hint {
     vm: VmId,
     failure_domain: FailureDomain,
     address: Option<SocketAddr>,
-    /// Time since somebody heard_at of it, in milliseconds.
+    /// Time since the process was last heard from, in milliseconds.
     age_ms: u64,
 }
 
@@ -26,20 +28,21 @@
 struct Member {
     failure_domain: FailureDomain,
     address: Option<SocketAddr>,
-    /// Its number in the choice of relays.
+    /// Its rendezvous hash for the selection of relays.
     rank: u64,
     heard_at: Millis,
-    /// When a call to it failed_at last; older hints are no sign of life.
+    /// Time of the last failed call to it; older hints do not prove that it is
+    /// alive.
     failed_at: Option<Millis>,
 }
 
-/// Processes that were heard_at of, and when.
+/// Known processes with the time each was last heard from.
 #[derive(Clone, Debug)]
 pub(crate) struct Members {
     own_vm: VmId,
     failure_domain: FailureDomain,
     member_ttl_ms: u64,
-    /// The own number in the choice of relays.
+    /// This process's rendezvous hash for the selection of relays.
     rank: u64,
     known: BTreeMap<VmId, Member>,
 }
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Notes a sign of life.
+    /// Records evidence that a process was alive at a time.
     pub(crate) fn record_heard(
         &mut self,
         vm: &VmId,
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Notes that a call to an address failed_at.
+    /// Records a failed call to an address.
     pub(crate) fn record_failure(&mut self, address: SocketAddr, now: Millis) {
         let members = self.known.values_mut();
         for member in members.filter(|m| m.address == Some(address)) {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Forgets who was silent for long.
+    /// Removes processes that have not been heard from for long.
     pub(crate) fn expire(&mut self, now: Millis) {
         let keep_ms = self.member_ttl_ms.saturating_mul(2);
         self.known
@@ -117,7 +120,8 @@
         }
     }
 
-    /// Tells a process of others: all of its failure domain, and some.
+    /// Returns hints for a process: all known processes of its failure domain,
+    /// and some others.
     pub(crate) fn hints(
         &self,
         domain: &FailureDomain,
@@ -154,12 +158,13 @@
         })
     }
 
-    /// Returns the relays of the own failure domain, first choice first;
-    /// with the address if it is another process and known.
+    /// Returns the relays of the own failure domain in order of preference,
+    /// with the address if it is another process whose address is known.
     ///
-    /// Rendezvous hashing: each process gets a number from its name, and
-    /// the highest of those alive are the relays. All who know the same
-    /// processes choose the same, and the loss of one moves one place.
+    /// Rendezvous hashing: each process has a hash of its name, and the live
+    /// processes with the highest hashes are the relays. Processes with the
+    /// same membership view choose the same relays, and the loss of one relay
+    /// changes only its replacement.
     pub(crate) fn relays(
         &self,
         count: usize,
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -5,33 +5,35 @@
 
 use crate::{Delta, Document, Hint, Stamp};
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// It compares.
+    /// Compares revisions.
     Ask,
-    /// It tells a change.
+    /// Pushes a change.
     Tell,
-    /// It brings what an answer showed to be missing; no other follows, so
-    /// that two processes that cannot agree do not talk without end.
+    /// Sends the delta that a response showed to be missing. It triggers no
+    /// further message, so that two processes that cannot agree do not
+    /// exchange messages endlessly.
     FollowUp,
 }
 
-/// What two processes tell each other; question and answer look alike, so
-/// each comparison brings the newer revision in either direction.
+/// Message between two processes. Requests and responses have the same form,
+/// so each exchange transfers the newer revision in either direction.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     pub(crate) vm: VmId,
     pub(crate) failure_domain: FailureDomain,
     pub(crate) step: Step,
-    /// In force at the sender.
+    /// Revision in force at the sender.
     pub(crate) revision: Revision,
-    /// Digest over the text of that revision.
+    /// Digest of the text of that revision.
     pub(crate) digest: u64,
-    /// The newest that the sender has heard of.
+    /// Newest revision that the sender knows of.
     pub(crate) heard: Revision,
-    /// What a delta for the sender may be based on; 0 asks for the whole.
+    /// Revision on which a delta for the sender may be based; 0 requests the
+    /// full document.
     pub(crate) base: Revision,
     #[serde(default)]
     pub(crate) wants_hints: bool,
@@ -48,79 +50,79 @@
         self.revision
     }
 
-    /// Returns what the message is for; an answer repeats that of its
-    /// question.
+    /// Returns the purpose of the message; a response repeats that of its
+    /// request.
     #[inline]
     pub fn step(&self) -> Step {
         self.step
     }
 
-    /// Returns the change that comes with it.
+    /// Returns the delta in the message.
     #[inline]
     pub fn delta(&self) -> Option<&Delta> {
         self.delta.as_ref()
     }
 }
 
-/// What happened at a process.
+/// Input event of a process.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time went on; wanted every 50 ms or so.
+    /// Time has passed; expected about every 50 ms.
     Tick,
-    /// The service holds this configuration.
+    /// A read of the key-value service returned this configuration.
     Found {
         /// Its revision.
         revision: Revision,
         /// Its text.
         text: String,
-        /// When it was accepted.
+        /// Its acceptance time and edit id.
         stamp: Stamp,
     },
-    /// The service has accepted this edit of this process.
+    /// The key-value service accepted this edit of this process.
     Accepted {
         /// Its revision.
         revision: Revision,
         /// Its text.
         text: String,
-        /// When it was accepted.
+        /// Its acceptance time and edit id.
         stamp: Stamp,
     },
-    /// The watch at the service delivered a change.
+    /// The watch of the key-value service delivered a change.
     Changed(Delta),
-    /// The watch delivered that a revision exists, without the change.
+    /// The watch delivered the number of a new revision without the change.
     RevisionAnnounced(Revision),
-    /// Another process asks or tells.
+    /// Another process sent a request.
     Request(Message),
-    /// A neighbour answers.
+    /// A peer responded.
     Response {
-        /// The neighbour.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What it says.
+        /// The response.
         message: Message,
     },
-    /// A neighbour does not answer.
+    /// A peer did not respond.
     Failed {
-        /// The neighbour.
+        /// Address of the peer.
         peer: SocketAddr,
     },
 }
 
-/// What a process has to do.
+/// Output action of a process.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Put this in force; its revision is higher than all before.
     Apply(Document),
-    /// Send a message and report the answer or the failure.
+    /// Send a message and pass in the response or the failure.
     Send {
-        /// To whom.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What.
+        /// The message.
         message: Box<Message>,
     },
-    /// Answer the question of this event.
+    /// Respond to the request of this event.
     Reply(Box<Message>),
-    /// Start or end the watch at the service.
+    /// Start or stop watching the key-value service.
     Watch(bool),
-    /// Read the whole configuration at the service.
+    /// Read the full configuration from the key-value service.
     Read,
 }
--- a/crates/spread/src/options.rs
+++ b/crates/spread/src/options.rs
@@ -1,4 +1,4 @@
-/// Pauses and counts of a [`Propagator`](crate::Propagator).
+/// Intervals and limits of a [`Propagator`](crate::Propagator).
 ///
 /// # Example
 ///
@@ -10,28 +10,31 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// Relays in each failure domain.
+    /// Number of relays in each failure domain.
     pub relays: usize,
-    /// Neighbours that a process talks to, beside the relays of its domain.
+    /// Number of peers that a process contacts in addition to the relays of
+    /// its domain.
     pub fanout: usize,
-    /// Pause between two comparisons with a neighbour.
+    /// Interval between exchanges with a peer, in milliseconds.
     pub exchange_interval_ms: u64,
-    /// The same while nothing is in force.
+    /// Interval between exchanges while no revision is in force, in
+    /// milliseconds.
     pub initial_exchange_interval_ms: u64,
-    /// Silence after which a process counts as gone.
+    /// Time without contact after which a process counts as gone, in
+    /// milliseconds.
     pub member_ttl_ms: u64,
-    /// Pause before a neighbour that did not answer is tried again.
+    /// Time after which a peer that did not respond is retried, in
+    /// milliseconds.
     pub peer_retry_ms: u64,
-    /// Answers of neighbours that are awaited before the first revision is
-    /// applied, unless the service gave one.
+    /// Number of peer responses that are awaited before the first revision is
+    /// applied, unless the key-value service provided one.
     pub settle_responses: usize,
-    /// Longest wait for them.
+    /// Maximum wait for these responses, in milliseconds.
     pub settle_ms: u64,
-    /// Time after the start in which nobody is a relay: who knows nobody
-    /// would take itself for one.
+    /// Time after the start during which this process is no relay, in
+    /// milliseconds: a process that knows no others would elect itself.
     pub discovery_ms: u64,
-    /// Hints about other processes are asked for in each of this many
-    /// comparisons.
+    /// Number of exchanges per request for membership hints.
     pub exchanges_per_hints: u64,
 }
 
--- a/crates/spread/src/propagator.rs
+++ b/crates/spread/src/propagator.rs
@@ -7,19 +7,19 @@
     members::Members,
 };
 
-/// A process that can be told and asked.
+/// A configured peer.
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
-    /// It did not response; tried again then.
+    /// Time of the next retry, if the peer did not respond.
     down_until: Option<Millis>,
 }
 
-/// Decides how one process takes part in spreading configurations.
+/// Decides how one process takes part in the propagation of configurations.
 ///
-/// [`Propagator::handle`] takes what happened with the time and a random number
-/// and says what to do. A revision is applied only if it is higher than the
-/// one in force, whoever offers it and in whatever order.
+/// [`Propagator::handle`] takes an event with the time and a random number and
+/// returns the actions to perform. A revision is applied only if it is higher
+/// than the one in force, whichever process offers it and in whatever order.
 ///
 /// # Example
 ///
@@ -30,7 +30,8 @@
 /// let vm = "entry-1".parse()?;
 /// let domain = "tallinn-a".parse()?;
 /// let now = Millis::new(0);
-/// let mut propagator = Propagator::new(vm, domain, vec![], Options::default(), now);
+/// let options = Options::default();
+/// let mut propagator = Propagator::new(vm, domain, vec![], options, now);
 /// let mut offer = |revision| {
 ///     let event = Event::Found {
 ///         revision: Revision::new(revision),
@@ -50,13 +51,13 @@
     failure_domain: FailureDomain,
     options: Options,
     started_at: Millis,
-    /// In the order in which this process prefers them.
+    /// In this process's order of preference.
     peers: Vec<Peer>,
     members: Members,
     document: Option<Document>,
     in_force_since: Millis,
     newest_known: Revision,
-    /// Found before the first may be applied.
+    /// Newest document received before the first one may be applied.
     candidate: Option<Document>,
     responses: usize,
     next_exchange_at: Millis,
@@ -67,7 +68,7 @@
 }
 
 impl Propagator {
-    /// Makes the state of a process that has just started_at.
+    /// Creates the state of a process that has just started.
     pub fn new(
         vm: VmId,
         failure_domain: FailureDomain,
@@ -75,9 +76,9 @@
         options: Options,
         now: Millis,
     ) -> Self {
-        // Each process prefers others in an order of its own: the graph of
-        // who talks to whom is then random and connected with near
-        // certainty, while each holds few connections.
+        // Each process has its own order of preference. The graph of contacts
+        // is then random and almost certainly connected, while each process
+        // holds few connections.
         peers.sort_by_cached_key(|address| {
             stable_hash(&[vm.as_str(), &address.to_string()])
         });
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Returns what is in force.
+    /// Returns the configuration in force.
     #[inline]
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
@@ -120,33 +121,33 @@
         document.map_or(Revision::default(), Document::revision)
     }
 
-    /// Returns in_force_since when it is in force.
+    /// Returns since when it is in force.
     #[inline]
     pub fn in_force_since(&self) -> Millis {
         self.in_force_since
     }
 
-    /// Returns the newest revision newest_known of, in force here or not.
+    /// Returns the newest known revision, whether or not it is in force here.
     #[inline]
     pub fn newest_known(&self) -> Revision {
         self.newest_known
     }
 
-    /// Returns whether this process watches the service.
+    /// Reports whether this process watches the key-value service.
     #[inline]
     pub fn is_relay(&self) -> bool {
         self.is_relay
     }
 
-    /// Returns how often another process had another text as the same
-    /// revision; possible only if the service lost accepted edits.
+    /// Returns how often another process had a different text for the same
+    /// revision; possible only if the key-value service lost accepted edits.
     #[inline]
     pub fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    /// Returns the change that an edit of what is in force would be, for
-    /// the watchers; `None` if the edit is not of that.
+    /// Returns the delta of an edit of the configuration in force, for the
+    /// watchers; `None` if the edit is not based on it.
     pub fn delta_for_edit(
         &self,
         revision: Revision,
@@ -160,7 +161,7 @@
         })
     }
 
-    /// Takes what happened and returns what to do, in this order.
+    /// Handles an event and returns the actions to perform, in this order.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -224,7 +225,7 @@
             }
             Event::Failed { peer } => self.failed(now, peer),
         }
-        self.settle(now, &mut actions);
+        self.apply_candidate_if_settled(now, &mut actions);
         actions
     }
 
@@ -240,15 +241,20 @@
             None => self.options.initial_exchange_interval_ms,
         };
         self.next_exchange_at = now.saturating_add_ms(pause_ms);
-        let contacts = self.contacts(now);
-        if contacts.is_empty() {
+        let contact_addresses = self.contact_addresses(now);
+        if contact_addresses.is_empty() {
             return;
         }
-        let at = (self.exchange_count % contacts.len() as u64) as usize;
-        self.compare_with(contacts[at], actions);
+        let at =
+            (self.exchange_count % contact_addresses.len() as u64) as usize;
+        self.send_comparison(contact_addresses[at], actions);
     }
 
-    fn compare_with(&mut self, peer: SocketAddr, actions: &mut Vec<Action>) {
+    fn send_comparison(
+        &mut self,
+        peer: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
         let mut message = self.message(Step::Ask);
         message.wants_hints = self
             .exchange_count
@@ -257,7 +263,7 @@
         actions.push(send(peer, message));
     }
 
-    /// Decides whether this process watches the service.
+    /// Decides whether this process watches the key-value service.
     fn update_relay_role(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let is_discovering = now.saturating_ms_since(self.started_at)
             < self.options.discovery_ms;
@@ -270,8 +276,8 @@
         }
     }
 
-    /// Tries preferred neighbours again that did not response, so that parted
-    /// regions find each other soon after they are connected again.
+    /// Retries preferred peers that did not respond, so that the sides of a
+    /// network partition reconnect soon after it ends.
     fn retry_down_peers(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let until = now.saturating_add_ms(self.options.peer_retry_ms);
         let preferred = self.peers.iter_mut().take(self.options.fanout);
@@ -283,26 +289,27 @@
             })
             .collect();
         for peer in due {
-            self.compare_with(peer, actions);
+            self.send_comparison(peer, actions);
         }
     }
 
-    /// Returns whom this process talks to: the first neighbours in its
-    /// order that response, and the relays of its failure domain.
-    fn contacts(&self, now: Millis) -> Vec<SocketAddr> {
+    /// Returns the peers that this process contacts: the first ones in its
+    /// order that respond, and the relays of its failure domain.
+    fn contact_addresses(&self, now: Millis) -> Vec<SocketAddr> {
         let up = self.peers.iter().filter(|p| p.down_until.is_none());
         let up = up.map(|peer| peer.address);
-        let mut contacts: Vec<_> = up.take(self.options.fanout).collect();
-        if contacts.is_empty() {
-            // Nobody responses; somebody may by now.
+        let mut contact_addresses: Vec<_> =
+            up.take(self.options.fanout).collect();
+        if contact_addresses.is_empty() {
+            // No peer responded; some may be available again.
             let all = self.peers.iter().map(|peer| peer.address);
-            contacts = all.collect();
+            contact_addresses = all.collect();
         }
         for (_, address) in self.members.relays(self.options.relays, now) {
-            let fresh = address.filter(|a| !contacts.contains(a));
-            contacts.extend(fresh);
+            let fresh = address.filter(|a| !contact_addresses.contains(a));
+            contact_addresses.extend(fresh);
         }
-        contacts
+        contact_addresses
     }
 
     fn message(&self, step: Step) -> Message {
@@ -367,7 +374,7 @@
         }
     }
 
-    /// Takes in what any message says.
+    /// Applies the contents of a request or response.
     fn apply_message(
         &mut self,
         now: Millis,
@@ -389,9 +396,9 @@
             return;
         }
         let is_applicable = self.apply_delta(now, delta, actions);
-        // One that starts later only means that a revision was missed;
-        // one that leads elsewhere, that what it is put on is not what
-        // its sender means by this revision.
+        // A delta that starts later only means that a revision was missed. One
+        // that results in another text means that the local document differs
+        // from the sender's document of the same revision.
         if !is_applicable && delta.base() <= self.revision() {
             self.needs_full_delta = true;
         }
@@ -401,7 +408,7 @@
         self.newest_known = self.newest_known.max(revision);
     }
 
-    /// Returns what the sender of a message lacks.
+    /// Returns the delta that the sender of a message lacks.
     fn delta_for(&self, message: &Message) -> Option<Delta> {
         let document = self.document.as_ref()?;
         let lacks = message.revision < document.revision();
@@ -448,8 +455,8 @@
         is_applicable
     }
 
-    /// Takes a document that is newer than the one in force; the first one
-    /// waits for [`Propagator::settle`].
+    /// Accepts a document that is newer than the one in force; the first one
+    /// waits for [`Propagator::apply_candidate_if_settled`].
     fn accept_document(
         &mut self,
         now: Millis,
@@ -485,22 +492,26 @@
         actions.push(Action::Apply(next));
     }
 
-    /// Applies the newest of what was apply_full_text first, once enough others were
+    /// Applies the newest document received at startup, once enough peers were
     /// asked.
     ///
-    /// A process that restarts does not know which revision it had. The
-    /// first neighbour that responses may lag behind it, so some more are
-    /// awaited, but not for long: one that serves nobody is worse.
-    fn settle(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// A restarted process does not know which revision it had, and the first
+    /// peer that responds may lag behind it. Some more responses are awaited,
+    /// but not for long: a process that serves no requests is worse.
+    fn apply_candidate_if_settled(
+        &mut self,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) {
         if self.document.is_none()
-            && self.is_settled(now)
+            && self.has_enough_responses(now)
             && let Some(candidate) = self.candidate.take()
         {
             self.set_in_force(now, candidate, actions);
         }
     }
 
-    fn is_settled(&self, now: Millis) -> bool {
+    fn has_enough_responses(&self, now: Millis) -> bool {
         let wanted = self.options.settle_responses.min(self.peers.len());
         let waited = now.saturating_ms_since(self.started_at);
         self.responses >= wanted || waited >= self.options.settle_ms
@@ -514,7 +525,7 @@
         actions: &mut Vec<Action>,
     ) {
         let delta = next.delta_since(base);
-        for peer in self.contacts(now) {
+        for peer in self.contact_addresses(now) {
             let mut message = self.message(Step::Tell);
             message.revision = next.revision();
             message.base = next.revision();
--- a/crates/spread/src/split.rs
+++ b/crates/spread/src/split.rs
@@ -1,17 +1,17 @@
-//! Cuts a configuration into parts.
+//! Splits a configuration into parts.
 
 use std::collections::HashMap;
 
-/// Longest name of a part, in characters.
+/// Maximum length of a part's name, in characters.
 const MAX_NAME_CHARS: usize = 64;
 
-/// Cuts a text into named parts whose concatenation is the text.
+/// Splits a text into named parts whose concatenation is the text.
 ///
-/// A part part_starting_at at each key of the document and at each item of a list
-/// below it, so that a customer, a pool or a rule is a part. The cut is made
-/// by lines and not by a YAML parser: any cut is right, since the parts are
-/// put together before anybody reads them, and a build that parses
-/// differently must not cut differently.
+/// A part begins at each top-level key of the document and at each item of a
+/// list below it, so that a customer, a pool or a rule is a part. The split
+/// works on lines instead of parsed YAML: any split is correct, since the
+/// parts are joined before the text is parsed, and a build with another YAML
+/// parser must not split differently.
 ///
 /// # Example
 ///
@@ -46,17 +46,17 @@
     parts
 }
 
-/// What the lines so far say about the next one.
+/// State of the split after the lines so far.
 #[derive(Default)]
 struct Splitter {
     section: String,
-    /// Indentation of the items of this section, once seen.
+    /// Indentation of the items of this section, once known.
     indent: Option<usize>,
     used: HashMap<String, u32>,
 }
 
 impl Splitter {
-    /// Returns the name of the part that part_starting_at with a line, if one does.
+    /// Returns the name of the part that begins with a line, if one does.
     fn part_starting_at(&mut self, line: &str) -> Option<String> {
         let content = line.trim_start();
         let indent = line.len() - content.len();
@@ -79,7 +79,7 @@
         Some(self.unique_name(name))
     }
 
-    /// Two parts may begin alike; the second gets a number.
+    /// Appends a number to a name that is already used.
     fn unique_name(&mut self, name: String) -> String {
         let used = self.used.entry(name.clone()).or_default();
         *used += 1;
@@ -90,8 +90,8 @@
     }
 }
 
-/// Takes the start of a line, which names what the part is about: an item
-/// in braces ends its first member at the comma.
+/// Returns the start of a line, which identifies the part; an item in braces
+/// is cut at its first comma.
 fn name_prefix(line: &str) -> String {
     let first = line.split(',').next().unwrap_or_default();
     first.trim_end().chars().take(MAX_NAME_CHARS).collect()
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A handful of processes with an unreliable network and service.
+//! Simulation of a few processes with an unreliable network and key-value
+//! service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,17 +16,17 @@
 const DOMAINS: usize = 3;
 const CUSTOMERS: u32 = 12;
 const TICK_MS: u64 = 200;
-const ROUGH_MS: u64 = 25_000;
+const FAULTS_MS: u64 = 25_000;
 const HEALED_MS: u64 = 15_000;
 
-/// What is on its way, or due.
+/// A message in transit or a scheduled event.
 enum Scheduled {
     Tick(usize),
     Ask(usize, usize, Message),
     Answer(usize, usize, Message),
     Fail(usize, usize),
     Service(usize, Event),
-    Chaos,
+    InjectFault,
 }
 
 pub(crate) struct Sim {
@@ -34,22 +35,23 @@
     seq: u64,
     queue: BTreeMap<(u64, u64), (u64, Scheduled)>,
     processes: Vec<Propagator>,
-    /// Life of each process; what was sent to an earlier one is lost.
-    lives: Vec<u64>,
+    /// Incarnation of each process; messages to an earlier one are lost.
+    incarnations: Vec<u64>,
     watching: BTreeSet<usize>,
-    /// Each accepted text, by revision.
+    /// All accepted texts by revision.
     accepted: BTreeMap<u64, String>,
-    /// What the service holds; older than the newest after a restore.
-    held: u64,
-    service_up: bool,
-    parted: bool,
-    rough: bool,
-    /// Applied in this life.
+    /// Revision that the key-value service holds; older than the newest after
+    /// a restore from a backup.
+    kv_revision: u64,
+    kv_is_up: bool,
+    is_partitioned: bool,
+    faults_enabled: bool,
+    /// Latest revision applied by each process in its current incarnation.
     applied: Vec<u64>,
-    /// Process 0 takes whatever the service says.
-    fault: bool,
+    /// Process 0 applies whatever the key-value service returns.
+    planted_fault: bool,
     pub(crate) violations: Vec<String>,
-    /// Everything that was applied, for comparing replays.
+    /// All applied revisions, for comparing replays.
     pub(crate) trace: Vec<(u64, usize, u64)>,
 }
 
@@ -73,22 +75,22 @@
 }
 
 impl Sim {
-    pub(crate) fn new(seed: u64, fault: bool) -> Self {
+    pub(crate) fn new(seed: u64, planted_fault: bool) -> Self {
         let mut sim = Self {
             random: StdRng::seed_from_u64(seed),
             now: 0,
             seq: 0,
             queue: BTreeMap::new(),
             processes: (0..PROCESSES).map(|at| process(at, 0)).collect(),
-            lives: vec![0; PROCESSES],
+            incarnations: vec![0; PROCESSES],
             watching: BTreeSet::new(),
             accepted: BTreeMap::new(),
-            held: 1,
-            service_up: true,
-            parted: false,
-            rough: true,
+            kv_revision: 1,
+            kv_is_up: true,
+            is_partitioned: false,
+            faults_enabled: true,
             applied: vec![0; PROCESSES],
-            fault,
+            planted_fault,
             violations: Vec::new(),
             trace: Vec::new(),
         };
@@ -100,24 +102,25 @@
             sim.push(TICK_MS, at, Scheduled::Tick(at));
             sim.read(at);
         }
-        sim.push(500, 0, Scheduled::Chaos);
+        sim.push(500, 0, Scheduled::InjectFault);
         sim
     }
 
-    /// Runs the rough time, heals everything, and checks that all agree.
-    pub(crate) fn run(&mut self, service_comes_back: bool) {
-        self.until(ROUGH_MS);
-        self.rough = false;
-        self.parted = false;
-        self.service_up = service_comes_back;
+    /// Runs the period of faults, removes all faults, and checks that all
+    /// processes agree.
+    pub(crate) fn run(&mut self, kv_recovers: bool) {
+        self.until(FAULTS_MS);
+        self.faults_enabled = false;
+        self.is_partitioned = false;
+        self.kv_is_up = kv_recovers;
         for at in self.watching.clone() {
             self.read(at);
         }
-        self.until(ROUGH_MS + HEALED_MS);
+        self.until(FAULTS_MS + HEALED_MS);
         let in_force = self.processes.iter().map(|p| p.revision().get());
         let mut newest = in_force.max().unwrap();
-        if service_comes_back {
-            newest = newest.max(self.held);
+        if kv_recovers {
+            newest = newest.max(self.kv_revision);
         }
         for (at, process) in self.processes.iter().enumerate() {
             let text = process.document().map(|found| found.text());
@@ -129,11 +132,11 @@
         }
     }
 
-    fn push(&mut self, after_ms: u64, to: usize, due: Scheduled) {
+    fn push(&mut self, after_ms: u64, to: usize, scheduled: Scheduled) {
         self.seq += 1;
-        let life = self.lives[to];
+        let incarnation = self.incarnations[to];
         self.queue
-            .insert((self.now + after_ms, self.seq), (life, due));
+            .insert((self.now + after_ms, self.seq), (incarnation, scheduled));
     }
 
     fn until(&mut self, end: u64) {
@@ -142,16 +145,16 @@
                 return;
             }
             self.now = entry.key().0;
-            let (life, due) = entry.remove();
-            self.run_due(life, due);
+            let (incarnation, scheduled) = entry.remove();
+            self.run_scheduled(incarnation, scheduled);
         }
     }
 
-    fn run_due(&mut self, life: u64, due: Scheduled) {
-        match due {
+    fn run_scheduled(&mut self, incarnation: u64, scheduled: Scheduled) {
+        match scheduled {
             Scheduled::Tick(at) => {
                 self.push(TICK_MS, at, Scheduled::Tick(at));
-                // A paused process skips some.
+                // A paused process skips some ticks.
                 if !self.chance(0.05) {
                     self.handle(at, Event::Tick, None);
                 }
@@ -160,24 +163,30 @@
                 let event = Event::Request(message);
                 self.handle(to, event, Some(from));
             }
-            Scheduled::Answer(from, to, message) if life == self.lives[to] => {
+            Scheduled::Answer(from, to, message)
+                if incarnation == self.incarnations[to] =>
+            {
                 let peer = address(from);
                 self.handle(to, Event::Response { peer, message }, None);
             }
-            Scheduled::Fail(from, to) if life == self.lives[to] => {
+            Scheduled::Fail(from, to)
+                if incarnation == self.incarnations[to] =>
+            {
                 let peer = address(from);
                 self.handle(to, Event::Failed { peer }, None);
             }
-            Scheduled::Service(to, event) if life == self.lives[to] => {
+            Scheduled::Service(to, event)
+                if incarnation == self.incarnations[to] =>
+            {
                 self.handle(to, event, None);
             }
             Scheduled::Answer(..)
             | Scheduled::Fail(..)
             | Scheduled::Service(..) => {}
-            Scheduled::Chaos => {
-                if self.rough {
-                    self.chaos();
-                    self.push(500, 0, Scheduled::Chaos);
+            Scheduled::InjectFault => {
+                if self.faults_enabled {
+                    self.inject_fault();
+                    self.push(500, 0, Scheduled::InjectFault);
                 }
             }
         }
@@ -185,7 +194,7 @@
 
     fn chance(&mut self, share: f64) -> bool {
         let drawn = self.random.random::<f64>();
-        self.rough && drawn < share
+        self.faults_enabled && drawn < share
     }
 
     fn delay(&mut self) -> u64 {
@@ -195,9 +204,9 @@
         }
     }
 
-    fn handle(&mut self, at: usize, event: Event, asker: Option<usize>) {
+    fn handle(&mut self, at: usize, event: Event, requester: Option<usize>) {
         if let (true, 0, Event::Found { revision, .. }) =
-            (self.fault, at, &event)
+            (self.planted_fault, at, &event)
         {
             self.note_applied(0, revision.get());
         }
@@ -217,8 +226,8 @@
                     self.send(at, peer, *message);
                 }
                 Action::Reply(message) => {
-                    let to = asker.unwrap();
-                    self.carry(at, to, Scheduled::Answer, *message);
+                    let to = requester.unwrap();
+                    self.deliver(at, to, Scheduled::Answer, *message);
                 }
                 Action::Watch(true) => {
                     self.watching.insert(at);
@@ -245,14 +254,14 @@
     fn send(&mut self, from: usize, peer: SocketAddr, message: Message) {
         let to = usize::from(peer.port() - 1_000);
         assert!(message.step() != Step::Tell || message.delta().is_some());
-        let arrived = self.carry(from, to, Scheduled::Ask, message);
+        let arrived = self.deliver(from, to, Scheduled::Ask, message);
         if !arrived {
             self.push(500, from, Scheduled::Fail(to, from));
         }
     }
 
-    /// Carries a message, late, twice or not at all.
-    fn carry(
+    /// Delivers a message late, twice or not at all.
+    fn deliver(
         &mut self,
         from: usize,
         to: usize,
@@ -261,8 +270,8 @@
     ) -> bool {
         // The first third of the processes are a region of their own.
         let region = |at| at < PROCESSES / 3;
-        let parted = self.parted && region(from) != region(to);
-        if parted || self.chance(0.1) {
+        let is_partitioned = self.is_partitioned && region(from) != region(to);
+        if is_partitioned || self.chance(0.1) {
             return false;
         }
         for _ in 0..=u32::from(self.chance(0.1)) {
@@ -273,34 +282,35 @@
     }
 
     fn read(&mut self, at: usize) {
-        if !self.service_up {
+        if !self.kv_is_up {
             return;
         }
         let event = Event::Found {
-            revision: Revision::new(self.held),
-            text: self.accepted[&self.held].clone(),
+            revision: Revision::new(self.kv_revision),
+            text: self.accepted[&self.kv_revision].clone(),
             stamp: Stamp::default(),
         };
         let delay = self.delay();
         self.push(delay, at, Scheduled::Service(at, event));
     }
 
-    fn chaos(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.random.random_range(0..PROCESSES);
         match self.random.random_range(0..12) {
             0..5 => self.edit(at),
-            5 => self.parted = !self.parted,
-            6 => self.service_up = !self.service_up,
+            5 => self.is_partitioned = !self.is_partitioned,
+            6 => self.kv_is_up = !self.kv_is_up,
             7 => {
-                self.lives[at] += 1;
+                self.incarnations[at] += 1;
                 self.applied[at] = 0;
                 self.watching.remove(&at);
                 self.processes[at] = process(at, self.now);
                 self.read(at);
             }
             8 => {
-                // The service's data comes back from an old copy.
-                self.held = self.random.random_range(1..=self.held);
+                // The key-value service is restored from an old backup.
+                self.kv_revision =
+                    self.random.random_range(1..=self.kv_revision);
                 for at in self.watching.clone() {
                     self.read(at);
                 }
@@ -310,11 +320,11 @@
         }
     }
 
-    /// Accepts an edit through a process, which goes on from the newest.
+    /// Accepts an edit of the newest revision through a process.
     fn edit(&mut self, at: usize) {
         let newest = *self.accepted.last_key_value().unwrap().0;
-        let known = self.processes[at].revision().get().max(self.held);
-        if !self.service_up || known != newest {
+        let known = self.processes[at].revision().get().max(self.kv_revision);
+        if !self.kv_is_up || known != newest {
             return;
         }
         let customer = self.random.random_range(0..CUSTOMERS);
@@ -338,7 +348,7 @@
         let delta =
             self.processes[at].delta_for_edit(revision, &text, stamp.clone());
         self.accepted.insert(newest + 1, text.clone());
-        self.held = newest + 1;
+        self.kv_revision = newest + 1;
         let accepted = Event::Accepted {
             revision,
             text,
@@ -346,7 +356,7 @@
         };
         self.handle(at, accepted, None);
         for relay in self.watching.clone() {
-            // A watch can hang.
+            // A watch may miss a change.
             if self.chance(0.1) {
                 continue;
             }
--- a/crates/spread/tests/document.rs
+++ b/crates/spread/tests/document.rs
@@ -73,8 +73,8 @@
     assert_eq!(other.apply(&whole).unwrap().text(), "a: 1\n");
 }
 
-/// Edits at random, with customers moved, removed and added again; whoever
-/// has an older revision gets to the same text.
+/// Applies random edits, with customers moved, removed and added again; a
+/// process with any older revision must arrive at the same text.
 #[test]
 fn every_older_revision_comes_to_the_newest_text() {
     for seed in 0..200 {
--- a/crates/spread/tests/spread.rs
+++ b/crates/spread/tests/spread.rs
@@ -1,4 +1,5 @@
-//! Processes in any order of events: never back, and all agree in the end.
+//! Processes with events in any order: none goes back to an older revision,
+//! and all agree in the end.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,12 +11,12 @@
 
 const SEEDS: u64 = 300;
 
-/// Symptom: a process goes back to an older configuration, or stays behind
-/// for good. Sequence: drawn from a seed: delays, loss, duplicates,
-/// restarts, parted regions, outages and restores of the service. Cause:
-/// whatever the seed finds; run it alone to replay it.
+/// Guards against a process that goes back to an older configuration or stays
+/// behind for good. Each seed draws a sequence of delays, losses, duplicates,
+/// restarts, partitions, and outages and restores of the key-value service; a
+/// failing seed can be replayed alone.
 #[test]
-fn nobody_goes_back_and_all_agree_once_healed() {
+fn no_process_goes_back_and_all_agree_once_healed() {
     let mut applied = 0;
     for seed in 0..SEEDS {
         let mut sim = Sim::new(seed, false);
@@ -37,8 +38,8 @@
     assert_eq!(run(), run());
 }
 
-/// The check itself is checked: one process believes whatever the service
-/// says, as a plain watch would.
+/// Checks the check itself: one process applies whatever the key-value service
+/// returns, as a plain watch would.
 #[test]
 fn a_planted_fault_is_found() {
     let found = (0..20).filter(|seed| {
@@ -70,8 +71,8 @@
         });
         let Some(message) = sent else { continue };
         for other in (0..all.len()).filter(|other| *other != at) {
-            let question = Event::Request(message.clone());
-            all[other].handle(now, question, 0);
+            let request = Event::Request(message.clone());
+            all[other].handle(now, request, 0);
         }
     }
     for one in &mut all {
@@ -94,9 +95,10 @@
     assert_eq!(relays(&[3]), [3], "the last of a domain is its relay");
 }
 
-/// Symptom: an entry that restarts goes back behind what it had. Sequence:
-/// it had revision 5; it restarts while the service is away; the first
-/// neighbour that answers lags with 4. Cause: the first answer was applied.
+/// Guards against an entry that goes back to an older revision after a
+/// restart. It had revision 5 and restarts while the key-value service is
+/// unavailable; the first peer that responds lags at revision 4, and its
+/// response must not be applied at once.
 #[test]
 fn a_restarted_process_hears_several_before_it_applies_the_first() {
     let peers: Vec<_> = (1..6u16)
@@ -122,8 +124,8 @@
             let Action::Send { message, .. } = action else {
                 continue;
             };
-            let question = Event::Request(*message);
-            for reply in other.handle(now, question, 0) {
+            let request = Event::Request(*message);
+            for reply in other.handle(now, request, 0) {
                 let Action::Reply(message) = reply else {
                     continue;
                 };
