--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -21,21 +21,21 @@
 
 mod directory;
 mod endpoint;
-mod failure;
 mod load;
 mod route;
 mod selection;
+mod suspect;
 mod table;
 
 pub use crate::{
     directory::{Change, Directory, LISTING_GRACE_MS, Listing, ListingUpdate},
     endpoint::{Endpoint, EndpointRecord, EndpointState, IncarnationKey},
-    failure::FailureKind,
     load::{Choice, ChooseError, EndpointQuery, LoadReport},
     route::{
         BatchDeadlines, Config, Destination, Route, RouteKind, RouteTable,
         ServiceSpec, TransferLimits,
     },
     selection::{MAX_SPILL_ENDPOINTS, Selection, SelectionTier},
+    suspect::FailureKind,
     table::EndpointTable,
 };
