--- a/crates/fleet/src/selection.rs
+++ b/crates/fleet/src/selection.rs
@@ -82,7 +82,7 @@
         is_own: impl Fn(&Endpoint) -> bool,
     ) -> Self {
         let hash = stable_hash(&[node]);
-        let near = |service: &str| {
+        let service_selection = |service: &str| {
             let all = table.of_service(service).iter();
             let (own, mut others): (Vec<_>, Vec<_>) =
                 all.partition(|endpoint| is_own(endpoint));
@@ -99,7 +99,9 @@
         let services = table.services();
         Self {
             by_service: services
-                .map(|service| (service.to_owned(), near(service)))
+                .map(|service| {
+                    (service.to_owned(), service_selection(service))
+                })
                 .collect(),
         }
     }
@@ -112,10 +114,16 @@
         service: &str,
         start: u64,
     ) -> impl Iterator<Item = (IncarnationKey, SelectionTier)> {
-        let near = self.by_service.get(service);
-        let (own, spill) = near.map_or((&[][..], &[][..]), |near| {
-            (near.own.as_slice(), near.spill.as_slice())
-        });
+        let service_selection = self.by_service.get(service);
+        let (own, spill) = service_selection.map_or(
+            (&[][..], &[][..]),
+            |service_selection| {
+                (
+                    service_selection.own.as_slice(),
+                    service_selection.spill.as_slice(),
+                )
+            },
+        );
         let own = window(own, start, MAX_OWN_ENDPOINTS);
         let own = own.map(|incarnation| (*incarnation, SelectionTier::Own));
         own.chain(
@@ -128,6 +136,12 @@
     /// Returns all selected endpoints.
     pub fn iter(&self) -> impl Iterator<Item = IncarnationKey> {
         let all = self.by_service.values();
-        all.flat_map(|near| near.own.iter().chain(&near.spill).copied())
+        all.flat_map(|service_selection| {
+            service_selection
+                .own
+                .iter()
+                .chain(&service_selection.spill)
+                .copied()
+        })
     }
 }
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -88,8 +88,9 @@
     let selections: Vec<Selection> = (0..nodes)
         .map(|node| {
             let is_own = |endpoint: &Endpoint| {
-                let at: usize = endpoint.record().id.parse().expect("number");
-                at % nodes == node
+                let index: usize =
+                    endpoint.record().id.parse().expect("number");
+                index % nodes == node
             };
             Selection::new(&format!("node-{node}"), &tables[node], is_own)
         })
@@ -97,10 +98,10 @@
     let mut counts = vec![vec![0_u32; nodes]; engine_count];
     let mut outcome = Outcome::default();
     for now in 1..BURST_MS + 2_000 {
-        for (at, engine) in engines.iter_mut().enumerate() {
+        for (index, engine) in engines.iter_mut().enumerate() {
             engine.running.retain(|(node, ends)| {
                 if *ends <= now {
-                    views[*node][at].end_request();
+                    views[*node][index].end_request();
                 }
                 *ends > now
             });
@@ -130,7 +131,7 @@
         let fraction = u64::from(random.below(1_000) < rate % 1_000);
         for _ in 0..rate / 1_000 + fraction {
             let node = random.below(nodes as u64) as usize;
-            let need = EndpointQuery {
+            let query = EndpointQuery {
                 service: "engines",
                 failure_domain: "east",
                 affinity: random.below(1_000),
@@ -138,13 +139,13 @@
                 queue_allowance: 1,
             };
             let selection = &selections[node];
-            match tables[node].choose(selection, &need, Millis::new(now)) {
+            match tables[node].choose(selection, &query, Millis::new(now)) {
                 Ok(choice) => {
                     choice.endpoint.begin_request();
                     let id = &choice.endpoint.record().id;
-                    let at: usize = id.parse().expect("a number");
-                    engines[at].waiting.push_back((node, now));
-                    let queue = engines[at].waiting.len();
+                    let index: usize = id.parse().expect("a number");
+                    engines[index].waiting.push_back((node, now));
+                    let queue = engines[index].waiting.len();
                     outcome.longest_queue = outcome.longest_queue.max(queue);
                 }
                 Err(_) => outcome.refused += 1,
@@ -155,9 +156,9 @@
 }
 
 fn view(engines: usize) -> Vec<Endpoint> {
-    let endpoint = |at: usize| {
+    let endpoint = |index: usize| {
         Endpoint::new(EndpointRecord {
-            id: at.to_string(),
+            id: index.to_string(),
             started_at: None,
             address: ([127, 0, 0, 1], 80).into(),
             service: "engines".to_owned(),
@@ -170,9 +171,9 @@
 }
 
 fn count(views: &[Vec<Endpoint>], counts: &mut [Vec<u32>]) {
-    for (at, counts) in counts.iter_mut().enumerate() {
+    for (index, counts) in counts.iter_mut().enumerate() {
         for (node, view) in views.iter().enumerate() {
-            counts[node] = view[at].in_flight();
+            counts[node] = view[index].in_flight();
         }
     }
 }
@@ -187,10 +188,10 @@
 ) {
     for (node, selection) in selections.iter().enumerate() {
         let selected: HashSet<IncarnationKey> = selection.iter().collect();
-        for (at, endpoint) in views[node].iter().enumerate() {
+        for (index, endpoint) in views[node].iter().enumerate() {
             if selected.contains(&endpoint.incarnation_key()) {
-                let all: u32 = counts[at].iter().sum();
-                let others = all - counts[at][node];
+                let all: u32 = counts[index].iter().sum();
+                let others = all - counts[index][node];
                 endpoint.record_remote_load(others, Millis::new(now));
             }
         }
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_missing_entry_means_gone_while_the_service_answers() {
+fn a_missing_entry_means_gone_while_reads_succeed() {
     let mut directory = Directory::default();
     directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
     let changes = directory.reconcile(listing(2, &["a"]), Millis::new(1_000));
@@ -43,7 +43,7 @@
 /// key-value service. During the outage the endpoints' entries expire, and the
 /// first listing afterwards does not show which endpoints are alive.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
+fn entries_that_expired_in_an_outage_are_retained_for_a_grace_period() {
     let mut directory = Directory::default();
     directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
     directory.record_read_failure(Millis::new(5_000));
@@ -179,7 +179,7 @@
     assert_eq!(usable(&directory), 1);
     assert!(directory.has_incarnation(known));
     let again = directory.reconcile(listing_of(3, &[old]), now);
-    assert_eq!(again, [], "told once");
+    assert_eq!(again, [], "reported once");
 }
 
 #[test]
--- a/crates/fleet/tests/load.rs
+++ b/crates/fleet/tests/load.rs
@@ -20,7 +20,7 @@
     })
 }
 
-fn need(tried: &[String]) -> EndpointQuery<'_> {
+fn query(tried: &[String]) -> EndpointQuery<'_> {
     EndpointQuery {
         service: "engines",
         failure_domain: "east",
@@ -36,25 +36,26 @@
     Selection::new("node", table, is_own)
 }
 
-fn chosen(table: &EndpointTable, need: &EndpointQuery<'_>) -> String {
+fn chosen(table: &EndpointTable, query: &EndpointQuery<'_>) -> String {
     let selection = selection(table, &[]);
-    let choice = table.choose(&selection, need, NOW).expect("an endpoint");
+    let choice = table.choose(&selection, query, NOW).expect("an endpoint");
     choice.endpoint.record().id.clone()
 }
 
-fn verdict(
+fn choose_error(
     table: &EndpointTable,
-    need: &EndpointQuery<'_>,
+    query: &EndpointQuery<'_>,
 ) -> Option<ChooseError> {
-    table.choose(&selection(table, &[]), need, NOW).err()
+    table.choose(&selection(table, &[]), query, NOW).err()
 }
 
 #[test]
 fn a_free_slot_goes_before_the_own_domain() {
-    let (near, far) = (endpoint("near", "east"), endpoint("far", "west"));
-    (0..8).for_each(|_| near.begin_request());
-    let table = EndpointTable::new([near, far]);
-    assert_eq!(chosen(&table, &need(&[])), "far");
+    let (same_domain, other_domain) =
+        (endpoint("near", "east"), endpoint("far", "west"));
+    (0..8).for_each(|_| same_domain.begin_request());
+    let table = EndpointTable::new([same_domain, other_domain]);
+    assert_eq!(chosen(&table, &query(&[])), "far");
 }
 
 #[test]
@@ -62,7 +63,7 @@
     let all = ["1", "2", "3"].map(|id| endpoint(id, "west"));
     let table =
         EndpointTable::new(all.into_iter().chain([endpoint("near", "east")]));
-    assert_eq!(chosen(&table, &need(&[])), "near");
+    assert_eq!(chosen(&table, &query(&[])), "near");
 }
 
 #[test]
@@ -70,13 +71,13 @@
     let all: Vec<_> =
         (0..9).map(|n| endpoint(&n.to_string(), "east")).collect();
     let table = EndpointTable::new(all);
-    let first = chosen(&table, &need(&[]));
-    assert_eq!(chosen(&table, &need(&[])), first);
+    let first = chosen(&table, &query(&[]));
+    assert_eq!(chosen(&table, &query(&[])), first);
     let others = (0..50).map(|affinity| EndpointQuery {
         affinity,
-        ..need(&[])
+        ..query(&[])
     });
-    let mut ids: Vec<_> = others.map(|need| chosen(&table, &need)).collect();
+    let mut ids: Vec<_> = others.map(|query| chosen(&table, &query)).collect();
     ids.sort();
     ids.dedup();
     assert!(ids.len() > 4, "prompts spread over endpoints: {ids:?}");
@@ -86,8 +87,8 @@
 fn a_tried_endpoint_is_not_chosen_again() {
     let table = EndpointTable::new([endpoint("a", "east")]);
     let tried = ["a".to_owned()];
-    let verdict = verdict(&table, &need(&tried));
-    assert_eq!(verdict, Some(ChooseError::NoEndpoint));
+    let choose_error = choose_error(&table, &query(&tried));
+    assert_eq!(choose_error, Some(ChooseError::NoEndpoint));
 }
 
 #[test]
@@ -95,8 +96,8 @@
     let only = endpoint("a", "east");
     (0..10).for_each(|_| only.begin_request());
     let table = EndpointTable::new([only]);
-    let verdict = verdict(&table, &need(&[]));
-    assert_eq!(verdict, Some(ChooseError::AllFull));
+    let choose_error = choose_error(&table, &query(&[]));
+    assert_eq!(choose_error, Some(ChooseError::AllFull));
 }
 
 #[test]
@@ -105,11 +106,11 @@
     bad.record_failure(FailureKind::Unreachable, NOW);
     (0..5).for_each(|_| good.begin_request());
     let table = EndpointTable::new([bad.clone(), good]);
-    assert_eq!(chosen(&table, &need(&[])), "good");
+    assert_eq!(chosen(&table, &query(&[])), "good");
     let tried = ["good".to_owned()];
-    assert_eq!(chosen(&table, &need(&tried)), "bad");
+    assert_eq!(chosen(&table, &query(&tried)), "bad");
     bad.record_success();
-    assert_eq!(chosen(&table, &need(&[])), "bad");
+    assert_eq!(chosen(&table, &query(&[])), "bad");
 }
 
 #[test]
@@ -151,7 +152,7 @@
     let table = EndpointTable::new([idle, own.clone()]);
     let selection = selection(&table, &["own"]);
     let chosen = || {
-        let choice = table.choose(&selection, &need(&[]), NOW);
+        let choice = table.choose(&selection, &query(&[]), NOW);
         choice.expect("an endpoint").endpoint.record().id.clone()
     };
     assert_eq!(chosen(), "own");
@@ -167,7 +168,7 @@
         let all = (0..size).map(|n| endpoint(&n.to_string(), "east"));
         let table = EndpointTable::new(all);
         let selection = selection(&table, &["1", "2", "3"]);
-        let choice = table.choose(&selection, &need(&[]), NOW);
+        let choice = table.choose(&selection, &query(&[]), NOW);
         choice.expect("an endpoint").candidates
     };
     assert_eq!(looked_at(300), looked_at(3_000));
@@ -184,7 +185,7 @@
     let table = EndpointTable::new(all.iter().cloned());
     let selection = selection(&table, &["1"]);
     let gone = EndpointTable::new([endpoint("other", "east")]);
-    assert!(gone.choose(&selection, &need(&[]), NOW).is_ok());
+    assert!(gone.choose(&selection, &query(&[]), NOW).is_ok());
 }
 
 /// Guards against queues of nineteen requests at some engines and half of a
@@ -201,8 +202,8 @@
         let endpoint = table.get(incarnation).expect("listed");
         (0..10).for_each(|_| endpoint.begin_request());
     }
-    let verdict = table.choose(&selection, &need(&[]), NOW).err();
-    assert_eq!(verdict, Some(ChooseError::AllFull));
+    let choose_error = table.choose(&selection, &query(&[]), NOW).err();
+    assert_eq!(choose_error, Some(ChooseError::AllFull));
 }
 
 /// A draining endpoint has left the table, and the selection may be older.
@@ -213,11 +214,11 @@
     let selection = selection(&before, &["b"]);
     let after = EndpointTable::new([stays]);
     for affinity in 0..50 {
-        let need = EndpointQuery {
+        let query = EndpointQuery {
             affinity,
-            ..need(&[])
+            ..query(&[])
         };
-        let choice = after.choose(&selection, &need, NOW).expect("one");
+        let choice = after.choose(&selection, &query, NOW).expect("one");
         assert_eq!(choice.endpoint.record().id, "a");
     }
 }
@@ -231,11 +232,11 @@
     let table = EndpointTable::new(all);
     let mut counts = [0_u32; 6];
     for request in 0..6_000 {
-        let need = EndpointQuery {
+        let query = EndpointQuery {
             affinity: base::mix(request),
-            ..need(&[])
+            ..query(&[])
         };
-        let id: usize = chosen(&table, &need).parse().expect("a number");
+        let id: usize = chosen(&table, &query).parse().expect("a number");
         counts[id] += 1;
     }
     assert!(
--- a/crates/router/src/endpoint.rs
+++ b/crates/router/src/endpoint.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// State of an endpoint that its companion reports, in a response or to a
-/// probe.
+/// State of an endpoint that its companion reports, in a response to a call or
+/// to a probe.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointReport {
     /// Number of running calls at the endpoint.
@@ -118,7 +118,7 @@
     /// load at which they were sent.
     pub(crate) latency_ms: f64,
     pub(crate) latency_load: f64,
-    pub(crate) probed: Option<Millis>,
+    pub(crate) last_probed_at: Option<Millis>,
 }
 
 impl Endpoint {
@@ -134,7 +134,7 @@
             last_report: None,
             latency_ms: 0.0,
             latency_load: 0.0,
-            probed: None,
+            last_probed_at: None,
         }
     }
 
@@ -145,9 +145,11 @@
     /// Returns the estimated number of requests at the endpoint: the own ones,
     /// which are counted exactly, and those of others from a fresh report.
     pub(crate) fn load(&self, now: Millis, max_age_ms: u64) -> f64 {
-        let own = f64::from(self.in_flight);
+        let own_requests = f64::from(self.in_flight);
         self.fresh(now, max_age_ms)
-            .map_or(own, |last_report| own + last_report.other_calls)
+            .map_or(own_requests, |last_report| {
+                own_requests + last_report.other_calls
+            })
     }
 
     /// Reports whether calls were waiting at the time of the last fresh
--- a/crates/router/src/health.rs
+++ b/crates/router/src/health.rs
@@ -150,8 +150,8 @@
             return;
         }
         let doublings = self.ejections.min(MAX_DOUBLINGS);
-        let out_ms = (options.base_ms << doublings).min(options.max_ms);
-        self.state = State::Ejected(now.saturating_add_ms(out_ms));
+        let ejection_ms = (options.base_ms << doublings).min(options.max_ms);
+        self.state = State::Ejected(now.saturating_add_ms(ejection_ms));
         self.ejections += 1;
         self.failures_in_row = 0;
         self.failure_share = 0.0;
@@ -159,7 +159,7 @@
 
     /// Reports whether a successful probe could make the endpoint selectable
     /// or raise its score.
-    pub(crate) fn wants_probe(&self, now: Millis) -> bool {
+    pub(crate) fn needs_probe(&self, now: Millis) -> bool {
         match self.state {
             State::Ejected(until) => now >= until,
             _ => self.score < MAX_SCORE,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -469,14 +469,14 @@
                 true => options.leaving_probe_ms,
                 false => options.recovery_probe_ms,
             };
-            let last = endpoint.probed;
+            let last = endpoint.last_probed_at;
             let is_due = last
                 .is_none_or(|last| now.saturating_ms_since(last) >= pause_ms);
             let wanted = endpoint.leaving
                 || endpoint.incarnation.is_none()
-                || endpoint.health.wants_probe(now);
+                || endpoint.health.needs_probe(now);
             if is_due && wanted && probes.len() < MAX_PROBES_PER_TICK {
-                endpoint.probed = Some(now);
+                endpoint.last_probed_at = Some(now);
                 probes.push(key);
             }
         }
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -100,9 +100,9 @@
         if let Some(key) = self.choose_among(&open, query, draw) {
             return Some(key);
         }
-        let out: Vec<EndpointKey> =
+        let ejected: Vec<EndpointKey> =
             untried().filter(|key| !self.at(*key).leaving).collect();
-        self.choose_among(&out, query, draw)
+        self.choose_among(&ejected, query, draw)
     }
 
     fn choose_among(
--- a/crates/router/src/subset.rs
+++ b/crates/router/src/subset.rs
@@ -10,7 +10,7 @@
 use crate::endpoint::ListedEndpoint;
 
 /// Divisor for the part of the subset that is reserved for other failure
-/// domains: one in four. An entry whose own domain fails then still knows some
+/// domains: one fourth. An entry whose own domain fails then still knows some
 /// endpoints.
 const OTHER_DOMAIN_DIVISOR: usize = 4;
 
--- a/crates/spread/src/members.rs
+++ b/crates/spread/src/members.rs
@@ -142,9 +142,9 @@
             .filter(|(_, m)| m.failure_domain != *domain)
             .collect();
         let start = random as usize % others.len().max(1);
-        let turn = others.iter().cycle().skip(start);
+        let rotated = others.iter().cycle().skip(start);
         let count = others.len().min(MAX_OTHER_DOMAIN_HINTS);
-        hints.extend(turn.take(count).copied().map(hint));
+        hints.extend(rotated.take(count).copied().map(hint));
         hints
     }
 
@@ -163,8 +163,8 @@
     ///
     /// Rendezvous hashing: each process has a hash of its name, and the live
     /// processes with the highest hashes are the relays. Processes with the
-    /// same membership view choose the same relays, and the loss of one relay
-    /// changes only its replacement.
+    /// same membership view choose the same relays, and the loss of a relay
+    /// replaces only that one.
     pub(crate) fn relays(
         &self,
         count: usize,
--- a/crates/spread/src/propagator.rs
+++ b/crates/spread/src/propagator.rs
@@ -236,18 +236,17 @@
         if now < self.next_exchange_at {
             return;
         }
-        let pause_ms = match self.document {
+        let interval_ms = match self.document {
             Some(_) => self.options.exchange_interval_ms,
             None => self.options.initial_exchange_interval_ms,
         };
-        self.next_exchange_at = now.saturating_add_ms(pause_ms);
-        let contact_addresses = self.contact_addresses(now);
-        if contact_addresses.is_empty() {
+        self.next_exchange_at = now.saturating_add_ms(interval_ms);
+        let contacts = self.contacts(now);
+        if contacts.is_empty() {
             return;
         }
-        let at =
-            (self.exchange_count % contact_addresses.len() as u64) as usize;
-        self.send_comparison(contact_addresses[at], actions);
+        let at = (self.exchange_count % contacts.len() as u64) as usize;
+        self.send_comparison(contacts[at], actions);
     }
 
     fn send_comparison(
@@ -295,21 +294,20 @@
 
     /// Returns the peers that this process contacts: the first ones in its
     /// order that respond, and the relays of its failure domain.
-    fn contact_addresses(&self, now: Millis) -> Vec<SocketAddr> {
+    fn contacts(&self, now: Millis) -> Vec<SocketAddr> {
         let up = self.peers.iter().filter(|p| p.down_until.is_none());
         let up = up.map(|peer| peer.address);
-        let mut contact_addresses: Vec<_> =
-            up.take(self.options.fanout).collect();
-        if contact_addresses.is_empty() {
+        let mut contacts: Vec<_> = up.take(self.options.fanout).collect();
+        if contacts.is_empty() {
             // No peer responded; some may be available again.
             let all = self.peers.iter().map(|peer| peer.address);
-            contact_addresses = all.collect();
+            contacts = all.collect();
         }
         for (_, address) in self.members.relays(self.options.relays, now) {
-            let fresh = address.filter(|a| !contact_addresses.contains(a));
-            contact_addresses.extend(fresh);
+            let fresh = address.filter(|a| !contacts.contains(a));
+            contacts.extend(fresh);
         }
-        contact_addresses
+        contacts
     }
 
     fn message(&self, step: Step) -> Message {
@@ -386,8 +384,10 @@
         self.members.record_heard(&message.vm, domain, address, now);
         self.note_revision(message.heard.max(message.revision));
         let digest = self.document.as_ref().map(Document::digest);
-        let same = message.revision == self.revision();
-        if same && digest.is_some_and(|digest| digest != message.digest) {
+        let same_revision = message.revision == self.revision();
+        if same_revision
+            && digest.is_some_and(|digest| digest != message.digest)
+        {
             self.conflicts += 1;
         }
         let Some(delta) = &message.delta else { return };
@@ -525,7 +525,7 @@
         actions: &mut Vec<Action>,
     ) {
         let delta = next.delta_since(base);
-        for peer in self.contact_addresses(now) {
+        for peer in self.contacts(now) {
             let mut message = self.message(Step::Tell);
             message.revision = next.revision();
             message.base = next.revision();
