--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -113,7 +113,7 @@
         let read = self.kv.get(&self.main_key()).await.map_err(platform)?;
         if let Some(found) = read.kvs.first() {
             let found = parse(found)?;
-            self.handle(Event::Found {
+            self.handle(Event::ConfigRead {
                 revision: found.revision,
                 stamp: found.stamp(),
                 text: found.text,
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -379,7 +379,7 @@
         if outcome == Outcome::Done(()) {
             let revision = next.revision;
             self.offer(next.clone())?;
-            self.handle(Event::Accepted {
+            self.handle(Event::EditAccepted {
                 revision,
                 stamp: next.stamp(),
                 text: next.text,
--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/neighbours.rs
@@ -72,7 +72,7 @@
             tokio::select! {
                 Some((peer, message)) = outgoing.recv() => {
                     if waiting.len() >= WAITING_MAX {
-                        store.handle(Event::Failed { peer });
+                        store.handle(Event::PeerFailed { peer });
                         continue;
                     }
                     let asker = Asker {
@@ -104,7 +104,7 @@
         Ok(message) => Event::Response { peer, message },
         Err(report) => {
             log::debug!(error:? = report; "a neighbour does not answer");
-            Event::Failed { peer }
+            Event::PeerFailed { peer }
         }
     };
     store.handle(event);
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -138,24 +138,24 @@
             staying.iter().map(|at| listed[*at].clone()).collect();
         let size = self.options.subset;
         let chosen = subset::choose(&self.entry, &offered, size);
-        let places = chosen.into_iter().map(|at| staying[at]).chain(leaving);
-        let mut listing = ListChanges::default();
+        let indices = chosen.into_iter().map(|at| staying[at]).chain(leaving);
+        let mut changes = ListChanges::default();
         let mut members = Vec::new();
-        for at in places {
+        for at in indices {
             let key = known[at].unwrap_or_else(|| {
                 let endpoint = Endpoint::new(listed[at].clone(), pool);
                 let key = self.endpoints.insert(endpoint);
-                listing.added.push((key, at));
+                changes.added.push((key, at));
                 key
             });
             members.push(key);
         }
         for key in old.into_iter().filter(|key| !members.contains(key)) {
             self.endpoints.remove(key);
-            listing.removed.push(key);
+            changes.removed.push(key);
         }
         self.pools[pool].members = members;
-        listing
+        changes
     }
 
     /// Chooses the endpoint of a request; `None` if all were tried or are
@@ -349,12 +349,12 @@
     }
 
     /// Records that an endpoint did not accept a call.
-    pub fn refused(&mut self, key: EndpointKey, why: Refusal, now: Millis) {
+    pub fn refused(&mut self, key: EndpointKey, reason: Refusal, now: Millis) {
         let policy = self.options.health;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
-        match why {
+        match reason {
             Refusal::Leaving => endpoint.leaving = true,
             Refusal::Down | Refusal::WrongTarget => {
                 let failure = Failure::Unreachable;
@@ -465,13 +465,14 @@
         let options = &self.options;
         let mut probes = Vec::new();
         for (key, endpoint) in &mut self.endpoints {
-            let pause_ms = match endpoint.leaving {
+            let interval_ms = match endpoint.leaving {
                 true => options.leaving_probe_ms,
                 false => options.recovery_probe_ms,
             };
             let last = endpoint.last_probed_at;
-            let is_due = last
-                .is_none_or(|last| now.saturating_ms_since(last) >= pause_ms);
+            let is_due = last.is_none_or(|last| {
+                now.saturating_ms_since(last) >= interval_ms
+            });
             let wanted = endpoint.leaving
                 || endpoint.incarnation.is_none()
                 || endpoint.health.needs_probe(now);
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -20,7 +20,7 @@
 pub use crate::{
     document::{Delta, Document, Part, Stamp},
     members::Hint,
-    message::{Action, Event, Message, Step},
+    message::{Action, Event, Message, MessageKind},
     options::Options,
     propagator::Propagator,
     split::split,
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -8,11 +8,13 @@
 /// Purpose of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Step {
+pub enum MessageKind {
     /// Compares revisions.
-    Ask,
+    #[serde(rename = "ask")]
+    Compare,
     /// Pushes a change.
-    Tell,
+    #[serde(rename = "tell")]
+    Push,
     /// Sends the delta that a response showed to be missing. It triggers no
     /// further message, so that two processes that cannot agree do not
     /// exchange messages endlessly.
@@ -25,13 +27,15 @@
 pub struct Message {
     pub(crate) vm: VmId,
     pub(crate) failure_domain: FailureDomain,
-    pub(crate) step: Step,
+    #[serde(rename = "step")]
+    pub(crate) kind: MessageKind,
     /// Revision in force at the sender.
     pub(crate) revision: Revision,
     /// Digest of the text of that revision.
     pub(crate) digest: u64,
     /// Newest revision that the sender knows of.
-    pub(crate) heard: Revision,
+    #[serde(rename = "heard")]
+    pub(crate) newest_known: Revision,
     /// Revision on which a delta for the sender may be based; 0 requests the
     /// full document.
     pub(crate) base: Revision,
@@ -53,8 +57,8 @@
     /// Returns the purpose of the message; a response repeats that of its
     /// request.
     #[inline]
-    pub fn step(&self) -> Step {
-        self.step
+    pub fn kind(&self) -> MessageKind {
+        self.kind
     }
 
     /// Returns the delta in the message.
@@ -70,7 +74,7 @@
     /// Time has passed; expected about every 50 ms.
     Tick,
     /// A read of the key-value service returned this configuration.
-    Found {
+    ConfigRead {
         /// Its revision.
         revision: Revision,
         /// Its text.
@@ -79,7 +83,7 @@
         stamp: Stamp,
     },
     /// The key-value service accepted this edit of this process.
-    Accepted {
+    EditAccepted {
         /// Its revision.
         revision: Revision,
         /// Its text.
@@ -101,7 +105,7 @@
         message: Message,
     },
     /// A peer did not respond.
-    Failed {
+    PeerFailed {
         /// Address of the peer.
         peer: SocketAddr,
     },
--- a/crates/spread/src/options.rs
+++ b/crates/spread/src/options.rs
@@ -15,7 +15,7 @@
     /// Number of peers that a process contacts in addition to the relays of
     /// its domain.
     pub fanout: usize,
-    /// Interval between exchanges with a peer, in milliseconds.
+    /// Interval between exchanges, each with one peer, in milliseconds.
     pub exchange_interval_ms: u64,
     /// Interval between exchanges while no revision is in force, in
     /// milliseconds.
--- a/crates/spread/src/propagator.rs
+++ b/crates/spread/src/propagator.rs
@@ -3,7 +3,7 @@
 use base::{FailureDomain, Millis, Revision, VmId, stable_hash};
 
 use crate::{
-    Action, Delta, Document, Event, Message, Options, Stamp, Step,
+    Action, Delta, Document, Event, Message, MessageKind, Options, Stamp,
     members::Members,
 };
 
@@ -33,7 +33,7 @@
 /// let options = Options::default();
 /// let mut propagator = Propagator::new(vm, domain, vec![], options, now);
 /// let mut offer = |revision| {
-///     let event = Event::Found {
+///     let event = Event::ConfigRead {
 ///         revision: Revision::new(revision),
 ///         text: "rules: []\n".to_owned(),
 ///         stamp: Stamp::default(),
@@ -171,7 +171,7 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
-            Event::Found {
+            Event::ConfigRead {
                 revision,
                 text,
                 stamp,
@@ -187,7 +187,7 @@
                     &mut actions,
                 );
             }
-            Event::Accepted {
+            Event::EditAccepted {
                 revision,
                 text,
                 stamp,
@@ -223,7 +223,7 @@
             Event::Response { peer, message } => {
                 self.response(now, peer, &message, &mut actions);
             }
-            Event::Failed { peer } => self.failed(now, peer),
+            Event::PeerFailed { peer } => self.failed(now, peer),
         }
         self.apply_candidate_if_settled(now, &mut actions);
         actions
@@ -254,7 +254,7 @@
         peer: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        let mut message = self.message(Step::Ask);
+        let mut message = self.message(MessageKind::Compare);
         message.wants_hints = self
             .exchange_count
             .is_multiple_of(self.options.exchanges_per_hints);
@@ -310,16 +310,16 @@
         contacts
     }
 
-    fn message(&self, step: Step) -> Message {
+    fn message(&self, kind: MessageKind) -> Message {
         let document = self.document.as_ref();
         let revision = self.revision();
         Message {
             vm: self.vm.clone(),
             failure_domain: self.failure_domain.clone(),
-            step,
+            kind,
             revision,
             digest: document.map_or(0, Document::digest),
-            heard: self.newest_known,
+            newest_known: self.newest_known,
             base: match self.needs_full_delta {
                 true => Revision::default(),
                 false => revision,
@@ -338,7 +338,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.apply_message(now, request, None, actions);
-        let mut reply = self.message(request.step);
+        let mut reply = self.message(request.kind);
         reply.delta = self.delta_for(request);
         if request.wants_hints {
             let domain = &request.failure_domain;
@@ -362,11 +362,11 @@
             self.members.apply_hint(hint, now);
         }
         self.apply_message(now, response, Some(peer), actions);
-        if response.step == Step::FollowUp {
+        if response.kind == MessageKind::FollowUp {
             return;
         }
         if let Some(delta) = self.delta_for(response) {
-            let mut message = self.message(Step::FollowUp);
+            let mut message = self.message(MessageKind::FollowUp);
             message.delta = Some(delta);
             actions.push(send(peer, message));
         }
@@ -382,7 +382,7 @@
     ) {
         let domain = &message.failure_domain;
         self.members.record_heard(&message.vm, domain, address, now);
-        self.note_revision(message.heard.max(message.revision));
+        self.note_revision(message.newest_known.max(message.revision));
         let digest = self.document.as_ref().map(Document::digest);
         let same_revision = message.revision == self.revision();
         if same_revision
@@ -526,11 +526,11 @@
     ) {
         let delta = next.delta_since(base);
         for peer in self.contacts(now) {
-            let mut message = self.message(Step::Tell);
+            let mut message = self.message(MessageKind::Push);
             message.revision = next.revision();
             message.base = next.revision();
             message.digest = next.digest();
-            message.heard = self.newest_known.max(next.revision());
+            message.newest_known = self.newest_known.max(next.revision());
             message.delta = Some(delta.clone());
             actions.push(send(peer, message));
         }
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -8,7 +8,7 @@
 
 use base::{Millis, Revision};
 use pomeloslip_spread::{
-    Action, Event, Message, Options, Propagator, Stamp, Step,
+    Action, Event, Message, MessageKind, Options, Propagator, Stamp,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -22,10 +22,10 @@
 /// A message in transit or a scheduled event.
 enum Scheduled {
     Tick(usize),
-    Ask(usize, usize, Message),
-    Answer(usize, usize, Message),
+    Request(usize, usize, Message),
+    Response(usize, usize, Message),
     Fail(usize, usize),
-    Service(usize, Event),
+    KeyValue(usize, Event),
     InjectFault,
 }
 
@@ -159,11 +159,11 @@
                     self.handle(at, Event::Tick, None);
                 }
             }
-            Scheduled::Ask(from, to, message) => {
+            Scheduled::Request(from, to, message) => {
                 let event = Event::Request(message);
                 self.handle(to, event, Some(from));
             }
-            Scheduled::Answer(from, to, message)
+            Scheduled::Response(from, to, message)
                 if incarnation == self.incarnations[to] =>
             {
                 let peer = address(from);
@@ -173,16 +173,16 @@
                 if incarnation == self.incarnations[to] =>
             {
                 let peer = address(from);
-                self.handle(to, Event::Failed { peer }, None);
+                self.handle(to, Event::PeerFailed { peer }, None);
             }
-            Scheduled::Service(to, event)
+            Scheduled::KeyValue(to, event)
                 if incarnation == self.incarnations[to] =>
             {
                 self.handle(to, event, None);
             }
-            Scheduled::Answer(..)
+            Scheduled::Response(..)
             | Scheduled::Fail(..)
-            | Scheduled::Service(..) => {}
+            | Scheduled::KeyValue(..) => {}
             Scheduled::InjectFault => {
                 if self.faults_enabled {
                     self.inject_fault();
@@ -205,7 +205,7 @@
     }
 
     fn handle(&mut self, at: usize, event: Event, requester: Option<usize>) {
-        if let (true, 0, Event::Found { revision, .. }) =
+        if let (true, 0, Event::ConfigRead { revision, .. }) =
             (self.planted_fault, at, &event)
         {
             self.note_applied(0, revision.get());
@@ -227,7 +227,7 @@
                 }
                 Action::Reply(message) => {
                     let to = requester.unwrap();
-                    self.deliver(at, to, Scheduled::Answer, *message);
+                    self.deliver(at, to, Scheduled::Response, *message);
                 }
                 Action::Watch(true) => {
                     self.watching.insert(at);
@@ -253,8 +253,10 @@
 
     fn send(&mut self, from: usize, peer: SocketAddr, message: Message) {
         let to = usize::from(peer.port() - 1_000);
-        assert!(message.step() != Step::Tell || message.delta().is_some());
-        let arrived = self.deliver(from, to, Scheduled::Ask, message);
+        assert!(
+            message.kind() != MessageKind::Push || message.delta().is_some()
+        );
+        let arrived = self.deliver(from, to, Scheduled::Request, message);
         if !arrived {
             self.push(500, from, Scheduled::Fail(to, from));
         }
@@ -285,13 +287,13 @@
         if !self.kv_is_up {
             return;
         }
-        let event = Event::Found {
+        let event = Event::ConfigRead {
             revision: Revision::new(self.kv_revision),
             text: self.accepted[&self.kv_revision].clone(),
             stamp: Stamp::default(),
         };
         let delay = self.delay();
-        self.push(delay, at, Scheduled::Service(at, event));
+        self.push(delay, at, Scheduled::KeyValue(at, event));
     }
 
     fn inject_fault(&mut self) {
@@ -349,7 +351,7 @@
             self.processes[at].delta_for_edit(revision, &text, stamp.clone());
         self.accepted.insert(newest + 1, text.clone());
         self.kv_revision = newest + 1;
-        let accepted = Event::Accepted {
+        let accepted = Event::EditAccepted {
             revision,
             text,
             stamp,
@@ -365,7 +367,7 @@
                 None => Event::RevisionAnnounced(revision),
             };
             let delay = self.delay();
-            self.push(delay, relay, Scheduled::Service(relay, event));
+            self.push(delay, relay, Scheduled::KeyValue(relay, event));
         }
     }
 }
--- a/crates/spread/tests/spread.rs
+++ b/crates/spread/tests/spread.rs
@@ -113,7 +113,7 @@
     let mut applied = Vec::new();
     for (peer, revision) in peers.iter().zip([4, 5, 4]) {
         let mut other = make("entry-2", vec![]);
-        let found = Event::Found {
+        let found = Event::ConfigRead {
             revision: Revision::new(revision),
             text: format!("rules: [{revision}]\n"),
             stamp: Stamp::default(),
