--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -1,4 +1,4 @@
-//! What a configuration must mean beyond its shape.
+//! Semantic checks of a configuration, after it has been deserialized.
 
 use conf::{Check, Findings, OneOrMany, UniqueNames, settings::EndpointKind};
 
@@ -7,10 +7,10 @@
     When,
 };
 
-const DAY_MS: u64 = 86_400_000;
-const RATE_MAX: f64 = 1e9;
-const WEIGHT_MAX: u32 = 1_000;
-const RETRIES_MAX: u32 = 10;
+const MAX_DURATION_MS: u64 = 86_400_000;
+const MAX_RATE_PER_S: f64 = 1e9;
+const MAX_WEIGHT: u32 = 1_000;
+const MAX_RETRIES: u32 = 10;
 
 impl Check for Config {
     fn check(&self, findings: &mut Findings<'_>) {
@@ -18,9 +18,9 @@
             config: self,
             findings,
         };
-        checker.customers();
-        checker.pools();
-        checker.rules();
+        checker.check_customers();
+        checker.check_pools();
+        checker.check_rules();
     }
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl<'c> Checker<'c, '_, '_> {
-    fn customers(&mut self) {
+    fn check_customers(&mut self) {
         let mut names = UniqueNames::default();
         let mut digests = UniqueNames::default();
         for (index, customer) in self.config.customers.iter().enumerate() {
@@ -43,13 +43,13 @@
                 let digest = digest.to_string();
                 digests.add(&path, &digest, self.findings);
             }
-            self.customer(&path, customer);
+            self.check_customer(&path, customer);
         }
     }
 
-    fn customer(&mut self, path: &str, customer: &CustomerConfig) {
+    fn check_customer(&mut self, path: &str, customer: &CustomerConfig) {
         let weight = format!("{path}.weight");
-        self.findings.range(&weight, customer.weight, 1, WEIGHT_MAX);
+        self.findings.range(&weight, customer.weight, 1, MAX_WEIGHT);
         let CustomerLimits {
             requests_per_s,
             burst,
@@ -57,31 +57,31 @@
             batch_items_open: _,
         } = customer.limits;
         let key = |key: &str| format!("{path}.limits.{key}");
-        self.rate(&key("requests_per_s"), requests_per_s);
-        self.at_least_one(&key("burst"), burst);
-        self.at_least_one(&key("concurrent"), concurrent);
+        self.check_rate(&key("requests_per_s"), requests_per_s);
+        self.check_at_least_one(&key("burst"), burst);
+        self.check_at_least_one(&key("concurrent"), concurrent);
         if burst.is_some() && requests_per_s.is_none() {
             let message = "has no effect without `requests_per_s`";
             self.findings.report(&key("burst"), message);
         }
     }
 
-    fn pools(&mut self) {
+    fn check_pools(&mut self) {
         let mut names = UniqueNames::default();
         for (index, pool) in self.config.pools.iter().enumerate() {
             let path = self.findings.item("pools", index);
             let name = format!("{path}.pool");
             names.add(&name, &pool.pool, self.findings);
             self.findings.name(&name, &pool.pool);
-            self.pool(&path, pool);
+            self.check_pool(&path, pool);
         }
     }
 
-    fn pool(&mut self, path: &str, pool: &PoolConfig) {
+    fn check_pool(&mut self, path: &str, pool: &PoolConfig) {
         let models = format!("{path}.models");
         let service = format!("{path}.service");
         let repeatable = format!("{path}.repeatable");
-        let misplaced = "is only for kind";
+        let only_for_kind = "is only for kind";
         match pool.kind {
             EndpointKind::Engine => {
                 let none = pool.models.as_ref().is_none_or(|m| m.is_empty());
@@ -90,11 +90,11 @@
                     self.findings.report(&models, message);
                 }
                 if pool.service.is_some() {
-                    let message = format!("{misplaced} service");
+                    let message = format!("{only_for_kind} service");
                     self.findings.report(&service, message);
                 }
                 if pool.repeatable.is_some() {
-                    let message = format!("{misplaced} service");
+                    let message = format!("{only_for_kind} service");
                     self.findings.report(&repeatable, message);
                 }
             }
@@ -104,14 +104,14 @@
                     self.findings.report(&service, message);
                 }
                 if pool.models.is_some() {
-                    let message = format!("{misplaced} engine");
+                    let message = format!("{only_for_kind} engine");
                     self.findings.report(&models, message);
                 }
             }
         }
     }
 
-    fn rules(&mut self) {
+    fn check_rules(&mut self) {
         let mut names = UniqueNames::default();
         for (index, rule) in self.config.rules.iter().enumerate() {
             let path = self.findings.item("rules", index);
@@ -119,73 +119,81 @@
                 let path = format!("{path}.name");
                 names.add(&path, name, self.findings);
             }
-            self.when(&format!("{path}.when"), &rule.when);
-            self.then(&format!("{path}.then"), &rule.then);
-            self.served(&path, rule);
+            self.check_when(&format!("{path}.when"), &rule.when);
+            self.check_then(&format!("{path}.then"), &rule.then);
+            self.check_served(&path, rule);
         }
     }
 
-    fn when(&mut self, path: &str, when: &When) {
+    fn check_when(&mut self, path: &str, when: &When) {
         let key = |key: &str| format!("{path}.{key}");
-        self.not_empty(&key("class"), when.class.as_ref());
-        self.not_empty(&key("path"), when.path.as_ref());
-        self.not_empty(&key("method"), when.method.as_ref());
-        self.not_empty(&key("header"), when.header.as_ref());
-        self.not_empty(&key("time_of_day"), when.time_of_day.as_ref());
-        self.not_empty(&key("dates"), when.dates.as_ref());
-        self.not_empty(&key("pool_load"), when.pool_load.as_ref());
+        self.check_not_empty(&key("class"), when.class.as_ref());
+        self.check_not_empty(&key("path"), when.path.as_ref());
+        self.check_not_empty(&key("method"), when.method.as_ref());
+        self.check_not_empty(&key("header"), when.header.as_ref());
+        self.check_not_empty(&key("time_of_day"), when.time_of_day.as_ref());
+        self.check_not_empty(&key("dates"), when.dates.as_ref());
+        self.check_not_empty(&key("pool_load"), when.pool_load.as_ref());
         let config = self.config;
         let customers =
             config.customers.iter().map(|one| one.customer.as_str());
         let customers: Vec<&str> = customers.collect();
         let wanted = when.customer.as_ref();
-        self.defined(&key("tenant"), "tenant", wanted, &customers);
+        self.check_defined(&key("tenant"), "tenant", wanted, &customers);
         let models = config.pools.iter().flat_map(models);
         let models: Vec<&str> = models.collect();
         let wanted = when.model.as_ref();
-        self.defined(&key("model"), "model", wanted, &models);
+        self.check_defined(&key("model"), "model", wanted, &models);
         let services = config.pools.iter().flat_map(|one| &one.service);
         let services: Vec<&str> = services.map(|one| one.as_str()).collect();
         let wanted = when.service.as_ref();
-        self.defined(&key("service"), "service", wanted, &services);
+        self.check_defined(&key("service"), "service", wanted, &services);
         if when.model.is_some() && when.service.is_some() {
-            let message = "no request asks for a model and a service";
+            let message = "no request names both a model and a service";
             self.findings.report(&key("service"), message);
         }
-        self.ranges(path, when);
+        self.check_ranges(path, when);
     }
 
-    fn ranges(&mut self, path: &str, when: &When) {
+    fn check_ranges(&mut self, path: &str, when: &When) {
         if let Some(range) = when.prompt_bytes {
             let path = format!("{path}.prompt_bytes");
             match (range.min, range.max) {
                 (None, None) => {
-                    self.findings.report(&path, "takes `min` or `max`");
+                    self.findings.report(&path, "needs `min` or `max`");
                 }
                 (Some(min), Some(max)) if min > max => {
-                    let message = format!("min {min} is over max {max}");
+                    let message =
+                        format!("min {min} is greater than max {max}");
                     self.findings.report(&path, message);
                 }
                 _ => {}
             }
         }
-        for (path, part) in self.each(path, "time_of_day", &when.time_of_day) {
+        for (path, part) in
+            self.items_with_paths(path, "time_of_day", &when.time_of_day)
+        {
             if part.from == part.to {
                 let message = "`from` and `to` are the same";
                 self.findings.report(&path, message);
             }
         }
-        for (path, dates) in self.each(path, "dates", &when.dates) {
+        for (path, dates) in self.items_with_paths(path, "dates", &when.dates)
+        {
             if dates.from > dates.to {
                 self.findings.report(&path, "`from` is after `to`");
             }
         }
-        for (path, load) in self.each(path, "pool_load", &when.pool_load) {
-            self.pool_name(&format!("{path}.pool"), &load.pool);
+        for (path, load) in
+            self.items_with_paths(path, "pool_load", &when.pool_load)
+        {
+            self.check_pool_name(&format!("{path}.pool"), &load.pool);
             let above = format!("{path}.above");
             self.findings.range(&above, load.above, 0.0, 1_000.0);
         }
-        for (path, header) in self.each(path, "header", &when.header) {
+        for (path, header) in
+            self.items_with_paths(path, "header", &when.header)
+        {
             if header.name.is_empty() {
                 self.findings.report(&format!("{path}.name"), "is empty");
             }
@@ -196,51 +204,55 @@
         }
     }
 
-    fn then(&mut self, path: &str, then: &Then) {
+    fn check_then(&mut self, path: &str, then: &Then) {
         let key = |key: &str| format!("{path}.{key}");
-        let ways = [then.pool.is_some(), then.refuse.is_some(), then.shed];
-        if ways.into_iter().filter(|way| *way).count() != 1 {
+        let actions = [then.pool.is_some(), then.refuse.is_some(), then.shed];
+        if actions.into_iter().filter(|action| *action).count() != 1 {
             let message = "takes exactly one of `pool`, `refuse`, `shed`";
             self.findings.report(path, message);
         }
         if let Some(pool) = &then.pool {
-            self.pool_name(&key("pool"), pool);
+            self.check_pool_name(&key("pool"), pool);
         }
-        let each = self.each(path, "fallback_pools", &then.fallback_pools);
-        for (path, pool) in each {
-            self.pool_name(&path, pool);
+        let fallbacks = self.items_with_paths(
+            path,
+            "fallback_pools",
+            &then.fallback_pools,
+        );
+        for (path, pool) in fallbacks {
+            self.check_pool_name(&path, pool);
         }
         if then.pool.is_none() {
-            self.no_route(path, then);
+            self.reject_routing_keys(path, then);
         }
-        self.milliseconds(&key("deadline_ms"), then.deadline_ms);
-        self.milliseconds(&key("first_token_ms"), then.first_token_ms);
-        self.milliseconds(&key("hedge_ms"), then.hedge_ms);
+        self.check_duration_ms(&key("deadline_ms"), then.deadline_ms);
+        self.check_duration_ms(&key("first_token_ms"), then.first_token_ms);
+        self.check_duration_ms(&key("hedge_ms"), then.hedge_ms);
         if let (Some(first), Some(all)) =
             (then.first_token_ms, then.deadline_ms)
             && first > all
         {
-            let message = format!("{first} is over deadline_ms {all}");
+            let message = format!("{first} is greater than deadline_ms {all}");
             self.findings.report(&key("first_token_ms"), message);
         }
         if let Some(retries) = then.retries {
             self.findings
-                .range(&key("retries"), retries, 0, RETRIES_MAX);
+                .range(&key("retries"), retries, 0, MAX_RETRIES);
         }
         if then.hedge_ms.is_some() && then.repeatable == Some(false) {
             let message = "runs a request twice, which `repeatable` forbids";
             self.findings.report(&key("hedge_ms"), message);
         }
-        self.rate(&key("rate_per_s"), then.rate_per_s);
-        self.at_least_one(&key("concurrent"), then.concurrent);
-        self.shares(path, then);
+        self.check_rate(&key("rate_per_s"), then.rate_per_s);
+        self.check_at_least_one(&key("concurrent"), then.concurrent);
+        self.check_shares(path, then);
         if let Some(refuse) = &then.refuse {
-            self.refuse(&key("refuse"), refuse);
+            self.check_refuse(&key("refuse"), refuse);
         }
     }
 
-    /// Refuses keys that say how to send a request that is not sent.
-    fn no_route(&mut self, path: &str, then: &Then) {
+    /// Reports keys that control routing in a rule that routes nothing.
+    fn reject_routing_keys(&mut self, path: &str, then: &Then) {
         let given = [
             ("fallback_pools", then.fallback_pools.is_some()),
             ("deadline_ms", then.deadline_ms.is_some()),
@@ -259,7 +271,7 @@
         }
     }
 
-    fn shares(&mut self, path: &str, then: &Then) {
+    fn check_shares(&mut self, path: &str, then: &Then) {
         let share = then.batch_share.unwrap_or(1.0);
         let floor = then.batch_floor.unwrap_or(0.0);
         let floor_path = format!("{path}.batch_floor");
@@ -267,12 +279,13 @@
         self.findings.range(&share_path, share, 0.0, 1.0);
         self.findings.range(&floor_path, floor, 0.0, 1.0);
         if floor > share {
-            let message = format!("{floor} is over batch_share {share}");
+            let message =
+                format!("{floor} is greater than batch_share {share}");
             self.findings.report(&floor_path, message);
         }
     }
 
-    fn refuse(&mut self, path: &str, refuse: &Refuse) {
+    fn check_refuse(&mut self, path: &str, refuse: &Refuse) {
         let status = format!("{path}.status");
         self.findings.range(&status, refuse.status, 400, 599);
         if refuse.detail.is_empty() {
@@ -284,9 +297,9 @@
         }
     }
 
-    /// Refuses a rule that sends requests for a model or a service to a pool
-    /// that does not serve it; each such request would fail.
-    fn served(&mut self, path: &str, rule: &Rule) {
+    /// Reports a rule that routes requests for a model or a service to a pool
+    /// that does not serve it, since every such request would fail.
+    fn check_served(&mut self, path: &str, rule: &Rule) {
         let Some(name) = &rule.then.pool else { return };
         let mut pools = self.config.pools.iter();
         let Some(pool) = pools.find(|pool| pool.pool == *name) else {
@@ -308,29 +321,36 @@
         }
     }
 
-    fn pool_name(&mut self, path: &str, name: &str) {
+    fn check_pool_name(&mut self, path: &str, name: &str) {
         let pools = self.config.pools.iter().map(|pool| pool.pool.as_str());
         let names: Vec<&str> = pools.collect();
-        self.known(path, "pool", name, &names);
+        self.check_known(path, "pool", name, &names);
     }
 
-    fn defined<T: AsRef<str>>(
+    fn check_defined<T: AsRef<str>>(
         &mut self,
         path: &str,
         kind: &str,
         wanted: Option<&OneOrMany<T>>,
         names: &[&str],
     ) {
-        self.not_empty(path, wanted);
+        self.check_not_empty(path, wanted);
         let Some(wanted) = wanted else { return };
         for (index, one) in wanted.iter().enumerate() {
             let item = self.findings.item(path, index);
-            self.known(&item, kind, one.as_ref(), names);
+            self.check_known(&item, kind, one.as_ref(), names);
         }
     }
 
-    /// A name may lack its definition only because that could not be read.
-    fn known(&mut self, path: &str, kind: &str, name: &str, names: &[&str]) {
+    /// Reports an undefined name, unless the section that may define it could
+    /// not be read completely.
+    fn check_known(
+        &mut self,
+        path: &str,
+        kind: &str,
+        name: &str,
+        names: &[&str],
+    ) {
         let section = if kind == "tenant" { "tenants" } else { "pools" };
         if names.contains(&name) || self.findings.is_partial(section) {
             return;
@@ -340,7 +360,7 @@
     }
 
     /// Returns the items of a list in a mapping with their paths.
-    fn each<'v, T>(
+    fn items_with_paths<'v, T>(
         &self,
         path: &str,
         key: &str,
@@ -353,30 +373,31 @@
             .collect()
     }
 
-    fn not_empty<T>(&mut self, path: &str, list: Option<&OneOrMany<T>>) {
+    fn check_not_empty<T>(&mut self, path: &str, list: Option<&OneOrMany<T>>) {
         if list.is_some_and(|list| list.is_empty()) {
-            let message = "an empty list never holds; leave the key out";
+            let message = "an empty list never matches; omit the key";
             self.findings.report(path, message);
         }
     }
 
-    fn at_least_one(&mut self, path: &str, number: Option<u32>) {
+    fn check_at_least_one(&mut self, path: &str, number: Option<u32>) {
         if let Some(number) = number {
             self.findings.range(path, number, 1, u32::MAX);
         }
     }
 
-    fn milliseconds(&mut self, path: &str, ms: Option<u64>) {
+    fn check_duration_ms(&mut self, path: &str, ms: Option<u64>) {
         if let Some(ms) = ms {
-            self.findings.range(path, ms, 1, DAY_MS);
+            self.findings.range(path, ms, 1, MAX_DURATION_MS);
         }
     }
 
-    fn rate(&mut self, path: &str, rate: Option<f64>) {
+    fn check_rate(&mut self, path: &str, rate: Option<f64>) {
         if let Some(rate) = rate
-            && !(rate > 0.0 && rate <= RATE_MAX)
+            && !(rate > 0.0 && rate <= MAX_RATE_PER_S)
         {
-            let message = format!("{rate} is not over 0 and up to 1e9");
+            let message =
+                format!("{rate} is not greater than 0 and at most 1e9");
             self.findings.report(path, message);
         }
     }
