--- a/crates/access/tests/access.rs
+++ b/crates/access/tests/access.rs
@@ -1,9 +1,9 @@
-//! Which keys are taken, and what becomes of a request by them.
+//! Tests of key validation and of the identification of requests.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use pomeloslip_access::{
-    Admitted, ApiKey, Arrived, Confidence, CustomerSpec, Customers,
-    CustomersError, Denied, KeyFault, KeyHeaders,
+    Admitted, ApiKey, ApiKeyError, Arrived, ConfigFreshness, CustomerSpec,
+    Customers, CustomersError, Denied, KeyHeaders,
 };
 use yare::parameterized;
 
@@ -37,42 +37,46 @@
     headers
 }
 
-/// Returns the customer, or how the request is denied.
-fn judge(
+/// Returns the customer, or the reason for which the request is denied.
+fn identify(
     keys: &[&str],
     public: bool,
-    confidence: Confidence,
+    freshness: ConfigFreshness,
 ) -> Result<Option<String>, Denied> {
     let mut headers = headers(keys);
-    let arrived = Arrived::take(&mut headers, &names());
-    assert!(headers.is_empty(), "nothing of it goes further");
+    let arrived = Arrived::from_headers(&mut headers, &names());
+    assert!(headers.is_empty(), "no credential is passed on");
     let table = customers();
-    let identified = arrived.identify(Some(&table), public, confidence)?;
+    let identified = arrived.identify(Some(&table), public, freshness)?;
     Ok(identified.customer().map(ToString::to_string))
 }
 
 #[parameterized(
-    known = { &["key-a"], Confidence::Fresh, Ok(()) },
-    known_by_an_old_configuration = { &["key-a"], Confidence::Stale, Ok(()) },
-    known_but_not_confirmed = { &["key-a"], Confidence::Expired, Err(false) },
-    unknown = { &["key-b"], Confidence::Fresh, Err(true) },
+    known = { &["key-a"], ConfigFreshness::Fresh, Ok(()) },
+    known_by_an_old_configuration = {
+        &["key-a"], ConfigFreshness::Stale, Ok(())
+    },
+    known_but_not_confirmed = {
+        &["key-a"], ConfigFreshness::Expired, Err(false)
+    },
+    unknown = { &["key-b"], ConfigFreshness::Fresh, Err(true) },
     unknown_to_an_old_configuration = {
-        &["key-b"], Confidence::Stale, Err(false)
+        &["key-b"], ConfigFreshness::Stale, Err(false)
     },
-    none = { &[], Confidence::Fresh, Err(true) },
-    none_by_an_old_configuration = { &[], Confidence::Stale, Err(false) },
-    several = { &["key-a", "key-a"], Confidence::Fresh, Err(true) },
-    empty = { &[""], Confidence::Fresh, Err(true) },
-    with_a_space = { &["key a"], Confidence::Fresh, Err(true) },
+    none = { &[], ConfigFreshness::Fresh, Err(true) },
+    none_by_an_old_configuration = { &[], ConfigFreshness::Stale, Err(false) },
+    several = { &["key-a", "key-a"], ConfigFreshness::Fresh, Err(true) },
+    empty = { &[""], ConfigFreshness::Fresh, Err(true) },
+    with_a_space = { &["key a"], ConfigFreshness::Fresh, Err(true) },
 )]
-fn a_key_is_judged_by_what_is_known(
+fn a_key_is_identified_by_the_known_configuration(
     keys: &[&str],
-    confidence: Confidence,
-    wanted: Result<(), bool>,
+    freshness: ConfigFreshness,
+    expected: Result<(), bool>,
 ) {
-    let judged = judge(keys, false, confidence);
+    let result = identify(keys, false, freshness);
     let certain = |denied| matches!(denied, Denied::Unknown(_));
-    assert_eq!(judged.map(|_| ()).map_err(certain), wanted);
+    assert_eq!(result.map(|_| ()).map_err(certain), expected);
 }
 
 #[parameterized(
@@ -82,26 +86,25 @@
     with_several = { &["key-a", "key-a"], None },
 )]
 fn a_public_route_needs_no_key(keys: &[&str], customer: Option<&str>) {
-    for confidence in [Confidence::Fresh, Confidence::Expired] {
-        let judged = judge(keys, true, confidence).expect("served");
-        assert_eq!(judged.as_deref(), customer);
+    for freshness in [ConfigFreshness::Fresh, ConfigFreshness::Expired] {
+        let identified = identify(keys, true, freshness).expect("served");
+        assert_eq!(identified.as_deref(), customer);
     }
 }
 
 #[test]
 fn without_customers_everybody_is_served() {
     let mut headers = headers(&["anything"]);
-    let arrived = Arrived::take(&mut headers, &names());
-    let identified = arrived.identify(None, false, Confidence::Expired);
+    let arrived = Arrived::from_headers(&mut headers, &names());
+    let identified = arrived.identify(None, false, ConfigFreshness::Expired);
     assert!(identified.expect("served").caller().is_none());
     assert!(headers.is_empty());
 }
 
-/// Symptom: an item reaches an engine with a key or a made-up customer.
-/// Events: a job whose items carry such headers. Cause: they came with the
-/// item and not with the request.
+/// Guards against passing a key or a forged customer name to an engine: items
+/// of a job have headers of their own, which `from_headers` does not see.
 #[test]
-fn an_item_names_its_customer_whatever_it_brings() {
+fn customer_headers_of_an_item_are_replaced() {
     let mut headers = headers(&["key-a"]);
     let customer = "taevakorv".parse().expect("a name");
     Admitted::item(Some(customer)).write(&mut headers, &names());
@@ -112,18 +115,18 @@
 }
 
 #[parameterized(
-    empty = { b"", KeyFault::Empty },
-    overlong = { &[b'k'; 257], KeyFault::TooLong },
-    not_ascii = { "k\u{e9}y".as_bytes(), KeyFault::Characters },
-    control = { b"key\n", KeyFault::Characters },
-    not_text = { &[0xff, 0xfe], KeyFault::Characters },
+    empty = { b"", ApiKeyError::Empty },
+    overlong = { &[b'k'; 257], ApiKeyError::TooLong },
+    not_ascii = { "k\u{e9}y".as_bytes(), ApiKeyError::InvalidCharacter },
+    control = { b"key\n", ApiKeyError::InvalidCharacter },
+    not_text = { &[0xff, 0xfe], ApiKeyError::InvalidCharacter },
 )]
-fn what_is_no_key_is_refused(text: &[u8], fault: KeyFault) {
-    assert_eq!(ApiKey::parse(text), Err(fault));
+fn an_invalid_key_is_rejected(text: &[u8], error: ApiKeyError) {
+    assert_eq!(ApiKey::parse(text), Err(error));
 }
 
 #[test]
-fn customers_that_cannot_be_told_apart_are_refused() {
+fn ambiguous_customers_are_rejected() {
     let same = vec![spec("alama", &[]), spec("alama", &[])];
     let error = Customers::new(same).expect_err("refused");
     assert!(matches!(error, CustomersError::SameName(_)), "{error}");
@@ -132,7 +135,7 @@
     assert!(matches!(error, CustomersError::SharedKey(_)), "{error}");
     assert!(!error.to_string().contains("\"k\""));
     let twice = Customers::new(vec![spec("alama", &["k", "k"])]);
-    assert!(twice.is_ok(), "a key may stand twice with its customer");
+    assert!(twice.is_ok(), "a customer may repeat its own key");
     let key = ApiKey::parse(b"k").expect("a key");
     let many = CustomerSpec {
         keys: vec![key; 100_000],
@@ -146,7 +149,7 @@
 fn no_debug_output_shows_a_key_or_its_digest() {
     let key = ApiKey::parse(b"key-a").expect("a key");
     let digest = base::KeyDigest::of_key("key-a").to_string();
-    let arrived = Arrived::take(&mut headers(&["key-a"]), &names());
+    let arrived = Arrived::from_headers(&mut headers(&["key-a"]), &names());
     let shown = format!("{key:?} {:?} {arrived:?}", customers());
     assert!(!shown.contains("key-a"), "{shown}");
     assert!(!shown.contains(&digest[..8]), "{shown}");
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,61 +1,69 @@
-//! Batch jobs kept in the key-value service, and their runs.
+//! Storage of batch jobs in the key-value service, and execution of their
+//! items.
 //!
-//! A job is a small [`JobHead`] that the nodes follow that run items, its
-//! inputs and its results in chunks. The [`Ledger`] makes each change one
-//! compare-and-swap on the head. A [`JobView`] follows all heads; other nodes
-//! ask for the [`Heads`] that their callers want. On the nodes that run items,
-//! a [`Plan`] shares jobs and endpoints between those nodes and decides what
-//! starts and what gives way, and a [`Runner`] carries it out.
+//! A job consists of a small [`JobManifest`], which all nodes that run items
+//! follow, and of chunks of inputs and results. The [`Ledger`] makes each
+//! change as one compare-and-swap on the manifest. A [`JobView`] follows all
+//! manifests; other nodes request the manifests that their callers need
+//! through a [`ManifestSource`]. On the nodes that run items, an
+//! [`Assignment`] distributes jobs and endpoints among the nodes, and a
+//! [`Runner`] starts, preempts and finishes items.
 //!
-//! Running an item twice does no harm, listing it twice would: so owners of
-//! jobs are found by hashing and may disagree for a moment, while positions
-//! are given by compare-and-swap alone.
+//! Running an item twice is harmless, listing its result twice is not. The
+//! owner of a job is therefore found by hashing, and nodes may disagree about
+//! it for a moment, while result positions are assigned only by
+//! compare-and-swap.
 
+mod assignment;
 mod backlogs;
 mod bulk;
 mod error;
 mod gate;
-mod heads;
 mod index;
 mod ledger;
+mod manifests;
 mod members;
 mod online;
 mod order;
-mod pace;
 mod page;
-mod plan;
 mod planner;
 mod record;
 mod ring;
 mod run;
+mod run_time;
 mod runner;
 mod view;
 
 pub use crate::{
+    assignment::Assignment,
     backlogs::ReportedBacklogs,
-    bulk::{BulkCache, BulkFuture, BulkValue, NoSiblings, Siblings},
+    bulk::{BulkCache, BulkFuture, BulkPeers, BulkValue, NoPeers},
     error::JobError,
-    gate::{GateInput, GateOptions, GateOrder, decide},
-    heads::{HeadFuture, Heads, KnownHead, ViewHeads},
-    ledger::{Ledger, NewJob, Stored},
+    gate::{GateDecision, GateInput, GateOptions, decide},
+    ledger::{Ledger, NewJob, StoredManifest},
+    manifests::{
+        KnownManifest, ManifestFuture, ManifestSource, ViewManifests,
+    },
     members::{Backlog, Members, NodeRecord, Roster},
     online::{
-        FRONT_LOAD_LIFE_MS, FrontUpdate, OnlineLoad, OthersUpdate, Stamp,
+        FRONT_LOAD_TTL_MS, FrontUpdate, OnlineLoad, OtherFrontsLoad,
+        ReportVersion,
     },
-    order::{PreemptRank, Urgency},
-    pace::{Pace, Rest},
+    order::{PreemptRank, SlackPriority},
     page::{Page, PageReader},
-    plan::Plan,
-    planner::{Planner, Plans, batch_services},
+    planner::{Assignments, Planner, batch_services},
     record::{
-        HEAD_PREFIX, ItemInput, ItemProgress, ItemResult, ItemState, JobHead,
-        JobKey, JobProgress, NODE_PREFIX, Strikes, WATCHED_PREFIX,
-        decode_head, decode_inputs, decode_new_job, decode_progress,
-        decode_results, encode_head, encode_inputs, encode_new_job,
-        encode_progress, encode_results, head_key, input_key, merge_strikes,
-        output_key, progress_key,
+        FailedAttempts, ItemCheckpoint, ItemInput, ItemResult, ItemState,
+        JobCheckpoint, JobKey, JobManifest, MANIFEST_PREFIX, NODE_PREFIX,
+        WATCHED_PREFIX, checkpoint_key, decode_checkpoints, decode_inputs,
+        decode_manifest, decode_new_job, decode_results, encode_checkpoints,
+        encode_inputs, encode_manifest, encode_new_job, encode_results,
+        input_key, manifest_key, merge_failed_attempts, output_key,
+    },
+    run::{ItemForwarder, ItemRun, Progress, RunOutcome},
+    run_time::{RemainingTime, RunTimeEstimator},
+    runner::{
+        Probe, ProbeFuture, Runner, RunnerOptions, RunnerParts, ShutdownSignal,
     },
-    run::{ItemForwarder, ItemRun, Progress, RunEnd},
-    runner::{Probe, ProbeFuture, Runner, RunnerOptions, RunnerParts, Stop},
-    view::{JobView, decode_head_row},
+    view::{JobView, decode_manifest_row},
 };
--- a/crates/jobs/src/planner.rs
+++ b/crates/jobs/src/planner.rs
@@ -4,24 +4,24 @@
 use fleet::{Config, Endpoint, EndpointTable, RouteKind};
 use pass::DirectoryView;
 
-use crate::{JobView, Members, Plan};
+use crate::{Assignment, JobView, Members};
 
-/// Makes a new plan whenever what it is made of has changed.
+/// Computes a new assignment whenever its inputs have changed.
 ///
-/// It keeps what the last plan was made of and compares pointers: with lists
-/// of ids that were made and compared at each look, nodes before three
-/// thousand endpoints spent half of their processor on plans that stayed the
-/// same.
+/// The planner keeps the inputs of the last assignment and compares pointers.
+/// When lists of ids were built and compared in each pass, nodes with three
+/// thousand endpoints spent half of their processor time on assignments that
+/// did not change.
 #[derive(Debug, Default)]
 pub struct Planner {
     node: String,
-    plan: Arc<Plan>,
-    made_of: Option<MadeOf>,
-    made: u64,
+    assignment: Arc<Assignment>,
+    inputs: Option<AssignmentInputs>,
+    computed_count: u64,
 }
 
 #[derive(Debug)]
-struct MadeOf {
+struct AssignmentInputs {
     table: Arc<EndpointTable>,
     config: Option<Arc<Config>>,
     members: Arc<Members>,
@@ -29,7 +29,7 @@
 }
 
 impl Planner {
-    /// Plans for one node.
+    /// Creates a planner for one node.
     pub fn new(node: &str) -> Self {
         Self {
             node: node.to_owned(),
@@ -37,59 +37,60 @@
         }
     }
 
-    /// Returns the plan for these members and endpoints; only those count
-    /// that batch routes lead to.
-    pub fn plan(
+    /// Returns the assignment for these members and endpoints. Only endpoints
+    /// of services that batch routes lead to are assigned.
+    pub fn assignment(
         &mut self,
         config: &Option<Arc<Config>>,
         table: &Arc<EndpointTable>,
         members: &Arc<Members>,
-    ) -> Arc<Plan> {
-        let Some(known) = &mut self.made_of else {
-            return self.make(config, table, members);
+    ) -> Arc<Assignment> {
+        let Some(last_inputs) = &mut self.inputs else {
+            return self.compute(config, table, members);
         };
-        if !is_same_config(&known.config, config) {
+        if !is_same_config(&last_inputs.config, config) {
             let services = config.as_deref().map(batch_services);
-            if services.unwrap_or_default() != known.services {
-                return self.make(config, table, members);
+            if services.unwrap_or_default() != last_inputs.services {
+                return self.compute(config, table, members);
             }
-            known.config.clone_from(config);
+            last_inputs.config.clone_from(config);
         }
-        let same = Arc::ptr_eq(&known.table, table)
-            && Arc::ptr_eq(&known.members, members);
-        match same {
-            true => self.plan.clone(),
-            false => self.make(config, table, members),
+        let is_unchanged = Arc::ptr_eq(&last_inputs.table, table)
+            && Arc::ptr_eq(&last_inputs.members, members);
+        match is_unchanged {
+            true => self.assignment.clone(),
+            false => self.compute(config, table, members),
         }
     }
 
-    /// Returns how many plans were made.
-    pub fn made(&self) -> u64 {
-        self.made
+    /// Returns the number of assignments computed so far.
+    pub fn computed_count(&self) -> u64 {
+        self.computed_count
     }
 
-    fn make(
+    fn compute(
         &mut self,
         config: &Option<Arc<Config>>,
         table: &Arc<EndpointTable>,
         members: &Arc<Members>,
-    ) -> Arc<Plan> {
+    ) -> Arc<Assignment> {
         let services = config.as_deref().map(batch_services);
         let services = services.unwrap_or_default();
         let endpoints: Vec<&Endpoint> = services
             .iter()
             .flat_map(|service| table.of_service(service))
             .collect();
-        let plan = Plan::new(&self.node, members.clone(), endpoints);
-        self.plan = Arc::new(plan);
-        self.made += 1;
-        self.made_of = Some(MadeOf {
+        let assignment =
+            Assignment::new(&self.node, members.clone(), endpoints);
+        self.assignment = Arc::new(assignment);
+        self.computed_count += 1;
+        self.inputs = Some(AssignmentInputs {
             table: table.clone(),
             config: config.clone(),
             members: members.clone(),
             services,
         });
-        self.plan.clone()
+        self.assignment.clone()
     }
 }
 
@@ -115,9 +116,9 @@
     services
 }
 
-/// The plans of one node, which all of its parts share.
+/// The current assignments as seen by one node, shared by all of its tasks.
 #[derive(Clone)]
-pub struct Plans {
+pub struct Assignments {
     view: JobView,
     endpoints: Arc<Snapshot<DirectoryView>>,
     config: Arc<Snapshot<Option<Arc<Config>>>>,
@@ -129,8 +130,9 @@
     requests: Planner,
 }
 
-impl Plans {
-    /// Plans for one node by what it knows.
+impl Assignments {
+    /// Creates the assignments of one node from its views of nodes, endpoints
+    /// and configuration.
     pub fn new(
         node: &str,
         view: JobView,
@@ -149,18 +151,19 @@
         }
     }
 
-    /// Returns which worker uses each endpoint for items.
-    pub fn of_items(&self) -> Arc<Plan> {
+    /// Returns the assignment of endpoints to workers, for batch items.
+    pub fn for_items(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().workers;
-        self.lock().items.plan(&config, &table, &members)
+        self.lock().items.assignment(&config, &table, &members)
     }
 
-    /// Returns which front uses each endpoint before all others.
-    pub fn of_requests(&self) -> Arc<Plan> {
+    /// Returns the assignment of endpoints to fronts: the front that sends
+    /// requests to an endpoint before all other fronts.
+    pub fn for_requests(&self) -> Arc<Assignment> {
         let (config, table) = self.inputs();
         let members = self.view.roster().fronts;
-        self.lock().requests.plan(&config, &table, &members)
+        self.lock().requests.assignment(&config, &table, &members)
     }
 
     fn inputs(&self) -> (Option<Arc<Config>>, Arc<EndpointTable>) {
--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -12,10 +12,10 @@
 use pass::{EventSplitter, Exchange, Failure, Forwarder, Inbound};
 use tokio::time;
 
-use crate::record::{ItemInput, ItemProgress, JobKey};
+use crate::record::{ItemCheckpoint, ItemInput, JobKey};
 
-/// What a run has produced so far; it outlives the run, so that the item
-/// goes on elsewhere after its last event.
+/// The output of an item so far. It outlives a run, so that the next run
+/// resumes after the last event.
 #[derive(Clone, Debug, Default)]
 pub struct Progress(Arc<Mutex<Produced>>);
 
@@ -27,8 +27,8 @@
 }
 
 impl Progress {
-    /// Goes on from what was saved.
-    pub fn restore(saved: &ItemProgress) -> Self {
+    /// Restores the output from a checkpoint.
+    pub fn restore(saved: &ItemCheckpoint) -> Self {
         Self(Arc::new(Mutex::new(Produced {
             output: saved.output.clone(),
             events: saved.events,
@@ -36,11 +36,15 @@
         })))
     }
 
-    /// Returns what is worth saving of an item: none before its first event,
-    /// and none of streams without ids, which cannot be taken up.
-    pub fn save(&self, number: u32, ran_ms: u64) -> Option<ItemProgress> {
+    /// Returns a checkpoint of the item: `None` before its first event, and
+    /// for streams without event ids, which cannot be resumed.
+    pub fn checkpoint(
+        &self,
+        number: u32,
+        ran_ms: u64,
+    ) -> Option<ItemCheckpoint> {
         let produced = self.lock();
-        Some(ItemProgress {
+        Some(ItemCheckpoint {
             number,
             last_id: produced.last_id?,
             events: produced.events,
@@ -49,12 +53,12 @@
         })
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.lock().last_id
     }
 
-    /// Returns how many events there are.
+    /// Returns the number of events.
     pub fn events(&self) -> u64 {
         self.lock().events
     }
@@ -85,23 +89,23 @@
     }
 }
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunEnd {
-    /// The output is whole.
+pub enum RunOutcome {
+    /// The output is complete.
     Complete,
-    /// The endpoint says that the item can never be done.
+    /// The endpoint rejected the item permanently.
     Rejected,
     /// The endpoint failed while it ran the item.
     Error(StatusCode),
-    /// The endpoint did not run it.
+    /// The endpoint did not run the item.
     NotRun,
-    /// It was not sent, as it crashes endpoints.
+    /// The item was not sent, since it is quarantined as a poison request.
     Held {
-        /// When it may be tried again, in milliseconds from now.
+        /// When the item may be tried again, in milliseconds from now.
         for_ms: u64,
     },
-    /// The connection broke or fell silent; what arrived stays.
+    /// The connection broke or stalled; the events received so far are kept.
     Broken,
 }
 
@@ -113,44 +117,44 @@
     pub host: String,
     /// The job's route.
     pub route: Arc<Route>,
-    /// The job that it belongs to.
+    /// The job of the item.
     pub job: JobKey,
-    /// Whose item it is.
+    /// The customer that owns the job.
     pub customer: Option<Customer>,
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// What earlier runs produced.
+    /// The output of earlier runs.
     pub progress: Progress,
 }
 
-/// How items are sent.
+/// Sends items to endpoints.
 pub type ItemForwarder = Arc<Forwarder>;
 
-/// Longest run of an item, in milliseconds; a longer one is taken up again
-/// after its last event.
-const RUN_MOST_MS: u64 = 60_000;
+/// Maximum duration of a run, in milliseconds. A longer run is resumed after
+/// its last event.
+const MAX_RUN_MS: u64 = 60_000;
 
-/// Longest pause of a run's stream, in milliseconds. An engine that preempts
-/// a run reads it again in well under a second.
-const STALL_MS: u64 = 2_500;
+/// Maximum pause in the stream of a run, in milliseconds. An engine that
+/// preempts a run prefills it again in well under a second.
+const STALL_TIMEOUT_MS: u64 = 2_500;
 
 impl ItemRun {
-    /// Runs the item to its end, or until the future is dropped, which
-    /// closes the connection and so stops the endpoint's work.
-    pub async fn run(self, forwarder: &ItemForwarder) -> RunEnd {
+    /// Runs the item to its end. If the future is dropped, the connection is
+    /// closed, which stops the work of the endpoint.
+    pub async fn run(self, forwarder: &ItemForwarder) -> RunOutcome {
         let Some(request) = self.request(forwarder).map(Arc::new) else {
-            return RunEnd::Rejected;
+            return RunOutcome::Rejected;
         };
         let after = self.progress.last_id();
-        let wait = Duration::from_millis(STALL_MS);
+        let wait = Duration::from_millis(STALL_TIMEOUT_MS);
         let offer = forwarder.offer(&request, &self.endpoint, after, wait);
         match offer.await {
             Ok(exchange) => self.read(exchange, after).await,
-            Err(Failure::Broken | Failure::Silent) => RunEnd::Broken,
-            Err(Failure::WrongId) => RunEnd::Broken,
-            Err(Failure::NotSealed(_)) => RunEnd::Broken,
-            Err(Failure::Held { for_ms }) => RunEnd::Held { for_ms },
-            Err(_) => RunEnd::NotRun,
+            Err(Failure::Broken | Failure::Silent) => RunOutcome::Broken,
+            Err(Failure::WrongId) => RunOutcome::Broken,
+            Err(Failure::NotSealed(_)) => RunOutcome::Broken,
+            Err(Failure::Held { for_ms }) => RunOutcome::Held { for_ms },
+            Err(_) => RunOutcome::NotRun,
         }
     }
 
@@ -177,17 +181,21 @@
             Admitted::item(self.customer.clone()),
         );
         let inbound = inbound.with_job(self.job.as_str());
-        Some(inbound.with_wait_ms(RUN_MOST_MS))
+        Some(inbound.with_wait_ms(MAX_RUN_MS))
     }
 
-    async fn read(self, mut exchange: Exchange, after: Option<u64>) -> RunEnd {
+    async fn read(
+        self,
+        mut exchange: Exchange,
+        after: Option<u64>,
+    ) -> RunOutcome {
         match exchange.status() {
             status if status.is_success() => {}
-            StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Rejected,
-            status => return RunEnd::Error(status),
+            StatusCode::UNPROCESSABLE_ENTITY => return RunOutcome::Rejected,
+            status => return RunOutcome::Error(status),
         }
         let mut splitter = EventSplitter::new(after);
-        let stall = Duration::from_millis(STALL_MS);
+        let stall = Duration::from_millis(STALL_TIMEOUT_MS);
         loop {
             let next = poll_fn(|cx| exchange.poll_data(cx));
             match time::timeout(stall, next).await {
@@ -199,13 +207,13 @@
                     exchange.advance_to(splitter.last_id().unwrap_or(0));
                 }
                 Ok(None) if !splitter.is_inside_event() => {
-                    return RunEnd::Complete;
+                    return RunOutcome::Complete;
                 }
                 Ok(None) => {
                     exchange.cut_off();
-                    return RunEnd::Broken;
+                    return RunOutcome::Broken;
                 }
-                Ok(Some(Err(_))) | Err(_) => return RunEnd::Broken,
+                Ok(Some(Err(_))) | Err(_) => return RunOutcome::Broken,
             }
         }
     }
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/siblings.rs
@@ -10,8 +10,8 @@
 use http::{Response, StatusCode};
 use indexmap::IndexMap;
 use jobs::{
-    BulkCache, BulkFuture, BulkValue, JobHead, JobKey, JobView, Ledger,
-    NodeRecord, Siblings,
+    BulkCache, BulkFuture, BulkPeers, BulkValue, JobKey, JobManifest, JobView,
+    Ledger, NodeRecord,
 };
 use pass::{AnswerBody, Fetch, Pool};
 use tokio::time;
@@ -61,7 +61,7 @@
         }
     }
 
-    fn owner(&self, job: &JobKey, head: &JobHead) -> Option<NodeRecord> {
+    fn owner(&self, job: &JobKey, head: &JobManifest) -> Option<NodeRecord> {
         let members = self.view.members();
         let owner = members.owner(job, head)?;
         let now = self.clock.now();
@@ -74,8 +74,8 @@
     }
 }
 
-impl Siblings for PeerBulk {
-    fn read(&self, job: &JobKey, head: &JobHead, key: &str) -> BulkFuture {
+impl BulkPeers for PeerBulk {
+    fn read(&self, job: &JobKey, head: &JobManifest, key: &str) -> BulkFuture {
         let Some(owner) = self.owner(job, head) else {
             return Box::pin(std::future::ready(None));
         };
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,5 +1,5 @@
-mod news;
-mod trial;
+mod probe;
+mod updates;
 mod write;
 
 use std::{
@@ -15,94 +15,97 @@
 use kv::{KeyValue, Kv};
 use tokio::sync::Notify;
 
-pub use self::news::CaseNews;
-use self::news::ClearedCase;
+pub use self::updates::CrashRecordUpdate;
+use self::updates::Release;
 use crate::{
-    CaseTable, Crash, EvidenceKeys, QuarantineOptions, Standing, StoredCase,
+    Crash, CrashRecordTable, EvidenceKeys, QuarantineOptions, StoredRecord,
+    Verdict,
     recent::RecentCrashes,
-    store::{CaseStore, decode},
+    store::{RecordStore, decode},
 };
 
-/// Proof that a request may be sent to an endpoint, once.
+/// Permission to send a request to an endpoint once.
 #[derive(Debug)]
-pub struct Cleared(());
+pub struct SendPermit(());
 
-/// Says that a request is not to be sent.
+/// The error for a request that is quarantined and must not be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Held {
-    /// How many crashes speak against it.
+pub struct Quarantined {
+    /// Number of crashes that are evidence against the request.
     pub crashes: usize,
-    /// When it may be tried again, in milliseconds from now.
+    /// Time until the request may be sent again, in milliseconds.
     pub for_ms: u64,
 }
 
-/// Keeps requests that crash endpoints from reaching more of them.
+/// Quarantines poison requests, which crash the endpoints that run them.
 ///
-/// Clones share one state. All processes that use one prefix of the
-/// key-value service share what they know: each writes the crashes that it
-/// sees. It learns those of the others from whoever follows the service for
-/// it ([`Self::apply`]), or from its neighbours ([`Self::take_news`]).
+/// Clones share one state. All processes that use the same prefix of the
+/// key-value service share their crash records: each process writes the
+/// crashes that it detects, and receives those of the others from a watch of
+/// the key-value service ([`Self::apply`]) or from its peers
+/// ([`Self::apply_updates`]).
 ///
-/// While no endpoint has crashed, a request costs one look at a counter.
+/// While there are no crash records, the check of a request reads only one
+/// atomic counter.
 #[derive(Clone)]
 pub struct Quarantine(Arc<Inner>);
 
 struct Inner {
-    table: Mutex<State>,
-    /// Requests in the table, so that most need no look at it.
-    known: AtomicUsize,
+    state: Mutex<State>,
+    /// Number of records in the table, for a check without the lock.
+    record_count: AtomicUsize,
     clock: Arc<dyn Clock>,
-    /// One moment by both of the clock's scales.
-    started: (Millis, UnixMillis),
-    store: Option<CaseStore>,
-    work: Notify,
+    /// The same instant on the monotonic and the calendar scale.
+    started_at: (Millis, UnixMillis),
+    store: Option<RecordStore>,
+    pending_work: Notify,
 }
 
 struct State {
-    cases: CaseTable,
+    records: CrashRecordTable,
     recent: RecentCrashes,
-    /// Requests of which the service does not have all that is known.
+    /// Requests with changes that are not in the key-value service yet.
     unsaved: IndexSet<RequestDigest>,
-    /// Requests that were answered although endpoints had crashed under
-    /// them.
-    answered: IndexMap<RequestDigest, Answered>,
-    /// Requests that are forgotten here and are to be in the service, too,
-    /// with the revision of what it has.
-    over: IndexMap<RequestDigest, u64>,
-    /// Requests that were cleared lately.
-    cleared: IndexMap<RequestDigest, ClearedCase>,
+    /// Complete responses whose refutations are not written yet.
+    refutations: IndexMap<RequestDigest, Refutation>,
+    /// Requests whose records were removed here and must be deleted from the
+    /// key-value service, with the revisions of the stored records.
+    expired: IndexMap<RequestDigest, u64>,
+    /// Requests that were recently released.
+    released: IndexMap<RequestDigest, Release>,
 }
 
-/// How often a write is tried against other writers of the same case.
-const WRITES_MOST: u32 = 5;
+/// Maximum number of attempts to write a record that others write, too.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 
-/// When a request may come back whose trial cannot be entered in the
+/// Delay until the next attempt if a probe cannot be recorded in the key-value
 /// service, in milliseconds.
-const TRIAL_AGAIN_MS: u64 = 1_000;
+const PROBE_RETRY_MS: u64 = 1_000;
 
-/// A whole answer that refutes what the service has of a request.
+/// A complete response that refutes crashes of a stored record.
 #[derive(Clone, Debug)]
-struct Answered {
-    /// Event after which the answer began.
+struct Refutation {
+    /// Event after which the response was resumed; 0 for a full response.
     resumed_after: u64,
-    /// What the service has, as far as is known.
-    stored: StoredCase,
+    /// The stored record, as far as this process knows.
+    stored: StoredRecord,
 }
 
 impl Quarantine {
-    /// Makes a quarantine that shares what it knows through the keys below
-    /// `prefix`; [`run`](Self::run) does the writing.
+    /// Creates a quarantine that shares its records through the keys below
+    /// `prefix`. [`run`](Self::run) writes the records.
     pub fn new(
         kv: Arc<dyn Kv>,
         prefix: &str,
         clock: Arc<dyn Clock>,
         options: QuarantineOptions,
     ) -> Self {
-        let store = CaseStore::new(kv, prefix);
+        let store = RecordStore::new(kv, prefix);
         Self::with_store(Some(store), clock, options)
     }
 
-    /// Makes a quarantine that knows what this process sees.
+    /// Creates a quarantine that uses only the crashes that this process
+    /// detects.
     ///
     /// # Example
     ///
@@ -129,106 +132,106 @@
     }
 
     fn with_store(
-        store: Option<CaseStore>,
+        store: Option<RecordStore>,
         clock: Arc<dyn Clock>,
         options: QuarantineOptions,
     ) -> Self {
-        let started = (clock.now(), clock.unix());
+        let started_at = (clock.now(), clock.unix());
         Self(Arc::new(Inner {
-            table: Mutex::new(State {
-                cases: CaseTable::new(options),
+            state: Mutex::new(State {
+                records: CrashRecordTable::new(options),
                 recent: RecentCrashes::default(),
                 unsaved: IndexSet::new(),
-                answered: IndexMap::new(),
-                over: IndexMap::new(),
-                cleared: IndexMap::new(),
+                refutations: IndexMap::new(),
+                expired: IndexMap::new(),
+                released: IndexMap::new(),
             }),
-            known: AtomicUsize::new(0),
+            record_count: AtomicUsize::new(0),
             clock,
-            started,
+            started_at,
             store,
-            work: Notify::new(),
+            pending_work: Notify::new(),
         }))
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests with a crash record.
     pub fn len(&self) -> usize {
-        self.0.known.load(Ordering::Relaxed)
+        self.0.record_count.load(Ordering::Relaxed)
     }
 
-    /// Tells whether no request is remembered.
+    /// Reports whether no request has a crash record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Lets a request pass that no endpoint has crashed under, or that is
-    /// due for a trial.
+    /// Admits a request unless it is quarantined; a request whose probe is due
+    /// is admitted once.
     ///
     /// # Errors
     ///
-    /// [`Held`] for a request that has crashed too many endpoints, or is of
-    /// a group that has.
+    /// [`Quarantined`] for a request that crashed too many endpoints, or that
+    /// belongs to a group that did.
     pub async fn admit<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
-    ) -> Result<Cleared, Held> {
+    ) -> Result<SendPermit, Quarantined> {
         if self.is_empty() {
-            return Ok(Cleared(()));
+            return Ok(SendPermit(()));
         }
         let keys = keys().into();
-        let held = keys.all().filter_map(|key| self.held(key));
-        if let Some(held) = held.max_by_key(|held| held.for_ms) {
-            return Err(held);
+        let quarantined = keys.all().filter_map(|key| self.quarantined(key));
+        if let Some(longest) = quarantined.max_by_key(|q| q.for_ms) {
+            return Err(longest);
         }
         for key in keys.all() {
-            if self.standing(key).0 == Standing::Due {
-                self.try_again(key).await?;
+            if self.verdict(key).0 == Verdict::ProbeDue {
+                self.probe(key).await?;
             }
         }
-        Ok(Cleared(()))
+        Ok(SendPermit(()))
     }
 
-    fn held(&self, key: RequestDigest) -> Option<Held> {
-        match self.standing(key) {
-            (Standing::Held { for_ms }, crashes) => {
-                Some(Held { crashes, for_ms })
+    fn quarantined(&self, key: RequestDigest) -> Option<Quarantined> {
+        match self.verdict(key) {
+            (Verdict::Quarantined { for_ms }, crashes) => {
+                Some(Quarantined { crashes, for_ms })
             }
             _ => None,
         }
     }
 
-    async fn try_again(&self, digest: RequestDigest) -> Result<(), Held> {
-        let crashes = self.standing(digest).1;
-        if self.begin_trial(digest).await {
+    async fn probe(&self, digest: RequestDigest) -> Result<(), Quarantined> {
+        let crashes = self.verdict(digest).1;
+        if self.begin_probe(digest).await {
             log::info!(digest:%, crashes; "a held request is tried again");
             return Ok(());
         }
-        let for_ms = match self.standing(digest).0 {
-            Standing::Held { for_ms } => for_ms,
-            _ => TRIAL_AGAIN_MS,
+        let for_ms = match self.verdict(digest).0 {
+            Verdict::Quarantined { for_ms } => for_ms,
+            _ => PROBE_RETRY_MS,
         };
-        Err(Held { crashes, for_ms })
+        Err(Quarantined { crashes, for_ms })
     }
 
-    /// Takes note that an endpoint has crashed while it ran a request.
-    pub fn crashed(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
+    /// Records that an endpoint crashed while it ran a request.
+    pub fn record_crash(&self, keys: impl Into<EvidenceKeys>, crash: Crash) {
         let mut state = self.lock();
         for key in keys.into().all() {
-            let before = state.cases.standing(key, self.now());
-            if state.cases.add_crash(key, crash) {
+            let before = state.records.verdict_at(key, self.now());
+            if state.records.add_crash(key, crash) {
                 state.recent.add(crash.endpoint, crash.ended_at);
                 state.unsaved.insert(key);
-                self.log_standing(&state, key, before);
+                self.log_if_quarantined(&state, key, before);
             }
         }
-        self.note_size(&state);
+        self.update_len(&state);
         drop(state);
-        self.0.work.notify_one();
+        self.0.pending_work.notify_one();
     }
 
-    /// Takes note of a whole answer to a request. It began after the event
-    /// `resumed_after`, 0 for the first one.
-    pub fn answered<K: Into<EvidenceKeys>>(
+    /// Records a complete response to a request. The response was resumed
+    /// after the event `resumed_after`, which is 0 for a full response.
+    pub fn record_response<K: Into<EvidenceKeys>>(
         &self,
         keys: impl FnOnce() -> K,
         resumed_after: u64,
@@ -238,40 +241,41 @@
         }
         let keys = keys().into();
         let mut state = self.lock();
-        let mut has_changed = state.note_answer(keys.request(), resumed_after);
+        let mut has_changed =
+            state.apply_response(keys.request(), resumed_after);
         for group in keys.groups() {
-            // The places in the answers of two members have nothing in
-            // common.
-            has_changed |= state.note_answer(*group, 0);
+            // Positions in the responses of two members are not comparable.
+            has_changed |= state.apply_response(*group, 0);
         }
         if !has_changed {
             return;
         }
-        self.note_size(&state);
+        self.update_len(&state);
         drop(state);
-        self.0.work.notify_one();
+        self.0.pending_work.notify_one();
     }
 
-    /// Returns the time of day by which this process dates crashes.
+    /// Returns the calendar time with which this process dates crashes.
     ///
-    /// It goes on from the time of day at the start and does not follow the
-    /// clock when that is set, so that the dates of one process stay in
-    /// order.
+    /// The time advances monotonically from the calendar time at the start of
+    /// the process and ignores adjustments of the clock, so that the times of
+    /// one process stay ordered.
     pub fn now(&self) -> UnixMillis {
-        let (started, at) = self.0.started;
-        let since = self.0.clock.now().saturating_ms_since(started);
-        at.saturating_add_ms(since)
+        let (started, unix) = self.0.started_at;
+        let elapsed = self.0.clock.now().saturating_ms_since(started);
+        unix.saturating_add_ms(elapsed)
     }
 
-    /// Takes in changes of the key-value service up to a revision; `whole`
-    /// says that `changed` are all keys that there are. Keys that are not
-    /// below the prefix are passed over.
+    /// Applies changes of the key-value service up to a revision.
+    ///
+    /// `is_snapshot` means that `changed` holds all existing keys. Keys that
+    /// are not below the prefix are ignored.
     pub fn apply(
         &self,
         changed: &[KeyValue],
         deleted: &[(String, u64)],
         revision: u64,
-        whole: bool,
+        is_snapshot: bool,
     ) {
         let Some(store) = &self.0.store else {
             return;
@@ -286,78 +290,81 @@
         }
         let mut state = self.lock();
         for (digest, kv) in &changed {
-            self.learn(&mut state, *digest, decode(kv));
+            self.apply_stored(&mut state, *digest, decode(kv));
         }
         let deleted = deleted.iter();
         for (digest, at) in
             deleted.filter_map(|(key, at)| Some((digest_of(key)?, *at)))
         {
-            state.cases.forget_stored(digest, at);
+            state.records.remove_stored(digest, at);
         }
-        if whole {
-            let there: IndexSet<RequestDigest> =
+        if is_snapshot {
+            let present: IndexSet<RequestDigest> =
                 changed.iter().map(|(digest, _)| *digest).collect();
             state
-                .cases
-                .retain_stored(revision, |digest| there.contains(digest));
+                .records
+                .retain_stored(revision, |digest| present.contains(digest));
         }
-        self.note_size(&state);
+        self.update_len(&state);
     }
 
-    fn standing(&self, digest: RequestDigest) -> (Standing, usize) {
+    fn verdict(&self, digest: RequestDigest) -> (Verdict, usize) {
         let state = self.lock();
-        let standing = state.cases.standing(digest, self.now());
-        (standing, state.cases.crashes(digest))
+        let verdict = state.records.verdict_at(digest, self.now());
+        (verdict, state.records.crashes(digest))
     }
 
-    /// Takes what the service has of a request at a revision.
-    fn take(
+    /// Applies the stored record of a request as read at a revision.
+    fn apply_read(
         &self,
         digest: RequestDigest,
-        stored: Option<StoredCase>,
+        stored: Option<StoredRecord>,
         revision: u64,
     ) {
         let mut state = self.lock();
         match stored {
-            Some(stored) => self.learn(&mut state, digest, stored),
-            None => state.cases.forget_stored(digest, revision),
+            Some(stored) => self.apply_stored(&mut state, digest, stored),
+            None => state.records.remove_stored(digest, revision),
         }
-        self.note_size(&state);
+        self.update_len(&state);
     }
 
-    fn learn(
+    fn apply_stored(
         &self,
         state: &mut State,
         digest: RequestDigest,
-        stored: StoredCase,
+        stored: StoredRecord,
     ) {
         let now = self.now();
-        let before = state.cases.standing(digest, now);
-        state.cases.learn(digest, stored, now);
-        self.log_standing(state, digest, before);
-        // Others go by what is written: a crash that was not worth a write
-        // of its own is, now that there is more.
-        let parts = state.cases.parts(digest);
-        if parts.is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty()) {
+        let before = state.records.verdict_at(digest, now);
+        state.records.apply_stored(digest, stored, now);
+        self.log_if_quarantined(state, digest, before);
+        // Other processes decide by the stored record: a crash that was not
+        // written on its own is written now that there is further evidence.
+        let stored_and_unsaved = state.records.stored_and_unsaved(digest);
+        if stored_and_unsaved
+            .is_some_and(|(_, unsaved)| !unsaved.crashes().is_empty())
+        {
             state.unsaved.insert(digest);
-            self.0.work.notify_one();
+            self.0.pending_work.notify_one();
         }
     }
 
-    fn log_standing(
+    fn log_if_quarantined(
         &self,
         state: &State,
         digest: RequestDigest,
-        before: Standing,
+        before: Verdict,
     ) {
-        let now = state.cases.standing(digest, self.now());
-        let is_held = |standing| matches!(standing, Standing::Held { .. });
-        if let Standing::Held { for_ms } = now
-            && !is_held(before)
+        let now = state.records.verdict_at(digest, self.now());
+        let is_quarantined =
+            |verdict| matches!(verdict, Verdict::Quarantined { .. });
+        if let Verdict::Quarantined { for_ms } = now
+            && !is_quarantined(before)
         {
             log::warn!(
                 digest:%,
-                crashes = state.cases.crashes(digest),
+                crashes = state.records.crashes(digest),
                 for_ms;
                 "a request that crashes endpoints is held"
             );
@@ -367,41 +374,44 @@
     fn expire(&self) {
         let mut state = self.lock();
         let now = self.now();
-        state.cases.expire(now);
-        let forgotten = state.cases.take_forgotten();
-        state.over.extend(forgotten);
+        state.records.expire(now);
+        let removed = state.records.take_removed();
+        state.expired.extend(removed);
         state.recent.expire(now);
-        self.note_size(&state);
+        self.update_len(&state);
     }
 
-    fn note_size(&self, state: &State) {
-        self.0.known.store(state.cases.len(), Ordering::Relaxed);
+    fn update_len(&self, state: &State) {
+        self.0
+            .record_count
+            .store(state.records.len(), Ordering::Relaxed);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.0.table.lock().unwrap_or_else(PoisonError::into_inner)
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    /// Takes note of a whole answer; returns whether it refutes anything.
-    fn note_answer(
+    /// Applies a complete response; reports whether it refutes any crash.
+    fn apply_response(
         &mut self,
         digest: RequestDigest,
         resumed_after: u64,
     ) -> bool {
-        let (has_changed, stored) = self.cases.answered(digest, resumed_after);
+        let (has_changed, stored) =
+            self.records.record_response(digest, resumed_after);
         if !has_changed {
             return false;
         }
         log::info!(digest:%;
             "a request under which endpoints crashed is answered");
         if let Some(stored) = stored {
-            let answered = Answered {
+            let refutation = Refutation {
                 resumed_after,
                 stored,
             };
-            self.answered.insert(digest, answered);
+            self.refutations.insert(digest, refutation);
         }
         true
     }
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -19,8 +19,8 @@
 
 use crate::events::EventSplitter;
 
-/// Headers of one hop, which are never passed on.
-const HOP_HEADERS: [&str; 8] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -31,62 +31,63 @@
     "upgrade",
 ];
 
-/// Says that a client could not be made.
+/// The error for an HTTP client that cannot be built.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct EndpointError;
+pub struct ClientBuildError;
 
-impl fmt::Display for EndpointError {
+impl fmt::Display for ClientBuildError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("cannot make a client for the endpoint")
+        f.write_str("cannot build an HTTP client for the endpoint")
     }
 }
 
-impl std::error::Error for EndpointError {}
+impl std::error::Error for ClientBuildError {}
 
-/// Progress of a call.
+/// Progress of a response, reported while it is received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
-pub enum Seen {
-    /// The answer is an event stream.
+pub enum ResponseProgress {
+    /// The response is an event stream.
     Stream,
-    /// An event that carries a part of the answer.
+    /// An event with response data was received.
     Event,
-    /// Bytes of an answer that is no event stream.
+    /// Bytes of a response other than an event stream were received.
     Bytes,
 }
 
-/// What tells one life of an endpoint from another; empty if it does not say.
+/// Identifies one incarnation of an endpoint; fields that the endpoint does
+/// not report are empty.
 ///
 /// # Example
 ///
 /// ```
-/// use pomeloslip_upstream::EndpointLife;
+/// use pomeloslip_upstream::EndpointIncarnation;
 ///
 /// let body = br#"{"status":"ok","version":"1.0.0","incarnation":7}"#;
-/// let life = EndpointLife::of_health(body);
-/// assert_eq!(life.version, "1.0.0");
-/// assert_ne!(life, EndpointLife::of_health(b"ok"));
+/// let reported = EndpointIncarnation::from_health_response(body);
+/// assert_eq!(reported.version, "1.0.0");
+/// assert_ne!(reported, EndpointIncarnation::from_health_response(b"ok"));
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct EndpointLife {
-    /// Version of its software.
+pub struct EndpointIncarnation {
+    /// Version of the endpoint's software.
     pub version: String,
-    /// Life of its process, as it writes it.
+    /// Incarnation of the endpoint's process, as the endpoint formats it.
     pub incarnation: String,
 }
 
-impl EndpointLife {
-    /// Reads the body of a health page.
-    pub fn of_health(body: &[u8]) -> Self {
+impl EndpointIncarnation {
+    /// Reads the body of a response to a health check.
+    pub fn from_health_response(body: &[u8]) -> Self {
         let body: serde_json::Value =
             serde_json::from_slice(body).unwrap_or_default();
         Self {
-            version: text_of(&body["version"]),
-            incarnation: text_of(&body["incarnation"]),
+            version: json_text(&body["version"]),
+            incarnation: json_text(&body["incarnation"]),
         }
     }
 }
 
-fn text_of(value: &serde_json::Value) -> String {
+fn json_text(value: &serde_json::Value) -> String {
     match value {
         serde_json::Value::Null => String::new(),
         serde_json::Value::String(text) => text.clone(),
@@ -94,30 +95,30 @@
     }
 }
 
-/// Calls one endpoint; clones share its connections.
+/// HTTP client for one endpoint; clones share connections.
 #[derive(Clone, Debug)]
 pub struct EndpointClient {
     address: HttpAddress,
-    kept: Client,
-    fresh: Client,
-    first_byte: Duration,
-    between_bytes: Duration,
+    pooled: Client,
+    unpooled: Client,
+    first_byte_timeout: Duration,
+    between_bytes_timeout: Duration,
 }
 
-/// Where a call stands when it ends early.
-struct Progress {
-    sent_head: bool,
+/// Progress of a call, which its outcome reports also on failure.
+struct CallProgress {
+    has_sent_head: bool,
     chunks: u32,
 }
 
-/// How a call ends early.
-struct Ended {
+/// The reason for which a call ended before its response was complete.
+struct CallFailure {
     kind: OutcomeKind,
     ran: bool,
     detail: String,
 }
 
-impl Ended {
+impl CallFailure {
     fn new(kind: OutcomeKind, ran: bool, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -127,35 +128,37 @@
     }
 
     fn cancelled() -> Self {
-        Self::new(OutcomeKind::Cancelled, true, "the caller left")
+        Self::new(OutcomeKind::Cancelled, true, "the caller disconnected")
     }
 }
 
 impl EndpointClient {
-    /// Makes a client for the endpoint at an address.
+    /// Creates a client for the endpoint at an address.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] if the HTTP library cannot start.
+    /// [`ClientBuildError`] if the HTTP library cannot build a client.
     pub fn try_new(
         address: HttpAddress,
         timeouts: &TimeoutSettings,
-    ) -> Result<Self, Report<EndpointError>> {
+    ) -> Result<Self, Report<ClientBuildError>> {
         let connect = Duration::from_millis(timeouts.connect_ms);
         let builder = || Client::builder().connect_timeout(connect);
-        let start = EndpointError;
+        let error = ClientBuildError;
         Ok(Self {
             address,
-            kept: builder().build().change_context(start)?,
-            // A kept connection may have gone silent, and a call lost on it
-            // cannot be told from one that ran. Calls that may not be
-            // repeated therefore get a connection of their own.
-            fresh: builder()
+            pooled: builder().build().change_context(error)?,
+            // A pooled connection may have failed silently, and a request lost
+            // on it cannot be distinguished from one that ran. Requests that
+            // must not be repeated therefore use a new connection.
+            unpooled: builder()
                 .pool_max_idle_per_host(0)
                 .build()
-                .change_context(start)?,
-            first_byte: Duration::from_millis(timeouts.first_byte_ms),
-            between_bytes: Duration::from_millis(timeouts.between_bytes_ms),
+                .change_context(error)?,
+            first_byte_timeout: Duration::from_millis(timeouts.first_byte_ms),
+            between_bytes_timeout: Duration::from_millis(
+                timeouts.between_bytes_ms,
+            ),
         })
     }
 
@@ -165,9 +168,9 @@
         &self.address
     }
 
-    /// Runs a call to its end and sends its frames.
+    /// Runs a call to completion and sends its frames to `answer`.
     ///
-    /// `on_first` learns when the first byte of the body came.
+    /// `on_first` is called when the first byte of the body is received.
     pub async fn run(
         &self,
         request: Request,
@@ -175,125 +178,130 @@
         on_first: impl FnOnce(),
     ) -> Outcome {
         let mut on_first = Some(on_first);
-        let on_seen = |seen| {
-            if seen != Seen::Stream
+        let on_progress = |progress| {
+            if progress != ResponseProgress::Stream
                 && let Some(on_first) = on_first.take()
             {
                 on_first();
             }
         };
-        self.run_seen(request, answer, on_seen).await
+        self.run_with_progress(request, answer, on_progress).await
     }
 
-    /// Runs a call to its end, sends its frames and tells its progress.
-    pub async fn run_seen(
+    /// Runs a call to completion, sends its frames to `answer` and reports its
+    /// progress.
+    pub async fn run_with_progress(
         &self,
         request: Request,
         answer: &Answer,
-        on_seen: impl FnMut(Seen),
+        on_progress: impl FnMut(ResponseProgress),
     ) -> Outcome {
-        let mut progress = Progress {
-            sent_head: false,
+        let mut progress = CallProgress {
+            has_sent_head: false,
             chunks: 0,
         };
         let deadline = deadline(request.deadline_ms);
-        let work = self.work(request, answer, &mut progress, on_seen);
-        let ended = tokio::select! {
-            ended = work => ended,
-            () = answer.closed() => Err(Ended::cancelled()),
+        let transfer =
+            self.stream_response(request, answer, &mut progress, on_progress);
+        let result = tokio::select! {
+            result = transfer => result,
+            () = answer.closed() => Err(CallFailure::cancelled()),
             () = tokio::time::sleep_until(deadline) => {
-                let detail = "the deadline passed at the endpoint";
-                Err(Ended::new(OutcomeKind::TimedOut, true, detail))
+                let detail = "the deadline passed during the call";
+                Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         };
-        let ended = match ended {
+        let result = match result {
             Ok(()) => Ok(()),
-            Err(ended) => Err(self.examine(ended).await),
+            Err(failure) => Err(self.classify_failure(failure).await),
         };
-        let outcome = match ended {
+        let outcome = match result {
             Ok(()) => Outcome {
                 kind: OutcomeKind::Complete,
                 ran: true,
                 detail: String::new(),
                 chunks: progress.chunks,
             },
-            Err(ended) => Outcome {
-                kind: ended.kind,
-                ran: ended.ran || progress.sent_head,
-                detail: ended.detail,
+            Err(failure) => Outcome {
+                kind: failure.kind,
+                ran: failure.ran || progress.has_sent_head,
+                detail: failure.detail,
                 chunks: progress.chunks,
             },
         };
-        // If the caller has left, nobody needs the end.
+        // A caller that has disconnected does not need the end.
         let _ = answer.send(Frame::End(outcome.clone())).await;
         outcome
     }
 
-    /// Finds out whether a call was cut off by the crash of the endpoint.
-    async fn examine(&self, ended: Ended) -> Ended {
+    /// Reclassifies an interrupted call as crashed if the endpoint crashed.
+    async fn classify_failure(&self, failure: CallFailure) -> CallFailure {
         let kinds = [OutcomeKind::Broken, OutcomeKind::Truncated];
-        if !kinds.contains(&ended.kind)
+        if !kinds.contains(&failure.kind)
             || !has_crashed(self.address.socket()).await
         {
-            return ended;
+            return failure;
         }
-        let detail = format!("the endpoint crashed: {}", ended.detail);
-        Ended::new(OutcomeKind::Crashed, true, detail)
+        let detail = format!("the endpoint crashed: {}", failure.detail);
+        CallFailure::new(OutcomeKind::Crashed, true, detail)
     }
 
-    async fn work(
+    async fn stream_response(
         &self,
         request: Request,
         answer: &Answer,
-        progress: &mut Progress,
-        mut on_seen: impl FnMut(Seen),
-    ) -> Result<(), Ended> {
+        progress: &mut CallProgress,
+        mut on_progress: impl FnMut(ResponseProgress),
+    ) -> Result<(), CallFailure> {
         let mut response = self.send(request).await?;
         let head = Frame::Head {
             status: response.status().as_u16(),
-            headers: headers_back(response.headers()),
+            headers: end_to_end_headers(response.headers()),
         };
-        answer.send(head).await.map_err(|_| Ended::cancelled())?;
-        progress.sent_head = true;
+        answer
+            .send(head)
+            .await
+            .map_err(|_| CallFailure::cancelled())?;
+        progress.has_sent_head = true;
         if is_event_stream(&response) {
             let mut events = EventSplitter::default();
-            on_seen(Seen::Stream);
+            on_progress(ResponseProgress::Stream);
             while let Some(bytes) = self.next_bytes(&mut response).await? {
                 events.push(&bytes);
                 while let Some(event) = events.next_event().map_err(|_| {
                     let detail = "an event is too large";
-                    Ended::new(OutcomeKind::Broken, true, detail)
+                    CallFailure::new(OutcomeKind::Broken, true, detail)
                 })? {
                     if EventSplitter::is_content(&event) {
-                        on_seen(Seen::Event);
+                        on_progress(ResponseProgress::Event);
                     }
-                    pass(answer, progress, event).await?;
+                    send_chunk(answer, progress, event).await?;
                 }
             }
-            if !events.ended() {
+            if !events.has_end_mark() {
                 let detail = "the stream ended without its end mark";
                 let kind = OutcomeKind::Truncated;
-                return Err(Ended::new(kind, true, detail));
+                return Err(CallFailure::new(kind, true, detail));
             }
             return Ok(());
         }
         while let Some(bytes) = self.next_bytes(&mut response).await? {
-            on_seen(Seen::Bytes);
-            pass(answer, progress, bytes).await?;
+            on_progress(ResponseProgress::Bytes);
+            send_chunk(answer, progress, bytes).await?;
         }
         Ok(())
     }
 
-    async fn send(&self, request: Request) -> Result<Response, Ended> {
+    async fn send(&self, request: Request) -> Result<Response, CallFailure> {
         let client = if request.repeatable {
-            &self.kept
+            &self.pooled
         } else {
-            &self.fresh
+            &self.unpooled
         };
         let method =
             Method::from_bytes(request.method.as_bytes()).map_err(|_| {
                 let detail = "the method is not valid";
-                Ended::new(OutcomeKind::NotSent, false, detail)
+                CallFailure::new(OutcomeKind::NotSent, false, detail)
             })?;
         let url = self.address.join(&request.path);
         let mut call = client.request(method, url);
@@ -303,12 +311,12 @@
         call = call
             .header("x-request-id", request.request_id.as_str())
             .body(request.body);
-        match timeout(self.first_byte, call.send()).await {
+        match timeout(self.first_byte_timeout, call.send()).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(error)) => Err(send_error(&error)),
+            Ok(Err(error)) => Err(classify_send_error(&error)),
             Err(_) => {
-                let detail = "the endpoint sent nothing in time";
-                Err(Ended::new(OutcomeKind::TimedOut, true, detail))
+                let detail = "the endpoint sent no response in time";
+                Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         }
     }
@@ -316,51 +324,55 @@
     async fn next_bytes(
         &self,
         response: &mut Response,
-    ) -> Result<Option<Bytes>, Ended> {
-        match timeout(self.between_bytes, response.chunk()).await {
+    ) -> Result<Option<Bytes>, CallFailure> {
+        match timeout(self.between_bytes_timeout, response.chunk()).await {
             Ok(Ok(bytes)) => Ok(bytes),
-            Ok(Err(error)) => Err(Ended::new(
+            Ok(Err(error)) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                format!("the answer broke: {error}"),
+                format!("the response was interrupted: {error}"),
             )),
-            // The connection went silent: nothing would ever come.
-            Err(_) => Err(Ended::new(
+            // The connection stalled and is not expected to recover.
+            Err(_) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                "the answer went silent",
+                "the response stalled",
             )),
         }
     }
 }
 
-async fn pass(
+async fn send_chunk(
     answer: &Answer,
-    progress: &mut Progress,
+    progress: &mut CallProgress,
     bytes: Bytes,
-) -> Result<(), Ended> {
+) -> Result<(), CallFailure> {
     let seq = progress.chunks;
     let frame = Frame::Chunk { seq, bytes };
-    answer.send(frame).await.map_err(|_| Ended::cancelled())?;
+    answer
+        .send(frame)
+        .await
+        .map_err(|_| CallFailure::cancelled())?;
     progress.chunks += 1;
     Ok(())
 }
 
-/// Tells a call that was certainly not sent from one that may have run.
-fn send_error(error: &reqwest::Error) -> Ended {
+/// Classifies a failed send: either the request was certainly not sent, or
+/// it may have run.
+fn classify_send_error(error: &reqwest::Error) -> CallFailure {
     if error.is_connect() || error.is_builder() {
         let detail = format!("cannot reach the endpoint: {error}");
-        return Ended::new(OutcomeKind::NotSent, false, detail);
+        return CallFailure::new(OutcomeKind::NotSent, false, detail);
     }
-    let detail = format!("the connection broke: {error}");
-    Ended::new(OutcomeKind::Broken, true, detail)
+    let detail = format!("the connection was lost: {error}");
+    CallFailure::new(OutcomeKind::Broken, true, detail)
 }
 
 fn deadline(deadline_ms: u64) -> Instant {
-    const FAR: Duration = Duration::from_secs(86_400);
+    const MAX_WAIT: Duration = Duration::from_secs(86_400);
     match deadline_ms {
-        0 => Instant::now() + FAR,
-        ms => Instant::now() + Duration::from_millis(ms).min(FAR),
+        0 => Instant::now() + MAX_WAIT,
+        ms => Instant::now() + Duration::from_millis(ms).min(MAX_WAIT),
     }
 }
 
@@ -372,10 +384,10 @@
         .is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-fn headers_back(headers: &HeaderMap) -> Vec<Header> {
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<Header> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
         .filter_map(|(name, value)| {
             Some(Header {
                 name: name.as_str().to_owned(),
@@ -386,12 +398,12 @@
 }
 
 impl EndpointClient {
-    /// Gives the endpoint an order.
+    /// Sends an order to the endpoint.
     ///
     /// # Errors
     ///
-    /// A refusal with the endpoint's reason; one that timed out is not
-    /// known to have been obeyed, and orders are repeatable.
+    /// A refusal with the endpoint's reason. An order that timed out may or
+    /// may not have been applied; orders are idempotent and can be repeated.
     pub async fn order(&self, order: &Order) -> Result<(), Refusal> {
         let mut body: serde_json::Value = serde_json::from_slice(&order.body)
             .map_err(|error| {
@@ -400,37 +412,37 @@
         body["fence"] = order.fence.into();
         body["kind"] = order.kind.clone().into();
         let url = self.address.join("/orders");
-        let call = self.fresh.post(url).json(&body).send();
+        let call = self.unpooled.post(url).json(&body).send();
         let failed =
             |detail: String| Refusal::new(RefusalKind::Failed, detail);
-        match timeout(self.first_byte, call).await {
+        match timeout(self.first_byte_timeout, call).await {
             Ok(Ok(reply)) if reply.status().is_success() => Ok(()),
             Ok(Ok(reply)) if reply.status().as_u16() == 409 => {
-                let why = "the endpoint has obeyed a newer order";
+                let why = "the endpoint has applied a newer order";
                 Err(Refusal::new(RefusalKind::StaleFence, why))
             }
             Ok(Ok(reply)) => Err(failed(format!("{}", reply.status()))),
             Ok(Err(error)) => Err(failed(error.to_string())),
-            Err(_) => Err(failed("no answer in time".to_owned())),
+            Err(_) => Err(failed("no response in time".to_owned())),
         }
     }
 
-    /// Asks the endpoint whether it lives.
-    pub async fn is_healthy(&self, limit: Duration) -> bool {
-        self.health(limit).await.is_some()
+    /// Reports whether the endpoint passes a health check.
+    pub async fn is_healthy(&self, wait: Duration) -> bool {
+        self.health(wait).await.is_some()
     }
 
-    /// Asks the endpoint whether it lives, and which life that is.
-    pub async fn health(&self, limit: Duration) -> Option<EndpointLife> {
+    /// Checks the endpoint's health; returns its incarnation if it is healthy.
+    pub async fn health(&self, wait: Duration) -> Option<EndpointIncarnation> {
         let url = self.address.join("/health");
-        let ask = async {
-            let reply = self.fresh.get(url).send().await.ok()?;
+        let check = async {
+            let reply = self.unpooled.get(url).send().await.ok()?;
             if !reply.status().is_success() {
                 return None;
             }
             let body = reply.bytes().await.ok()?;
-            Some(EndpointLife::of_health(&body))
+            Some(EndpointIncarnation::from_health_response(&body))
         };
-        timeout(limit, ask).await.ok().flatten()
+        timeout(wait, check).await.ok().flatten()
     }
 }
