--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -1,9 +1,9 @@
-//! What a directory believes after each listing.
+//! The state of a directory after each listing.
 
 use base::{Millis, UnixMillis};
 use pomeloslip_fleet::{
-    Change, Directory, EndpointRecord, EndpointState, LISTING_GRACE_MS,
-    Listing, Suspicion,
+    Change, Directory, EndpointRecord, EndpointState, FailureKind,
+    LISTING_GRACE_MS, Listing,
 };
 
 fn record(id: &str, state: EndpointState) -> EndpointRecord {
@@ -31,29 +31,28 @@
 }
 
 #[test]
-fn a_missing_entry_means_gone_while_the_service_answers() {
+fn a_missing_entry_means_gone_while_reads_succeed() {
     let mut directory = Directory::default();
-    directory.take(listing(1, &["a", "b"]), Millis::new(0));
-    let changes = directory.take(listing(2, &["a"]), Millis::new(1_000));
+    directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
+    let changes = directory.reconcile(listing(2, &["a"]), Millis::new(1_000));
     assert_eq!(changes, [Change::Gone("b".to_owned())]);
     assert_eq!(usable(&directory), 1);
 }
 
-/// Symptom: all requests refused for two seconds after an outage of the
-/// key-value service. Events: the service is away, the endpoints' entries
-/// lapse, it returns and lists none of them. Cause: a listing right after
-/// an outage does not show who lives.
+/// Guards against refusing all requests for two seconds after an outage of the
+/// key-value service. During the outage the endpoints' entries expire, and the
+/// first listing afterwards does not show which endpoints are alive.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_can_be_back() {
+fn entries_that_expired_in_an_outage_are_retained_for_a_grace_period() {
     let mut directory = Directory::default();
-    directory.take(listing(1, &["a", "b"]), Millis::new(0));
-    directory.read_failed(Millis::new(5_000));
-    let changes = directory.take(listing(9, &[]), Millis::new(5_500));
+    directory.reconcile(listing(1, &["a", "b"]), Millis::new(0));
+    directory.record_read_failure(Millis::new(5_000));
+    let changes = directory.reconcile(listing(9, &[]), Millis::new(5_500));
     assert_eq!(changes.len(), 2);
     assert!(changes.iter().all(|c| matches!(c, Change::Kept(_))));
     assert_eq!(usable(&directory), 2);
     let after = Millis::new(5_000 + LISTING_GRACE_MS);
-    let changes = directory.take(listing(10, &["a"]), after);
+    let changes = directory.reconcile(listing(10, &["a"]), after);
     assert_eq!(changes, [Change::Gone("b".to_owned())]);
     assert_eq!(usable(&directory), 1);
 }
@@ -65,48 +64,50 @@
         revision: 1,
         records: vec![record("a", EndpointState::Draining)],
     };
-    directory.take(draining, Millis::new(0));
-    directory.read_failed(Millis::new(10));
-    let changes = directory.take(listing(2, &[]), Millis::new(20));
+    directory.reconcile(draining, Millis::new(0));
+    directory.record_read_failure(Millis::new(10));
+    let changes = directory.reconcile(listing(2, &[]), Millis::new(20));
     assert_eq!(changes, [Change::Gone("a".to_owned())]);
 }
 
 #[test]
 fn a_draining_endpoint_gets_no_new_work() {
     let mut directory = Directory::default();
-    directory.take(listing(1, &["a"]), Millis::new(0));
+    directory.reconcile(listing(1, &["a"]), Millis::new(0));
     let draining = Listing {
         revision: 2,
         records: vec![record("a", EndpointState::Draining)],
     };
-    let changes = directory.take(draining, Millis::new(1));
+    let changes = directory.reconcile(draining, Millis::new(1));
     assert_eq!(changes, [Change::Draining("a".to_owned())]);
     assert_eq!(usable(&directory), 0);
     assert!(directory.get("a").is_some());
 }
 
-/// Symptom: an endpoint that is gone is used again. Events: a listing is
-/// delayed on its way, a newer one arrives first. Cause: answers on several
-/// connections overtake each other.
+/// Guards against using a removed endpoint again when a delayed listing
+/// arrives after a newer one, as responses on several connections may.
 #[test]
 fn an_older_listing_changes_nothing() {
     let mut directory = Directory::default();
-    directory.take(listing(5, &["a"]), Millis::new(0));
-    assert_eq!(directory.take(listing(4, &["a", "b"]), Millis::new(1)), []);
+    directory.reconcile(listing(5, &["a"]), Millis::new(0));
+    assert_eq!(
+        directory.reconcile(listing(4, &["a", "b"]), Millis::new(1)),
+        []
+    );
     assert_eq!(usable(&directory), 1);
     assert_eq!(directory.revision(), 5);
 }
 
 #[test]
-fn what_is_known_of_the_load_outlives_a_new_listing() {
+fn in_flight_counts_survive_a_new_listing() {
     let mut directory = Directory::default();
-    directory.take(listing(1, &["a"]), Millis::new(0));
-    directory.get("a").expect("listed").begin();
-    directory.take(listing(2, &["a"]), Millis::new(1));
+    directory.reconcile(listing(1, &["a"]), Millis::new(0));
+    directory.get("a").expect("listed").begin_request();
+    directory.reconcile(listing(2, &["a"]), Millis::new(1));
     assert_eq!(directory.get("a").expect("listed").in_flight(), 1);
 }
 
-fn life(id: &str, started_ms: Option<u64>) -> EndpointRecord {
+fn incarnation(id: &str, started_ms: Option<u64>) -> EndpointRecord {
     EndpointRecord {
         started_at: started_ms.map(UnixMillis::new),
         ..record(id, EndpointState::Ready)
@@ -120,67 +121,72 @@
     }
 }
 
-/// Symptom: an endpoint that is idle gets no work. Events: it crashes behind
-/// a cut with requests in flight, starts again under its id, and its entry
-/// never lapses. Cause: its load and failures counted as those of the life
-/// before.
+/// Guards against a restarted endpoint that gets no work because load and
+/// failures of its previous incarnation still count. The endpoint crashes
+/// during a network partition with requests in flight and restarts under its
+/// id before its entry expires.
 #[test]
-fn a_restarted_endpoint_has_nothing_of_the_life_before() {
+fn a_restarted_endpoint_keeps_no_state_of_its_previous_incarnation() {
     let now = Millis::new(1_000);
     let mut directory = Directory::default();
-    directory.take(listing_of(1, &[life("a", Some(10))]), now);
+    directory.reconcile(listing_of(1, &[incarnation("a", Some(10))]), now);
     let before = directory.get("a").expect("known").clone();
-    before.begin();
-    before.failed(Suspicion::Unreachable, now);
-    let changes = directory.take(listing_of(2, &[life("a", Some(20))]), now);
-    let former = before.life();
+    before.begin_request();
+    before.record_failure(FailureKind::Unreachable, now);
+    let changes =
+        directory.reconcile(listing_of(2, &[incarnation("a", Some(20))]), now);
+    let former = before.incarnation_key();
     let id = "a".to_owned();
     assert_eq!(changes, [Change::Restarted { id, former }]);
     let after = directory.get("a").expect("known");
-    assert_ne!(after.life(), former);
+    assert_ne!(after.incarnation_key(), former);
     assert_eq!(after.in_flight(), 0);
     assert!(!after.is_suspect(now));
-    assert!(!directory.has_life(former) && directory.has_life(after.life()));
+    assert!(
+        !directory.has_incarnation(former)
+            && directory.has_incarnation(after.incarnation_key())
+    );
 }
 
-/// Symptom: the same as above, where the first life told no start, as the
-/// entries of most endpoints do.
+/// The same failure if the entry of the first incarnation has no start time,
+/// as the entries of most endpoints.
 #[test]
-fn a_start_that_is_told_for_the_first_time_is_a_restart() {
+fn a_start_time_that_first_appears_is_a_restart() {
     let mut directory = Directory::default();
     let now = Millis::new(0);
-    directory.take(listing_of(1, &[life("a", None)]), now);
-    let changes = directory.take(listing_of(2, &[life("a", Some(7))]), now);
+    directory.reconcile(listing_of(1, &[incarnation("a", None)]), now);
+    let changes =
+        directory.reconcile(listing_of(2, &[incarnation("a", Some(7))]), now);
     assert!(matches!(changes[..], [Change::Restarted { .. }]));
 }
 
-/// Symptom: a running endpoint is taken for one that is gone. Events: it
-/// restarts, and a write of its former life that was under way arrives
-/// after its new entry. Cause: the newest write taken for the newest life.
+/// Guards against treating a running endpoint as gone when a delayed write of
+/// its previous incarnation arrives after its new entry: the latest write is
+/// not always of the latest incarnation.
 #[test]
-fn an_entry_of_a_life_that_is_over_changes_nothing() {
+fn an_entry_of_an_ended_incarnation_changes_nothing() {
     let mut directory = Directory::default();
     let now = Millis::new(0);
     let old = EndpointRecord {
         state: EndpointState::Draining,
-        ..life("a", Some(10))
+        ..incarnation("a", Some(10))
     };
-    directory.take(listing_of(1, &[life("a", Some(20))]), now);
-    let known = directory.get("a").expect("known").life();
+    directory.reconcile(listing_of(1, &[incarnation("a", Some(20))]), now);
+    let known = directory.get("a").expect("known").incarnation_key();
     let changes =
-        directory.take(listing_of(2, std::slice::from_ref(&old)), now);
+        directory.reconcile(listing_of(2, std::slice::from_ref(&old)), now);
     assert_eq!(changes, [Change::Outdated("a".to_owned())]);
     assert_eq!(usable(&directory), 1);
-    assert!(directory.has_life(known));
-    let again = directory.take(listing_of(3, &[old]), now);
-    assert_eq!(again, [], "told once");
+    assert!(directory.has_incarnation(known));
+    let again = directory.reconcile(listing_of(3, &[old]), now);
+    assert_eq!(again, [], "reported once");
 }
 
 #[test]
-fn two_endpoints_at_one_address_are_two_lives() {
+fn two_endpoints_at_one_address_are_two_incarnations() {
     let mut directory = Directory::default();
-    let two = [life("a", None), life("b", None)];
-    directory.take(listing_of(1, &two), Millis::new(0));
+    let two = [incarnation("a", None), incarnation("b", None)];
+    directory.reconcile(listing_of(1, &two), Millis::new(0));
     assert_eq!(usable(&directory), 2);
-    assert_ne!(two[0].life(), two[1].life());
+    assert_ne!(two[0].incarnation_key(), two[1].incarnation_key());
 }
--- a/crates/jobs/src/runner/admit.rs
+++ b/crates/jobs/src/runner/admit.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use base::Millis;
-use fleet::{Config, Endpoint, LifeKey};
+use fleet::{Config, Endpoint, IncarnationKey};
 use pass::Counters;
 
 use super::{
@@ -45,7 +45,7 @@
         let unknown = own.filter(|incarnation| {
             self.online_count(**incarnation, now).is_none()
         });
-        let unknown: Vec<LifeKey> = unknown.copied().collect();
+        let unknown: Vec<IncarnationKey> = unknown.copied().collect();
         self.endpoint_probes
             .retain(|incarnation, _| unknown.contains(incarnation));
         for incarnation in unknown {
@@ -57,7 +57,7 @@
 
     fn probe_load(&mut self, endpoint: &Endpoint, now: Millis) {
         let probe_interval_ms = self.runner.options.probe_interval_ms;
-        let incarnation = endpoint.life();
+        let incarnation = endpoint.incarnation_key();
         let probe = self.endpoint_probes.entry(incarnation).or_default();
         let recent = probe
             .sent_at
@@ -112,7 +112,7 @@
 
     /// Preempts batch work at one endpoint if an online request that is on its
     /// way needs the slot.
-    pub(super) fn preempt_for_online(&mut self, incarnation: LifeKey) {
+    pub(super) fn preempt_for_online(&mut self, incarnation: IncarnationKey) {
         let now = self.now();
         let view = self.runner.parts.endpoints.load_full();
         let Some(endpoint) = view.table.get(incarnation) else {
@@ -127,7 +127,11 @@
 
     /// Returns the number of online requests at an endpoint, if the fronts
     /// that use the endpoint report them.
-    fn online_count(&self, incarnation: LifeKey, now: Millis) -> Option<u32> {
+    fn online_count(
+        &self,
+        incarnation: IncarnationKey,
+        now: Millis,
+    ) -> Option<u32> {
         let assigned_front = self.front_assignment.user_of(incarnation)?;
         let online_load = &self.runner.parts.online_load;
         online_load.requests_at(incarnation, &assigned_front.node, now)
@@ -138,11 +142,11 @@
         endpoint: &Endpoint,
         now: Millis,
     ) -> Option<GateDecision> {
-        let incarnation = endpoint.life();
+        let incarnation = endpoint.incarnation_key();
         let own_runs = || {
             self.runs
                 .values()
-                .filter(|run| run.endpoint.life() == incarnation)
+                .filter(|run| run.endpoint.incarnation_key() == incarnation)
         };
         let mut input = GateInput {
             own_running: own_runs().count() as u32,
@@ -155,8 +159,10 @@
             input.own_reported = input.own_running;
             input.running = online_count + input.own_running;
         } else {
-            let (report, at) =
-                self.endpoint_probes.get(&endpoint.life())?.report?;
+            let (report, at) = self
+                .endpoint_probes
+                .get(&endpoint.incarnation_key())?
+                .report?;
             let age_ms = now.saturating_ms_since(at);
             if age_ms > self.runner.options.max_report_age_ms {
                 return None;
@@ -226,9 +232,10 @@
     }
 
     /// Preempts the run with the highest preemption rank.
-    pub(super) fn preempt_one(&mut self, incarnation: LifeKey) {
+    pub(super) fn preempt_one(&mut self, incarnation: IncarnationKey) {
         let candidates = self.runs.iter().filter(|(_, run)| {
-            run.endpoint.life() == incarnation && !self.is_urgent(run)
+            run.endpoint.incarnation_key() == incarnation
+                && !self.is_urgent(run)
         });
         let unix_now = self.runner.parts.clock.unix();
         let rank_of = |run: &Run| {
--- a/crates/jobs/tests/plan.rs
+++ b/crates/jobs/tests/plan.rs
@@ -93,7 +93,8 @@
             let assignment =
                 Assignment::new(name, members.clone(), &endpoints);
             let used = endpoints.iter();
-            used.filter(|e| assignment.uses_endpoint(e.life())).count()
+            used.filter(|e| assignment.uses_endpoint(e.incarnation_key()))
+                .count()
         })
         .collect();
     assert_eq!(counts.iter().sum::<usize>(), endpoints.len());
@@ -113,7 +114,7 @@
         let record = endpoint.record();
         let near = record.failure_domain == "a";
         assert_eq!(
-            assignment.uses_endpoint(endpoint.life()),
+            assignment.uses_endpoint(endpoint.incarnation_key()),
             near,
             "{}",
             record.id
@@ -269,7 +270,7 @@
     let after = Assignment::new("node-0", Members::new(fewer), &endpoints);
     let user = |assignment: &Assignment, endpoint: &Endpoint| {
         assignment
-            .user_of(endpoint.life())
+            .user_of(endpoint.incarnation_key())
             .map(|user| user.node.clone())
     };
     let moved = endpoints
--- a/crates/router/examples/embed_router.rs
+++ b/crates/router/examples/embed_router.rs
@@ -1,9 +1,9 @@
-//! A program that routes its own calls by the router, without the daemons.
+//! A program that routes its own calls with the router, without the daemons.
 //!
-//! Four replicas answer; one of them breaks, and one says that it leaves.
-//! The program makes the calls itself (here a function that makes up their
-//! outcome) and tells the router what happened. Time and random numbers are
-//! arguments, so that every run prints the same.
+//! Four replicas respond; one of them breaks, and one announces that it is
+//! leaving. The program makes the calls itself (here a function simulates
+//! their outcome) and passes the outcomes to the router. Time and random
+//! numbers are arguments, so every run prints the same.
 //!
 //! Run it with `cargo run -p pomeloslip-router --example embed_router`.
 
@@ -11,8 +11,8 @@
 
 use base::{EndpointName, Incarnation, Millis};
 use pomeloslip_router::{
-    EndpointKey, Failure, Listed, PoolKey, Query, Refused, Report, Router,
-    RouterOptions,
+    EndpointKey, EndpointReport, Failure, ListedEndpoint, PoolKey, Query,
+    Refusal, Router, RouterOptions,
 };
 
 type Error = Box<dyn std::error::Error>;
@@ -20,20 +20,20 @@
 const CALLS: u64 = 400;
 const CALL_EVERY_MS: u64 = 20;
 
-/// From this call on, the second replica does not answer.
+/// From this call on, the second replica does not respond.
 const BROKEN_FROM: u64 = 100;
 
-/// From this call on, the third replica refuses because it leaves.
+/// From this call on, the third replica refuses calls because it is leaving.
 const LEAVING_FROM: u64 = 200;
 
-/// What became of a call.
+/// Outcome of a call.
 enum Outcome {
     Answered,
     Refused,
     NoConnection,
 }
 
-/// Makes up what a replica does with the call of a number.
+/// Simulates the outcome of a call at a replica.
 fn call(replica: &str, number: u64) -> Outcome {
     match replica {
         "korv-lm-2" if number >= BROKEN_FROM => Outcome::NoConnection,
@@ -47,8 +47,8 @@
     pool: PoolKey,
     names: BTreeMap<EndpointKey, EndpointName>,
     answered: BTreeMap<String, u64>,
-    /// Calls that met a replica which did not serve them.
-    missed: u64,
+    /// Attempts at a replica that did not serve them.
+    failed_attempts: u64,
 }
 
 impl Program {
@@ -60,9 +60,9 @@
             .zip(7_001..)
             .map(|(name, port)| {
                 let address = format!("127.0.0.1:{port}");
-                Ok(Listed::new(name.parse()?, true, &address))
+                Ok(ListedEndpoint::new(name.parse()?, true, &address))
             })
-            .collect::<Result<Vec<Listed>, Error>>()?;
+            .collect::<Result<Vec<ListedEndpoint>, Error>>()?;
         let added = router.list(pool, &listed).added;
         let named = added.into_iter();
         let names = named.map(|(key, at)| (key, listed[at].name().clone()));
@@ -71,11 +71,11 @@
             router,
             pool,
             answered: BTreeMap::new(),
-            missed: 0,
+            failed_attempts: 0,
         })
     }
 
-    /// Serves one request: tries replicas until one answers.
+    /// Serves one request: tries replicas until one responds.
     fn serve(&mut self, number: u64) -> bool {
         let now = Millis::new(number * CALL_EVERY_MS);
         let mut tried = Vec::new();
@@ -89,7 +89,7 @@
             if self.attempt(key, number, now) {
                 return true;
             }
-            self.missed += 1;
+            self.failed_attempts += 1;
         }
     }
 
@@ -102,7 +102,7 @@
         match outcome {
             Outcome::Answered => self.router.answered(key, Some(40), now),
             Outcome::Refused => {
-                self.router.refused(key, Refused::Leaving, now);
+                self.router.refused(key, Refusal::Leaving, now);
             }
             Outcome::NoConnection => {
                 self.router.failed(key, Failure::Unreachable, now);
@@ -116,8 +116,9 @@
         is_answered
     }
 
-    /// Probes what the router wants to hear of. A program with I/O sends
-    /// the probes in the background and hands the answers in as they come.
+    /// Probes the endpoints that the router returns. A program with I/O sends
+    /// the probes in the background and passes the responses in as they
+    /// arrive.
     fn tick(&mut self, number: u64) {
         let now = Millis::new(number * CALL_EVERY_MS);
         for key in self.router.tick(now) {
@@ -127,14 +128,14 @@
             match call(name.as_str(), number) {
                 Outcome::NoConnection => self.router.probe_failed(key),
                 outcome => {
-                    let report = Report {
+                    let report = EndpointReport {
                         up: true,
                         leaving: matches!(outcome, Outcome::Refused),
                         incarnation: Incarnation::new(1),
-                        ..Report::default()
+                        ..EndpointReport::default()
                     };
-                    let life = self.router.probed(key, &report, now);
-                    self.names.insert(life, name);
+                    let incarnation = self.router.probed(key, &report, now);
+                    self.names.insert(incarnation, name);
                 }
             }
         }
@@ -152,14 +153,18 @@
     println!("{served} of {CALLS} calls answered");
     println!(
         "{} attempts met a replica that did not serve",
-        program.missed
+        program.failed_attempts
     );
     for (name, count) in &program.answered {
         println!("{name}: {count}");
     }
     assert_eq!(served, CALLS);
-    // One refusal is enough for the one that leaves; the broken one is
-    // tried again now and then only by probes.
-    assert!(program.missed < 20, "{} misses", program.missed);
+    // The leaving replica refuses only once; the broken one is retried now and
+    // then, only by probes.
+    assert!(
+        program.failed_attempts < 20,
+        "{} misses",
+        program.failed_attempts
+    );
     Ok(())
 }
--- a/crates/router/src/select.rs
+++ b/crates/router/src/select.rs
@@ -1,4 +1,4 @@
-//! The choice among the endpoints of a pool.
+//! Selection of an endpoint from a pool.
 
 use base::Millis;
 use slotmap::SlotMap;
@@ -8,7 +8,7 @@
     options::{HealthPolicy, Policy, Probing, RouterOptions},
 };
 
-/// What a request asks of the choice.
+/// Criteria of one request for the selection of an endpoint.
 ///
 /// # Example
 ///
@@ -20,34 +20,35 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Query<'a> {
-    /// Hash of how the prompt starts.
+    /// Hash of the prompt prefix.
     pub prefix: Option<u64>,
-    /// Endpoints that are not to be chosen again.
+    /// Endpoints that must not be chosen again.
     pub tried: &'a [EndpointKey],
 }
 
 impl<'a> Query<'a> {
-    /// Sets the hash of how the prompt starts.
+    /// Sets the hash of the prompt prefix.
     pub fn prefix(self, prefix: Option<u64>) -> Self {
         Self { prefix, ..self }
     }
 
-    /// Sets the endpoints that are not to be chosen again.
+    /// Sets the endpoints that must not be chosen again.
     pub fn tried(self, tried: &'a [EndpointKey]) -> Self {
         Self { tried, ..self }
     }
 }
 
-/// Where a request goes.
+/// The result of a selection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Choice {
-    /// The endpoint.
+    /// The endpoint that the request goes to.
     pub endpoint: EndpointKey,
-    /// Endpoints to probe beside the request.
+    /// Endpoints to probe along with the request.
     pub probes: Vec<EndpointKey>,
 }
 
-/// Draws numbers from one random number (SplitMix64).
+/// Pseudo-random number generator with one random number as its seed
+/// (SplitMix64).
 pub(crate) struct Draw(u64);
 
 impl Draw {
@@ -61,25 +62,28 @@
     }
 }
 
-/// Spreads neighbouring numbers over all bits.
+/// Mixes the bits of a number, so that consecutive numbers differ in all bits
+/// (the SplitMix64 finalizer).
 fn mix(number: u64) -> u64 {
     let z = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// The members of a pool at one moment.
+/// The endpoints of a pool at one moment.
 pub(crate) struct Selection<'a> {
     pub(crate) options: &'a RouterOptions,
     pub(crate) endpoints: &'a SlotMap<EndpointKey, Endpoint>,
     pub(crate) now: Millis,
-    /// Requests that were chosen for before; decides turns.
-    pub(crate) turn: usize,
+    /// Number of selections in this pool so far; the position of the round
+    /// robin.
+    pub(crate) selection_count: usize,
 }
 
 impl Selection<'_> {
-    /// Chooses among all that take work; if none does, among those that are
-    /// out: better one that failed a moment ago than none.
+    /// Chooses among all selectable endpoints. If there are none, chooses
+    /// among the ejected ones: an endpoint that failed recently is better than
+    /// none.
     pub(crate) fn choose(
         &self,
         members: &[EndpointKey],
@@ -90,52 +94,55 @@
             let tried = |key: &EndpointKey| query.tried.contains(key);
             members.iter().copied().filter(move |key| !tried(key))
         };
-        let open: Vec<EndpointKey> =
-            untried().filter(|key| self.at(*key).is_open()).collect();
-        if let Some(key) = self.among(&open, query, draw) {
+        let open: Vec<EndpointKey> = untried()
+            .filter(|key| self.at(*key).is_selectable())
+            .collect();
+        if let Some(key) = self.choose_among(&open, query, draw) {
             return Some(key);
         }
-        let out: Vec<EndpointKey> =
+        let ejected: Vec<EndpointKey> =
             untried().filter(|key| !self.at(*key).leaving).collect();
-        self.among(&out, query, draw)
+        self.choose_among(&ejected, query, draw)
     }
 
-    fn among(
+    fn choose_among(
         &self,
         open: &[EndpointKey],
         query: &Query<'_>,
         draw: &mut Draw,
     ) -> Option<EndpointKey> {
-        let best = self.best_values(open);
+        let best = self.best_scores(open);
         if let Some(key) = self.by_prefix(&best, query.prefix) {
             return Some(key);
         }
-        let (near, far): (Vec<_>, Vec<_>) =
-            best.into_iter().partition(|key| self.at(*key).listed.near);
+        let (near, far): (Vec<_>, Vec<_>) = best
+            .into_iter()
+            .partition(|key| self.at(*key).listed.same_domain);
         let near = self.pick(&near, draw);
         let far = self.pick(&far, draw);
         match (near, far) {
-            (Some(near), Some(far)) => Some(self.nearer(near, far)),
+            (Some(near), Some(far)) => Some(self.prefer_near(near, far)),
             (near, far) => near.or(far),
         }
     }
 
-    /// Own failure domain first; others by need, when it is more loaded.
-    fn nearer(&self, near: EndpointKey, far: EndpointKey) -> EndpointKey {
-        let penalty = f64::from(self.options.far_penalty);
+    /// Prefers the own failure domain, unless its endpoint is more loaded by
+    /// more than the penalty.
+    fn prefer_near(&self, near: EndpointKey, far: EndpointKey) -> EndpointKey {
+        let penalty = f64::from(self.options.other_domain_penalty);
         let spills = self.load(far) + penalty < self.load(near);
         if spills { far } else { near }
     }
 
-    fn best_values(&self, open: &[EndpointKey]) -> Vec<EndpointKey> {
-        if !matches!(self.options.health, HealthPolicy::Value { .. }) {
+    fn best_scores(&self, open: &[EndpointKey]) -> Vec<EndpointKey> {
+        if !matches!(self.options.health, HealthPolicy::Score { .. }) {
             return open.to_vec();
         }
-        let value = |key: &EndpointKey| self.at(*key).health.value();
-        let best = open.iter().map(value).max();
+        let score = |key: &EndpointKey| self.at(*key).health.score();
+        let best = open.iter().map(score).max();
         open.iter()
             .copied()
-            .filter(|key| Some(value(key)) == best)
+            .filter(|key| Some(score(key)) == best)
             .collect()
     }
 
@@ -149,15 +156,17 @@
         }
         match &self.options.policy {
             Policy::Random => Some(set[draw.below(set.len())]),
-            Policy::RoundRobin => Some(set[self.turn % set.len()]),
-            Policy::LeastOfTwo => Some(self.least_of_two(set, draw)),
+            Policy::RoundRobin => Some(set[self.selection_count % set.len()]),
+            Policy::PowerOfTwoChoices => {
+                Some(self.power_of_two_choices(set, draw))
+            }
             Policy::Probing(probing) => self
                 .by_reports(set, probing)
-                .or_else(|| Some(self.least_of_two(set, draw))),
+                .or_else(|| Some(self.power_of_two_choices(set, draw))),
         }
     }
 
-    fn least_of_two(
+    fn power_of_two_choices(
         &self,
         set: &[EndpointKey],
         draw: &mut Draw,
@@ -176,10 +185,10 @@
         }
     }
 
-    /// Returns the first endpoint in the prefix's order that is not too
-    /// loaded (bounded loads) and has no queue, in which a request would
-    /// lose more than a cached prefix saves. Failure domains do not count here: a cached
-    /// prefix saves far more than the way to another domain costs.
+    /// Returns the first endpoint in the prefix's order that is not overloaded
+    /// (bounded loads) and has no queue, because waiting costs more than a
+    /// cached prefix saves. Failure domains are ignored here: a cached prefix
+    /// saves far more than the network path to another domain costs.
     fn by_prefix(
         &self,
         set: &[EndpointKey],
@@ -226,10 +235,13 @@
     }
 
     fn is_fresh(&self, key: EndpointKey, probing: &Probing) -> bool {
-        self.at(key).seen.as_ref().is_some_and(|seen| {
-            let age_ms = self.now.saturating_ms_since(seen.at);
-            seen.uses < probing.uses && age_ms <= probing.max_age_ms
-        })
+        self.at(key)
+            .last_report
+            .as_ref()
+            .is_some_and(|last_report| {
+                let age_ms = self.now.saturating_ms_since(last_report.at);
+                last_report.uses < probing.uses && age_ms <= probing.max_age_ms
+            })
     }
 
     fn load(&self, key: EndpointKey) -> f64 {
--- a/crates/spread/src/options.rs
+++ b/crates/spread/src/options.rs
@@ -1,4 +1,4 @@
-/// Pauses and counts of a [`Spread`](crate::Spread).
+/// Intervals and limits of a [`Propagator`](crate::Propagator).
 ///
 /// # Example
 ///
@@ -10,29 +10,32 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Options {
-    /// Relays in each failure domain.
+    /// Number of relays in each failure domain.
     pub relays: usize,
-    /// Neighbours that a process talks to, beside the relays of its domain.
+    /// Number of peers that a process contacts in addition to the relays of
+    /// its domain.
     pub fanout: usize,
-    /// Pause between two comparisons with a neighbour.
-    pub ask_ms: u64,
-    /// The same while nothing is in force.
-    pub ask_first_ms: u64,
-    /// Silence after which a process counts as gone.
-    pub live_ms: u64,
-    /// Pause before a neighbour that did not answer is tried again.
-    pub down_ms: u64,
-    /// Answers of neighbours that are awaited before the first revision is
-    /// applied, unless the service gave one.
-    pub settle_answers: usize,
-    /// Longest wait for them.
+    /// Interval between exchanges, each with one peer, in milliseconds.
+    pub exchange_interval_ms: u64,
+    /// Interval between exchanges while no revision is in force, in
+    /// milliseconds.
+    pub initial_exchange_interval_ms: u64,
+    /// Time without contact after which a process counts as gone, in
+    /// milliseconds.
+    pub member_ttl_ms: u64,
+    /// Time after which a peer that did not respond is retried, in
+    /// milliseconds.
+    pub peer_retry_ms: u64,
+    /// Number of peer responses that are awaited before the first revision is
+    /// applied, unless the key-value service provided one.
+    pub settle_responses: usize,
+    /// Maximum wait for these responses, in milliseconds.
     pub settle_ms: u64,
-    /// Time after the start in which nobody is a relay: who knows nobody
-    /// would take itself for one.
-    pub learn_ms: u64,
-    /// Hints about other processes are asked for in each of this many
-    /// comparisons.
-    pub hints_every: u64,
+    /// Time after the start during which this process is no relay, in
+    /// milliseconds: a process that knows no others would elect itself.
+    pub discovery_ms: u64,
+    /// Number of exchanges per request for membership hints.
+    pub exchanges_per_hints: u64,
 }
 
 impl Default for Options {
@@ -40,14 +43,14 @@
         Self {
             relays: 2,
             fanout: 5,
-            ask_ms: 1_000,
-            ask_first_ms: 100,
-            live_ms: 30_000,
-            down_ms: 3_000,
-            settle_answers: 3,
+            exchange_interval_ms: 1_000,
+            initial_exchange_interval_ms: 100,
+            member_ttl_ms: 30_000,
+            peer_retry_ms: 3_000,
+            settle_responses: 3,
             settle_ms: 1_000,
-            learn_ms: 6_000,
-            hints_every: 4,
+            discovery_ms: 6_000,
+            exchanges_per_hints: 4,
         }
     }
 }
