--- a/crates/companion/src/admission.rs
+++ b/crates/companion/src/admission.rs
@@ -8,11 +8,11 @@
 use base::{Customer, Millis, UnixMillis, timer::Timer};
 use gate::{
     Action, Arrival, BatchArrival, CallKey, End, Event, Gate, GateLoad,
-    GateOptions, Refused, StopWhy,
+    GateOptions, Rejection, StopReason,
 };
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, mpsc};
-use upstream::Seen;
+use upstream::ResponseProgress as Progress;
 
 /// Interval at which the gate checks for calls without progress.
 const TICK_MS: u64 = 50;
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug)]
 enum Signal {
     Start,
-    GiveUp(Refused),
+    GiveUp(Rejection),
     Return,
-    Stop(StopWhy),
+    Stop(StopReason),
 }
 
 struct State {
@@ -42,7 +42,7 @@
         for action in self.actions.drain(..) {
             let (key, signal) = match action {
                 Action::Start(key) => (key, Signal::Start),
-                Action::GiveUp(key, reason) => (key, Signal::GiveUp(reason)),
+                Action::Reject(key, reason) => (key, Signal::GiveUp(reason)),
                 Action::Return(key) => (key, Signal::Return),
                 Action::Stop(key, reason) => (key, Signal::Stop(reason)),
             };
@@ -82,12 +82,14 @@
     pub(crate) fn admit_online(
         self: &Arc<Self>,
         customer: &Customer,
-    ) -> Result<GateCall, Refused> {
+    ) -> Result<GateCall, Rejection> {
         let arrival = Arrival {
             customer: customer.clone(),
             weight: WEIGHT,
         };
-        self.enter(|gate, now, actions| gate.arrive(now, &arrival, actions))
+        self.enter(|gate, now, actions| {
+            gate.submit_online(now, &arrival, actions)
+        })
     }
 
     /// Admits a batch item to the gate.
@@ -101,10 +103,12 @@
         let item = BatchArrival {
             customer: customer.clone(),
             weight: WEIGHT,
-            due: self.timer.now().saturating_add_ms(due_in_ms),
+            deadline: self.timer.now().saturating_add_ms(due_in_ms),
         };
         let entered = self.enter(|gate, now, actions| {
-            Ok::<_, std::convert::Infallible>(gate.offer(now, &item, actions))
+            Ok::<_, std::convert::Infallible>(
+                gate.submit_batch(now, &item, actions),
+            )
         });
         match entered {
             Ok(call) => call,
@@ -130,7 +134,7 @@
         drop(state);
         self.changed.notify_one();
         Ok(GateCall {
-            admission: self.clone(),
+            gate: self.clone(),
             key,
             signals,
             started: false,
@@ -147,7 +151,7 @@
         gate.handle(now, event, actions);
         state.dispatch();
         match event {
-            Event::Ended { key, .. } | Event::Left(key) => {
+            Event::Ended { key, .. } | Event::CallerLeft(key) => {
                 state.signals.remove(key);
             }
             Event::Token { .. } => return,
@@ -193,14 +197,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NotStarted {
     /// An online call waited too long.
-    Refused(Refused),
+    Refused(Rejection),
     /// A batch item is returned so that another companion may run it.
     Returned,
 }
 
 /// A call at the gate; dropping it ends the call.
 pub(crate) struct GateCall {
-    admission: Arc<Admission>,
+    gate: Arc<Admission>,
     key: CallKey,
     signals: mpsc::UnboundedReceiver<Signal>,
     started: bool,
@@ -224,7 +228,7 @@
     }
 
     /// Resolves when the gate stops the started call, if it ever does.
-    pub(crate) async fn wait_for_stop(&mut self) -> StopWhy {
+    pub(crate) async fn wait_for_stop(&mut self) -> StopReason {
         loop {
             match self.signals.recv().await {
                 Some(Signal::Stop(reason)) => return reason,
@@ -236,22 +240,22 @@
 
     /// Records progress of the call and returns the time since the previous
     /// token, if there was one.
-    pub(crate) fn record(&mut self, seen: Seen) -> Option<u32> {
+    pub(crate) fn record(&mut self, progress: Progress) -> Option<u32> {
         let key = self.key;
-        match seen {
-            Seen::Stream => self.admission.handle(Event::Streams(key)),
+        match progress {
+            Progress::Stream => self.gate.handle(Event::StreamStarted(key)),
             // Keep-alive bytes do not count as progress: they keep a response
             // open while its engine is stalled.
-            Seen::Bytes => {}
-            Seen::Event => {
+            Progress::Bytes => {}
+            Progress::Event => {
                 let now = Instant::now();
                 let Some(last) = self.last_event.replace(now) else {
-                    self.admission.handle(Event::FirstToken(key));
+                    self.gate.handle(Event::FirstToken(key));
                     return None;
                 };
                 let gap = now.saturating_duration_since(last).as_micros();
                 let gap_us = u32::try_from(gap).unwrap_or(u32::MAX);
-                self.admission.handle(Event::Token { key, gap_us });
+                self.gate.handle(Event::Token { key, gap_us });
                 return Some(gap_us);
             }
         }
@@ -262,7 +266,7 @@
     pub(crate) fn end(mut self, end: End) {
         self.ended = true;
         let key = self.key;
-        self.admission.handle(Event::Ended { key, end });
+        self.gate.handle(Event::Ended { key, end });
     }
 }
 
@@ -272,11 +276,11 @@
             return;
         }
         let key = self.key;
-        self.admission.handle(if self.started {
+        self.gate.handle(if self.started {
             let end = End::Failed;
             Event::Ended { key, end }
         } else {
-            Event::Left(key)
+            Event::CallerLeft(key)
         });
     }
 }
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -6,9 +6,9 @@
 use base::{Incarnation, timer::Timer};
 use conf::settings::EndpointSettings;
 use futures::future::{BoxFuture, FutureExt};
-use gate::{End, Refused, RefusedWhy};
+use gate::{End, RejectReason, Rejection};
 use obs::{Counter, Metrics, Series};
-use upstream::{EndpointClient, Seen};
+use upstream::{EndpointClient, ResponseProgress};
 use wire::{
     Answer, CompanionHandler,
     message::{
@@ -82,14 +82,14 @@
     }
 }
 
-fn refusal(refused: Refused) -> Refusal {
-    let kind = match refused.why {
-        RefusedWhy::Full => RefusalKind::Full,
-        RefusedWhy::Stalled => RefusalKind::EndpointDown,
-        RefusedWhy::Leaving => RefusalKind::Leaving,
+fn refusal(rejection: Rejection) -> Refusal {
+    let kind = match rejection.reason {
+        RejectReason::Full => RefusalKind::Full,
+        RejectReason::Stalled => RefusalKind::EndpointDown,
+        RejectReason::Leaving => RefusalKind::Leaving,
     };
-    Refusal::new(kind, refused.why.as_str())
-        .retry_after_ms(refused.retry_after_ms)
+    Refusal::new(kind, rejection.reason.as_str())
+        .retry_after_ms(rejection.retry_after_ms)
 }
 
 /// Handles the calls of entries.
@@ -150,22 +150,25 @@
     let waited_ms = shared.timer.now().saturating_ms_since(arrived);
     customer.record(Series::QueueWaitUs, class, waited_ms * 1_000);
     let mut is_first = true;
-    let record_seen = |seen| {
-        let gap_us = gate_call.record(seen);
+    let record_progress = |progress| {
+        let gap_us = gate_call.record(progress);
         if let Some(gap_us) = gap_us {
             let gap_us = u64::from(gap_us);
             customer.record(Series::BetweenTokensUs, class, gap_us);
         }
-        if seen != Seen::Stream && std::mem::take(&mut is_first) {
+        if progress != ResponseProgress::Stream
+            && std::mem::take(&mut is_first)
+        {
             let ms = shared.timer.now().saturating_ms_since(arrived);
             customer.record(Series::FirstTokenMs, class, ms);
         }
     };
-    let outcome = shared.client.run_seen(request, &answer, record_seen).await;
+    let outcome = shared
+        .client
+        .run_with_progress(request, &answer, record_progress)
+        .await;
     let (counter, end) = match outcome.kind {
-        OutcomeKind::Complete => {
-            (Counter::Completed, End::Whole { tokens: 0 })
-        }
+        OutcomeKind::Complete => (Counter::Completed, End::Done { tokens: 0 }),
         OutcomeKind::Cancelled => (Counter::Cancelled, End::Failed),
         _ => (Counter::Failed, End::Failed),
     };
@@ -177,9 +180,9 @@
 /// learns immediately that the call did not run, and can retry it elsewhere.
 fn not_sent_frame(reason: NotStarted) -> Frame {
     let detail = match reason {
-        NotStarted::Refused(refused) => format!(
+        NotStarted::Refused(rejection) => format!(
             "{}; retry after {} ms",
-            refused.why, refused.retry_after_ms
+            rejection.reason, rejection.retry_after_ms
         ),
         NotStarted::Returned => "the endpoint is leaving".to_owned(),
     };
--- a/crates/companion/src/item.rs
+++ b/crates/companion/src/item.rs
@@ -2,7 +2,7 @@
 
 use base::{Class, RequestId, UnixMillis};
 use bytes::{Bytes, BytesMut};
-use gate::{End, StopWhy};
+use gate::{End, StopReason};
 use obs::{Counter, Series};
 use serde::Deserialize;
 use tokio::sync::mpsc;
@@ -42,7 +42,7 @@
         response = call(shared, request) => response,
         reason = gate_call.wait_for_stop() => {
             customer.count(Counter::Preempted, Class::Batch, 1);
-            if reason == StopWhy::Stalled {
+            if reason == StopReason::Stalled {
                 result.outcome = ItemOutcome::Lost;
             }
             return result;
@@ -57,7 +57,7 @@
         }
     };
     let tokens = tokens_of(&response.body);
-    gate_call.end(End::Whole { tokens });
+    gate_call.end(End::Done { tokens });
     let ms = shared.timer.now().saturating_ms_since(started);
     customer.record(Series::BatchItemMs, Class::Batch, ms);
     customer.count(Counter::Completed, Class::Batch, 1);
--- a/crates/companion/src/probe.rs
+++ b/crates/companion/src/probe.rs
@@ -6,7 +6,7 @@
 };
 
 use gate::Event;
-use upstream::EndpointLife;
+use upstream::EndpointIncarnation;
 
 use crate::handler::Shared;
 
@@ -23,13 +23,13 @@
 /// Probes the health of the endpoint until the process ends.
 pub(crate) async fn watch(shared: Arc<Shared>) {
     let mut failures = 0;
-    let mut last_life: Option<EndpointLife> = None;
+    let mut last_incarnation: Option<EndpointIncarnation> = None;
     loop {
-        if let Some(life) = shared.client.health(PROBE_TIMEOUT).await {
+        if let Some(incarnation) = shared.client.health(PROBE_TIMEOUT).await {
             failures = 0;
-            let last = last_life.replace(life.clone());
-            if last.is_some_and(|last| last != life) {
-                handle_restart(&shared, &life);
+            let last = last_incarnation.replace(incarnation.clone());
+            if last.is_some_and(|last| last != incarnation) {
+                handle_restart(&shared, &incarnation);
             }
             set_endpoint_up(&shared, true);
         } else {
@@ -44,11 +44,11 @@
 
 /// Resets the gate: measurements of the old engine do not apply to the new
 /// one.
-fn handle_restart(shared: &Shared, life: &EndpointLife) {
+fn handle_restart(shared: &Shared, incarnation: &EndpointIncarnation) {
     log::info!(
         endpoint = shared.endpoint.name.as_str(),
-        version = life.version.as_str(),
-        incarnation = life.incarnation.as_str();
+        version = incarnation.version.as_str(),
+        incarnation = incarnation.incarnation.as_str();
         "the endpoint was restarted or replaced"
     );
     shared.admission.handle(Event::Restarted);
--- a/crates/fleet/src/selection.rs
+++ b/crates/fleet/src/selection.rs
@@ -1,33 +1,33 @@
 use base::{mix, stable_hash};
 use indexmap::IndexMap;
 
-use crate::{Endpoint, EndpointTable, LifeKey, table::window};
+use crate::{Endpoint, EndpointTable, IncarnationKey, table::window};
 
-/// How near an endpoint is to the node that chooses.
+/// How an endpoint relates to the node that chooses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
-    /// One of the node's own share, which no other node uses first.
+pub enum SelectionTier {
+    /// Belongs to the node's own share, which no other node uses first.
     Own,
-    /// One of those that the node goes to when its own share is full.
+    /// Used when the node's own share is full.
     Spill,
-    /// Any other.
+    /// Any other endpoint of the service.
     Other,
 }
 
-/// The few endpoints that a node sends to as a rule.
+/// The subset of endpoints that a node normally sends requests to.
 ///
-/// Where every node sends to every endpoint, each pair of them needs load
-/// updates, connections and a place in each choice, so that the cost of a
-/// node grows with the fleet. Here a node has its own share, which shrinks
-/// and grows with the ratio of endpoints to nodes alone, and a fixed number
-/// of others to spill to.
+/// If every node sent to every endpoint, each pair would need load updates,
+/// connections and an evaluation in each choice, and the cost of a node would
+/// grow with the fleet. Instead, a node has its own share, whose size depends
+/// only on the ratio of endpoints to nodes, and a fixed number of other
+/// endpoints to spill over to.
 ///
 /// # Example
 ///
 /// ```
 /// use pomeloslip_fleet::{
 ///     Endpoint, EndpointRecord, EndpointState, EndpointTable, Selection,
-///     Standing,
+///     SelectionTier,
 /// };
 ///
 /// let endpoints = (0..100).map(|number| {
@@ -44,84 +44,104 @@
 /// let table = EndpointTable::new(endpoints);
 /// let own = |endpoint: &Endpoint| endpoint.record().id == "7";
 /// let selection = Selection::new("front-1", &table, own);
-/// let all: Vec<_> = selection.of("engines", 0).collect();
+/// let all: Vec<_> = selection.candidates("engines", 0).collect();
 /// assert_eq!(all.len(), 25);
-/// assert_eq!(all[0].1, Standing::Own);
+/// assert_eq!(all[0].1, SelectionTier::Own);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Selection {
-    by_service: IndexMap<String, Near>,
+    by_service: IndexMap<String, ServiceSelection>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Near {
-    own: Vec<LifeKey>,
-    spill: Vec<LifeKey>,
+struct ServiceSelection {
+    own: Vec<IncarnationKey>,
+    spill: Vec<IncarnationKey>,
 }
 
-/// Endpoints of a service that a node spills to. Each costs a subscription
-/// to its load. With few of them, a node refuses requests whose selection
-/// happens to be full, and enough must be left where many are dark.
-pub const SPILL: usize = 24;
+/// Maximum number of a service's endpoints that a node spills over to. Each
+/// costs a subscription to its load. With too few, a node refuses requests
+/// while its selection happens to be full; the number also has to suffice
+/// while many endpoints are unreachable.
+pub const MAX_SPILL_ENDPOINTS: usize = 24;
 
-/// Endpoints of the own share that one request looks at. A fleet with more
-/// endpoints a node than this is far from full, so that the first few that
-/// the affinity names do.
-const OWN_MOST: usize = 32;
+/// Maximum number of endpoints of the own share that one request considers. A
+/// fleet with more endpoints per node is far from full, so the first few that
+/// the affinity determines suffice.
+const MAX_OWN_ENDPOINTS: usize = 32;
 
 impl Selection {
-    /// Selects for one node; `is_own` tells its own share.
+    /// Creates the selection of one node; `is_own` reports whether an endpoint
+    /// belongs to its own share.
     ///
-    /// This walks over the table, and is for changes of the table and of
-    /// the nodes alone.
+    /// This scans the whole table and is meant to run only when the table or
+    /// the set of nodes changes.
     pub fn new(
         node: &str,
         table: &EndpointTable,
         is_own: impl Fn(&Endpoint) -> bool,
     ) -> Self {
         let hash = stable_hash(&[node]);
-        let near = |service: &str| {
+        let service_selection = |service: &str| {
             let all = table.of_service(service).iter();
             let (own, mut others): (Vec<_>, Vec<_>) =
                 all.partition(|endpoint| is_own(endpoint));
-            others.sort_unstable_by_key(|e| mix(hash ^ e.spread()));
-            others.truncate(SPILL);
-            let lives = |all: Vec<&Endpoint>| {
-                all.into_iter().map(Endpoint::life).collect()
+            others.sort_unstable_by_key(|e| mix(hash ^ e.id_hash()));
+            others.truncate(MAX_SPILL_ENDPOINTS);
+            let incarnations = |all: Vec<&Endpoint>| {
+                all.into_iter().map(Endpoint::incarnation_key).collect()
             };
-            Near {
-                own: lives(own),
-                spill: lives(others),
+            ServiceSelection {
+                own: incarnations(own),
+                spill: incarnations(others),
             }
         };
         let services = table.services();
         Self {
             by_service: services
-                .map(|service| (service.to_owned(), near(service)))
+                .map(|service| {
+                    (service.to_owned(), service_selection(service))
+                })
                 .collect(),
         }
     }
 
-    /// Returns the endpoints of a service that a request looks at. Of a
-    /// large own share they are some that lie side by side, and `start`
-    /// draws the first of them.
-    pub fn of(
+    /// Returns the endpoints of a service that a request considers. Of a large
+    /// own share, these are some adjacent ones, and `start` determines the
+    /// first of them.
+    pub fn candidates(
         &self,
         service: &str,
         start: u64,
-    ) -> impl Iterator<Item = (LifeKey, Standing)> {
-        let near = self.by_service.get(service);
-        let (own, spill) = near.map_or((&[][..], &[][..]), |near| {
-            (near.own.as_slice(), near.spill.as_slice())
-        });
-        let own = window(own, start, OWN_MOST);
-        let own = own.map(|life| (*life, Standing::Own));
-        own.chain(spill.iter().map(|life| (*life, Standing::Spill)))
+    ) -> impl Iterator<Item = (IncarnationKey, SelectionTier)> {
+        let service_selection = self.by_service.get(service);
+        let (own, spill) = service_selection.map_or(
+            (&[][..], &[][..]),
+            |service_selection| {
+                (
+                    service_selection.own.as_slice(),
+                    service_selection.spill.as_slice(),
+                )
+            },
+        );
+        let own = window(own, start, MAX_OWN_ENDPOINTS);
+        let own = own.map(|incarnation| (*incarnation, SelectionTier::Own));
+        own.chain(
+            spill
+                .iter()
+                .map(|incarnation| (*incarnation, SelectionTier::Spill)),
+        )
     }
 
-    /// Returns all endpoints that the node sends to as a rule.
-    pub fn iter(&self) -> impl Iterator<Item = LifeKey> {
+    /// Returns all selected endpoints.
+    pub fn iter(&self) -> impl Iterator<Item = IncarnationKey> {
         let all = self.by_service.values();
-        all.flat_map(|near| near.own.iter().chain(&near.spill).copied())
+        all.flat_map(|service_selection| {
+            service_selection
+                .own
+                .iter()
+                .chain(&service_selection.spill)
+                .copied()
+        })
     }
 }
--- a/crates/jobs/src/index.rs
+++ b/crates/jobs/src/index.rs
@@ -1,34 +1,35 @@
-//! The jobs of a fleet, so that a node finds its own without looking at all.
+//! Indexes of the jobs of a fleet, with which a node finds its own jobs
+//! without a scan.
 
 use std::collections::BTreeSet;
 
 use base::{Millis, UnixMillis};
 use indexmap::IndexMap;
 
-use crate::{Backlog, Members, Stored, record::JobKey};
+use crate::{Backlog, Members, StoredManifest, record::JobKey};
 
-/// Jobs by key, the open ones also by owner and due time, the closed ones
-/// also by when they were submitted.
+/// Jobs by key; open jobs also by owner and by due time, closed jobs also by
+/// time of submission.
 ///
-/// What goes wrong with a single map: each worker walks over the jobs of the
-/// whole fleet twenty times a second to find its own, most of which are
-/// closed and only kept to be read.
+/// With a single map, each worker scans the jobs of the whole fleet twenty
+/// times a second to find its own, and most of those jobs are closed and kept
+/// only for reading.
 #[derive(Debug, Default)]
 pub(crate) struct JobIndex {
-    jobs: IndexMap<JobKey, Known>,
+    jobs: IndexMap<JobKey, IndexedJob>,
     open_by_owner: IndexMap<String, OpenJobs>,
     open_by_due: BTreeSet<(UnixMillis, JobKey)>,
     closed: BTreeSet<(UnixMillis, JobKey)>,
 }
 
 #[derive(Debug)]
-struct Known {
-    stored: Stored,
-    /// When it was last seen to change.
+struct IndexedJob {
+    stored: StoredManifest,
+    /// When the last change of the job was seen.
     changed_at: Millis,
 }
 
-/// The open jobs whose heads name one owner.
+/// The open jobs whose manifests name the same owner.
 #[derive(Debug, Default)]
 struct OpenJobs {
     keys: BTreeSet<JobKey>,
@@ -36,11 +37,11 @@
 }
 
 impl JobIndex {
-    pub(crate) fn get(&self, job: &JobKey) -> Option<&Stored> {
+    pub(crate) fn get(&self, job: &JobKey) -> Option<&StoredManifest> {
         self.jobs.get(job).map(|known| &known.stored)
     }
 
-    /// Returns the revision of a job, 0 if it is not known.
+    /// Returns the revision of a job, or 0 if the job is not known.
     pub(crate) fn revision(&self, job: &JobKey) -> u64 {
         self.get(job).map_or(0, |stored| stored.revision)
     }
@@ -49,37 +50,43 @@
         self.jobs.get(job).map(|known| known.changed_at)
     }
 
-    pub(crate) fn put(&mut self, job: JobKey, stored: Stored, now: Millis) {
+    pub(crate) fn put(
+        &mut self,
+        job: JobKey,
+        stored: StoredManifest,
+        now: Millis,
+    ) {
         self.remove(&job);
-        let head = &stored.head;
-        if head.is_closed() {
-            self.closed.insert((head.submitted_at, job.clone()));
+        let manifest = &stored.manifest;
+        if manifest.is_closed() {
+            self.closed.insert((manifest.submitted_at, job.clone()));
         } else {
-            self.open_by_due.insert((head.due_at, job.clone()));
-            let owner = head.owner.clone();
+            self.open_by_due.insert((manifest.due_at, job.clone()));
+            let owner = manifest.owner.clone();
             let open = self.open_by_owner.entry(owner).or_default();
             open.keys.insert(job.clone());
-            open.open_items += stored.head.open_items();
+            open.open_items += stored.manifest.open_items();
         }
         let changed_at = now;
-        self.jobs.insert(job, Known { stored, changed_at });
+        self.jobs.insert(job, IndexedJob { stored, changed_at });
     }
 
     pub(crate) fn remove(&mut self, job: &JobKey) {
-        let Some(Known { stored, .. }) = self.jobs.swap_remove(job) else {
+        let Some(IndexedJob { stored, .. }) = self.jobs.swap_remove(job)
+        else {
             return;
         };
-        let head = &stored.head;
-        if head.is_closed() {
-            self.closed.remove(&(head.submitted_at, job.clone()));
+        let manifest = &stored.manifest;
+        if manifest.is_closed() {
+            self.closed.remove(&(manifest.submitted_at, job.clone()));
             return;
         }
-        self.open_by_due.remove(&(head.due_at, job.clone()));
-        if let Some(open) = self.open_by_owner.get_mut(&head.owner) {
+        self.open_by_due.remove(&(manifest.due_at, job.clone()));
+        if let Some(open) = self.open_by_owner.get_mut(&manifest.owner) {
             open.keys.remove(job);
-            open.open_items -= stored.head.open_items();
+            open.open_items -= stored.manifest.open_items();
             if open.keys.is_empty() {
-                self.open_by_owner.swap_remove(&head.owner);
+                self.open_by_owner.swap_remove(&manifest.owner);
             }
         }
     }
@@ -89,42 +96,46 @@
         self.jobs.keys()
     }
 
-    /// Returns the open jobs that a node runs: those whose heads name it,
-    /// and its part of those whose owners are no members.
+    /// Returns the open jobs that a node runs: the jobs whose manifests name
+    /// the node, and the node's share of the jobs whose owners are no longer
+    /// members.
     pub(crate) fn open_of(
         &self,
         members: &Members,
         node: &str,
-    ) -> Vec<(JobKey, Stored)> {
+    ) -> Vec<(JobKey, StoredManifest)> {
         let named = self.open_by_owner.get(node).into_iter();
         let named = named.filter(|_| members.has(node));
         let orphaned = self.orphaned(members).filter(|(job, stored)| {
-            members.owner(job, &stored.head) == Some(node)
+            members.owner(job, &stored.manifest) == Some(node)
         });
-        let named = named.flat_map(|open| self.all(&open.keys));
+        let named = named.flat_map(|open| self.with_manifests(&open.keys));
         named.chain(orphaned).map(cloned).collect()
     }
 
-    /// Returns the open jobs whose owners are no members any more.
+    /// Returns the open jobs whose owners are no longer members.
     fn orphaned<'a>(
         &'a self,
         members: &'a Members,
-    ) -> impl Iterator<Item = (&'a JobKey, &'a Stored)> {
+    ) -> impl Iterator<Item = (&'a JobKey, &'a StoredManifest)> {
         let owners = self.open_by_owner.iter();
         owners
             .filter(|(owner, _)| !members.has(owner))
-            .flat_map(|(_, open)| self.all(&open.keys))
+            .flat_map(|(_, open)| self.with_manifests(&open.keys))
     }
 
-    fn all<'a>(
+    fn with_manifests<'a>(
         &'a self,
         keys: &'a BTreeSet<JobKey>,
-    ) -> impl Iterator<Item = (&'a JobKey, &'a Stored)> {
+    ) -> impl Iterator<Item = (&'a JobKey, &'a StoredManifest)> {
         keys.iter().filter_map(|key| Some((key, self.get(key)?)))
     }
 
-    /// Returns the open jobs that were due before a moment.
-    pub(crate) fn overdue(&self, now: UnixMillis) -> Vec<(JobKey, Stored)> {
+    /// Returns the open jobs that were due before `now`.
+    pub(crate) fn overdue(
+        &self,
+        now: UnixMillis,
+    ) -> Vec<(JobKey, StoredManifest)> {
         let due = self.open_by_due.iter();
         let due = due.take_while(|(due_at, _)| *due_at < now);
         due.filter_map(|(_, key)| Some((key, self.get(key)?)))
@@ -132,14 +143,16 @@
             .collect()
     }
 
-    /// Returns the closed jobs that were submitted before a moment.
+    /// Returns the closed jobs that were submitted before `moment`.
     pub(crate) fn closed_before(
         &self,
         moment: UnixMillis,
-    ) -> Vec<(JobKey, Stored)> {
-        let old = self.closed.iter();
-        let old = old.take_while(|(submitted_at, _)| *submitted_at < moment);
-        old.filter_map(|(_, key)| Some((key, self.get(key)?)))
+    ) -> Vec<(JobKey, StoredManifest)> {
+        let expired = self.closed.iter();
+        let expired =
+            expired.take_while(|(submitted_at, _)| *submitted_at < moment);
+        expired
+            .filter_map(|(_, key)| Some((key, self.get(key)?)))
             .map(cloned)
             .collect()
     }
@@ -153,14 +166,16 @@
             }
         }
         for (job, stored) in self.orphaned(members) {
-            if let Some(owner) = members.owner(job, &stored.head) {
-                backlog.add(owner, stored.head.open_items());
+            if let Some(owner) = members.owner(job, &stored.manifest) {
+                backlog.add(owner, stored.manifest.open_items());
             }
         }
         backlog
     }
 }
 
-fn cloned((job, stored): (&JobKey, &Stored)) -> (JobKey, Stored) {
+fn cloned(
+    (job, stored): (&JobKey, &StoredManifest),
+) -> (JobKey, StoredManifest) {
     (job.clone(), stored.clone())
 }
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,15 +1,16 @@
-//! A ledger over a key-value service in memory.
+//! Test helpers: a ledger over an in-memory key-value service.
 
 use std::sync::Arc;
 
 use base::{SystemClock, UnixMillis, timer::Timer};
-use fleet::BatchTerms;
+use fleet::BatchDeadlines;
 use kv::Memory;
 use pomeloslip_jobs::{
     ItemInput, ItemResult, ItemState, JobKey, Ledger, NewJob,
 };
 
-/// Bytes of a value; small, so that inputs take several chunks.
+/// Maximum size of a value in bytes; small, so that inputs take several
+/// chunks.
 pub(crate) const VALUE_BYTES: usize = 4_096;
 
 pub(crate) fn ledger(kv: &Memory) -> Ledger {
@@ -40,7 +41,7 @@
         host: "a.example".to_owned(),
         path: "/batch/".to_owned(),
         submitted_at: UnixMillis::new(1_000),
-        terms: BatchTerms {
+        terms: BatchDeadlines {
             due_in_ms: 10_000,
             give_up_in_ms: 60_000,
         },
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Jobs in the key-value service, with its faults.
+//! Jobs in the key-value service, including its faults.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use indexmap::IndexMap;
 use kv::{Kv, Memory, WriteFault};
 use pomeloslip_jobs::{
-    BulkFuture, ItemProgress, ItemResult, JobError, JobHead, JobKey,
-    JobProgress, NewJob, Siblings, Strikes, encode_inputs,
+    BulkFuture, BulkPeers, FailedAttempts, ItemCheckpoint, ItemResult,
+    JobCheckpoint, JobError, JobKey, JobManifest, NewJob, encode_inputs,
 };
 use yare::parameterized;
 
@@ -23,16 +23,20 @@
         ..job("j", 0)
     };
     let stored = ledger.accept(new.clone()).await.expect("accepted");
-    assert!(stored.head.input_chunks > 1);
-    assert_eq!(stored.head.total, 50);
+    assert!(stored.manifest.input_chunks > 1);
+    assert_eq!(stored.manifest.total, 50);
     let read = ledger.read(&key("j")).await.expect("read");
-    assert_eq!(read.head, stored.head);
-    let inputs = ledger.inputs(&key("j"), &read.head).await.expect("inputs");
+    assert_eq!(read.manifest, stored.manifest);
+    let inputs = ledger
+        .inputs(&key("j"), &read.manifest)
+        .await
+        .expect("inputs");
     assert_eq!(inputs, new.items);
 }
 
-/// Symptom: a job runs twice. Events: the caller sends it again after a lost
-/// answer, to another node. Cause: the second copy taken for a new job.
+/// Guards against a job that runs twice. After a lost response the caller
+/// submits the job again, to another node, and the second copy is taken for a
+/// new job.
 #[tokio::test]
 async fn a_job_that_is_sent_again_is_the_same_job() {
     let kv = Memory::default();
@@ -43,21 +47,25 @@
         ..job("j", 3)
     };
     let second = two.accept(again).await.expect("accepted");
-    assert_eq!(first.head, second.head);
+    assert_eq!(first.manifest, second.manifest);
 }
 
-/// Symptom: a job that was accepted before there were customers is refused
-/// when it is sent again, or one customer gets the job of another. Events: a
-/// head without a customer, and one of another customer, under the id of a new
-/// job. Cause: what is not known was taken for a difference, or ignored.
+/// Guards against two faults: a job that was accepted before there were
+/// customers is refused when it is submitted again, or one customer gets the
+/// job of another. A new job meets a manifest without a customer, and one of
+/// another customer, under its id. A missing customer must not count as a
+/// difference, and a different one must not be ignored.
 #[tokio::test]
 async fn a_job_sent_again_has_to_be_of_the_same_customer() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let of = |name: &str| Some(name.parse().expect("a name"));
     let old = ledger.accept(job("old", 1)).await.expect("accepted");
-    let text = serde_json::to_string(&old.head).expect("json");
-    assert!(!text.contains("customer"), "as heads were before: {text}");
+    let text = serde_json::to_string(&old.manifest).expect("json");
+    assert!(
+        !text.contains("customer"),
+        "as manifests were before: {text}"
+    );
     let again = NewJob {
         customer: of("alama"),
         ..job("old", 1)
@@ -76,7 +84,7 @@
     assert_eq!(*report.current_context(), JobError::Conflict);
 }
 
-/// Whatever happens to the write, an acceptance is true: the job is there.
+/// An accepted job is stored, whatever happens to the write.
 #[parameterized(
     lost_after = { WriteFault::LostAfter },
     lost_before = { WriteFault::LostBefore },
@@ -88,12 +96,15 @@
     kv.script_writes([fault]);
     let ledger = ledger(&kv);
     ledger.accept(job("j", 3)).await.expect("accepted");
-    assert_eq!(ledger.read(&key("j")).await.expect("read").head.total, 3);
+    assert_eq!(
+        ledger.read(&key("j")).await.expect("read").manifest.total,
+        3
+    );
 }
 
-/// A refusal that says that nothing was kept must be true.
+/// A refusal reporting that nothing was stored must be true.
 #[tokio::test]
-async fn without_the_service_nothing_is_kept() {
+async fn nothing_is_stored_without_the_key_value_service() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     kv.set_down(true);
@@ -128,22 +139,22 @@
             .await;
         stored = listed.expect("written").expect("no other writer");
     }
-    assert_eq!(stored.head.listed, [2, 0, 3, 1]);
-    assert!(stored.head.is_closed());
-    // Another node's ledger, which has nothing in memory.
+    assert_eq!(stored.manifest.listed, [2, 0, 3, 1]);
+    assert!(stored.manifest.is_closed());
+    // The ledger of another node, with an empty cache.
     let other = common::ledger(&kv);
-    let second = other.results(&key("j"), &stored.head, 2).await;
+    let second = other.results(&key("j"), &stored.manifest, 2).await;
     let second = second.expect("results");
     assert_eq!(second, [result(3), result(1)]);
-    assert_eq!(stored.head.chunk_of(3), Some(2));
-    assert_eq!(stored.head.chunk_of(4), None);
+    assert_eq!(stored.manifest.chunk_of(3), Some(2));
+    assert_eq!(stored.manifest.chunk_of(4), None);
 }
 
-/// Symptom: an item stands at two positions. Events: two nodes think that a
-/// job is theirs and list the same item. Cause: the second write not
-/// compared with what the first one changed.
+/// Guards against an item listed at two positions. Two nodes that both
+/// consider themselves the owner of a job list the same item, and the second
+/// write is not compared with the change of the first one.
 #[tokio::test]
-async fn of_two_writers_one_learns_that_the_other_was_faster() {
+async fn a_writer_with_a_stale_manifest_gets_the_current_one() {
     let kv = Memory::default();
     let (one, two) = (ledger(&kv), ledger(&kv));
     let before = one.accept(job("j", 2)).await.expect("accepted");
@@ -156,12 +167,12 @@
         .list(&key("j"), &before, &[0], &[result(0)], &none)
         .await;
     let now = second.expect("written").expect_err("superseded");
-    assert_eq!(now.head.listed, [0]);
+    assert_eq!(now.manifest.listed, [0]);
 }
 
-/// Symptom: a result is listed twice after a lost answer. Events: the write
-/// is done, its answer lost, the writer tries again. Cause: a lost answer
-/// taken for a write that was not done.
+/// Guards against a result listed twice. A write takes effect, its response is
+/// lost, and the writer takes this for a write that was not executed and tries
+/// again.
 #[tokio::test]
 async fn a_listing_whose_answer_is_lost_is_found_again() {
     let kv = Memory::default();
@@ -173,42 +184,44 @@
         .list(&key("j"), &before, &[1], &[result(1)], &none)
         .await;
     let stored = listed.expect("known").expect("its own write");
-    assert_eq!(stored.head.listed, [1]);
+    assert_eq!(stored.manifest.listed, [1]);
 }
 
 #[tokio::test]
-async fn strikes_outlive_their_node() {
+async fn failed_attempts_survive_the_loss_of_a_node() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let before = ledger.accept(job("j", 2)).await.expect("accepted");
-    let strikes: IndexMap<u32, Strikes> = [(
+    let failed_attempts: IndexMap<u32, FailedAttempts> = [(
         1,
-        Strikes {
+        FailedAttempts {
             errors: 2,
             rejections: 0,
         },
     )]
     .into_iter()
     .collect();
-    let listed = ledger.list(&key("j"), &before, &[], &[], &strikes).await;
+    let listed = ledger
+        .list(&key("j"), &before, &[], &[], &failed_attempts)
+        .await;
     listed.expect("written").expect("listed");
     let read = ledger.read(&key("j")).await.expect("read");
-    assert_eq!(read.head.strikes, strikes);
-    assert!(read.head.output_chunks.is_empty());
+    assert_eq!(read.manifest.failed_attempts, failed_attempts);
+    assert!(read.manifest.output_chunks.is_empty());
 }
 
 #[tokio::test]
-async fn ending_a_job_twice_changes_nothing() {
+async fn cancelling_a_job_twice_changes_nothing() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     ledger.accept(job("j", 2)).await.expect("accepted");
-    ledger.end(&key("j"), None).await.expect("ended");
+    ledger.cancel(&key("j"), None).await.expect("ended");
     let once = ledger.read(&key("j")).await.expect("read");
-    ledger.end(&key("j"), None).await.expect("ended again");
+    ledger.cancel(&key("j"), None).await.expect("ended again");
     let twice = ledger.read(&key("j")).await.expect("read");
     assert_eq!(once, twice);
-    assert!(twice.head.is_closed());
-    let unknown = ledger.end(&key("k"), None).await.expect_err("unknown");
+    assert!(twice.manifest.is_closed());
+    let unknown = ledger.cancel(&key("k"), None).await.expect_err("unknown");
     assert_eq!(*unknown.current_context(), JobError::Unknown);
 }
 
@@ -241,15 +254,15 @@
     let stored = listed.expect("written").expect("listed");
     ledger.accept(job("other", 1)).await.expect("accepted");
     let stale = ledger.remove(&key("j"), &accepted).await;
-    assert!(stale.is_err(), "the head has changed since");
+    assert!(stale.is_err(), "the manifest has changed since");
     ledger.remove(&key("j"), &stored).await.expect("removed");
     let left = kv.get_prefix("", 0).await.expect("read").kvs;
     let left: Vec<&str> = left.iter().map(|kv| kv.key.as_str()).collect();
     assert_eq!(left, ["bulk/in/other/1000/000000", "jobs/h/other"]);
 }
 
-fn progress(number: u32, output: &str) -> ItemProgress {
-    ItemProgress {
+fn checkpoint(number: u32, output: &str) -> ItemCheckpoint {
+    ItemCheckpoint {
         number,
         last_id: 7,
         events: 7,
@@ -258,8 +271,8 @@
     }
 }
 
-fn saved(text: &str, items: Vec<ItemProgress>) -> JobProgress {
-    JobProgress {
+fn saved(text: &str, items: Vec<ItemCheckpoint>) -> JobCheckpoint {
+    JobCheckpoint {
         job: key(text),
         submitted_at: UnixMillis::new(1_000),
         items,
@@ -267,70 +280,78 @@
 }
 
 #[tokio::test]
-async fn progress_is_read_as_it_was_saved_last() {
+async fn checkpoints_are_read_as_saved_last() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
-    let head = ledger.accept(job("j", 3)).await.expect("accepted").head;
-    let none = ledger.progress(&key("j"), &head).await.expect("read");
+    let manifest =
+        ledger.accept(job("j", 3)).await.expect("accepted").manifest;
+    let none = ledger
+        .checkpoints(&key("j"), &manifest)
+        .await
+        .expect("read");
     assert_eq!(none, []);
     for output in ["a", "a\nb"] {
-        let items = vec![progress(0, output), progress(2, "")];
+        let items = vec![checkpoint(0, output), checkpoint(2, "")];
         let jobs = [saved("j", items)];
-        ledger.save_progress(&jobs).await.expect("saved");
+        ledger.save_checkpoints(&jobs).await.expect("saved");
     }
-    let read = ledger.progress(&key("j"), &head).await.expect("read");
-    assert_eq!(read, [progress(0, "a\nb"), progress(2, "")]);
-    let again = JobHead {
+    let read = ledger
+        .checkpoints(&key("j"), &manifest)
+        .await
+        .expect("read");
+    assert_eq!(read, [checkpoint(0, "a\nb"), checkpoint(2, "")]);
+    let again = JobManifest {
         submitted_at: UnixMillis::new(200_000),
-        ..head
+        ..manifest
     };
-    let other = ledger.progress(&key("j"), &again).await.expect("read");
+    let other = ledger.checkpoints(&key("j"), &again).await.expect("read");
     assert_eq!(other, [], "of a job that was sent again after its removal");
 }
 
-/// Symptom: no progress of any job of a node was saved. Events: one job had
-/// more unfinished output than a value holds, or all together had more than
-/// a call carries. Cause: the service refuses such a call as a whole.
+/// Guards against a node that saves no checkpoint of any job. One job has more
+/// unfinished output than a value holds, or all jobs together have more than a
+/// call carries, and the key-value service refuses such a call as a whole.
 #[tokio::test]
-async fn progress_that_does_not_fit_leaves_the_rest_whole() {
+async fn checkpoints_that_do_not_fit_do_not_affect_others() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
-    let head = ledger.accept(job("j", 3)).await.expect("accepted").head;
+    let manifest =
+        ledger.accept(job("j", 3)).await.expect("accepted").manifest;
     let long = "x".repeat(VALUE_BYTES / 2);
     let many = |job: usize| {
-        let items = (0..3).map(|number| progress(number, &long));
+        let items = (0..3).map(|number| checkpoint(number, &long));
         saved(&format!("j{job}"), items.collect())
     };
     let jobs: Vec<_> = (0..40).map(many).collect();
-    ledger.save_progress(&jobs).await.expect("saved");
-    for JobProgress { job, items, .. } in &jobs {
-        let read = ledger.progress(job, &head).await.expect("read");
+    ledger.save_checkpoints(&jobs).await.expect("saved");
+    for JobCheckpoint { job, items, .. } in &jobs {
+        let read = ledger.checkpoints(job, &manifest).await.expect("read");
         assert_eq!(read, items[..1], "{job}");
     }
 }
 
 #[tokio::test]
-async fn progress_is_removed_with_its_job() {
+async fn checkpoints_are_removed_with_their_job() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let stored = ledger.accept(job("j", 1)).await.expect("accepted");
-    let jobs = [saved("j", vec![progress(0, "a")])];
-    ledger.save_progress(&jobs).await.expect("saved");
+    let jobs = [saved("j", vec![checkpoint(0, "a")])];
+    ledger.save_checkpoints(&jobs).await.expect("saved");
     ledger.remove(&key("j"), &stored).await.expect("removed");
-    let left = ledger.progress(&key("j"), &stored.head).await;
+    let left = ledger.checkpoints(&key("j"), &stored.manifest).await;
     assert_eq!(left.expect("read"), []);
 }
 
-/// Symptom: a job that was sent again long after its removal shows results
-/// at other positions than before. Events: a node had kept a chunk of the
-/// old job, the new one listed its items in another order. Cause: the key of
-/// the chunk told only the job and the position.
+/// Guards against a job that shows results at other positions than before when
+/// it is submitted again long after its removal. A node has cached a chunk of
+/// the old job, the new one lists its items in another order, and the key of
+/// the chunk contains only the job and the position.
 #[tokio::test]
-async fn what_is_kept_of_a_removed_job_is_not_taken_for_a_new_one() {
+async fn cached_values_of_a_removed_job_are_not_used_for_a_new_one() {
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let none = IndexMap::new();
-    let mut heads = Vec::new();
+    let mut manifests = Vec::new();
     for (submitted_ms, number) in [(1_000, 0), (200_000, 1)] {
         let new = NewJob {
             submitted_at: UnixMillis::new(submitted_ms),
@@ -342,19 +363,19 @@
             .list(&key("j"), &stored, &[number], &results, &none)
             .await;
         let stored = listed.expect("written").expect("listed");
-        let read = ledger.results(&key("j"), &stored.head, 0).await;
+        let read = ledger.results(&key("j"), &stored.manifest, 0).await;
         assert_eq!(read.expect("results"), results);
         ledger.remove(&key("j"), &stored).await.expect("removed");
-        heads.push(stored.head);
+        manifests.push(stored.manifest);
     }
-    assert_eq!(heads.len(), 2);
+    assert_eq!(manifests.len(), 2);
 }
 
-/// Another node that has one value.
+/// A peer that has one value.
 struct OneValue(&'static str, Vec<u8>);
 
-impl Siblings for OneValue {
-    fn read(&self, _: &JobKey, _: &JobHead, key: &str) -> BulkFuture {
+impl BulkPeers for OneValue {
+    fn read(&self, _: &JobKey, _: &JobManifest, key: &str) -> BulkFuture {
         let value = Arc::new(self.1.clone());
         let found = key.starts_with(self.0).then_some(value);
         Box::pin(std::future::ready(found))
@@ -362,30 +383,31 @@
 }
 
 #[tokio::test]
-async fn values_are_read_from_another_node_before_the_service() {
+async fn values_are_read_from_a_peer_before_the_key_value_service() {
     let kv = Memory::default();
     let stored = ledger(&kv).accept(job("j", 2)).await.expect("accepted");
     let inputs = encode_inputs(&items(2, 100)).expect("encoded");
     for (prefix, calls) in [("bulk/in/", 0), ("bulk/out/", 1)] {
         let other = Arc::new(OneValue(prefix, inputs.clone()));
-        let ledger = ledger(&kv).with_siblings(Arc::default(), other);
+        let ledger = ledger(&kv).with_peers(Arc::default(), other);
         let before = kv.counts().reads;
         for _ in 0..2 {
-            let read = ledger.inputs(&key("j"), &stored.head).await;
+            let read = ledger.inputs(&key("j"), &stored.manifest).await;
             assert_eq!(read.expect("inputs"), items(2, 100));
         }
         assert_eq!(kv.counts().reads - before, calls, "{prefix}");
     }
 }
 
-/// Symptom: a position of a job showed one output at one front and another
-/// at the next. Events: a write of results is lost on its way; meanwhile
-/// another node lists the same items, with the texts of runs of its own; the
-/// first node reads the head back, finds it as it wanted it and keeps its
-/// own texts for other nodes. Cause: two heads that list the same items are
-/// alike, so that a head alone does not prove whose results were written.
+/// Guards against a position of a job that shows one output at one front and
+/// another output at the next. A write of results is lost before it takes
+/// effect; meanwhile another node lists the same items with the outputs of its
+/// own runs. The first node reads the manifest back, finds the expected one
+/// and caches its own outputs for its peers. Two manifests that list the same
+/// items are equal, so that a manifest alone does not prove whose results were
+/// written.
 #[tokio::test]
-async fn results_that_another_writer_listed_are_not_kept_as_own() {
+async fn results_listed_by_another_writer_are_not_cached_as_own() {
     let kv = Memory::default();
     let (one, two) = (ledger(&kv), ledger(&kv));
     let stored = one.accept(job("j", 2)).await.expect("accepted");
@@ -403,10 +425,10 @@
     let lost = two.list(&job, &stored, &[0], &by_two, &none);
     let faster = one.list(&job, &stored, &[0], &by_one, &none);
     let (lost, faster) = tokio::join!(lost, faster);
-    let head = faster.expect("written").expect("the first").head;
-    assert_eq!(lost.expect("read back").expect("found").head, head);
+    let manifest = faster.expect("written").expect("the first").manifest;
+    assert_eq!(lost.expect("read back").expect("found").manifest, manifest);
     for reader in [one, two, ledger(&kv)] {
-        let read = reader.results(&job, &head, 0).await.expect("results");
+        let read = reader.results(&job, &manifest, 0).await.expect("results");
         assert_eq!(read, by_one);
     }
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -16,10 +16,10 @@
 };
 use hyper::body::Incoming;
 use jobs::{
-    Heads, JobError, JobKey, JobView, Ledger, NewJob, PageReader,
+    JobError, JobKey, JobView, Ledger, ManifestSource, NewJob, PageReader,
     ReportedBacklogs,
 };
-use limits::Verdict;
+use limits::LimitDecision;
 use pass::{
     Counters, CustomerOutcome, Forwarder, Handler, HandlerFuture, Inbound,
     Listener, ListenerOptions, Refusal, ResponseBody, ShutdownPhase,
@@ -81,7 +81,7 @@
         let view = base.view.clone();
         let ledger = base.ledger.clone();
         let clock = outside.cluster.clock().clone();
-        let heads: Arc<dyn Heads> =
+        let heads: Arc<dyn ManifestSource> =
             Arc::new(PeerHeads::new(view.clone(), clock.clone()));
         let pages = PageReader::new(ledger.clone(), heads.clone(), clock);
         let (stage, receiver) = stage::channel(ShutdownPhase::Running);
@@ -156,7 +156,7 @@
     ledger: Ledger,
     intake: JobIntake,
     pages: PageReader,
-    heads: Arc<dyn Heads>,
+    heads: Arc<dyn ManifestSource>,
     backlogs: Arc<ReportedBacklogs>,
     view: JobView,
     quota: QuotaClient,
@@ -195,7 +195,7 @@
         self.cluster.wait_for_start().await;
         let (mut parts, body) = request.into_parts();
         let keys = &self.forwarder.names().keys;
-        let arrived = Arrived::take(&mut parts.headers, keys);
+        let arrived = Arrived::from_headers(&mut parts.headers, keys);
         let call =
             self.dialect
                 .job_call(&parts.method, &parts.uri, &parts.headers);
@@ -255,11 +255,11 @@
             }
         };
         match self.quota.count(identified.caller()).await {
-            Verdict::Counted(counted) => {
+            LimitDecision::Admitted(counted) => {
                 note(CustomerOutcome::Admitted);
                 Ok(identified.admit(counted))
             }
-            Verdict::Over(over) => {
+            LimitDecision::OverLimit(over) => {
                 note(CustomerOutcome::OverLimit);
                 Counters::add(&self.counters.over_limit);
                 let status = StatusCode::TOO_MANY_REQUESTS;
@@ -267,7 +267,7 @@
                 let refusal = Refusal::rejected(status, why);
                 Err(refusal.with_retry_after_ms(over.retry_after_ms()))
             }
-            Verdict::Unavailable => {
+            LimitDecision::Unavailable => {
                 Counters::add(&self.counters.limits_unavailable);
                 let why = "the request cannot be counted here now";
                 let refusal = Refusal::not_run(why);
@@ -464,7 +464,7 @@
                 (job, body)
             }
             JobCall::End { job } => {
-                let end = self.ledger.end(&job, customer).await;
+                let end = self.ledger.cancel(&job, customer).await;
                 log::info!(request_id = job.as_str(), done = end.is_ok();
                     "a job is to end");
                 let end = end.map(|()| json(StatusCode::OK, b"{}".to_vec()));
@@ -501,12 +501,12 @@
         // The number of inputs never changes, so that any known head will do.
         let known = self.heads.read(job, None, 0).await;
         let known = known.map(|known| known.stored);
-        let own = known.filter(|known| known.head.belongs_to(customer));
+        let own = known.filter(|known| known.manifest.is_visible_to(customer));
         let stored = match own {
             Some(stored) => stored,
             None => self.ledger.read_for(job, customer).await?,
         };
-        let inputs = self.ledger.inputs(job, &stored.head).await?;
+        let inputs = self.ledger.inputs(job, &stored.manifest).await?;
         let found = inputs.into_iter().find(|input| input.id == item);
         found
             .map(|input| input.body)
@@ -523,7 +523,7 @@
         JobError::Conflict => {
             Refusal::rejected(StatusCode::CONFLICT, "the id names another job")
         }
-        JobError::Open => {
+        JobError::OutcomeUnknown => {
             Refusal::unknown("whether the job is kept is not known")
         }
         _ => Refusal::not_run("the job cannot be kept now")
--- a/crates/node/src/load/front.rs
+++ b/crates/node/src/load/front.rs
@@ -3,10 +3,11 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use base::{Millis, Snapshot};
-use fleet::{EndpointTable, LifeKey, Selection};
+use fleet::{EndpointTable, IncarnationKey, Selection};
 use indexmap::IndexMap;
 use jobs::{
-    FRONT_LOAD_LIFE_MS, JobView, Plan, Plans, ReportedBacklogs, Stamp,
+    Assignment, Assignments, FRONT_LOAD_TTL_MS, JobView, ReportVersion,
+    ReportedBacklogs,
 };
 use tokio::{
     sync::mpsc,
@@ -26,31 +27,31 @@
     pub(crate) socket: LoadSocket,
     pub(crate) view: JobView,
     pub(crate) cluster: ClusterState,
-    pub(crate) plans: Plans,
+    pub(crate) plans: Assignments,
     pub(crate) selection: Arc<Snapshot<Selection>>,
     /// Takes what workers report of their items.
     pub(crate) backlogs: Arc<ReportedBacklogs>,
-    pub(crate) began: mpsc::UnboundedReceiver<LifeKey>,
+    pub(crate) began: mpsc::UnboundedReceiver<IncarnationKey>,
 }
 
 /// What the selection was made of.
 struct MadeOf {
     table: Arc<EndpointTable>,
-    plan: Arc<Plan>,
+    plan: Arc<Assignment>,
     /// Whom the counts go to.
-    workers: Arc<Plan>,
+    workers: Arc<Assignment>,
 }
 
 #[derive(Default)]
 struct State {
     made_of: Option<MadeOf>,
     /// Counts as they were sent last, of endpoints with requests.
-    sent: IndexMap<LifeKey, u32>,
+    sent: IndexMap<IncarnationKey, u32>,
     /// Workers that this front subscribes at, with the empty updates that
     /// are left to end that.
     workers: IndexMap<SocketAddr, u32>,
     /// The last update of each worker, and when it arrived.
-    last: IndexMap<SocketAddr, (Stamp, Millis)>,
+    last: IndexMap<SocketAddr, (ReportVersion, Millis)>,
     next_whole: Millis,
 }
 
@@ -67,7 +68,7 @@
                     }
                 }
                 began = self.began.recv() => {
-                    let mut lives: Vec<LifeKey> = began.into_iter().collect();
+                    let mut lives: Vec<IncarnationKey> = began.into_iter().collect();
                     while let Ok(life) = self.began.try_recv() {
                         lives.push(life);
                     }
@@ -97,8 +98,8 @@
     /// Selects endpoints anew if the table or the shares have changed, and
     /// returns whether they have.
     fn select(&self, state: &mut State) -> bool {
-        let plan = self.plans.of_requests();
-        let workers = self.plans.of_items();
+        let plan = self.plans.for_requests();
+        let workers = self.plans.for_items();
         let table = self.cluster.endpoints.load().table.clone();
         let is_known = state.made_of.as_ref().is_some_and(|known| {
             Arc::ptr_eq(&known.table, &table)
@@ -108,10 +109,11 @@
         if is_known {
             return false;
         }
-        let own = |e: &fleet::Endpoint| plan.uses_endpoint(e.life());
+        let own =
+            |e: &fleet::Endpoint| plan.uses_endpoint(e.incarnation_key());
         let selection = Selection::new(self.socket.node(), &table, own);
         log::info!(
-            own = plan.own().len(),
+            own = plan.own_endpoints().len(),
             selected = selection.iter().count(),
             endpoints = table.len();
             "the endpoints of this node are selected"
@@ -119,7 +121,7 @@
         self.selection.publish(selection);
         let now = self.cluster.clock().now();
         state.last.retain(|_, (_, at)| {
-            now.saturating_ms_since(*at) < FRONT_LOAD_LIFE_MS
+            now.saturating_ms_since(*at) < FRONT_LOAD_TTL_MS
         });
         state.made_of = Some(MadeOf {
             table,
@@ -132,7 +134,7 @@
     /// Returns the endpoints whose count is not what was sent last. Only
     /// those that had requests then can differ: the observer of requests
     /// reports all others.
-    fn changes(&self, state: &State) -> Vec<LifeKey> {
+    fn changes(&self, state: &State) -> Vec<IncarnationKey> {
         let view = self.cluster.endpoints.load();
         let changed = state.sent.iter().filter(|(life, sent)| {
             view.table.get(**life).map(|e| e.in_flight()) != Some(**sent)
@@ -140,7 +142,11 @@
         changed.map(|(life, _)| *life).collect()
     }
 
-    async fn send_counts(&mut self, state: &mut State, lives: &[LifeKey]) {
+    async fn send_counts(
+        &mut self,
+        state: &mut State,
+        lives: &[IncarnationKey],
+    ) {
         let updates = self.counts_by_worker(state, lives.iter().copied());
         for (to, counts) in updates {
             state.workers.insert(to, UNSUBSCRIBES);
@@ -152,7 +158,7 @@
     /// that is how it knows to whom to report.
     async fn send_whole(&mut self, state: &mut State) {
         let selection = self.selection.load_full();
-        let mut lives: Vec<LifeKey> =
+        let mut lives: Vec<IncarnationKey> =
             selection.iter().chain(state.sent.keys().copied()).collect();
         lives.sort_unstable();
         lives.dedup();
@@ -176,11 +182,11 @@
     fn counts_by_worker(
         &self,
         state: &mut State,
-        lives: impl Iterator<Item = LifeKey>,
-    ) -> IndexMap<SocketAddr, Vec<(LifeKey, u32)>> {
+        lives: impl Iterator<Item = IncarnationKey>,
+    ) -> IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> {
         let view = self.cluster.endpoints.load();
-        let plan = self.plans.of_items();
-        let mut updates: IndexMap<SocketAddr, Vec<(LifeKey, u32)>> =
+        let plan = self.plans.for_items();
+        let mut updates: IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> =
             IndexMap::new();
         for life in lives {
             let Some(endpoint) = view.table.get(life) else {
@@ -217,7 +223,7 @@
         let (stamp, at) = state.last.entry(from).or_default();
         // A worker that was silent begins anew: its clock may have been set
         // back while it restarted.
-        let silent = now.saturating_ms_since(*at) >= FRONT_LOAD_LIFE_MS;
+        let silent = now.saturating_ms_since(*at) >= FRONT_LOAD_TTL_MS;
         if update.stamp() <= *stamp && !silent {
             return;
         }
@@ -228,7 +234,7 @@
         let view = self.cluster.endpoints.load();
         for (life, count) in update.counts() {
             if let Some(endpoint) = view.table.get(*life) {
-                endpoint.report_remote(*count, now);
+                endpoint.record_remote_load(*count, now);
             }
         }
     }
--- a/crates/node/src/load/wire.rs
+++ b/crates/node/src/load/wire.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use fleet::LifeKey;
-use jobs::Stamp;
+use fleet::IncarnationKey;
+use jobs::ReportVersion;
 use serde::{Deserialize, Serialize};
 
 /// Form of the updates that this version writes. Another one is refused: the
@@ -38,9 +38,9 @@
     version: u32,
     kind: Kind,
     node: String,
-    stamp: Stamp,
+    stamp: ReportVersion,
     whole: bool,
-    counts: Vec<(LifeKey, u32)>,
+    counts: Vec<(IncarnationKey, u32)>,
     /// Open items of the jobs that the sender runs, if it is a worker.
     open_items: Option<u32>,
 }
@@ -73,9 +73,9 @@
     pub(super) fn new(
         kind: Kind,
         node: &str,
-        stamp: Stamp,
+        stamp: ReportVersion,
         whole: bool,
-        counts: Vec<(LifeKey, u32)>,
+        counts: Vec<(IncarnationKey, u32)>,
     ) -> Self {
         Self {
             version: VERSION,
@@ -129,7 +129,7 @@
         &self.node
     }
 
-    pub(super) fn stamp(&self) -> Stamp {
+    pub(super) fn stamp(&self) -> ReportVersion {
         self.stamp
     }
 
@@ -137,7 +137,7 @@
         self.whole
     }
 
-    pub(super) fn counts(&self) -> &[(LifeKey, u32)] {
+    pub(super) fn counts(&self) -> &[(IncarnationKey, u32)] {
         &self.counts
     }
 }
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -1,9 +1,9 @@
 use std::{sync::Arc, time::Duration};
 
 use base::{Clock, Millis};
-use fleet::{Endpoint, LoadReport, Suspicion};
+use fleet::{Endpoint, FailureKind, LoadReport};
 use http::{HeaderMap, StatusCode, header};
-use quarantine::Cleared;
+use quarantine::SendPermit;
 use tokio::time;
 
 use crate::{
@@ -58,11 +58,11 @@
         }
     }
 
-    fn suspicion(self) -> Suspicion {
+    fn failure_kind(self) -> FailureKind {
         match self {
-            Failure::Connect | Failure::Silent => Suspicion::Unreachable,
-            Failure::NotExecuted(_) => Suspicion::Full,
-            _ => Suspicion::BadAnswer,
+            Failure::Connect | Failure::Silent => FailureKind::Unreachable,
+            Failure::NotExecuted(_) => FailureKind::Full,
+            _ => FailureKind::BadResponse,
         }
     }
 }
@@ -78,7 +78,7 @@
     /// Maximum time until the response head arrives.
     pub wait: Duration,
     /// Permit of the quarantine to send the request.
-    pub permit: Cleared,
+    pub permit: SendPermit,
 }
 
 /// The dependencies of an offer besides the request.
@@ -98,7 +98,7 @@
         offer: Offer<'_>,
     ) -> Result<Exchange, Failure> {
         let endpoint = offer.endpoint.clone();
-        endpoint.begin();
+        endpoint.begin_request();
         self.observer.request_started(&endpoint);
         let mut run = Run::begin(
             offer.request.clone(),
@@ -179,7 +179,7 @@
         let headers = &head.headers;
         let now = self.clock.now();
         if let Some(report) = parse_load_report(headers, self.names) {
-            offer.endpoint.report(report, now);
+            offer.endpoint.record_load(report, now);
         }
         channel.note_keep_alive(headers, self.pool.options());
         let reusable = !closes_connection(headers);
@@ -198,7 +198,7 @@
         );
         match failure {
             None => {
-                offer.endpoint.succeeded();
+                offer.endpoint.record_success();
                 exchange.report_if_complete();
                 Ok(exchange)
             }
@@ -212,7 +212,7 @@
     /// Records a failure of the endpoint.
     fn record_failure(&self, offer: &Offer<'_>, failure: Failure) {
         let now: Millis = self.clock.now();
-        offer.endpoint.failed(failure.suspicion(), now);
+        offer.endpoint.record_failure(failure.failure_kind(), now);
         let record = offer.endpoint.record();
         if matches!(failure, Failure::Connect | Failure::Silent) {
             self.pool.clear_idle(offer.endpoint);
@@ -234,7 +234,7 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(endpoint) = &self.0 {
-            endpoint.end();
+            endpoint.end_request();
         }
     }
 }
--- a/crates/pass/src/forward.rs
+++ b/crates/pass/src/forward.rs
@@ -6,11 +6,11 @@
 
 use base::{Clock, Snapshot};
 use fleet::{
-    Choice, Endpoint, EndpointTable, Need, Route, RouteKind, Selection,
-    Verdict,
+    Choice, ChooseError, Endpoint, EndpointQuery, EndpointTable, Route,
+    RouteKind, Selection,
 };
 use http::Response;
-use quarantine::{Cleared, Held, Quarantine, QuarantineOptions};
+use quarantine::{Quarantine, QuarantineOptions, Quarantined, SendPermit};
 use tokio::time;
 
 use crate::{
@@ -287,7 +287,11 @@
                 Err(failure) => history.record(failure, request.route())?,
             }
             if history.offers >= self.options.max_offers {
-                return Err(self.refuse(Verdict::AllFull, request, history));
+                return Err(self.refuse(
+                    ChooseError::AllFull,
+                    request,
+                    history,
+                ));
             }
         }
     }
@@ -301,7 +305,7 @@
         let remaining = request.remaining();
         let route = request.route();
         let is_last = history.possible_runs + 1 >= route.max_attempts();
-        if !route.kind().repeatable() || is_last {
+        if !route.kind().is_repeatable() || is_last {
             // The timer of the whole request ends it with its own outcome.
             return remaining + LAST_ATTEMPT_MARGIN;
         }
@@ -316,14 +320,14 @@
     /// Refuses a request for lack of capacity; it may have run before.
     fn refuse(
         &self,
-        verdict: Verdict,
+        verdict: ChooseError,
         request: &Inbound,
         history: &OfferHistory,
     ) -> Refusal {
         if history.possible_runs > 0 {
             return Refusal::unknown("no other endpoint is left");
         }
-        if verdict == Verdict::NoEndpoint {
+        if verdict == ChooseError::NoEndpoint {
             let retry_after_ms = match self.endpoints.load().table.is_empty() {
                 true => self.options.startup_retry_after_ms,
                 false => self.options.retry_after_ms,
@@ -370,16 +374,16 @@
         request: &Inbound,
         sent: &mut Sent,
         tried: &[String],
-    ) -> Result<Choice, Verdict> {
+    ) -> Result<Choice, ChooseError> {
         let route = request.route();
         let is_retry = request.has_waited();
         let spread = spread_hash(request.id());
         let Some(service) = route.service(spread) else {
-            return Err(Verdict::NoEndpoint);
+            return Err(ChooseError::NoEndpoint);
         };
         let view = self.endpoints.load();
         sent.directory_revision = view.revision;
-        let need = Need {
+        let need = EndpointQuery {
             service,
             failure_domain: &self.failure_domain,
             affinity: request.affinity(),
@@ -407,8 +411,8 @@
         wait: Duration,
     ) -> Result<Exchange, Failure> {
         let permit = self.obtain_permit(request).await;
-        let permit =
-            permit.map_err(|Held { for_ms, .. }| Failure::Held { for_ms })?;
+        let permit = permit
+            .map_err(|Quarantined { for_ms, .. }| Failure::Held { for_ms })?;
         let offer = Offer {
             request,
             endpoint,
@@ -420,7 +424,10 @@
     }
 
     /// Obtains a send permit, unless the request is quarantined.
-    async fn obtain_permit(&self, request: &Inbound) -> Result<Cleared, Held> {
+    async fn obtain_permit(
+        &self,
+        request: &Inbound,
+    ) -> Result<SendPermit, Quarantined> {
         let admitted = self.quarantine.admit(|| request.evidence_keys()).await;
         admitted.inspect_err(|held| {
             Counters::add(&self.counters.requests_held);
@@ -478,7 +485,7 @@
 
 /// Refuses a poison request. An earlier offer of this request may itself have
 /// run at an endpoint that crashed.
-fn refuse_quarantined(held: Held, history: &OfferHistory) -> Refusal {
+fn refuse_quarantined(held: Quarantined, history: &OfferHistory) -> Refusal {
     const REASON: &str = "endpoints crash when they run this request";
     match history.possible_runs {
         0 => Refusal::not_run(REASON).with_retry_after_ms(held.for_ms),
@@ -493,7 +500,7 @@
     history: &OfferHistory,
 ) -> bool {
     exchange.status().is_server_error()
-        && route.kind().repeatable()
+        && route.kind().is_repeatable()
         && history.possible_runs < route.max_attempts()
 }
 
@@ -549,7 +556,7 @@
             return Ok(());
         }
         self.record_run();
-        if route.kind().repeatable()
+        if route.kind().is_repeatable()
             && self.possible_runs < route.max_attempts()
         {
             return Ok(());
--- a/crates/pass/src/pool.rs
+++ b/crates/pass/src/pool.rs
@@ -4,7 +4,7 @@
 };
 
 use bytes::Bytes;
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use http::{Request, response::Parts};
 use http_body_util::Full;
 use indexmap::IndexMap;
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     options: ChannelOptions,
-    incarnations: Mutex<IndexMap<LifeKey, Connections>>,
+    incarnations: Mutex<IndexMap<IncarnationKey, Connections>>,
 }
 
 /// The connections to one incarnation of an endpoint.
@@ -68,7 +68,8 @@
     /// Takes the most recently used idle connection.
     pub(crate) fn take(&self, endpoint: &Endpoint) -> Option<Channel> {
         let mut incarnations = self.lock();
-        let idle = &mut incarnations.get_mut(&endpoint.life())?.idle;
+        let idle =
+            &mut incarnations.get_mut(&endpoint.incarnation_key())?.idle;
         idle.retain(|channel| !channel.is_expired());
         let at = idle.iter().rposition(Channel::is_ready)?;
         Some(idle.remove(at))
@@ -82,7 +83,10 @@
         let address = endpoint.record().address;
         let channel = Channel::open(address, &self.options).await?;
         let mut incarnations = self.lock();
-        let open = &mut incarnations.entry(endpoint.life()).or_default().open;
+        let open = &mut incarnations
+            .entry(endpoint.incarnation_key())
+            .or_default()
+            .open;
         open.retain(|connection| !connection.is_finished());
         open.push(channel.abort_handle());
         Ok(channel)
@@ -92,7 +96,10 @@
     pub(crate) fn release(&self, endpoint: &Endpoint, mut channel: Channel) {
         channel.mark_idle();
         let mut incarnations = self.lock();
-        let idle = &mut incarnations.entry(endpoint.life()).or_default().idle;
+        let idle = &mut incarnations
+            .entry(endpoint.incarnation_key())
+            .or_default()
+            .idle;
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(channel);
         }
@@ -101,7 +108,9 @@
     /// Drops the idle connections to an endpoint after one of its connections
     /// fell silent, because the others may be dead too.
     pub fn clear_idle(&self, endpoint: &Endpoint) {
-        if let Some(connections) = self.lock().get_mut(&endpoint.life()) {
+        if let Some(connections) =
+            self.lock().get_mut(&endpoint.incarnation_key())
+        {
             connections.idle.clear();
         }
     }
@@ -113,7 +122,7 @@
     /// connections. Without this call a request would wait until its deadline
     /// for a process that no longer exists, while the restarted endpoint is
     /// idle.
-    pub fn close(&self, incarnation: LifeKey) {
+    pub fn close(&self, incarnation: IncarnationKey) {
         let Some(connections) = self.lock().swap_remove(&incarnation) else {
             return;
         };
@@ -178,11 +187,11 @@
     /// Drops the idle connections to incarnations for which `keep` returns
     /// false. Their requests in flight continue: an endpoint that was removed
     /// from the list finishes the requests that it runs.
-    pub fn retain(&self, mut keep: impl FnMut(LifeKey) -> bool) {
+    pub fn retain(&self, mut keep: impl FnMut(IncarnationKey) -> bool) {
         self.lock().retain(|incarnation, _| keep(*incarnation));
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<LifeKey, Connections>> {
+    fn lock(&self) -> MutexGuard<'_, IndexMap<IncarnationKey, Connections>> {
         self.incarnations
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/pass/tests/forward.rs
+++ b/crates/pass/tests/forward.rs
@@ -251,7 +251,7 @@
 async fn a_request_to_a_full_fleet_is_refused_early() {
     let one = Scripted::start(vec![Act::Respond(valid_response("x"))]).await;
     let setup = fixture(&[one.address]);
-    (0..40).for_each(|_| setup.endpoints[0].begin());
+    (0..40).for_each(|_| setup.endpoints[0].begin_request());
     let began = std::time::Instant::now();
     let request = request("r1", route(RouteKind::AtMostOnce));
     let response = setup.forwarder.forward(request, 1).await;
@@ -298,7 +298,7 @@
         forwarder.forward(request("r1", route(kind)), 1).await
     });
     until(|| gone.seen().len() == 1).await;
-    setup.pool.close(setup.endpoints[0].life());
+    setup.pool.close(setup.endpoints[0].incarnation_key());
     let response = pending.await.expect("an answer");
     assert_eq!(response.status().as_u16(), status);
 }
@@ -315,7 +315,7 @@
     let setup = fixture(&[gone.address, other.address]);
     let request = request("r1", route(RouteKind::ResumableStream));
     let response = setup.forwarder.forward(request, 1).await;
-    setup.pool.close(setup.endpoints[0].life());
+    setup.pool.close(setup.endpoints[0].incarnation_key());
     let whole = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n".to_owned();
     assert_eq!(read(response).await, (200, Ok(whole)));
     assert_eq!(header(&other.seen()[0], "x-resume").as_deref(), Some("1"));
