--- a/crates/companion/src/probe.rs
+++ b/crates/companion/src/probe.rs
@@ -58,7 +58,7 @@
     if shared.endpoint_up.swap(up, Ordering::AcqRel) != up {
         log::info!(
             endpoint = shared.endpoint.name.as_str(), up;
-            "endpoint health changed"
+            "endpoint"
         );
     }
 }
--- a/crates/pass/src/answer.rs
+++ b/crates/pass/src/answer.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Where a request was sent, and the data that decided it.
+/// Where a request was sent, and the data on which that was decided.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sent {
     pub(crate) endpoint: String,
--- a/crates/pass/src/refusal.rs
+++ b/crates/pass/src/refusal.rs
@@ -5,7 +5,7 @@
 
 use crate::ResponseBody;
 
-/// The knowledge of whether a request ran.
+/// Whether a request ran, as far as the node knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ran {
     /// The request did not run and never will.
