--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -19,7 +19,7 @@
 
 use crate::{ClusterState, NodeError};
 
-/// Answers the balancer's question for readiness and serves the metrics.
+/// Serves readiness checks of the load balancer and the metrics.
 pub struct Admin {
     ready_path: &'static str,
     cluster: ClusterState,
@@ -28,7 +28,7 @@
 }
 
 impl Admin {
-    /// Makes the answers; `stopping` is set when a planned stop begins.
+    /// Creates the handler; `stopping` is set when a planned shutdown begins.
     pub fn new(
         ready_path: &'static str,
         cluster: ClusterState,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Listens on an address until the process ends.
+    /// Starts listening on an address until the process ends.
     ///
     /// # Errors
     ///
@@ -52,20 +52,21 @@
         self: &Arc<Self>,
         address: SocketAddr,
     ) -> Result<(), Report<NodeError>> {
-        let (sender, stage) = watch::channel(ShutdownPhase::Running);
+        let (sender, phase) = watch::channel(ShutdownPhase::Running);
         let options = ListenerOptions::default();
-        let listener = Listener::bind(address, options, stage)
+        let listener = Listener::bind(address, options, phase)
             .change_context(NodeError::Listen)?;
         let handler = self.clone();
         tokio::spawn(async move {
-            // The stage lives as long as the task, and never changes.
+            // Keeps the channel open for the lifetime of the task; the phase
+            // never changes.
             let _sender = sender;
             listener.serve(handler).await;
         });
         Ok(())
     }
 
-    fn answer(&self, path: &str) -> Response<ResponseBody> {
+    fn respond(&self, path: &str) -> Response<ResponseBody> {
         if path != self.ready_path {
             let text = self.counters.render();
             return Response::new(ResponseBody::from_bytes(Bytes::from(text)));
@@ -83,7 +84,7 @@
 
 impl Handler for Admin {
     fn handle(&self, request: Request<Incoming>) -> HandlerFuture {
-        let response = self.answer(request.uri().path());
+        let response = self.respond(request.uri().path());
         Box::pin(std::future::ready(response))
     }
 
--- a/crates/node/src/base.rs
+++ b/crates/node/src/base.rs
@@ -38,76 +38,76 @@
     watch::{JOB_FEED, Watches},
 };
 
-/// What a role is given of the world outside.
+/// External dependencies and shared state of a node.
 #[derive(Clone)]
 pub struct Outside {
-    /// How the platform spells things.
+    /// Formats and names of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub kv: Arc<dyn Kv>,
-    /// The ways to the key-value service, which other nodes add to.
+    /// Paths to the key-value service, direct and through other nodes.
     pub paths: Arc<Paths>,
-    /// What the node comes to believe.
+    /// The node's view of the configuration and the endpoints.
     pub cluster: ClusterState,
-    /// The timer service of the process.
+    /// Timers of the process.
     pub timer: Timer,
     /// The counters of the process.
     pub counters: Arc<Counters>,
 }
 
-/// What every role runs: it follows the key-value service, answers other
-/// nodes, is listed as a node and tells whether it is ready.
+/// The tasks that every role runs: watching the key-value service, serving
+/// other nodes, keeping the node's entry alive and reporting readiness.
 pub(crate) struct NodeBase {
     pub(crate) pool: Arc<Pool>,
     pub(crate) view: JobView,
     pub(crate) ledger: Ledger,
-    /// Who uses which endpoint.
-    pub(crate) plans: Assignments,
-    /// The endpoints that requests go to before all others.
+    /// Assignment of endpoints to nodes.
+    pub(crate) assignments: Assignments,
+    /// The endpoints that this node prefers for its requests.
     pub(crate) selection: Arc<Snapshot<Selection>>,
     socket: Arc<UdpSocket>,
-    /// Turned true when the node leaves; its entry ends then.
-    pub(crate) leave: watch::Sender<bool>,
-    /// Receives how runs at endpoints end.
-    runs: Arc<RunNotifier>,
+    /// Set to true when the node shuts down; its entry is removed then.
+    pub(crate) remove_entry: watch::Sender<bool>,
+    /// Observes how runs at endpoints end.
+    run_notifier: Arc<RunNotifier>,
     quarantine: Quarantine,
-    /// Who counts requests against the limits of customers.
+    /// Counts requests against the limits of customers.
     pub(crate) quota: QuotaClient,
-    /// Jobs that wait on the disk of this node, if it has one.
-    pub(crate) spooled: Option<watch::Receiver<usize>>,
+    /// Number of jobs in the spool of this node, if it has a disk.
+    pub(crate) spooled_jobs: Option<watch::Receiver<usize>>,
     stopping: Arc<AtomicBool>,
 }
 
 impl NodeBase {
     pub(crate) async fn start(
         settings: &NodeSettings,
-        outside: &Outside,
+        context: &Outside,
         runs_items: bool,
         orders: Option<mpsc::UnboundedSender<VacateOrder>>,
     ) -> Result<Self, Report<NodeError>> {
         let pool = Arc::new(Pool::default());
         let view = JobView::default();
-        let clock = outside.cluster.clock().clone();
+        let clock = context.cluster.clock().clone();
         let (entered, has_entered) = watch::channel(false);
         let (found, has_found) = watch::channel(None);
-        let case_writes = FedWrites::new(outside.kv.clone());
+        let crash_record_writes = FedWrites::new(context.kv.clone());
         let quarantine = Quarantine::new(
-            Arc::new(case_writes.clone()),
+            Arc::new(crash_record_writes.clone()),
             QUARANTINE_PREFIX,
             clock.clone(),
             QuarantineOptions::default(),
         );
         tokio::spawn(quarantine.clone().run());
         let watches = Watches {
-            kv: outside.kv.clone(),
-            dialect: outside.dialect.clone(),
-            cluster: outside.cluster.clone(),
+            kv: context.kv.clone(),
+            dialect: context.dialect.clone(),
+            cluster: context.cluster.clone(),
             view: view.clone(),
             quarantine: quarantine.clone(),
             pool: pool.clone(),
             entered: has_entered,
             found,
-            counters: outside.counters.clone(),
+            counters: context.counters.clone(),
             job_scope: match runs_items {
                 true => Scope::All,
                 false => Scope::WithoutHeads,
@@ -115,19 +115,19 @@
             orders,
         };
         let feeds = watches.start(settings);
-        case_writes.feed_to(feeds[JOB_FEED].clone());
+        crash_record_writes.feed_to(feeds[JOB_FEED].clone());
         let cache: Arc<BulkCache> = Arc::default();
         let siblings =
             PeerBulk::new(&settings.node, view.clone(), clock.clone());
         let group =
-            GroupCommit::start(outside.kv.clone(), BatchLimits::default());
+            GroupCommit::start(context.kv.clone(), BatchLimits::default());
         let commits = SharedCommits::new(
-            outside.kv.clone(),
+            context.kv.clone(),
             group.clone(),
             &settings.node,
             view.clone(),
             clock.clone(),
-            outside.counters.clone(),
+            context.counters.clone(),
         );
         let commits: Arc<dyn Kv> = Arc::new(commits);
         tokio::spawn(start_list::keep(
@@ -136,7 +136,7 @@
             settings.node.clone(),
         ));
         let ledger =
-            Ledger::new(commits, outside.timer.clone(), settings.value_bytes);
+            Ledger::new(commits, context.timer.clone(), settings.value_bytes);
         let ledger = ledger.with_peers(cache.clone(), Arc::new(siblings));
         let spool = JobSpool::open(
             settings,
@@ -144,8 +144,8 @@
             view.clone(),
             clock.clone(),
         );
-        tokio::spawn(usage::log_usage(outside.counters.clone()));
-        let spooled = spool.as_ref().map(|spool| spool.count());
+        tokio::spawn(usage::log_usage(context.counters.clone()));
+        let spooled_jobs = spool.as_ref().map(|spool| spool.count());
         let pushed = PushedJobs {
             view: view.clone(),
             cache: cache.clone(),
@@ -155,7 +155,7 @@
             relay: Relay::new(settings.kv),
             feeds,
             pages: Arc::default(),
-            counters: outside.counters.clone(),
+            counters: context.counters.clone(),
             bulk: BulkAnswers::new(cache, ledger.clone()),
             spool,
             group,
@@ -168,29 +168,29 @@
             .await
             .change_context(NodeError::Listen)?;
         tokio::spawn(peer::follow_peers(
-            outside.paths.clone(),
+            context.paths.clone(),
             view.clone(),
             settings.node.clone(),
         ));
         let (quota, quota_client) = QuotaService::bind(
             settings,
             view.clone(),
-            outside.cluster.clone(),
-            outside.counters.clone(),
+            context.cluster.clone(),
+            context.counters.clone(),
         )
         .await
         .change_context(NodeError::Listen)?;
         match runs_items {
-            true => tokio::spawn(quota.run_as_holder()),
+            true => tokio::spawn(quota.run_as_server()),
             false => tokio::spawn(quota.run()),
         };
-        let (detector, runs) = CrashDetector::new(
-            outside.cluster.clone(),
+        let (detector, run_notifier) = CrashDetector::new(
+            context.cluster.clone(),
             quarantine.clone(),
-            outside.counters.clone(),
+            context.counters.clone(),
         );
         tokio::spawn(detector.run());
-        let (leave, left) = watch::channel(false);
+        let (remove_entry, left) = watch::channel(false);
         let record = NodeRecord {
             node: settings.node.clone(),
             failure_domain: settings.failure_domain.clone(),
@@ -200,7 +200,7 @@
             lease_s: 0,
         };
         let keeper = EntryKeeper {
-            kv: outside.kv.clone(),
+            kv: context.kv.clone(),
             record,
             terms: LeaseTerms::new(runs_items, settings.lease_least_ms),
             view: view.clone(),
@@ -211,40 +211,40 @@
             left,
             found: has_found,
         }));
-        let plans = Assignments::new(
+        let assignments = Assignments::new(
             &settings.node,
             view.clone(),
-            outside.cluster.endpoints.clone(),
-            outside.cluster.config.clone(),
+            context.cluster.endpoints.clone(),
+            context.cluster.config.clone(),
         );
         let base = Self {
             pool,
             view,
             ledger,
-            plans,
+            assignments,
             selection: Arc::new(Snapshot::new(Selection::default())),
             socket,
-            leave,
-            runs: Arc::new(runs),
+            remove_entry,
+            run_notifier: Arc::new(run_notifier),
             quarantine,
             quota: quota_client,
-            spooled,
+            spooled_jobs,
             stopping: Arc::default(),
         };
-        base.start_admin(settings, outside)?;
+        base.start_admin(settings, context)?;
         Ok(base)
     }
 
     fn start_admin(
         &self,
         settings: &NodeSettings,
-        outside: &Outside,
+        context: &Outside,
     ) -> Result<(), Report<NodeError>> {
         let admin = Arc::new(Admin::new(
-            outside.dialect.ready_path(),
-            outside.cluster.clone(),
+            context.dialect.ready_path(),
+            context.cluster.clone(),
             self.stopping.clone(),
-            outside.counters.clone(),
+            context.counters.clone(),
         ));
         for address in [settings.ready, settings.metrics].iter().flatten() {
             admin.start(*address)?;
@@ -252,49 +252,49 @@
         Ok(())
     }
 
-    /// Returns where load updates are received and sent.
+    /// Returns the sender and receiver of load updates.
     pub(crate) fn load_socket(
         &self,
         settings: &NodeSettings,
-        outside: &Outside,
+        context: &Outside,
     ) -> LoadSocket {
         LoadSocket::new(
             &settings.node,
             self.socket.clone(),
-            outside.counters.clone(),
-            outside.cluster.clone(),
+            context.counters.clone(),
+            context.cluster.clone(),
         )
     }
 
-    /// Makes a forwarder that chooses among the endpoints that are known.
+    /// Creates a forwarder that chooses among the known endpoints.
     pub(crate) fn forwarder(
         &self,
         settings: &NodeSettings,
-        outside: &Outside,
+        context: &Outside,
     ) -> Forwarder {
         Forwarder::new(
-            outside.dialect.headers(),
+            context.dialect.headers(),
             ForwarderOptions::default(),
             &settings.failure_domain,
-            outside.cluster.endpoints.clone(),
+            context.cluster.endpoints.clone(),
             self.pool.clone(),
-            outside.cluster.clock().clone(),
-            outside.counters.clone(),
+            context.cluster.clock().clone(),
+            context.counters.clone(),
         )
         .with_selection(self.selection.clone())
-        .with_run_observer(self.runs.clone())
+        .with_run_observer(self.run_notifier.clone())
         .with_quarantine(self.quarantine.clone())
     }
 
-    /// Begins a planned stop: the node is not ready any more and its entry
-    /// ends.
-    pub(crate) fn begin_stop(&self) {
-        self.not_ready();
-        self.leave.send_replace(true);
+    /// Begins a planned shutdown: marks the node as not ready and removes its
+    /// entry.
+    pub(crate) fn begin_shutdown(&self) {
+        self.mark_not_ready();
+        self.remove_entry.send_replace(true);
     }
 
-    /// Tells whoever asks that the node is not ready any more.
-    pub(crate) fn not_ready(&self) {
+    /// Makes readiness checks fail from now on.
+    pub(crate) fn mark_not_ready(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -12,68 +12,69 @@
 use pass::DirectoryView;
 use tokio::time;
 
-/// What a node believes of the world outside, and how old that is.
+/// A node's view of the configuration and the endpoints, and its age.
 ///
-/// Readers take snapshots without a lock; the watchers are the only writers.
+/// Readers load snapshots without a lock; the watchers are the only writers.
 #[derive(Clone)]
 pub struct ClusterState {
-    /// The operators' configuration, once one has arrived.
+    /// The operators' configuration; none before the first one is read.
     pub config: Arc<Snapshot<Option<Arc<Config>>>>,
-    /// The endpoints.
+    /// The known endpoints.
     pub endpoints: Arc<Snapshot<DirectoryView>>,
     clock: Arc<dyn Clock>,
-    config_at_ms: Arc<AtomicU64>,
-    knows_held: Arc<AtomicBool>,
+    confirmed_at_ms: Arc<AtomicU64>,
+    knows_quarantined: Arc<AtomicBool>,
     bounds: ConfigBounds,
 }
 
-/// How old the confirmation of a configuration may be.
+/// Maximum ages of the last confirmation of the configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ConfigBounds {
-    /// For saying that a route or a key does not exist, in milliseconds: the
-    /// time in which a configuration must be in force.
-    pub sure_ms: u64,
-    /// For serving a key, in milliseconds; unbounded if none.
+    /// Age in milliseconds up to which an unknown route or key is rejected as
+    /// nonexistent: the time in which a configuration must be in force.
+    pub fresh_ms: u64,
+    /// Age in milliseconds up to which keys are served; unbounded if none.
     pub revoke_ms: Option<u64>,
 }
 
-/// Age of a process up to which callers wait for what it does not know yet, in
-/// milliseconds. Where the key-value service is away, later ones are refused
-/// at once.
-const STARTING_MS: u64 = 1_000;
+/// Age of a process up to which requests wait for the first configuration and
+/// endpoints, in milliseconds. Later requests are refused immediately if the
+/// key-value service is unavailable.
+const STARTUP_PERIOD_MS: u64 = 1_000;
 
-/// How long they wait, in milliseconds: about as long as leaves them in time.
-const START_WAIT_MS: u64 = 200;
+/// Maximum wait of such a request, in milliseconds. A longer wait would make
+/// requests miss their latency target.
+const MAX_STARTUP_WAIT_MS: u64 = 200;
 
-/// Pause between two looks at what is known.
-const START_LOOK: Duration = Duration::from_millis(10);
+/// Interval between two checks for the configuration and endpoints.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time in which a configuration is in force where the settings do not say.
-const DEFAULT_SURE_MS: u64 = 4_000;
+/// Default for the time in which a configuration must be in force.
+const DEFAULT_FRESH_MS: u64 = 4_000;
 
 impl Default for ConfigBounds {
     fn default() -> Self {
         Self {
-            sure_ms: DEFAULT_SURE_MS,
+            fresh_ms: DEFAULT_FRESH_MS,
             revoke_ms: None,
         }
     }
 }
 
 impl ClusterState {
-    /// Starts without any knowledge.
+    /// Creates an empty state.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self {
             config: Arc::new(Snapshot::new(None)),
             endpoints: Arc::new(Snapshot::new(DirectoryView::default())),
             clock,
-            config_at_ms: Arc::default(),
-            knows_held: Arc::default(),
+            confirmed_at_ms: Arc::default(),
+            knows_quarantined: Arc::default(),
             bounds: ConfigBounds::default(),
         }
     }
 
-    /// Sets how old the confirmation of the configuration may be.
+    /// Sets the maximum ages of the configuration's confirmation.
     #[must_use]
     pub fn with_bounds(mut self, bounds: ConfigBounds) -> Self {
         self.bounds = bounds;
@@ -85,16 +86,16 @@
         &self.clock
     }
 
-    /// Takes in a configuration unless it is older than the one in force:
-    /// a delayed answer must not bring back what operators have replaced.
+    /// Applies a configuration unless it is older than the one in force:
+    /// a delayed response must not restore a replaced configuration.
     pub fn take_config(&self, config: Config) {
         let current = self.config.load();
-        let known = current.as_ref().as_ref().map(|c| c.version);
-        if known.is_some_and(|known| known >= config.version) {
+        let current_version = current.as_ref().as_ref().map(|c| c.version);
+        if current_version.is_some_and(|version| version >= config.version) {
             return;
         }
         log::info!(
-            from = known.unwrap_or(0),
+            from = current_version.unwrap_or(0),
             to = config.version,
             routes = config.routes.len(),
             customers:? = config.customers;
@@ -103,69 +104,70 @@
         self.config.publish(Some(Arc::new(config)));
     }
 
-    /// Takes note that the configuration was the newest at a moment.
+    /// Records that the configuration was the newest at the given time.
     pub fn confirm_config(&self, at: Millis) {
         let at_ms = at.as_ms().max(1);
-        self.config_at_ms.fetch_max(at_ms, Ordering::Relaxed);
+        self.confirmed_at_ms.fetch_max(at_ms, Ordering::Relaxed);
     }
 
-    /// Returns how long ago the configuration was the newest.
+    /// Returns the time since the configuration was last confirmed.
     pub fn config_age_ms(&self) -> u64 {
-        match self.config_at_ms.load(Ordering::Relaxed) {
+        match self.confirmed_at_ms.load(Ordering::Relaxed) {
             0 => u64::MAX,
             at => self.clock.now().saturating_ms_since(Millis::new(at)),
         }
     }
 
-    /// Tells whether it may be said that a route does not exist.
+    /// Reports whether an unknown route may be rejected as nonexistent.
     pub fn is_config_sure(&self) -> bool {
         self.confidence() == ConfigFreshness::Fresh
     }
 
-    /// Returns what may be said of keys and routes by the configuration.
+    /// Returns how fresh the configuration is.
     pub fn confidence(&self) -> ConfigFreshness {
         let age_ms = self.config_age_ms();
-        let is_over = |most_ms| age_ms > most_ms;
+        let is_older_than = |max_ms| age_ms > max_ms;
         match self.bounds {
-            bounds if bounds.revoke_ms.is_some_and(is_over) => {
+            bounds if bounds.revoke_ms.is_some_and(is_older_than) => {
                 ConfigFreshness::Expired
             }
-            bounds if is_over(bounds.sure_ms) => ConfigFreshness::Stale,
+            bounds if is_older_than(bounds.fresh_ms) => ConfigFreshness::Stale,
             _ => ConfigFreshness::Fresh,
         }
     }
 
-    /// Takes note that the requests are known that crash endpoints.
+    /// Records that the quarantined requests have been read.
     pub(crate) fn note_held_requests(&self) {
-        self.knows_held.store(true, Ordering::Relaxed);
+        self.knows_quarantined.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether requests can be served.
+    /// Reports whether requests can be served.
     ///
-    /// A node that does not know yet which requests crash endpoints would
-    /// pass them on, at each start once more.
+    /// A node that has not read the quarantined requests would forward poison
+    /// requests after each restart.
     pub fn is_ready(&self) -> bool {
-        self.can_route() && self.knows_held.load(Ordering::Relaxed)
+        self.can_route() && self.knows_quarantined.load(Ordering::Relaxed)
     }
 
-    /// Tells whether any route and any endpoint is known.
+    /// Reports whether a configuration and at least one endpoint are known.
     fn can_route(&self) -> bool {
         self.config.load().is_some() && !self.endpoints.load().table.is_empty()
     }
 
-    /// Waits a moment for the first configuration and endpoints, in a process
+    /// Waits briefly for the first configuration and endpoints in a process
     /// that has just started.
     ///
-    /// They arrive some tenths of a second after the first callers where all
-    /// nodes were killed. Who is refused meanwhile comes back too late.
+    /// After a restart of all nodes they arrive some tenths of a second after
+    /// the first requests. A caller that is refused in that time retries too
+    /// late to meet its latency target.
     pub async fn wait_for_start(&self) {
-        let began = self.clock.now();
-        let until = began.saturating_add_ms(START_WAIT_MS);
+        let started_at = self.clock.now();
+        let deadline = started_at.saturating_add_ms(MAX_STARTUP_WAIT_MS);
         while !self.can_route()
-            && self.clock.now() < until
-            && began < Millis::new(STARTING_MS)
+            && self.clock.now() < deadline
+            && started_at < Millis::new(STARTUP_PERIOD_MS)
         {
-            time::sleep(START_LOOK).await;
+            time::sleep(STARTUP_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finds out which endpoints crashed while they ran requests of this node.
+//! Detects endpoints that crashed while they ran requests of this node.
 
 use std::sync::Arc;
 
@@ -13,21 +13,20 @@
 
 use crate::ClusterState;
 
-/// Common start of the keys by which nodes share what speaks against
-/// requests, among those that every node follows.
+/// Key prefix of the crash records that nodes share; every node watches it.
 pub(crate) const QUARANTINE_PREFIX: &str = "jobs/q/";
 
-/// Runs that may wait for a look at their endpoint. What does not fit is
-/// counted and left out.
-const WAITING_MOST: usize = 1_024;
+/// Maximum number of runs that wait for a check of their endpoint. Further
+/// runs are counted and dropped.
+const MAX_QUEUED_RUNS: usize = 1_024;
 
-/// How long an endpoint is known to have crashed, in milliseconds: longer
-/// than connections to it take to break.
-const KNOWN_MS: u64 = 10_000;
+/// How long the crash of an endpoint is remembered, in milliseconds: longer
+/// than its connections take to break.
+const CRASH_TTL_MS: u64 = 10_000;
 
-/// A run whose connection broke before its answer was whole.
+/// A run whose connection broke before its response was complete.
 #[derive(Clone, Debug)]
-pub(crate) struct CutOffRun {
+pub(crate) struct InterruptedRun {
     keys: EvidenceKeys,
     endpoint: Endpoint,
     ran_ms: u64,
@@ -36,9 +35,9 @@
     reached: u64,
 }
 
-/// Passes on the runs that are cut off, without waiting.
+/// Sends interrupted runs to the crash detector without waiting.
 pub(crate) struct RunNotifier {
-    sender: mpsc::Sender<CutOffRun>,
+    sender: mpsc::Sender<InterruptedRun>,
     quarantine: Quarantine,
     counters: Arc<Counters>,
 }
@@ -51,7 +50,7 @@
 
     fn interrupted(&self, run: &Run) {
         Counters::add(&self.counters.runs_cut_off);
-        let cut_off = CutOffRun {
+        let interrupted_run = InterruptedRun {
             keys: run.evidence_keys(),
             endpoint: run.endpoint().clone(),
             ran_ms: run.elapsed().as_millis() as u64,
@@ -59,39 +58,39 @@
             resumed_after: run.resumed_after(),
             reached: run.reached(),
         };
-        if self.sender.try_send(cut_off).is_err() {
+        if self.sender.try_send(interrupted_run).is_err() {
             Counters::add(&self.counters.runs_not_examined);
         }
     }
 }
 
-/// Looks at the endpoints of runs that were cut off.
+/// Checks the endpoints of interrupted runs.
 ///
-/// A connection breaks for many reasons. An endpoint has crashed if its host
-/// refuses new connections although nobody has announced its end.
+/// Connections break for many reasons. An endpoint counts as crashed if its
+/// host refuses new connections while the endpoint is still listed.
 pub(crate) struct CrashDetector {
-    received: mpsc::Receiver<CutOffRun>,
+    received: mpsc::Receiver<InterruptedRun>,
     cluster: ClusterState,
     quarantine: Quarantine,
     counters: Arc<Counters>,
-    lives: IndexMap<IncarnationKey, Examined>,
+    checks: IndexMap<IncarnationKey, EndpointCheck>,
 }
 
-/// What is known of an endpoint that runs were cut off at.
-struct Examined {
-    state: Examination,
-    since: Millis,
+/// State of the check of one endpoint incarnation.
+struct EndpointCheck {
+    state: CheckState,
+    started_at: Millis,
 }
 
-enum Examination {
-    /// The look is under way; these runs wait for it.
-    UnderWay(Vec<CutOffRun>),
+enum CheckState {
+    /// The check is in progress; these runs wait for its result.
+    InProgress(Vec<InterruptedRun>),
     Crashed,
 }
 
-/// What a look at an endpoint found.
-struct Finding {
-    life: IncarnationKey,
+/// Result of the check of an endpoint.
+struct CheckResult {
+    incarnation: IncarnationKey,
     crashed: bool,
 }
 
@@ -101,7 +100,7 @@
         quarantine: Quarantine,
         counters: Arc<Counters>,
     ) -> (Self, RunNotifier) {
-        let (sender, received) = mpsc::channel(WAITING_MOST);
+        let (sender, received) = mpsc::channel(MAX_QUEUED_RUNS);
         let notifier = RunNotifier {
             sender,
             quarantine: quarantine.clone(),
@@ -112,67 +111,85 @@
             cluster,
             quarantine,
             counters,
-            lives: IndexMap::new(),
+            checks: IndexMap::new(),
         };
         (detector, notifier)
     }
 
     pub(crate) async fn run(mut self) {
-        let (sender, mut findings) = mpsc::unbounded_channel();
+        let (sender, mut results) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
                 run = self.received.recv() => match run {
-                    Some(run) => self.examine(run, &sender),
+                    Some(run) => self.check_endpoint(run, &sender),
                     None => return,
                 },
-                Some(finding) = findings.recv() => self.conclude(finding),
+                Some(result) = results.recv() => self.finish_check(result),
             }
         }
     }
 
-    fn examine(
+    fn check_endpoint(
         &mut self,
-        run: CutOffRun,
-        findings: &mpsc::UnboundedSender<Finding>,
+        run: InterruptedRun,
+        results: &mpsc::UnboundedSender<CheckResult>,
     ) {
-        self.forget_old();
-        let life = run.endpoint.incarnation_key();
-        match self.lives.get_mut(&life).map(|known| &mut known.state) {
-            Some(Examination::UnderWay(runs)) => {
+        self.remove_expired();
+        let incarnation = run.endpoint.incarnation_key();
+        match self
+            .checks
+            .get_mut(&incarnation)
+            .map(|check| &mut check.state)
+        {
+            Some(CheckState::InProgress(runs)) => {
                 runs.push(run);
                 return;
             }
-            Some(Examination::Crashed) => return self.note(&[run]),
+            Some(CheckState::Crashed) => return self.record_crashes(&[run]),
             None => {}
         }
-        // An endpoint that leaves ends its connections by itself.
-        if self.cluster.endpoints.load().table.get(life).is_none() {
+        // An endpoint that shuts down closes its connections itself.
+        if self
+            .cluster
+            .endpoints
+            .load()
+            .table
+            .get(incarnation)
+            .is_none()
+        {
             return;
         }
         let address = run.endpoint.record().address;
-        let examined = Examined {
-            state: Examination::UnderWay(vec![run]),
-            since: self.cluster.clock().now(),
+        let check = EndpointCheck {
+            state: CheckState::InProgress(vec![run]),
+            started_at: self.cluster.clock().now(),
         };
-        self.lives.insert(life, examined);
-        let findings = findings.clone();
+        self.checks.insert(incarnation, check);
+        let results = results.clone();
         tokio::spawn(async move {
             let crashed = has_crashed(address).await;
-            let _ = findings.send(Finding { life, crashed });
+            let _ = results.send(CheckResult {
+                incarnation,
+                crashed,
+            });
         });
     }
 
-    fn conclude(&mut self, finding: Finding) {
-        let Finding { life, crashed } = finding;
-        let Some(known) = self.lives.get_mut(&life) else {
+    fn finish_check(&mut self, result: CheckResult) {
+        let CheckResult {
+            incarnation,
+            crashed,
+        } = result;
+        let Some(check) = self.checks.get_mut(&incarnation) else {
             return;
         };
-        let before = std::mem::replace(&mut known.state, Examination::Crashed);
-        let Examination::UnderWay(runs) = before else {
+        let previous =
+            std::mem::replace(&mut check.state, CheckState::Crashed);
+        let CheckState::InProgress(runs) = previous else {
             return;
         };
         if !crashed {
-            self.lives.shift_remove(&life);
+            self.checks.shift_remove(&incarnation);
             return;
         }
         if let Some(run) = runs.first() {
@@ -184,10 +201,10 @@
                 "an endpoint crashed while it ran requests"
             );
         }
-        self.note(&runs);
+        self.record_crashes(&runs);
     }
 
-    fn note(&self, runs: &[CutOffRun]) {
+    fn record_crashes(&self, runs: &[InterruptedRun]) {
         for run in runs {
             log::info!(
                 digest:% = run.keys.request(),
@@ -197,9 +214,9 @@
                 reached = run.reached;
                 "a request ran at an endpoint that crashed"
             );
-            let life = run.endpoint.incarnation_key().as_u64();
+            let incarnation = run.endpoint.incarnation_key().as_u64();
             let crash = Crash {
-                endpoint: CrashedEndpoint::new(life),
+                endpoint: CrashedEndpoint::new(incarnation),
                 began_at: run.ended_at.saturating_sub_ms(run.ran_ms),
                 ended_at: run.ended_at,
                 resumed_after: run.resumed_after,
@@ -209,12 +226,12 @@
         }
     }
 
-    fn forget_old(&mut self) {
+    fn remove_expired(&mut self) {
         let now = self.cluster.clock().now();
-        while let Some((_, oldest)) = self.lives.first()
-            && now.saturating_ms_since(oldest.since) >= KNOWN_MS
+        while let Some((_, oldest)) = self.checks.first()
+            && now.saturating_ms_since(oldest.started_at) >= CRASH_TTL_MS
         {
-            self.lives.shift_remove_index(0);
+            self.checks.shift_remove_index(0);
         }
     }
 }
--- a/crates/node/src/feed_wire.rs
+++ b/crates/node/src/feed_wire.rs
@@ -345,7 +345,7 @@
 ) -> Response<ResponseBody> {
     let status =
         match (spool, read_body(request.into_body(), MOST_BYTES).await) {
-            (Some(spool), Ok(body)) => spool.keep(body).await,
+            (Some(spool), Ok(body)) => spool.spool(body).await,
             (None, Ok(_)) => StatusCode::NOT_FOUND,
             (_, Err(refusal)) => return refusal.into_response(),
         };
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -25,7 +25,7 @@
     Listener, ListenerOptions, Refusal, ResponseBody, ShutdownPhase,
     read_body,
 };
-use tokio::{sync::watch as stage, time};
+use tokio::{sync::watch, time};
 
 use crate::{
     ClusterState, Dialect, JobCall, NodeError, NodeSettings, Outside, Signals,
@@ -36,21 +36,23 @@
     quota::QuotaClient,
 };
 
-/// The role that takes callers' requests.
+/// The role that serves callers' requests.
 pub struct Front {
     gateway: Arc<Gateway>,
     listener: Listener,
     base: NodeBase,
-    stage: stage::Sender<ShutdownPhase>,
+    phase: watch::Sender<ShutdownPhase>,
     grace_ms: u64,
 }
 
-/// How long a stopping node takes new connections, in milliseconds: the
-/// balancer asks once a second and sends none after two misses.
-const LEAVE_MS: u64 = 2_300;
+/// Time for which a stopping node accepts new connections, in milliseconds.
+/// The load balancer checks readiness once a second and stops sending
+/// connections after two failures.
+const ACCEPT_AFTER_STOP_MS: u64 = 2_300;
 
-/// Time before the end by force at which the node ends by itself.
-const GRACE_MARGIN_MS: u64 = 300;
+/// Time before the end of the grace period at which the node exits, in
+/// milliseconds.
+const EXIT_MARGIN_MS: u64 = 300;
 
 impl Front {
     /// Starts all tasks and listens.
@@ -60,95 +62,96 @@
     /// [`NodeError::Listen`] if an address cannot be used.
     pub async fn start(
         settings: &NodeSettings,
-        outside: Outside,
+        context: Outside,
     ) -> Result<Self, Report<NodeError>> {
         let address = settings.front.ok_or(NodeError::Listen)?;
-        let base = NodeBase::start(settings, &outside, false, None).await?;
-        let (notifier, began) = LoadNotifier::new();
+        let base = NodeBase::start(settings, &context, false, None).await?;
+        let (notifier, started) = LoadNotifier::new();
         let backlogs: Arc<ReportedBacklogs> = Arc::default();
         let load = FrontLoad {
-            socket: base.load_socket(settings, &outside),
+            socket: base.load_socket(settings, &context),
             view: base.view.clone(),
-            cluster: outside.cluster.clone(),
-            plans: base.plans.clone(),
+            cluster: context.cluster.clone(),
+            assignments: base.assignments.clone(),
             selection: base.selection.clone(),
             backlogs: backlogs.clone(),
-            began,
+            started,
         };
         tokio::spawn(load.run());
-        let forwarder = base.forwarder(settings, &outside);
+        let forwarder = base.forwarder(settings, &context);
         let forwarder = Arc::new(forwarder.with_observer(Arc::new(notifier)));
         let view = base.view.clone();
         let ledger = base.ledger.clone();
-        let clock = outside.cluster.clock().clone();
-        let heads: Arc<dyn ManifestSource> =
+        let clock = context.cluster.clock().clone();
+        let manifests: Arc<dyn ManifestSource> =
             Arc::new(PeerHeads::new(view.clone(), clock.clone()));
-        let pages = PageReader::new(ledger.clone(), heads.clone(), clock);
-        let (stage, receiver) = stage::channel(ShutdownPhase::Running);
+        let pages = PageReader::new(ledger.clone(), manifests.clone(), clock);
+        let (phase, receiver) = watch::channel(ShutdownPhase::Running);
         let options = ListenerOptions::default();
         let listener = Listener::bind(address, options, receiver)
             .change_context(NodeError::Listen)?;
         let intake = JobIntake::new(
             ledger.clone(),
             view.clone(),
-            heads.clone(),
+            manifests.clone(),
             settings.disk_losses,
         );
         let gateway = Arc::new(Gateway {
-            dialect: outside.dialect,
-            cluster: outside.cluster,
+            dialect: context.dialect,
+            cluster: context.cluster,
             forwarder,
             intake,
             ledger,
             pages,
-            heads,
+            manifests,
             backlogs,
             view,
             quota: base.quota.clone(),
-            counters: outside.counters,
+            counters: context.counters,
         });
         Ok(Self {
             gateway,
             listener,
             base,
-            stage,
+            phase,
             grace_ms: settings.grace_ms,
         })
     }
 
-    /// Serves until a planned stop is over.
+    /// Serves until a planned shutdown is complete.
     pub async fn run(self, mut signals: Signals) {
         let open = self.listener.open_connections();
-        let serving =
-            tokio::spawn(self.listener.serve(Arc::new(Shared(self.gateway))));
+        let serving = tokio::spawn(
+            self.listener.serve(Arc::new(GatewayHandler(self.gateway))),
+        );
         let _ = signals.stop.wait_for(|stop| *stop).await;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let count = open.load(Ordering::Relaxed);
         log::info!(connections = count; "a planned stop begins");
-        self.base.begin_stop();
-        self.stage.send_replace(ShutdownPhase::Closing);
-        time::sleep(Duration::from_millis(LEAVE_MS)).await;
-        self.stage.send_replace(ShutdownPhase::Closed);
+        self.base.begin_shutdown();
+        self.phase.send_replace(ShutdownPhase::Closing);
+        time::sleep(Duration::from_millis(ACCEPT_AFTER_STOP_MS)).await;
+        self.phase.send_replace(ShutdownPhase::Closed);
         let _ = serving.await;
-        let most_ms = self.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-        let until = began + Duration::from_millis(most_ms);
-        wait_for_none(&open, until).await;
+        let timeout_ms = self.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+        let deadline = started_at + Duration::from_millis(timeout_ms);
+        wait_for_no_connections(&open, deadline).await;
         log::info!(
             connections = open.load(Ordering::Relaxed),
-            after_ms = began.elapsed().as_millis() as u64;
+            after_ms = started_at.elapsed().as_millis() as u64;
             "a planned stop is over"
         );
     }
 }
 
-async fn wait_for_none(open: &AtomicUsize, until: Instant) {
-    const LOOK: Duration = Duration::from_millis(20);
-    while open.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-        time::sleep(LOOK).await;
+async fn wait_for_no_connections(open: &AtomicUsize, deadline: Instant) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    while open.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Answers callers.
+/// Handles the requests of callers.
 struct Gateway {
     dialect: Arc<dyn Dialect>,
     cluster: ClusterState,
@@ -156,25 +159,25 @@
     ledger: Ledger,
     intake: JobIntake,
     pages: PageReader,
-    heads: Arc<dyn ManifestSource>,
+    manifests: Arc<dyn ManifestSource>,
     backlogs: Arc<ReportedBacklogs>,
     view: JobView,
     quota: QuotaClient,
     counters: Arc<Counters>,
 }
 
-/// When a caller should come back whose request met a node that is not
-/// ready or lacks the key-value service.
-const COME_BACK_MS: u64 = 500;
+/// Retry delay for callers of a node that is not ready or cannot reach the
+/// key-value service, in milliseconds.
+const UNAVAILABLE_RETRY_MS: u64 = 500;
 
-/// When a caller should come back whose request nobody could count, in
-/// milliseconds: its next try reaches another node.
-const COUNT_AGAIN_MS: u64 = 200;
+/// Retry delay for requests that could not be counted, in milliseconds; the
+/// retry usually reaches another node.
+const UNCOUNTED_RETRY_MS: u64 = 200;
 
-/// Part of the time in which a job is to be accepted that the key-value
-/// service has for it before workers are asked: one part in this many. The
-/// rest is enough for two of them, one after the other.
-const SPOOL_DIVISOR: u64 = 4;
+/// Fraction (1/n) of a job's target latency after which workers are asked to
+/// spool the job if the key-value service has not responded. The remainder is
+/// enough for two workers, one after the other.
+const LEDGER_WAIT_DIVISOR: u64 = 4;
 
 impl Gateway {
     fn limits(&self) -> TransferLimits {
@@ -186,7 +189,7 @@
             .unwrap_or_default()
     }
 
-    async fn answer(
+    async fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
@@ -210,7 +213,7 @@
             }
             Ok(None) => {}
             Err(error) => {
-                log::info!(error:%; "a call about a job is malformed");
+                log::info!(error:%; "malformed job call");
                 let refusal = Refusal::rejected(
                     StatusCode::BAD_REQUEST,
                     "the call is malformed",
@@ -218,15 +221,15 @@
                 return refusal.into_response();
             }
         }
-        let found = self.find_route(&parts, arrived);
-        let (route, version, identified) = match found {
+        let route_result = self.find_route(&parts, arrived);
+        let (route, version, identified) = match route_result {
             Ok(found) => found,
             Err(refusal) => return self.refuse(&parts, "", refusal),
         };
         let customer = identified.customer().cloned();
         let name = customer.as_ref().map_or("", Customer::as_str);
-        let most = self.limits().max_body_bytes;
-        let body = match read_body(body, most).await {
+        let max_bytes = self.limits().max_body_bytes;
+        let body = match read_body(body, max_bytes).await {
             Ok(body) => body,
             Err(refusal) => return self.refuse(&parts, name, refusal),
         };
@@ -249,29 +252,29 @@
         identified: Identified,
     ) -> Result<Admitted, Refusal> {
         let customer = identified.customer().cloned();
-        let note = |outcome| {
+        let count_outcome = |outcome| {
             if let Some(customer) = &customer {
                 self.counters.customers.count(customer.as_str(), outcome);
             }
         };
         match self.quota.count(identified.caller()).await {
-            LimitDecision::Admitted(counted) => {
-                note(CustomerOutcome::Admitted);
-                Ok(identified.admit(counted))
+            LimitDecision::Admitted(permit) => {
+                count_outcome(CustomerOutcome::Admitted);
+                Ok(identified.admit(permit))
             }
-            LimitDecision::OverLimit(over) => {
-                note(CustomerOutcome::OverLimit);
+            LimitDecision::OverLimit(over_limit) => {
+                count_outcome(CustomerOutcome::OverLimit);
                 Counters::add(&self.counters.over_limit);
                 let status = StatusCode::TOO_MANY_REQUESTS;
-                let why = "the customer is at its limit";
-                let refusal = Refusal::rejected(status, why);
-                Err(refusal.with_retry_after_ms(over.retry_after_ms()))
+                let reason = "the customer is at its limit";
+                let refusal = Refusal::rejected(status, reason);
+                Err(refusal.with_retry_after_ms(over_limit.retry_after_ms()))
             }
             LimitDecision::Unavailable => {
                 Counters::add(&self.counters.limits_unavailable);
-                let why = "the request cannot be counted here now";
-                let refusal = Refusal::not_run(why);
-                Err(refusal.with_retry_after_ms(COUNT_AGAIN_MS))
+                let reason = "the request cannot be counted here now";
+                let refusal = Refusal::not_run(reason);
+                Err(refusal.with_retry_after_ms(UNCOUNTED_RETRY_MS))
             }
         }
     }
@@ -280,11 +283,11 @@
         let config = self.cluster.config.load();
         config.as_ref().clone().ok_or_else(|| {
             let refusal = Refusal::not_run("no configuration is known yet");
-            refusal.with_retry_after_ms(COME_BACK_MS)
+            refusal.with_retry_after_ms(UNAVAILABLE_RETRY_MS)
         })
     }
 
-    /// Finds the customer of a request by the configuration in force.
+    /// Identifies the customer of a request by the current configuration.
     fn identify(
         &self,
         arrived: Arrived,
@@ -297,12 +300,11 @@
         identified.map_err(|denied| {
             Counters::add(&self.counters.keys_refused);
             match denied {
-                Denied::Unknown(why) => {
-                    Refusal::rejected(StatusCode::UNAUTHORIZED, why)
-                }
-                Denied::Unconfirmed(why) => {
-                    Refusal::not_run(why).with_retry_after_ms(COME_BACK_MS)
+                Denied::Unknown(reason) => {
+                    Refusal::rejected(StatusCode::UNAUTHORIZED, reason)
                 }
+                Denied::Unconfirmed(reason) => Refusal::not_run(reason)
+                    .with_retry_after_ms(UNAVAILABLE_RETRY_MS),
             }
         })
     }
@@ -334,11 +336,11 @@
                 StatusCode::NOT_FOUND,
                 "no route leads there",
             )),
-            // A route that was added since would be denied wrongly.
+            // The route may have been added since the last confirmation.
             None => {
                 let refusal =
                     Refusal::not_run("the configuration may be out of date");
-                Err(refusal.with_retry_after_ms(COME_BACK_MS))
+                Err(refusal.with_retry_after_ms(UNAVAILABLE_RETRY_MS))
             }
         }
     }
@@ -373,14 +375,15 @@
         customer: Option<Customer>,
     ) -> Response<ResponseBody> {
         let name = customer.as_ref().map_or("", Customer::as_str);
-        let new = match self.new_job(parts, body, route, customer.clone()) {
-            Ok(new) => new,
+        let new_job = match self.new_job(parts, body, route, customer.clone())
+        {
+            Ok(new_job) => new_job,
             Err(refusal) => return self.refuse(parts, name, refusal),
         };
-        let (key, items) = (new.key.clone(), new.items.len());
-        let owner = new.owner.clone();
-        let answer_ms = route.target_latency_ms() / SPOOL_DIVISOR;
-        match self.intake.accept(new, answer_ms).await {
+        let (key, items) = (new_job.key.clone(), new_job.items.len());
+        let owner = new_job.owner.clone();
+        let ledger_wait_ms = route.target_latency_ms() / LEDGER_WAIT_DIVISOR;
+        match self.intake.accept(new_job, ledger_wait_ms).await {
             Ok(accepted) => {
                 Counters::add(&self.counters.jobs_accepted);
                 log::info!(
@@ -393,9 +396,9 @@
                 json(StatusCode::ACCEPTED, b"{}".to_vec())
             }
             Err(report) => {
-                let refusal = job_refusal(*report.current_context());
+                let refusal = refusal_for(*report.current_context());
                 log::info!(request_id = key.as_str(), error:? = report;
-                    "a job is not accepted");
+                    "cannot accept a job");
                 self.refuse(parts, name, refusal)
             }
         }
@@ -464,11 +467,12 @@
                 (job, body)
             }
             JobCall::End { job } => {
-                let end = self.ledger.cancel(&job, customer).await;
-                log::info!(request_id = job.as_str(), done = end.is_ok();
-                    "a job is to end");
-                let end = end.map(|()| json(StatusCode::OK, b"{}".to_vec()));
-                (job, end)
+                let cancelled = self.ledger.cancel(&job, customer).await;
+                log::info!(request_id = job.as_str(), done = cancelled.is_ok();
+                    "job cancellation requested");
+                let cancelled =
+                    cancelled.map(|()| json(StatusCode::OK, b"{}".to_vec()));
+                (job, cancelled)
             }
         };
         result.unwrap_or_else(|report| {
@@ -479,14 +483,14 @@
                     "there is no such job",
                 ),
                 _ => Refusal::not_run("the job cannot be read now")
-                    .with_retry_after_ms(COME_BACK_MS),
+                    .with_retry_after_ms(UNAVAILABLE_RETRY_MS),
             };
             log::info!(
                 request_id = job.as_str(),
                 error:%,
                 status = refusal.status().as_u16(),
                 view_age_ms = self.view.age_ms(self.cluster.clock().now());
-                "a call about a job failed"
+                "job call failed"
             );
             refusal.into_response()
         })
@@ -498,23 +502,24 @@
         customer: Option<&Customer>,
         item: &str,
     ) -> Result<Vec<u8>, Report<JobError>> {
-        // The number of inputs never changes, so that any known head will do.
-        let known = self.heads.read(job, None, 0).await;
+        // The number of inputs never changes, so a manifest of any age works.
+        let known = self.manifests.read(job, None, 0).await;
         let known = known.map(|known| known.stored);
-        let own = known.filter(|known| known.manifest.is_visible_to(customer));
-        let stored = match own {
+        let visible =
+            known.filter(|known| known.manifest.is_visible_to(customer));
+        let stored = match visible {
             Some(stored) => stored,
             None => self.ledger.read_for(job, customer).await?,
         };
         let inputs = self.ledger.inputs(job, &stored.manifest).await?;
-        let found = inputs.into_iter().find(|input| input.id == item);
-        found
+        let input = inputs.into_iter().find(|input| input.id == item);
+        input
             .map(|input| input.body)
             .ok_or_else(|| Report::new(JobError::Unknown))
     }
 }
 
-fn job_refusal(error: JobError) -> Refusal {
+fn refusal_for(error: JobError) -> Refusal {
     match error {
         JobError::TooLarge => Refusal::rejected(
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -527,7 +532,7 @@
             Refusal::unknown("whether the job is kept is not known")
         }
         _ => Refusal::not_run("the job cannot be kept now")
-            .with_retry_after_ms(COME_BACK_MS),
+            .with_retry_after_ms(UNAVAILABLE_RETRY_MS),
     }
 }
 
@@ -542,12 +547,12 @@
     response
 }
 
-/// The gateway as the listener holds it.
-struct Shared(Arc<Gateway>);
+/// Implements the listener's handler for a shared gateway.
+struct GatewayHandler(Arc<Gateway>);
 
-impl Handler for Shared {
+impl Handler for GatewayHandler {
     fn handle(&self, request: Request<Incoming>) -> HandlerFuture {
-        Box::pin(self.0.clone().answer(request))
+        Box::pin(self.0.clone().respond(request))
     }
 
     fn limits(&self) -> TransferLimits {
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -11,95 +11,97 @@
     job_spool::{SpoolClient, Spooled},
 };
 
-/// Where an accepted job is kept.
+/// Storage of an accepted job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Accepted {
-    /// In the ledger, since this revision.
+    /// In the ledger, written at this revision.
     Ledger(u64),
-    /// On the disks of several workers, until the ledger can be written.
+    /// In the spools of several workers until the ledger can be written.
     Spool,
 }
 
-/// Accepts jobs for a front.
+/// Accepts jobs on behalf of a front.
 pub(crate) struct JobIntake {
     ledger: Ledger,
     view: JobView,
-    heads: Arc<dyn ManifestSource>,
+    manifests: Arc<dyn ManifestSource>,
     spool: SpoolClient,
     push: JobPush,
 }
 
-type Entering = JoinHandle<Result<StoredManifest, Report<JobError>>>;
+type LedgerWrite = JoinHandle<Result<StoredManifest, Report<JobError>>>;
 
 impl JobIntake {
     pub(crate) fn new(
         ledger: Ledger,
         view: JobView,
-        heads: Arc<dyn ManifestSource>,
+        manifests: Arc<dyn ManifestSource>,
         disk_losses: u32,
     ) -> Self {
         Self {
             push: JobPush::new(ledger.clone(), view.clone()),
             ledger,
             view,
-            heads,
+            manifests,
             spool: SpoolClient::new(disk_losses),
         }
     }
 
-    /// Enters a job in the ledger, or has it kept by workers if that takes
-    /// longer than `answer_ms` or fails.
+    /// Writes a job to the ledger, or has workers spool it if the write takes
+    /// longer than `ledger_wait_ms` or fails.
     ///
     /// # Errors
     ///
-    /// As [`Ledger::accept`]; [`JobError::OutcomeUnknown`] also if a worker
-    /// may have kept it, since it may run then.
+    /// As [`Ledger::accept`]; also [`JobError::OutcomeUnknown`] if a worker
+    /// may have spooled the job, since it may run then.
     pub(crate) async fn accept(
         &self,
         job: NewJob,
-        answer_ms: u64,
+        ledger_wait_ms: u64,
     ) -> Result<Accepted, Report<JobError>> {
-        // A task of its own: what the service does late counts as well.
-        let mut entering = self.enter(job.clone());
-        let most = Duration::from_millis(answer_ms);
-        let entered = time::timeout(most, &mut entering).await.ok();
-        if let Some(Ok(result)) = entered {
+        // A separate task: a write that the key-value service applies after
+        // the timeout is still processed.
+        let mut write = self.start_ledger_write(job.clone());
+        let timeout = Duration::from_millis(ledger_wait_ms);
+        let written = time::timeout(timeout, &mut write).await.ok();
+        if let Some(Ok(result)) = written {
             match result {
                 Ok(stored) => return Ok(Accepted::Ledger(stored.revision)),
-                Err(report) if !may_be_kept(*report.current_context()) => {
+                Err(report) if !may_be_spooled(*report.current_context()) => {
                     return Err(report);
                 }
-                Err(report) => return self.spool(&job, Err(report)).await,
+                Err(report) => return self.spool_job(&job, Err(report)).await,
             }
         }
-        self.spool(&job, Ok(entering)).await
+        self.spool_job(&job, Ok(write)).await
     }
 
-    fn enter(&self, job: NewJob) -> Entering {
-        let (ledger, heads) = (self.ledger.clone(), self.heads.clone());
+    fn start_ledger_write(&self, job: NewJob) -> LedgerWrite {
+        let (ledger, manifests) =
+            (self.ledger.clone(), self.manifests.clone());
         let push = self.push.clone();
         tokio::spawn(async move {
             let key = job.key.clone();
             let stored = ledger.accept(job).await?;
-            heads.note(&key, &stored);
+            manifests.note(&key, &stored);
             push.send(&key, &stored);
             Ok(stored)
         })
     }
 
-    /// Has workers keep a job whose entry has failed or is under way.
-    async fn spool(
+    /// Has workers spool a job whose ledger write failed or is in progress.
+    async fn spool_job(
         &self,
         job: &NewJob,
-        entry: Result<Entering, Report<JobError>>,
+        ledger_write: Result<LedgerWrite, Report<JobError>>,
     ) -> Result<Accepted, Report<JobError>> {
-        let spooled = self.spool.keep(job, &self.view).await;
+        let spooled = self.spool.spool(job, &self.view).await;
         if spooled == Spooled::Safe {
             return Ok(Accepted::Spool);
         }
-        let report = match entry {
+        let report = match ledger_write {
             Err(report) => report,
-            Ok(entering) => match entering.await {
+            Ok(write) => match write.await {
                 Ok(Ok(stored)) => {
                     return Ok(Accepted::Ledger(stored.revision));
                 }
@@ -116,8 +118,8 @@
     }
 }
 
-/// Tells whether a job that was not entered for this reason can be kept
-/// until the service answers.
-fn may_be_kept(error: JobError) -> bool {
+/// Reports whether a job whose ledger write failed with this error may be
+/// spooled until the key-value service is available.
+fn may_be_spooled(error: JobError) -> bool {
     matches!(error, JobError::NotDone | JobError::OutcomeUnknown)
 }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -1,14 +1,14 @@
-//! Jobs that are accepted while the key-value service does not answer.
+//! Spool for jobs accepted while the key-value service is unavailable.
 //!
-//! A front that gets no answer from the service in time has a new job kept
-//! on the disks of two workers, and accepts it then. Each of the two enters
-//! it in the ledger once the service answers again; entering is one
-//! compare-and-swap on the job's head, so that the second one finds it there,
-//! as does a write of the front itself that the service carries out late.
+//! If the key-value service does not respond in time, a front has several
+//! workers write a new job to their disks and then accepts it. Each of these
+//! workers writes the job to the ledger once the key-value service responds
+//! again. The write is one compare-and-swap on the job's manifest, so a second
+//! write, or a write of the front that is applied late, finds the job there.
 //!
-//! Without it, jobs are refused for as long as the service is away.
-//! Disks of workers as the place of all jobs were rejected: positions of
-//! results have to be agreed on, which only the service does.
+//! Without the spool, jobs are refused during an outage of the key-value
+//! service. Storing all jobs on workers' disks was rejected: positions of
+//! results need consensus, which only the key-value service provides.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -33,57 +33,59 @@
 
 use crate::{NodeSettings, peer};
 
-/// Path at which a node keeps jobs; the job's id follows.
+/// Path prefix for spooling a job on a node; the job's id follows.
 pub(crate) const SPOOL_PATH: &str = "/spool/";
 
-/// Longest wait for one worker, in milliseconds: two syncs of a slow disk
-/// and the way there, and short enough that a third one can still be asked
-/// within the time in which callers want to hear.
-const KEEP_MS: u64 = 200;
+/// Timeout of a request to one worker, in milliseconds: enough for two syncs
+/// of a slow disk and the round trip, and short enough to try a third worker
+/// before the caller's deadline.
+const SPOOL_TIMEOUT_MS: u64 = 200;
 
-/// How often workers that did not answer in time are asked again, each time
-/// for twice as long, where no others are left. A disk that is slow for a
-/// moment answers then, and keeping a job twice is keeping it once.
-const ASKED_AGAIN: u32 = 2;
+/// Number of retries of workers that timed out, with twice the timeout, once
+/// no other workers remain. A disk that was slow for a moment responds then,
+/// and spooling a job is idempotent.
+const MAX_RETRIES: u32 = 2;
 
-/// Pause between two looks at jobs that wait for the service.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between two checks of the spooled jobs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Oldest view of the jobs by which the service counts as answering.
-const ANSWERS_MS: u64 = 1_000;
+/// Maximum age of the job view, in milliseconds, for which the key-value
+/// service counts as available.
+const MAX_VIEW_AGE_MS: u64 = 1_000;
 
-/// How much later than the job's owner the other worker enters it, in
-/// milliseconds, so that as a rule only one of them calls the service.
-const SECOND_MS: u64 = 1_500;
+/// Delay in milliseconds after which workers other than the job's owner write
+/// it to the ledger, so that usually only one of them calls the key-value
+/// service.
+const SECONDARY_DELAY_MS: u64 = 1_500;
 
-/// Largest answer of a worker that keeps a job; it has none but a status.
-const ANSWER_BYTES: usize = 1_024;
+/// Maximum size of a worker's response, which has only a status.
+const MAX_RESPONSE_BYTES: usize = 1_024;
 
-/// What became of a job that workers were asked to keep.
+/// Result of a request to spool a job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Spooled {
-    /// Two disks have it: it may be accepted.
+    /// Enough disks have the job: it may be accepted.
     Safe,
-    /// Some disk may have it, so that it may run.
+    /// Some disk may have the job, so it may run.
     Maybe,
-    /// Nobody has it.
+    /// No disk has the job.
     No,
 }
 
-/// Has jobs kept by workers.
+/// Has workers spool jobs.
 #[derive(Debug)]
 pub(crate) struct SpoolClient {
     pool: Arc<Pool>,
-    /// Copies of a job that make it safe without the service.
+    /// Number of copies that make a job durable without the key-value service.
     copies: usize,
 }
 
 impl SpoolClient {
-    /// Keeps jobs so that one copy is left where `disk_losses` disks are
-    /// lost at the same time.
+    /// Creates a client whose jobs survive the simultaneous loss of
+    /// `disk_losses` disks.
     ///
-    /// Two copies whatever may be lost were kept before. Where two disks may
-    /// be, an accepted job was gone with them before the service returned.
+    /// A fixed number of two copies is not enough: if two disks are lost, an
+    /// accepted job is lost with them before the key-value service returns.
     pub(crate) fn new(disk_losses: u32) -> Self {
         Self {
             pool: Arc::default(),
@@ -91,14 +93,14 @@
         }
     }
 
-    /// Asks workers to keep a job, its owner first and then others of
-    /// different failure domains.
+    /// Asks workers to spool a job: first its owner, then workers of other
+    /// failure domains.
     ///
-    /// The owner is named by a hash of the job. Jobs on disks are in nobody's
-    /// view, so that the node with the least open items stays the same for as
-    /// long as the service is away, and would get all jobs of that time.
-    pub(crate) async fn keep(&self, job: &NewJob, view: &JobView) -> Spooled {
-        let workers = by_preference(&view.members(), &job.key);
+    /// The owner is chosen by a hash of the job. Spooled jobs are in no view,
+    /// so during an outage of the key-value service the node with the fewest
+    /// open items stays the same and would get all jobs.
+    pub(crate) async fn spool(&self, job: &NewJob, view: &JobView) -> Spooled {
+        let workers = order_by_preference(&view.members(), &job.key);
         let owner = workers.first().map(|worker| worker.node.clone());
         let job = &NewJob {
             owner: owner.unwrap_or_default(),
@@ -108,86 +110,96 @@
             Ok(bytes) => Bytes::from(bytes),
             Err(error) => {
                 log::warn!(request_id = job.key.as_str(), error:%;
-                    "a job cannot be encoded for the workers");
+                    "cannot encode a job for spooling");
                 return Spooled::No;
             }
         };
-        let mut rest = workers.iter();
-        let mut safe = 0;
-        let mut unsure: Vec<&NodeRecord> = Vec::new();
-        let mut again = 0;
-        while safe < self.copies {
-            let missing = self.copies - safe;
-            let mut asked: Vec<&NodeRecord> =
-                rest.by_ref().take(missing).collect();
-            let mut wait_ms = KEEP_MS;
-            if asked.is_empty() {
-                if unsure.is_empty() || again == ASKED_AGAIN {
+        let mut remaining = workers.iter();
+        let mut copies_written = 0;
+        let mut uncertain: Vec<&NodeRecord> = Vec::new();
+        let mut retries = 0;
+        while copies_written < self.copies {
+            let missing = self.copies - copies_written;
+            let mut selected: Vec<&NodeRecord> =
+                remaining.by_ref().take(missing).collect();
+            let mut timeout_ms = SPOOL_TIMEOUT_MS;
+            if selected.is_empty() {
+                if uncertain.is_empty() || retries == MAX_RETRIES {
                     break;
                 }
-                again += 1;
-                asked = std::mem::take(&mut unsure);
-                wait_ms = 2 * KEEP_MS;
+                retries += 1;
+                selected = std::mem::take(&mut uncertain);
+                timeout_ms = 2 * SPOOL_TIMEOUT_MS;
             }
-            let wait = Duration::from_millis(wait_ms);
-            let answers = self.ask_all(&asked, &job.key, &bytes, wait).await;
-            for (worker, answer) in asked.into_iter().zip(answers) {
-                match answer {
-                    Spooled::Safe => safe += 1,
-                    Spooled::Maybe => unsure.push(worker),
+            let timeout = Duration::from_millis(timeout_ms);
+            let responses =
+                self.request_all(&selected, &job.key, &bytes, timeout).await;
+            for (worker, outcome) in selected.into_iter().zip(responses) {
+                match outcome {
+                    Spooled::Safe => copies_written += 1,
+                    Spooled::Maybe => uncertain.push(worker),
                     Spooled::No => {}
                 }
             }
         }
-        match (safe, unsure.len()) {
-            (safe, _) if safe >= self.copies => Spooled::Safe,
+        match (copies_written, uncertain.len()) {
+            (copies_written, _) if copies_written >= self.copies => {
+                Spooled::Safe
+            }
             (0, 0) => Spooled::No,
             _ => Spooled::Maybe,
         }
     }
 
-    async fn ask_all(
+    async fn request_all(
         &self,
         workers: &[&NodeRecord],
         job: &JobKey,
         bytes: &Bytes,
-        wait: Duration,
+        timeout: Duration,
     ) -> Vec<Spooled> {
-        let asks = workers.iter().map(|worker| {
+        let requests = workers.iter().map(|worker| {
             let pool = self.pool.clone();
             let (worker, job) = ((*worker).clone(), job.clone());
-            tokio::spawn(ask(pool, worker, job, bytes.clone(), wait))
+            tokio::spawn(request_spooling(
+                pool,
+                worker,
+                job,
+                bytes.clone(),
+                timeout,
+            ))
         });
-        let asks: Vec<_> = asks.collect();
-        let mut answers = Vec::with_capacity(asks.len());
-        for ask in asks {
-            answers.push(ask.await.unwrap_or(Spooled::Maybe));
+        let requests: Vec<_> = requests.collect();
+        let mut responses = Vec::with_capacity(requests.len());
+        for request in requests {
+            responses.push(request.await.unwrap_or(Spooled::Maybe));
         }
-        answers
+        responses
     }
 }
 
-/// Sorts workers: one named by the job, then others so that the first ones
-/// are of as many failure domains as there are.
-fn by_preference(members: &Members, job: &JobKey) -> Vec<NodeRecord> {
+/// Sorts workers by a hash with the job, then by round robin over the failure
+/// domains, so that the first ones cover as many domains as possible.
+fn order_by_preference(members: &Members, job: &JobKey) -> Vec<NodeRecord> {
     let mut workers = members.nodes().to_vec();
     let hash = stable_hash(&[job.as_str()]);
     workers.sort_by_key(|node| mix(stable_hash(&[&node.node]) ^ hash));
     let mut seen: IndexMap<String, usize> = IndexMap::new();
     workers.sort_by_cached_key(|node| {
-        let of_domain = seen.entry(node.failure_domain.clone()).or_default();
-        *of_domain += 1;
-        *of_domain
+        let rank_in_domain =
+            seen.entry(node.failure_domain.clone()).or_default();
+        *rank_in_domain += 1;
+        *rank_in_domain
     });
     workers
 }
 
-async fn ask(
+async fn request_spooling(
     pool: Arc<Pool>,
     worker: NodeRecord,
     job: JobKey,
     bytes: Bytes,
-    wait: Duration,
+    timeout: Duration,
 ) -> Spooled {
     let Some(peer) = peer::endpoint_of(&worker) else {
         return Spooled::No;
@@ -198,8 +210,8 @@
     };
     *request.method_mut() = Method::PUT;
     *request.body_mut() = bytes;
-    let exchange = pool.call(&peer, request, ANSWER_BYTES);
-    let answer = match time::timeout(wait, exchange).await {
+    let call = pool.call(&peer, request, MAX_RESPONSE_BYTES);
+    let outcome = match time::timeout(timeout, call).await {
         Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
             Spooled::Safe
         }
@@ -214,40 +226,40 @@
     log::info!(
         request_id = job.as_str(),
         node = worker.node.as_str(),
-        answer:? = answer;
+        answer:? = outcome;
         "a worker is asked to keep a job"
     );
-    answer
+    outcome
 }
 
-/// The jobs that a worker keeps until the service answers.
+/// The jobs that a worker keeps until the key-value service is available.
 pub(crate) struct JobSpool {
     node: String,
     spool: Spool,
     ledger: Ledger,
     view: JobView,
     clock: Arc<dyn Clock>,
-    /// How long the results of a job are readable after its submission.
-    kept_ms: u64,
-    waiting: Mutex<IndexMap<JobKey, Waiting>>,
-    /// Held while a job is written.
-    writing: tokio::sync::Mutex<()>,
+    /// Time after submission for which the results of a job are readable.
+    retention_ms: u64,
+    tracked: Mutex<IndexMap<JobKey, SpooledJob>>,
+    /// Locked while a job is written.
+    write_lock: tokio::sync::Mutex<()>,
     count: watch::Sender<usize>,
     wake: Notify,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct SpooledJob {
     since: Millis,
-    /// Whether this node is to enter it first.
-    first: bool,
-    /// Whose job it is; not known of those that an earlier process kept.
+    /// Whether this node writes the job to the ledger first.
+    is_primary: bool,
+    /// Customer of the job; unknown if an earlier process spooled it.
     customer: Option<Option<Customer>>,
 }
 
 impl JobSpool {
-    /// Opens the spool of a worker that has a disk. A disk that cannot be
-    /// used is told in the log, and the worker keeps no jobs.
+    /// Opens the spool of a worker that has a disk. If the disk cannot be
+    /// used, logs an error and returns none.
     pub(crate) fn open(
         settings: &NodeSettings,
         ledger: Ledger,
@@ -264,30 +276,30 @@
             Ok(opened) => opened,
             Err(report) => {
                 log::error!(error:? = report;
-                    "no jobs can be kept on the disk of this node");
+                    "cannot open the spool of this node");
                 return None;
             }
         };
         let since = clock.now();
-        let earlier = Waiting {
+        let earlier = SpooledJob {
             since,
-            first: true,
+            is_primary: true,
             customer: None,
         };
-        let waiting = names.iter().filter_map(|name| name.parse().ok());
-        let waiting: IndexMap<JobKey, Waiting> =
-            waiting.map(|key| (key, earlier.clone())).collect();
-        log::info!(jobs = waiting.len(); "the spool of this node is open");
-        let count = watch::Sender::new(waiting.len());
+        let tracked = names.iter().filter_map(|name| name.parse().ok());
+        let tracked: IndexMap<JobKey, SpooledJob> =
+            tracked.map(|key| (key, earlier.clone())).collect();
+        log::info!(jobs = tracked.len(); "the spool of this node is open");
+        let count = watch::Sender::new(tracked.len());
         let spool = Arc::new(Self {
             node: settings.node.clone(),
             spool,
             ledger,
             view,
             clock,
-            kept_ms: settings.results_kept_ms,
-            waiting: Mutex::new(waiting),
-            writing: tokio::sync::Mutex::new(()),
+            retention_ms: settings.results_kept_ms,
+            tracked: Mutex::new(tracked),
+            write_lock: tokio::sync::Mutex::new(()),
             count,
             wake: Notify::new(),
         });
@@ -295,33 +307,34 @@
         Some(spool)
     }
 
-    /// Tells how many jobs wait here.
+    /// Returns a receiver of the number of spooled jobs.
     pub(crate) fn count(&self) -> watch::Receiver<usize> {
         self.count.subscribe()
     }
 
-    /// Keeps a job for a front; the status is the answer to it. A server's
-    /// error says that the job may have been kept.
+    /// Spools a job for a front and returns the status of the response. A
+    /// server error means that the job may have been spooled.
     ///
-    /// A front that does not wait any longer drops the call. What goes wrong
-    /// if that ends the keeping as well: the record comes to lie on the disk,
-    /// and nobody enters or removes it until the next start.
-    pub(crate) async fn keep(self: Arc<Self>, bytes: Bytes) -> StatusCode {
-        let kept = tokio::spawn(self.keep_to_the_end(bytes));
-        kept.await.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
+    /// A front that times out drops the call. The job is therefore written in
+    /// a task of its own: if the drop cancelled it, the record could stay on
+    /// disk, and no task would process or remove it until the next start.
+    pub(crate) async fn spool(self: Arc<Self>, bytes: Bytes) -> StatusCode {
+        let written = tokio::spawn(self.write_job(bytes));
+        written.await.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
     }
 
-    async fn keep_to_the_end(self: Arc<Self>, bytes: Bytes) -> StatusCode {
+    async fn write_job(self: Arc<Self>, bytes: Bytes) -> StatusCode {
         let job = match decode_new_job(&bytes) {
             Ok(job) => job,
             Err(error) => {
-                log::warn!(error:%; "a job to keep is malformed");
+                log::warn!(error:%; "a job to spool is malformed");
                 return StatusCode::BAD_REQUEST;
             }
         };
-        // One after the other: two calls about one job would write the same
-        // file, and the one that loses could not say whether it is kept.
-        let _turn = self.writing.lock().await;
+        // Serialized: two concurrent calls for one job would write the same
+        // file, and the one that fails could not tell whether the job is
+        // spooled.
+        let _guard = self.write_lock.lock().await;
         match self.known_customer(&job.key) {
             Some(known) if known.is_none() || known == job.customer => {
                 return StatusCode::OK;
@@ -330,18 +343,18 @@
             None => {}
         }
         let (spool, key) = (self.spool.clone(), job.key.clone());
-        let kept =
+        let written =
             task::spawn_blocking(move || spool.keep(key.as_str(), &bytes));
-        let error = match kept.await {
+        let error = match written.await {
             Ok(Ok(())) => {
-                self.note_kept(&job);
+                self.track(&job);
                 return StatusCode::OK;
             }
             Ok(Err(report)) => *report.current_context(),
             Err(_) => SpoolError::Disk,
         };
         log::warn!(request_id = job.key.as_str(), error:%;
-            "a job is not kept on disk");
+            "cannot spool a job");
         match error {
             SpoolError::Full | SpoolError::Name => {
                 StatusCode::PAYLOAD_TOO_LARGE
@@ -350,12 +363,12 @@
         }
     }
 
-    /// Returns whose job it is that this process has kept, or that the
-    /// ledger has.
+    /// Returns the customer of a job that this process has spooled or that
+    /// the ledger contains.
     ///
-    /// A job that is sent again is answered by that. What goes wrong where it
-    /// is written again: the disk of a busy machine takes longer than the
-    /// front waits, and a kept job counts as one of which nothing is known.
+    /// A repeated request is answered from this. If the job were written
+    /// again, the disk of a busy machine could exceed the front's timeout, and
+    /// the outcome for a spooled job would count as unknown.
     fn known_customer(&self, key: &JobKey) -> Option<Option<Customer>> {
         if let Some(stored) = self.view.get(key) {
             return Some(stored.manifest.customer);
@@ -363,62 +376,66 @@
         self.lock().get(key)?.customer.clone()
     }
 
-    fn note_kept(&self, job: &NewJob) {
-        let first = job.owner == self.node;
+    fn track(&self, job: &NewJob) {
+        let is_primary = job.owner == self.node;
         log::info!(request_id = job.key.as_str(), items = job.items.len(),
-            first; "a job is kept on disk");
+            first = is_primary; "a job is kept on disk");
         let since = self.clock.now();
-        let mut waiting = self.lock();
+        let mut tracked = self.lock();
         let customer = Some(job.customer.clone());
-        let new = Waiting {
+        let new = SpooledJob {
             since,
-            first,
+            is_primary,
             customer,
         };
-        waiting.insert(job.key.clone(), new);
-        self.count.send_replace(waiting.len());
-        drop(waiting);
+        tracked.insert(job.key.clone(), new);
+        self.count.send_replace(tracked.len());
+        drop(tracked);
         self.wake.notify_one();
     }
 
     async fn run(self: Arc<Self>) {
         loop {
-            // Woken by a new job, or after a pause.
-            let _ = time::timeout(LOOK, self.wake.notified()).await;
-            for key in self.due() {
-                if let Err(report) = self.hand_on(&key).await {
+            // Wakes on a new job or after the check interval.
+            let _ = time::timeout(CHECK_INTERVAL, self.wake.notified()).await;
+            for key in self.due_jobs() {
+                if let Err(report) = self.write_to_ledger(&key).await {
                     log::info!(job = key.as_str(), error:? = report;
-                        "a kept job is not entered in the ledger yet");
+                        "cannot write a spooled job to the ledger; retrying");
                     break;
                 }
             }
         }
     }
 
-    /// Returns the jobs that can go from the disk now: those that the ledger
-    /// is known to have, however old that knowledge is, and, while the
-    /// service answers, those that this node is to enter.
+    /// Returns the jobs that can be removed from the disk now: those that the
+    /// view contains, however stale it is, and, while the key-value service is
+    /// available, those that this node must write to the ledger.
     ///
-    /// What goes wrong where the former wait for the service as well: a
-    /// reader whose watch says nothing more keeps copies of jobs that are
-    /// long done, and a disk with copies is not counted as empty.
-    fn due(&self) -> Vec<JobKey> {
+    /// Jobs in the view do not wait for the key-value service: a node whose
+    /// watch has stalled would keep copies of completed jobs, and its spool
+    /// would never become empty.
+    fn due_jobs(&self) -> Vec<JobKey> {
         let now = self.clock.now();
-        let answers = self.view.age_ms(now) <= ANSWERS_MS;
-        let is_due = |key: &JobKey, waiting: &Waiting| {
-            let age_ms = now.saturating_ms_since(waiting.since);
-            let is_turn = waiting.first || age_ms >= SECOND_MS;
-            (answers && is_turn) || self.view.get(key).is_some()
+        let is_available = self.view.age_ms(now) <= MAX_VIEW_AGE_MS;
+        let is_due = |key: &JobKey, tracked: &SpooledJob| {
+            let age_ms = now.saturating_ms_since(tracked.since);
+            let is_own_turn =
+                tracked.is_primary || age_ms >= SECONDARY_DELAY_MS;
+            (is_available && is_own_turn) || self.view.get(key).is_some()
         };
-        let waiting = self.lock();
-        let due = waiting.iter().filter(|(key, one)| is_due(key, one));
-        due.map(|(key, _)| key.clone()).collect()
+        let tracked = self.lock();
+        let due_jobs = tracked.iter().filter(|(key, job)| is_due(key, job));
+        due_jobs.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Enters a job in the ledger and forgets it.
-    async fn hand_on(&self, key: &JobKey) -> Result<(), Report<JobError>> {
+    /// Writes a job to the ledger and removes it from the spool.
+    async fn write_to_ledger(
+        &self,
+        key: &JobKey,
+    ) -> Result<(), Report<JobError>> {
         if self.view.get(key).is_some() {
-            self.remove(key, "the ledger has it").await;
+            self.remove_from_disk(key, "already in the ledger").await;
             return Ok(());
         }
         let (spool, name) = (self.spool.clone(), key.clone());
@@ -427,52 +444,53 @@
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(report) => {
-                // It stays on disk for whoever looks into this; the other
-                // copy is entered by its node.
+                // The file stays on disk for inspection; a node with another
+                // copy writes the job to the ledger.
                 log::error!(job = key.as_str(), error:? = report;
-                    "a kept job cannot be read");
-                self.forget(key);
+                    "cannot read a spooled job");
+                self.untrack(key);
                 return Ok(());
             }
         };
         let Ok(job) = decode_new_job(&bytes) else {
             log::error!(job = key.as_str();
-                "a kept job is in a form that this version cannot read");
-            self.forget(key);
+                "a spooled job has an unsupported format");
+            self.untrack(key);
             return Ok(());
         };
-        // Nothing is owed any more then. Until then it is entered however
-        // old it is: an outage may last, and a job that was entered and
-        // removed meanwhile only runs in vain.
-        let owed_ms = self.kept_ms.max(job.terms.give_up_in_ms);
-        if self.clock.unix() > job.submitted_at.saturating_add_ms(owed_ms) {
-            self.remove(key, "its time is over").await;
+        // After this time the job may be dropped. Until then it is written
+        // at any age, since an outage may be long; a job that was already
+        // written and removed meanwhile runs again without effect.
+        let expiry_ms = self.retention_ms.max(job.terms.give_up_in_ms);
+        if self.clock.unix() > job.submitted_at.saturating_add_ms(expiry_ms) {
+            self.remove_from_disk(key, "expired").await;
             return Ok(());
         }
         let stored = self.ledger.accept(job).await?;
         self.view.update(key, &stored, self.clock.now());
-        self.remove(key, "it is entered").await;
+        self.remove_from_disk(key, "written to the ledger").await;
         Ok(())
     }
 
-    async fn remove(&self, key: &JobKey, why: &'static str) {
+    async fn remove_from_disk(&self, key: &JobKey, reason: &'static str) {
         let (spool, name) = (self.spool.clone(), key.clone());
         let removed =
             task::spawn_blocking(move || spool.remove(name.as_str()).is_ok());
-        // A record that comes back is found in the ledger, or too old.
+        // If the removal fails, the next start finds the record again; its
+        // job is then in the ledger or expired.
         let removed = removed.await.unwrap_or(false);
-        log::info!(job = key.as_str(), why, removed;
+        log::info!(job = key.as_str(), why = reason, removed;
             "a kept job is not needed on disk any more");
-        self.forget(key);
+        self.untrack(key);
     }
 
-    fn forget(&self, key: &JobKey) {
-        let mut waiting = self.lock();
-        waiting.swap_remove(key);
-        self.count.send_replace(waiting.len());
+    fn untrack(&self, key: &JobKey) {
+        let mut tracked = self.lock();
+        tracked.swap_remove(key);
+        self.count.send_replace(tracked.len());
     }
 
-    fn lock(&self) -> MutexGuard<'_, IndexMap<JobKey, Waiting>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, IndexMap<JobKey, SpooledJob>> {
+        self.tracked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/load.rs
+++ b/crates/node/src/load.rs
@@ -1,14 +1,14 @@
 //! Load updates between fronts and workers.
 //!
-//! Datagrams, because only the newest update counts: a lost one is made good
-//! by the next, and none may wait behind another. A front reports each request
-//! that it sends to the worker that uses the endpoint; the worker reports to
-//! the fronts that send to its endpoints what the others have in flight
-//! there.
+//! Updates are sent as datagrams because only the newest one counts: the next
+//! update replaces a lost one, and head-of-line blocking is avoided. A front
+//! reports each request that it sends to the worker to which the endpoint is
+//! assigned. The worker reports to the fronts that use its endpoints how many
+//! requests other fronts have in flight there.
 //!
-//! Who speaks to whom follows from the endpoints that are shared: a front
-//! subscribes at the workers of the few that it sends to. If each worker
-//! reported to each front, datagrams would grow with the product of both.
+//! A front subscribes only at the workers of the endpoints that it uses. If
+//! each worker reported to each front, the number of datagrams would grow with
+//! the product of both.
 
 mod front;
 mod wire;
@@ -26,16 +26,17 @@
 pub(crate) use self::{front::FrontLoad, worker::WorkerLoad};
 use crate::{ClusterState, refusals::RefusalLog};
 
-/// Time between two looks at what has changed, in milliseconds: how old the
-/// load of an endpoint may be when a request is sent there, and a third of
-/// what a stream has to its first event if it is turned away once.
-const TICK_MS: u64 = 50;
+/// Interval between two checks for changed counts, in milliseconds. It bounds
+/// the age of an endpoint's load when a request is sent there, and is a third
+/// of the time that a stream has to its first event if one endpoint rejects
+/// it.
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// Time between two updates that name all endpoints, in milliseconds. Two of
-/// them may be lost before an endpoint is not judged by them any more.
-const WHOLE_MS: u64 = 500;
+/// Interval between two full updates, in milliseconds. The reported load of an
+/// endpoint expires only after two consecutive full updates are lost.
+const FULL_UPDATE_INTERVAL_MS: u64 = 500;
 
-/// Observes each request and passes the endpoint on to the sender's task.
+/// Observes started requests and passes their endpoints to the sending task.
 #[derive(Debug)]
 pub(crate) struct LoadNotifier(mpsc::UnboundedSender<IncarnationKey>);
 
@@ -52,13 +53,13 @@
     }
 }
 
-/// Where one node sends and receives updates of load.
+/// Sends and receives the load updates of a node.
 pub(crate) struct LoadSocket {
     node: String,
     socket: Arc<UdpSocket>,
     started_at: UnixMillis,
-    number: u64,
-    /// Open items that updates of this node report, if it is a worker.
+    sequence: u64,
+    /// Number of open items reported in updates, if the node is a worker.
     open_items: Option<u32>,
     buffer: Vec<u8>,
     refusals: RefusalLog,
@@ -66,7 +67,7 @@
     cluster: ClusterState,
 }
 
-/// Binds the socket on which a node receives updates of load.
+/// Binds the socket on which a node receives load updates.
 pub(crate) async fn bind(address: SocketAddr) -> io::Result<Arc<UdpSocket>> {
     UdpSocket::bind(address).await.map(Arc::new)
 }
@@ -82,7 +83,7 @@
             node: node.to_owned(),
             socket,
             started_at: cluster.clock().unix(),
-            number: 0,
+            sequence: 0,
             open_items: None,
             buffer: vec![0; wire::DATAGRAM_BYTES],
             refusals: RefusalLog::default(),
@@ -95,21 +96,22 @@
         &self.node
     }
 
-    /// Sends counts in as many datagrams as they need; `whole` says that
-    /// these are all.
+    /// Sends counts in as many datagrams as needed; `is_full` means that
+    /// endpoints that are not named have no requests.
     async fn send(
         &mut self,
         to: SocketAddr,
         kind: Kind,
-        whole: bool,
+        is_full: bool,
         counts: &[(IncarnationKey, u32)],
     ) {
-        let mut parts = counts.chunks(wire::COUNTS_MOST);
-        let first = parts.next().unwrap_or_default();
-        self.send_one(to, kind, whole, first).await;
-        for part in parts {
-            // The first one ended what is not named; the others add to it.
-            self.send_one(to, kind, false, part).await;
+        let mut chunks = counts.chunks(wire::MAX_COUNTS);
+        let first = chunks.next().unwrap_or_default();
+        self.send_one(to, kind, is_full, first).await;
+        for chunk in chunks {
+            // The first datagram has reset the endpoints that it does not
+            // name; the others add to it.
+            self.send_one(to, kind, false, chunk).await;
         }
     }
 
@@ -117,36 +119,41 @@
         &mut self,
         to: SocketAddr,
         kind: Kind,
-        whole: bool,
+        is_full: bool,
         counts: &[(IncarnationKey, u32)],
     ) {
-        self.number += 1;
-        let stamp = ReportVersion {
+        self.sequence += 1;
+        let report_version = ReportVersion {
             started_at: self.started_at,
-            number: self.number,
+            number: self.sequence,
         };
-        let update =
-            LoadUpdate::new(kind, &self.node, stamp, whole, counts.to_vec())
-                .with_open_items(self.open_items);
+        let update = LoadUpdate::new(
+            kind,
+            &self.node,
+            report_version,
+            is_full,
+            counts.to_vec(),
+        )
+        .with_open_items(self.open_items);
         let bytes = update.encode();
         Counters::add(&self.counters.load_updates_sent);
         Counters::count(&self.counters.load_bytes_sent, bytes.len());
         if let Err(error) = self.socket.send_to(&bytes, to).await {
-            log::debug!(to:%, error:%; "a load update is not sent");
+            log::debug!(to:%, error:%; "cannot send a load update");
         }
     }
 
-    /// Waits for an update; none if one arrived that is not to be heeded.
+    /// Waits for an update; returns none if an invalid one arrived.
     ///
-    /// It is safe to drop the wait: no update is lost by that.
+    /// This is cancel safe: dropping the future loses no update.
     async fn receive(&mut self) -> Option<(LoadUpdate, SocketAddr)> {
         let received = self.socket.recv_from(&mut self.buffer).await;
         let (length, from) = match received {
             Ok(received) => received,
             Err(error) => {
-                log::debug!(error:%; "no load update can be read");
-                // An error that stays must not keep the processor busy.
-                time::sleep(Duration::from_millis(TICK_MS)).await;
+                log::debug!(error:%; "cannot receive load updates");
+                // Avoids a busy loop on a persistent error.
+                time::sleep(Duration::from_millis(TICK_INTERVAL_MS)).await;
                 return None;
             }
         };
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Tells whether an update comes from the address of the node that it
+    /// Reports whether an update comes from the address of the node that it
     /// names.
     fn is_from(
         &mut self,
@@ -168,11 +175,17 @@
         from: SocketAddr,
         address: Option<SocketAddr>,
     ) -> bool {
-        let genuine = address == Some(from);
-        if !genuine {
-            self.refuse(from, &format!("{} is not there", update.node()));
+        let is_genuine = address == Some(from);
+        if !is_genuine {
+            self.refuse(
+                from,
+                &format!(
+                    "sender is not at the address of node {}",
+                    update.node()
+                ),
+            );
         }
-        genuine
+        is_genuine
     }
 
     fn refuse(&mut self, from: SocketAddr, reason: &dyn std::fmt::Display) {
--- a/crates/node/src/load/front.rs
+++ b/crates/node/src/load/front.rs
@@ -1,4 +1,4 @@
-//! What a front sends and receives.
+//! Load updates on the side of a front.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,67 +14,72 @@
     time::{self, MissedTickBehavior},
 };
 
-use super::{Kind, LoadSocket, TICK_MS, WHOLE_MS, wire::LoadUpdate};
+use super::{
+    FULL_UPDATE_INTERVAL_MS, Kind, LoadSocket, TICK_INTERVAL_MS,
+    wire::LoadUpdate,
+};
 use crate::ClusterState;
 
-/// Empty updates that end a subscription at a worker. Without one the front
-/// looks as if it had fallen silent, and datagrams may be lost.
-const UNSUBSCRIBES: u32 = 3;
+/// Number of empty updates that end a subscription at a worker, since
+/// datagrams may be lost. Without them the front would look unreachable.
+const UNSUBSCRIBE_UPDATES: u32 = 3;
 
-/// Sends a front's load updates, takes those of workers, and keeps the
+/// Sends a front's load updates, applies those of workers, and keeps the
 /// selection of endpoints up to date.
 pub(crate) struct FrontLoad {
     pub(crate) socket: LoadSocket,
     pub(crate) view: JobView,
     pub(crate) cluster: ClusterState,
-    pub(crate) plans: Assignments,
+    pub(crate) assignments: Assignments,
     pub(crate) selection: Arc<Snapshot<Selection>>,
-    /// Takes what workers report of their items.
+    /// Backlogs of items that workers report.
     pub(crate) backlogs: Arc<ReportedBacklogs>,
-    pub(crate) began: mpsc::UnboundedReceiver<IncarnationKey>,
+    pub(crate) started: mpsc::UnboundedReceiver<IncarnationKey>,
 }
 
-/// What the selection was made of.
-struct MadeOf {
+/// Inputs of the current selection.
+struct SelectionInputs {
     table: Arc<EndpointTable>,
-    plan: Arc<Assignment>,
-    /// Whom the counts go to.
+    assignment: Arc<Assignment>,
+    /// Assignment to the workers that receive the counts.
     workers: Arc<Assignment>,
 }
 
 #[derive(Default)]
 struct State {
-    made_of: Option<MadeOf>,
-    /// Counts as they were sent last, of endpoints with requests.
-    sent: IndexMap<IncarnationKey, u32>,
-    /// Workers that this front subscribes at, with the empty updates that
-    /// are left to end that.
+    selection_inputs: Option<SelectionInputs>,
+    /// Counts sent last, for endpoints with requests.
+    sent_counts: IndexMap<IncarnationKey, u32>,
+    /// Workers at which this front is subscribed, with the remaining number
+    /// of empty updates that end the subscription.
     workers: IndexMap<SocketAddr, u32>,
-    /// The last update of each worker, and when it arrived.
-    last: IndexMap<SocketAddr, (ReportVersion, Millis)>,
-    next_whole: Millis,
+    /// Version and time of arrival of the last update of each worker.
+    last_updates: IndexMap<SocketAddr, (ReportVersion, Millis)>,
+    next_full_update: Millis,
 }
 
 impl FrontLoad {
     pub(crate) async fn run(mut self) {
         let mut state = State::default();
-        let mut ticks = time::interval(Duration::from_millis(TICK_MS));
+        let mut ticks =
+            time::interval(Duration::from_millis(TICK_INTERVAL_MS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 received = self.socket.receive() => {
                     if let Some((update, from)) = received {
-                        self.learn(&mut state, &update, from);
+                        self.apply_update(&mut state, &update, from);
                     }
                 }
-                began = self.began.recv() => {
-                    let mut lives: Vec<IncarnationKey> = began.into_iter().collect();
-                    while let Ok(life) = self.began.try_recv() {
-                        lives.push(life);
+                started = self.started.recv() => {
+                    let mut incarnations: Vec<IncarnationKey> =
+                        started.into_iter().collect();
+                    while let Ok(incarnation) = self.started.try_recv() {
+                        incarnations.push(incarnation);
                     }
-                    lives.sort_unstable();
-                    lives.dedup();
-                    self.send_counts(&mut state, &lives).await;
+                    incarnations.sort_unstable();
+                    incarnations.dedup();
+                    self.send_counts(&mut state, &incarnations).await;
                 }
                 _ = ticks.tick() => self.tick(&mut state).await,
             }
@@ -82,131 +87,150 @@
     }
 
     async fn tick(&mut self, state: &mut State) {
-        let selected_anew = self.select(state);
+        let selection_changed = self.select(state);
         let now = self.cluster.clock().now();
-        if selected_anew || now >= state.next_whole {
-            state.next_whole = now.saturating_add_ms(WHOLE_MS);
-            self.send_whole(state).await;
+        if selection_changed || now >= state.next_full_update {
+            state.next_full_update =
+                now.saturating_add_ms(FULL_UPDATE_INTERVAL_MS);
+            self.send_full(state).await;
             return;
         }
-        let changed = self.changes(state);
+        let changed = self.changed_counts(state);
         if !changed.is_empty() {
             self.send_counts(state, &changed).await;
         }
     }
 
-    /// Selects endpoints anew if the table or the shares have changed, and
-    /// returns whether they have.
+    /// Recomputes the selection if the endpoint table or an assignment has
+    /// changed, and returns whether it has.
     fn select(&self, state: &mut State) -> bool {
-        let plan = self.plans.for_requests();
-        let workers = self.plans.for_items();
+        let assignment = self.assignments.for_requests();
+        let workers = self.assignments.for_items();
         let table = self.cluster.endpoints.load().table.clone();
-        let is_known = state.made_of.as_ref().is_some_and(|known| {
-            Arc::ptr_eq(&known.table, &table)
-                && Arc::ptr_eq(&known.plan, &plan)
-                && Arc::ptr_eq(&known.workers, &workers)
-        });
-        if is_known {
+        let is_current =
+            state.selection_inputs.as_ref().is_some_and(|known| {
+                Arc::ptr_eq(&known.table, &table)
+                    && Arc::ptr_eq(&known.assignment, &assignment)
+                    && Arc::ptr_eq(&known.workers, &workers)
+            });
+        if is_current {
             return false;
         }
-        let own =
-            |e: &fleet::Endpoint| plan.uses_endpoint(e.incarnation_key());
+        let own = |e: &fleet::Endpoint| {
+            assignment.uses_endpoint(e.incarnation_key())
+        };
         let selection = Selection::new(self.socket.node(), &table, own);
         log::info!(
-            own = plan.own_endpoints().len(),
+            own = assignment.own_endpoints().len(),
             selected = selection.iter().count(),
             endpoints = table.len();
-            "the endpoints of this node are selected"
+            "endpoints selected"
         );
         self.selection.publish(selection);
         let now = self.cluster.clock().now();
-        state.last.retain(|_, (_, at)| {
+        state.last_updates.retain(|_, (_, at)| {
             now.saturating_ms_since(*at) < FRONT_LOAD_TTL_MS
         });
-        state.made_of = Some(MadeOf {
+        state.selection_inputs = Some(SelectionInputs {
             table,
-            plan,
+            assignment,
             workers,
         });
         true
     }
 
-    /// Returns the endpoints whose count is not what was sent last. Only
-    /// those that had requests then can differ: the observer of requests
+    /// Returns the endpoints whose count differs from the one sent last. Only
+    /// endpoints that had requests then are checked: the request observer
     /// reports all others.
-    fn changes(&self, state: &State) -> Vec<IncarnationKey> {
+    fn changed_counts(&self, state: &State) -> Vec<IncarnationKey> {
         let view = self.cluster.endpoints.load();
-        let changed = state.sent.iter().filter(|(life, sent)| {
-            view.table.get(**life).map(|e| e.in_flight()) != Some(**sent)
-        });
-        changed.map(|(life, _)| *life).collect()
+        let changed =
+            state
+                .sent_counts
+                .iter()
+                .filter(|(incarnation, sent_count)| {
+                    view.table.get(**incarnation).map(|e| e.in_flight())
+                        != Some(**sent_count)
+                });
+        changed.map(|(incarnation, _)| *incarnation).collect()
     }
 
     async fn send_counts(
         &mut self,
         state: &mut State,
-        lives: &[IncarnationKey],
+        incarnations: &[IncarnationKey],
     ) {
-        let updates = self.counts_by_worker(state, lives.iter().copied());
+        let updates =
+            self.counts_by_worker(state, incarnations.iter().copied());
         for (to, counts) in updates {
-            state.workers.insert(to, UNSUBSCRIBES);
+            state.workers.insert(to, UNSUBSCRIBE_UPDATES);
             self.socket.send(to, Kind::Own, false, &counts).await;
         }
     }
 
-    /// Sends each worker all counts of its endpoints, also those of none:
-    /// that is how it knows to whom to report.
-    async fn send_whole(&mut self, state: &mut State) {
+    /// Sends each worker all counts of its endpoints, including zeros: these
+    /// subscribe the front to the worker's reports.
+    async fn send_full(&mut self, state: &mut State) {
         let selection = self.selection.load_full();
-        let mut lives: Vec<IncarnationKey> =
-            selection.iter().chain(state.sent.keys().copied()).collect();
-        lives.sort_unstable();
-        lives.dedup();
-        let mut updates = self.counts_by_worker(state, lives.into_iter());
-        state.workers.retain(|_, unsubscribes| *unsubscribes > 0);
-        for (to, unsubscribes) in &mut state.workers {
+        let mut incarnations: Vec<IncarnationKey> = selection
+            .iter()
+            .chain(state.sent_counts.keys().copied())
+            .collect();
+        incarnations.sort_unstable();
+        incarnations.dedup();
+        let mut updates =
+            self.counts_by_worker(state, incarnations.into_iter());
+        state
+            .workers
+            .retain(|_, remaining_updates| *remaining_updates > 0);
+        for (to, remaining_updates) in &mut state.workers {
             if !updates.contains_key(to) {
-                *unsubscribes -= 1;
+                *remaining_updates -= 1;
                 updates.insert(*to, Vec::new());
             }
         }
         for (to, counts) in updates {
             if !counts.is_empty() {
-                state.workers.insert(to, UNSUBSCRIBES);
+                state.workers.insert(to, UNSUBSCRIBE_UPDATES);
             }
             self.socket.send(to, Kind::Own, true, &counts).await;
         }
     }
 
-    /// Groups counts by the worker that uses the endpoint.
+    /// Groups counts by the worker to which the endpoint is assigned.
     fn counts_by_worker(
         &self,
         state: &mut State,
-        lives: impl Iterator<Item = IncarnationKey>,
+        incarnations: impl Iterator<Item = IncarnationKey>,
     ) -> IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> {
         let view = self.cluster.endpoints.load();
-        let plan = self.plans.for_items();
+        let assignment = self.assignments.for_items();
         let mut updates: IndexMap<SocketAddr, Vec<(IncarnationKey, u32)>> =
             IndexMap::new();
-        for life in lives {
-            let Some(endpoint) = view.table.get(life) else {
-                state.sent.swap_remove(&life);
+        for incarnation in incarnations {
+            let Some(endpoint) = view.table.get(incarnation) else {
+                state.sent_counts.swap_remove(&incarnation);
                 continue;
             };
             let count = endpoint.in_flight();
             match count {
-                0 => state.sent.swap_remove(&life),
-                count => state.sent.insert(life, count),
+                0 => state.sent_counts.swap_remove(&incarnation),
+                count => state.sent_counts.insert(incarnation, count),
             };
-            let user = plan.user_of(life).and_then(|user| user.address);
-            if let Some(address) = user {
-                updates.entry(address).or_default().push((life, count));
+            let worker = assignment
+                .user_of(incarnation)
+                .and_then(|worker| worker.address);
+            if let Some(address) = worker {
+                updates
+                    .entry(address)
+                    .or_default()
+                    .push((incarnation, count));
             }
         }
         updates
     }
 
-    fn learn(
+    fn apply_update(
         &mut self,
         state: &mut State,
         update: &LoadUpdate,
@@ -220,20 +244,20 @@
             return;
         }
         let now = self.cluster.clock().now();
-        let (stamp, at) = state.last.entry(from).or_default();
-        // A worker that was silent begins anew: its clock may have been set
-        // back while it restarted.
-        let silent = now.saturating_ms_since(*at) >= FRONT_LOAD_TTL_MS;
-        if update.stamp() <= *stamp && !silent {
+        let (last_version, at) = state.last_updates.entry(from).or_default();
+        // After a period of silence any version is accepted: the worker's
+        // clock may have been set back while it restarted.
+        let is_silent = now.saturating_ms_since(*at) >= FRONT_LOAD_TTL_MS;
+        if update.report_version() <= *last_version && !is_silent {
             return;
         }
-        (*stamp, *at) = (update.stamp(), now);
+        (*last_version, *at) = (update.report_version(), now);
         if let Some(open_items) = update.open_items() {
             self.backlogs.report(update.node(), open_items, now);
         }
         let view = self.cluster.endpoints.load();
-        for (life, count) in update.counts() {
-            if let Some(endpoint) = view.table.get(*life) {
+        for (incarnation, count) in update.counts() {
+            if let Some(endpoint) = view.table.get(*incarnation) {
                 endpoint.record_remote_load(*count, now);
             }
         }
--- a/crates/node/src/load/wire.rs
+++ b/crates/node/src/load/wire.rs
@@ -1,4 +1,4 @@
-//! How load updates are written, and what makes one invalid.
+//! Encoding and validation of load updates.
 
 use std::fmt;
 
@@ -6,65 +6,73 @@
 use jobs::ReportVersion;
 use serde::{Deserialize, Serialize};
 
-/// Form of the updates that this version writes. Another one is refused: the
-/// two may mean different things by the same fields.
+/// Version of the update format. Other versions are refused, since the same
+/// fields may have different meanings.
 const VERSION: u32 = 2;
 
-/// Largest datagram that is read.
+/// Maximum size of a received datagram.
 pub(super) const DATAGRAM_BYTES: usize = 8 * 1024;
 
-/// Counts in one datagram, so that it fits a packet of 1,500 bytes with keys
-/// of twenty digits.
-pub(super) const COUNTS_MOST: usize = 40;
+/// Maximum number of counts in a datagram, so that it fits a packet of 1,500
+/// bytes with keys of 20 digits.
+pub(super) const MAX_COUNTS: usize = 40;
 
-/// Most requests that one node can have at one endpoint; what a front can
-/// hold open at all is below that.
-const COUNT_MOST: u32 = 100_000;
+/// Maximum valid count of requests of one node at one endpoint; more than a
+/// front can have open in total.
+const MAX_COUNT: u32 = 100_000;
 
-/// Whose requests an update counts.
+/// The set of fronts whose requests an update counts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Kind {
-    /// Those of the front that sends it.
+    /// The front that sends the update.
     Own,
-    /// Those of all fronts but the one that it is sent to.
+    /// All fronts except the one that receives the update.
     Others,
 }
 
-/// One datagram.
+/// Load update in one datagram.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadUpdate {
     version: u32,
     kind: Kind,
     node: String,
-    stamp: ReportVersion,
-    whole: bool,
+    #[serde(rename = "stamp")]
+    report_version: ReportVersion,
+    #[serde(rename = "whole")]
+    is_full: bool,
     counts: Vec<(IncarnationKey, u32)>,
-    /// Open items of the jobs that the sender runs, if it is a worker.
+    /// Open items of the sender's jobs, if it is a worker.
     open_items: Option<u32>,
 }
 
-/// Why an update is not heeded.
+/// Reason for which an update is refused.
 #[derive(Debug)]
 pub(super) enum UpdateError {
-    /// It is no update at all.
+    /// The datagram is not a valid update.
     Malformed(serde_json::Error),
-    /// It is of another version.
-    Version(u32),
-    /// It has more counts than a datagram holds.
-    TooMany(usize),
-    /// A count is larger than any node can have.
-    TooLarge(u32),
+    /// The update has another format version.
+    UnsupportedVersion(u32),
+    /// The update has more than the maximum number of counts.
+    TooManyCounts(usize),
+    /// A count exceeds the maximum.
+    CountTooLarge(u32),
 }
 
 impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(error) => write!(f, "malformed: {error}"),
-            Self::Version(version) => write!(f, "of version {version}"),
-            Self::TooMany(counts) => write!(f, "{counts} counts"),
-            Self::TooLarge(count) => write!(f, "a count of {count}"),
+            Self::UnsupportedVersion(version) => {
+                write!(f, "unsupported version {version}")
+            }
+            Self::TooManyCounts(counts) => {
+                write!(f, "too many counts: {counts}")
+            }
+            Self::CountTooLarge(count) => {
+                write!(f, "count too large: {count}")
+            }
         }
     }
 }
@@ -73,22 +81,22 @@
     pub(super) fn new(
         kind: Kind,
         node: &str,
-        stamp: ReportVersion,
-        whole: bool,
+        report_version: ReportVersion,
+        is_full: bool,
         counts: Vec<(IncarnationKey, u32)>,
     ) -> Self {
         Self {
             version: VERSION,
             kind,
             node: node.to_owned(),
-            stamp,
-            whole,
+            report_version,
+            is_full,
             counts,
             open_items: None,
         }
     }
 
-    /// Adds how many items the sender has open.
+    /// Sets the number of the sender's open items.
     pub(super) fn with_open_items(mut self, open_items: Option<u32>) -> Self {
         self.open_items = open_items;
         self
@@ -99,7 +107,7 @@
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
-        // Strings and numbers always encode.
+        // Serialization of strings and numbers cannot fail.
         serde_json::to_vec(self).unwrap_or_default()
     }
 
@@ -107,15 +115,15 @@
         let update: Self =
             serde_json::from_slice(bytes).map_err(UpdateError::Malformed)?;
         if update.version != VERSION {
-            return Err(UpdateError::Version(update.version));
+            return Err(UpdateError::UnsupportedVersion(update.version));
         }
-        if update.counts.len() > COUNTS_MOST {
-            return Err(UpdateError::TooMany(update.counts.len()));
+        if update.counts.len() > MAX_COUNTS {
+            return Err(UpdateError::TooManyCounts(update.counts.len()));
         }
         let largest = update.counts.iter().map(|(_, count)| *count).max();
         match largest {
-            Some(count) if count > COUNT_MOST => {
-                Err(UpdateError::TooLarge(count))
+            Some(count) if count > MAX_COUNT => {
+                Err(UpdateError::CountTooLarge(count))
             }
             _ => Ok(update),
         }
@@ -129,12 +137,12 @@
         &self.node
     }
 
-    pub(super) fn stamp(&self) -> ReportVersion {
-        self.stamp
+    pub(super) fn report_version(&self) -> ReportVersion {
+        self.report_version
     }
 
-    pub(super) fn is_whole(&self) -> bool {
-        self.whole
+    pub(super) fn is_full(&self) -> bool {
+        self.is_full
     }
 
     pub(super) fn counts(&self) -> &[(IncarnationKey, u32)] {
--- a/crates/node/src/load/worker.rs
+++ b/crates/node/src/load/worker.rs
@@ -1,4 +1,4 @@
-//! What a worker receives and reports.
+//! Load updates on the side of a worker.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,36 +7,40 @@
 use jobs::{FrontUpdate, JobView, OnlineLoad, OtherFrontsLoad, Roster};
 use tokio::time::{self, MissedTickBehavior};
 
-use super::{Kind, LoadSocket, TICK_MS, WHOLE_MS, wire::LoadUpdate};
+use super::{
+    FULL_UPDATE_INTERVAL_MS, Kind, LoadSocket, TICK_INTERVAL_MS,
+    wire::LoadUpdate,
+};
 use crate::ClusterState;
 
-/// How long a front may still report after its entry has ended, in
-/// milliseconds. A planned stop ends the entry first and takes as long as the
-/// operators give it, some eight seconds.
-const LEAVING_MS: u64 = 10_000;
+/// Time for which reports of a front are accepted after its entry is removed,
+/// in milliseconds. A planned shutdown removes the entry first and then takes
+/// up to the operators' grace period, about 8 s.
+const REMOVED_FRONT_TTL_MS: u64 = 10_000;
 
-/// The fronts whose updates are taken: those that are listed, and for a while
-/// those that were.
+/// The fronts whose updates are accepted: listed fronts, and for some time
+/// fronts that were removed.
 #[derive(Default)]
 struct Fronts {
     roster: Roster,
-    /// Address of each that has left the list, and until when it counts.
-    left: IndexMap<String, (SocketAddr, Millis)>,
+    /// Address of each removed front, and the time until which it is accepted.
+    removed: IndexMap<String, (SocketAddr, Millis)>,
 }
 
 impl Fronts {
-    fn follow(&mut self, roster: Roster, now: Millis) {
+    fn update_roster(&mut self, roster: Roster, now: Millis) {
         if roster.is_same(&self.roster) {
             return;
         }
-        let until = now.saturating_add_ms(LEAVING_MS);
+        let expires_at = now.saturating_add_ms(REMOVED_FRONT_TTL_MS);
         let before = self.roster.fronts.nodes();
         for front in before.iter().filter(|f| !roster.fronts.has(&f.node)) {
             if let Some(address) = front.address {
-                self.left.insert(front.node.clone(), (address, until));
+                self.removed
+                    .insert(front.node.clone(), (address, expires_at));
             }
         }
-        self.left.retain(|_, (_, until)| now < *until);
+        self.removed.retain(|_, (_, expires_at)| now < *expires_at);
         self.roster = roster;
     }
 
@@ -47,37 +51,39 @@
     fn address_of(&self, front: &str) -> Option<SocketAddr> {
         match self.roster.fronts.get(front) {
             Some(listed) => listed.address,
-            None => self.left.get(front).map(|(address, _)| *address),
+            None => self.removed.get(front).map(|(address, _)| *address),
         }
     }
 }
 
-/// Takes the load updates of fronts and reports to each what the others have.
+/// Applies the load updates of fronts and reports to each front the load of
+/// the others.
 pub(crate) struct WorkerLoad {
     pub(crate) socket: LoadSocket,
     pub(crate) view: JobView,
     pub(crate) cluster: ClusterState,
     pub(crate) online: Arc<OnlineLoad>,
-    /// When open items are counted next.
-    pub(crate) next_count: Millis,
+    /// Time of the next count of open items.
+    pub(crate) next_backlog_count: Millis,
 }
 
 impl WorkerLoad {
     pub(crate) async fn run(mut self) {
         let mut fronts = Fronts::default();
-        let mut ticks = time::interval(Duration::from_millis(TICK_MS));
+        let mut ticks =
+            time::interval(Duration::from_millis(TICK_INTERVAL_MS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 received = self.socket.receive() => {
                     if let Some((update, from)) = received {
-                        self.take(&mut fronts, &update, from).await;
+                        self.apply_update(&mut fronts, &update, from).await;
                     }
                 }
                 _ = ticks.tick() => {
                     let now = self.now();
-                    fronts.follow(self.view.roster(), now);
-                    self.count_items(now);
+                    fronts.update_roster(self.view.roster(), now);
+                    self.update_open_items(now);
                     let is_listed = |front: &str| fronts.is_listed(front);
                     self.online.remove_gone(is_listed, now);
                     for update in self.online.changes(now) {
@@ -88,12 +94,13 @@
         }
     }
 
-    /// Counts the open items of this node anew, if it is time.
-    fn count_items(&mut self, now: Millis) {
-        if now < self.next_count {
+    /// Counts the open items of this node if the count is due.
+    fn update_open_items(&mut self, now: Millis) {
+        if now < self.next_backlog_count {
             return;
         }
-        self.next_count = now.saturating_add_ms(WHOLE_MS);
+        self.next_backlog_count =
+            now.saturating_add_ms(FULL_UPDATE_INTERVAL_MS);
         let members = self.view.members();
         let backlog = self.view.backlog(&members);
         let node = self.socket.node().to_owned();
@@ -104,16 +111,16 @@
         self.cluster.clock().now()
     }
 
-    /// Takes an update and answers one that names all endpoints at once: a
-    /// front that has just started knows the load of its endpoints then.
-    async fn take(
+    /// Applies an update, and responds immediately to a full update so that a
+    /// starting front learns the load of its endpoints.
+    async fn apply_update(
         &mut self,
         fronts: &mut Fronts,
         update: &LoadUpdate,
         from: SocketAddr,
     ) {
         let now = self.now();
-        fronts.follow(self.view.roster(), now);
+        fronts.update_roster(self.view.roster(), now);
         let address = fronts.address_of(update.node());
         let is_own = update.kind() == Kind::Own;
         if !is_own || !self.socket.is_from(update, from, address) {
@@ -121,14 +128,14 @@
         }
         let own = FrontUpdate {
             front: update.node(),
-            version: update.stamp(),
-            is_full: update.is_whole(),
+            version: update.report_version(),
+            is_full: update.is_full(),
             counts: update.counts(),
         };
-        let is_news = self.online.apply(own, now);
-        if is_news && update.is_whole() && !update.counts().is_empty() {
-            let answer = self.online.full_report(update.node(), now);
-            self.report(&answer, fronts).await;
+        let is_new = self.online.apply(own, now);
+        if is_new && update.is_full() && !update.counts().is_empty() {
+            let response = self.online.full_report(update.node(), now);
+            self.report(&response, fronts).await;
         }
     }
 
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -8,14 +8,14 @@
 
 use crate::Dialect;
 
-/// Longest wait for an endpoint's load, in milliseconds; an older answer
-/// would tell nothing.
+/// Timeout for reading an endpoint's load, in milliseconds; a later response
+/// would be stale.
 const PROBE_TIMEOUT_MS: u64 = 300;
 
-/// Largest answer to a question for the load.
-const PROBE_MOST_BYTES: usize = 64 * 1024;
+/// Maximum size of a load response.
+const MAX_PROBE_BYTES: usize = 64 * 1024;
 
-/// Asks endpoints for their load over kept connections.
+/// Queries the load of endpoints over pooled connections.
 pub(crate) struct LoadProbe {
     dialect: Arc<dyn Dialect>,
     pool: Arc<Pool>,
@@ -39,9 +39,9 @@
             let host = record.address.to_string();
             let host = HeaderValue::from_str(&host).ok()?;
             request.headers_mut().insert(header::HOST, host);
-            let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
-            let fetch = pool.fetch(&endpoint, request, PROBE_MOST_BYTES);
-            let body = time::timeout(wait, fetch).await.ok()??;
+            let timeout = Duration::from_millis(PROBE_TIMEOUT_MS);
+            let fetch = pool.fetch(&endpoint, request, MAX_PROBE_BYTES);
+            let body = time::timeout(timeout, fetch).await.ok()??;
             dialect.load(&body, record.slots)
         })
     }
--- a/crates/node/src/quota.rs
+++ b/crates/node/src/quota.rs
@@ -1,12 +1,12 @@
-//! Counts requests against the limits of customers, over all nodes.
+//! Counts requests against the limits of customers across all nodes.
 //!
-//! Each node answers fronts that lend their parts of the limits to it; a
-//! front asks for each request of a customer with a limit. What is counted
-//! where is decided by `limits`; this module carries its messages, one in a
-//! datagram: a lost one costs the wait for one answer, and none may wait
-//! behind another.
+//! Each node is a token server for fronts that pool their allotments of the
+//! limits there; a front requests a token for each request of a customer with
+//! a limit. The `limits` crate decides where a request is counted. This module
+//! sends its messages, one per datagram: a lost message costs one timeout, and
+//! head-of-line blocking is avoided.
 
-mod neighbours;
+mod peers;
 mod wire;
 
 use std::{
@@ -29,21 +29,21 @@
 };
 
 use self::{
-    neighbours::Neighbours,
+    peers::QuotaPeers,
     wire::{QuotaMessage, WireError},
 };
 use crate::{ClusterState, NodeSettings, refusals::RefusalLog};
 
-/// A request that is to be counted.
-struct Request {
+/// A request to count one call of a customer.
+struct CountRequest {
     customer: Customer,
-    cap: RateLimit,
-    verdict: oneshot::Sender<LimitDecision>,
+    limit: RateLimit,
+    decision: oneshot::Sender<LimitDecision>,
 }
 
-/// Asks for requests of one front.
+/// Handle that submits the requests of one front for counting.
 #[derive(Clone)]
-pub(crate) struct QuotaClient(mpsc::UnboundedSender<Request>);
+pub(crate) struct QuotaClient(mpsc::UnboundedSender<CountRequest>);
 
 impl QuotaClient {
     /// Counts a request against its customer's limit.
@@ -51,15 +51,15 @@
         &self,
         caller: Option<&Caller>,
     ) -> LimitDecision {
-        let cap = caller.and_then(|caller| Some((caller, caller.cap()?)));
-        let Some((caller, cap)) = cap else {
+        let limit = caller.and_then(|caller| Some((caller, caller.cap()?)));
+        let Some((caller, limit)) = limit else {
             return LimitDecision::Admitted(QuotaPermit::unlimited());
         };
-        let (verdict, decided) = oneshot::channel();
-        let request = Request {
+        let (decision, decided) = oneshot::channel();
+        let request = CountRequest {
             customer: caller.customer().clone(),
-            cap,
-            verdict,
+            limit,
+            decision,
         };
         if self.0.send(request).is_err() {
             return LimitDecision::Unavailable;
@@ -68,28 +68,28 @@
     }
 }
 
-/// Time between two looks at which nodes there are, in milliseconds.
-const LOOK_MS: u64 = 200;
+/// Interval between two reads of the list of nodes, in milliseconds.
+const ROSTER_INTERVAL_MS: u64 = 200;
 
-/// Carries the messages of a node until the process ends.
+/// Exchanges the quota messages of a node until the process ends.
 pub(crate) struct QuotaService {
     node: String,
     socket: UdpSocket,
     view: JobView,
     cluster: ClusterState,
     counters: Arc<Counters>,
-    holder: TokenServer,
-    member: TokenClient,
-    neighbours: Neighbours,
-    requests: mpsc::UnboundedReceiver<Request>,
-    waiting: IndexMap<u64, oneshot::Sender<LimitDecision>>,
+    server: TokenServer,
+    client: TokenClient,
+    peers: QuotaPeers,
+    requests: mpsc::UnboundedReceiver<CountRequest>,
+    pending: IndexMap<u64, oneshot::Sender<LimitDecision>>,
     last_ticket: u64,
-    next_look: Millis,
+    next_roster_check: Millis,
     refusals: RefusalLog,
 }
 
 impl QuotaService {
-    /// Binds the socket of a node and returns who asks for its requests.
+    /// Binds the socket of a node and returns the service and its client.
     ///
     /// # Errors
     ///
@@ -104,7 +104,7 @@
         let (sender, requests) = mpsc::unbounded_channel();
         let incarnation = cluster.clock().unix().as_ms();
         let node = settings.node.as_str();
-        let allowance = settings.allowance;
+        let tolerance = settings.allowance;
         let options = TokenServerOptions::default();
         let service = Self {
             node: node.to_owned(),
@@ -112,51 +112,51 @@
             view,
             cluster,
             counters,
-            holder: TokenServer::new(node, incarnation, allowance, options),
-            member: TokenClient::new(node, incarnation, allowance, options),
-            neighbours: Neighbours::default(),
+            server: TokenServer::new(node, incarnation, tolerance, options),
+            client: TokenClient::new(node, incarnation, tolerance, options),
+            peers: QuotaPeers::default(),
             requests,
-            waiting: IndexMap::new(),
+            pending: IndexMap::new(),
             last_ticket: 0,
-            next_look: Millis::new(0),
+            next_roster_check: Millis::new(0),
             refusals: RefusalLog::default(),
         };
         Ok((service, QuotaClient(sender)))
     }
 
-    /// Answers other nodes, and nothing else: for nodes without callers.
-    pub(crate) async fn run_as_holder(mut self) {
+    /// Runs only the token server, for nodes without callers.
+    pub(crate) async fn run_as_server(mut self) {
         let mut buffer = vec![0; wire::DATAGRAM_BYTES];
         loop {
             let received = self.socket.recv_from(&mut buffer).await;
-            self.look();
-            self.take(received, &buffer).await;
+            self.update_peers();
+            self.handle_datagram(received, &buffer).await;
         }
     }
 
-    /// Answers other nodes and asks them for the requests of this one.
+    /// Runs the token server and requests tokens for this node's callers.
     pub(crate) async fn run(mut self) {
         let mut buffer = vec![0; wire::DATAGRAM_BYTES];
         loop {
             let pause_ms = self.pause_ms();
-            // What has arrived goes first: an answer that waited for the
-            // processor must not count as late.
+            // Received messages go first: a response that waited for the
+            // CPU must not count as late.
             tokio::select! {
                 biased;
                 received = self.socket.recv_from(&mut buffer) => {
-                    self.take(received, &buffer).await;
+                    self.handle_datagram(received, &buffer).await;
                 }
                 request = self.requests.recv() => match request {
-                    Some(request) => self.ask(request),
+                    Some(request) => self.count_request(request),
                     None => return,
                 },
                 () = time::sleep(Duration::from_millis(pause_ms)) => {}
             }
-            self.look();
-            if self.is_needed() {
-                self.member.tick(self.now());
+            self.update_peers();
+            if self.is_active() {
+                self.client.tick(self.now());
             }
-            self.act().await;
+            self.perform_actions().await;
         }
     }
 
@@ -164,11 +164,11 @@
         self.cluster.clock().now()
     }
 
-    /// Tells whether any customer has a limit, or a request is being counted
-    /// that came while one had. Else nodes send each other no message about
-    /// limits.
-    fn is_needed(&self) -> bool {
-        if !self.waiting.is_empty() {
+    /// Reports whether any customer has a limit, or a request that arrived
+    /// under a limit is still being counted. Otherwise nodes exchange no quota
+    /// messages.
+    fn is_active(&self) -> bool {
+        if !self.pending.is_empty() {
             return true;
         }
         let config = self.cluster.config.load();
@@ -178,33 +178,35 @@
     }
 
     fn pause_ms(&self) -> u64 {
-        let due = self.member.next_tick().filter(|_| self.is_needed());
-        let pause_ms = due.map(|at| at.saturating_ms_since(self.now()));
-        pause_ms.unwrap_or(LOOK_MS).clamp(1, LOOK_MS)
+        let next_tick = self.client.next_tick().filter(|_| self.is_active());
+        let pause_ms = next_tick.map(|at| at.saturating_ms_since(self.now()));
+        pause_ms
+            .unwrap_or(ROSTER_INTERVAL_MS)
+            .clamp(1, ROSTER_INTERVAL_MS)
     }
 
-    /// Takes the nodes that are listed now.
-    fn look(&mut self) {
+    /// Updates the peers from the list of nodes if a read is due.
+    fn update_peers(&mut self) {
         let now = self.now();
-        if now < self.next_look {
+        if now < self.next_roster_check {
             return;
         }
-        self.next_look = now.saturating_add_ms(LOOK_MS);
-        if self.neighbours.follow(self.view.roster(), now) {
-            self.member.set_nodes(&self.neighbours.nodes(), now);
+        self.next_roster_check = now.saturating_add_ms(ROSTER_INTERVAL_MS);
+        if self.peers.update(self.view.roster(), now) {
+            self.client.set_nodes(&self.peers.nodes(), now);
         }
     }
 
-    fn ask(&mut self, request: Request) {
+    fn count_request(&mut self, request: CountRequest) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
-        self.waiting.insert(ticket, request.verdict);
+        self.pending.insert(ticket, request.decision);
         let now = self.now();
-        let (customer, cap) = (&request.customer, request.cap);
-        self.member.request(Ticket(ticket), customer, cap, now);
+        let (customer, limit) = (&request.customer, request.limit);
+        self.client.request(Ticket(ticket), customer, limit, now);
     }
 
-    async fn take(
+    async fn handle_datagram(
         &mut self,
         received: io::Result<(usize, SocketAddr)>,
         buffer: &[u8],
@@ -212,9 +214,9 @@
         let (length, from) = match received {
             Ok(received) => received,
             Err(error) => {
-                log::debug!(error:%; "no message about limits can be read");
-                // An error that stays must not keep the processor busy.
-                time::sleep(Duration::from_millis(LOOK_MS)).await;
+                log::debug!(error:%; "cannot receive quota messages");
+                // Avoids a busy loop on a persistent error.
+                time::sleep(Duration::from_millis(ROSTER_INTERVAL_MS)).await;
                 return;
             }
         };
@@ -224,46 +226,50 @@
             Err(error) => return self.refuse(from, &error),
         };
         let now = self.now();
-        let message = match self.neighbours.address(message.sender()) {
+        let message = match self.peers.address(message.sender()) {
             Some(address) if address == from => message,
-            // Before the first list of nodes nobody can be told apart. A
-            // front is answered, and nothing is taken of what it lends.
-            None if self.neighbours.is_empty() => message.without_parts(),
+            // Before the first list of nodes no sender can be verified. A
+            // front gets a response, but its allotments are ignored.
+            None if self.peers.is_empty() => message.without_allotments(),
             _ => return self.refuse(from, &WireError::Sender),
         };
         match message {
-            QuotaMessage::Ask(ask) => match self.holder.handle(&ask, now) {
-                Some(reply) => {
-                    self.send(from, &QuotaMessage::Reply(reply)).await;
+            QuotaMessage::Request(count_request) => {
+                match self.server.handle(&count_request, now) {
+                    Some(response) => {
+                        self.send(from, &QuotaMessage::Response(response))
+                            .await;
+                    }
+                    None => self.refuse(from, &WireError::Invalid),
                 }
-                None => self.refuse(from, &WireError::Invalid),
-            },
-            QuotaMessage::Reply(reply) => {
-                self.member.receive(&reply.server, &reply, now);
+            }
+            QuotaMessage::Response(response) => {
+                self.client.receive(&response.server, &response, now);
             }
         }
     }
 
-    async fn act(&mut self) {
-        let mut actions = VecDeque::from(self.member.take_actions());
+    async fn perform_actions(&mut self) {
+        let mut actions = VecDeque::from(self.client.take_actions());
         while let Some(action) = actions.pop_front() {
             match action {
                 LimitAction::Decide { ticket, decision } => {
-                    if let Some(asker) = self.waiting.swap_remove(&ticket.0) {
-                        // A caller that has left needs no verdict.
-                        let _ = asker.send(decision);
+                    if let Some(sender) = self.pending.swap_remove(&ticket.0) {
+                        // Fails if the caller has disconnected.
+                        let _ = sender.send(decision);
                     }
                 }
                 LimitAction::Send { to, request } if to == self.node => {
                     let now = self.now();
-                    if let Some(reply) = self.holder.handle(&request, now) {
-                        self.member.receive(&to, &reply, now);
-                        actions.extend(self.member.take_actions());
+                    if let Some(response) = self.server.handle(&request, now) {
+                        self.client.receive(&to, &response, now);
+                        actions.extend(self.client.take_actions());
                     }
                 }
                 LimitAction::Send { to, request } => {
-                    if let Some(address) = self.neighbours.address(&to) {
-                        self.send(address, &QuotaMessage::Ask(request)).await;
+                    if let Some(address) = self.peers.address(&to) {
+                        self.send(address, &QuotaMessage::Request(request))
+                            .await;
                     }
                 }
             }
@@ -275,7 +281,7 @@
         Counters::add(&self.counters.quota_messages_sent);
         Counters::count(&self.counters.quota_bytes_sent, bytes.len());
         if let Err(error) = self.socket.send_to(&bytes, to).await {
-            log::debug!(to:%, error:%; "a message about limits is not sent");
+            log::debug!(to:%, error:%; "cannot send a quota message");
         }
     }
 
--- a/crates/node/src/quota/wire.rs
+++ b/crates/node/src/quota/wire.rs
@@ -3,21 +3,23 @@
 use limits::{TokenRequest, TokenResponse};
 use serde::{Deserialize, Serialize};
 
-/// Largest datagram that is read.
+/// Maximum size of a received datagram.
 pub(super) const DATAGRAM_BYTES: usize = 8 * 1024;
 
-/// Form of the messages that this version writes. Another one is refused:
-/// the two may mean different things by the same fields.
+/// Version of the message format. Other versions are refused, since the same
+/// fields may have different meanings.
 const VERSION: u32 = 1;
 
-/// One datagram.
+/// Quota message in one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum QuotaMessage {
-    /// A front asks.
-    Ask(TokenRequest),
-    /// A node answers it.
-    Reply(TokenResponse),
+    /// Request of a front to a token server.
+    #[serde(rename = "ask")]
+    Request(TokenRequest),
+    /// Response of a token server.
+    #[serde(rename = "reply")]
+    Response(TokenResponse),
 }
 
 #[derive(Deserialize, Serialize)]
@@ -27,16 +29,16 @@
     message: T,
 }
 
-/// Why a message is not heeded.
+/// Reason for which a message is refused.
 #[derive(Debug)]
 pub(super) enum WireError {
-    /// It is no message at all.
+    /// The datagram is not a valid message.
     Malformed(serde_json::Error),
-    /// It is of another version.
+    /// The message has another format version.
     Version(u32),
-    /// It does not come from the node that it names.
+    /// The message does not come from the address of the node that it names.
     Sender,
-    /// Its numbers cannot be, or it was answered before.
+    /// The numbers are out of range, or the message is a replay.
     Invalid,
 }
 
@@ -44,8 +46,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Malformed(error) => write!(f, "malformed: {error}"),
-            Self::Version(version) => write!(f, "of version {version}"),
-            Self::Sender => f.write_str("the node it names is not there"),
+            Self::Version(version) => {
+                write!(f, "unsupported version {version}")
+            }
+            Self::Sender => {
+                f.write_str("sender is not at the address of the named node")
+            }
             Self::Invalid => f.write_str("out of range, or a replay"),
         }
     }
@@ -57,7 +63,7 @@
             version: VERSION,
             message: self,
         };
-        // Strings and finite numbers always encode.
+        // Serialization of strings and finite numbers cannot fail.
         serde_json::to_vec(&versioned).unwrap_or_default()
     }
 
@@ -70,19 +76,22 @@
         }
     }
 
-    /// Takes out what a front lends.
-    pub(super) fn without_parts(self) -> Self {
+    /// Clears the slots that a front offers to pool.
+    pub(super) fn without_allotments(self) -> Self {
         match self {
-            Self::Ask(ask) => Self::Ask(TokenRequest { slots: 0, ..ask }),
-            Self::Reply(reply) => Self::Reply(reply),
+            Self::Request(request) => Self::Request(TokenRequest {
+                slots: 0,
+                ..request
+            }),
+            Self::Response(response) => Self::Response(response),
         }
     }
 
-    /// Returns the name of the node that sends it.
+    /// Returns the name of the node that sent the message.
     pub(super) fn sender(&self) -> &str {
         match self {
-            Self::Ask(ask) => &ask.front,
-            Self::Reply(reply) => &reply.server,
+            Self::Request(request) => &request.front,
+            Self::Response(response) => &response.server,
         }
     }
 }
--- a/crates/node/src/refusals.rs
+++ b/crates/node/src/refusals.rs
@@ -2,11 +2,11 @@
 
 use base::Millis;
 
-/// Time between two lines about messages that are refused, in milliseconds.
-/// Whoever sends thousands a second must not fill the log.
+/// Minimum interval between log lines about refused messages, in milliseconds.
+/// A sender of thousands of messages per second must not flood the log.
 const LOGGED_EACH_MS: u64 = 10_000;
 
-/// Logs refused messages of other nodes, one line for many.
+/// Rate-limited log of messages from other nodes that were refused.
 #[derive(Debug, Default)]
 pub(crate) struct RefusalLog {
     next_at: Millis,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -5,91 +5,91 @@
 
 use crate::ConfigBounds;
 
-/// What a node must know at its start.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Name of the machine.
     pub node: String,
-    /// Failure domain that it stands in.
+    /// Failure domain of the machine.
     pub failure_domain: String,
-    /// Where callers connect; roles without callers have none.
+    /// Listen address for callers; none for roles that serve no callers.
     pub front: Option<SocketAddr>,
-    /// Where the balancer asks for readiness.
+    /// Listen address for readiness checks of the load balancer.
     pub ready: Option<SocketAddr>,
-    /// Where metrics are read.
+    /// Listen address for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Where other nodes reach this one: datagrams of load, and calls to be
-    /// passed on to the key-value service.
+    /// Address of this node for other nodes: load datagrams, and calls to be
+    /// relayed to the key-value service.
     pub peer: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub kv: SocketAddr,
-    /// Bytes of a value in the key-value service.
+    /// Maximum size of a value in the key-value service, in bytes.
     pub value_bytes: usize,
-    /// Time between the signal to stop and the end by force.
+    /// Time between the shutdown signal and the kill of the process.
     pub grace_ms: u64,
-    /// How long the results of a job are readable after its submission.
+    /// Time after submission for which the results of a job are readable.
     pub results_kept_ms: u64,
-    /// How soon an endpoint that leaves must get no new work.
+    /// Time in which an endpoint that shuts down must stop getting new work.
     pub drain_ms: u64,
-    /// How soon a configuration must be in force.
+    /// Time in which a configuration must be in force.
     pub config_ms: u64,
-    /// How long keys are served without a confirmation of the configuration;
-    /// unbounded if none.
+    /// Time for which keys are served without a confirmation of the
+    /// configuration; unbounded if none.
     pub revoke_ms: Option<u64>,
-    /// Where fronts have requests counted against limits, in datagrams.
+    /// Address for the datagrams by which requests are counted against limits.
     pub limits: SocketAddr,
-    /// How exactly limits of customers are to be held.
+    /// Permitted deviation from the limits of customers.
     pub allowance: Tolerance,
-    /// Shortest lease of the key-value service.
+    /// Minimum lease of the key-value service.
     pub lease_least_ms: u64,
-    /// Folder on the machine's disk, where it has one.
+    /// Data folder on the machine's disk, if it has one.
     pub data_dir: Option<PathBuf>,
-    /// Bytes of jobs that may wait there for the key-value service.
+    /// Maximum total size of the jobs spooled there.
     pub spool_bytes: u64,
-    /// Machines with disks that may be lost at the same time.
+    /// Number of disks whose simultaneous loss must be tolerated.
     pub disk_losses: u32,
 }
 
-/// Time in which news must reach every node if the settings allow more, in
-/// milliseconds. Later news serve nobody, and questions between nodes cost
-/// little.
-const NEWS_MOST_MS: u64 = 2_000;
+/// Maximum time in which changes must reach every node, in milliseconds, even
+/// if the settings allow more. Longer delays have no benefit, since requests
+/// between nodes are cheap.
+const MAX_PROPAGATION_MS: u64 = 2_000;
 
-/// The same if they ask for less, in milliseconds: nodes under load answer
-/// each other within a few hundred, and one that is taken for lost too soon
-/// only costs calls.
-const NEWS_LEAST_MS: u64 = 1_000;
+/// Lower bound of that time if the settings ask for less, in milliseconds:
+/// nodes under load respond to each other within a few hundred milliseconds,
+/// and a node that is wrongly considered lost causes extra calls.
+const MIN_PROPAGATION_MS: u64 = 1_000;
 
-/// Time in which a request that is on its way may be judged by what has been
-/// confirmed just now, in milliseconds.
+/// Time for which a request in progress may be checked against a configuration
+/// that was confirmed just before, in milliseconds.
 const CLOCK_MARGIN_MS: u64 = 100;
 
 impl NodeSettings {
     /// Returns how long a watch of the key-value service may wait for a
-    /// change: the answer at its end confirms what the node knows, and so
-    /// must come well within the time in which news must reach all nodes.
+    /// change. The response at its end confirms the node's state, so it must
+    /// arrive well within the time in which changes must reach all nodes.
     pub fn watch_wait_ms(&self) -> u64 {
         self.news_ms() / 2
     }
 
-    /// Returns how old the confirmation of a configuration may be.
+    /// Returns the maximum ages of the configuration's confirmation.
     pub fn config_bounds(&self) -> ConfigBounds {
         ConfigBounds {
-            sure_ms: self.config_ms.saturating_sub(CLOCK_MARGIN_MS),
+            fresh_ms: self.config_ms.saturating_sub(CLOCK_MARGIN_MS),
             revoke_ms: self.revoke_ms,
         }
     }
 
-    /// Returns the time in which news must reach this node.
+    /// Returns the time in which changes must reach this node.
     pub(crate) fn news_ms(&self) -> u64 {
         let bound_ms = self.drain_ms.min(self.config_ms);
-        bound_ms.clamp(NEWS_LEAST_MS, NEWS_MOST_MS)
+        bound_ms.clamp(MIN_PROPAGATION_MS, MAX_PROPAGATION_MS)
     }
 }
 
-/// What the operating system tells a node.
+/// Signals of the operating system to a node.
 #[derive(Clone, Debug)]
 pub struct Signals {
-    /// Turns true when the node is to stop.
+    /// Becomes true when the node must stop.
     pub stop: watch::Receiver<bool>,
 }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -1,19 +1,19 @@
-//! Logs what a node costs.
+//! Logs the resource usage counters of a node.
 
 use std::{sync::Arc, time::Duration};
 
 use pass::Counters;
 use tokio::time;
 
-/// Time between two lines. A line has about 500 bytes: a thousandth of what
-/// a front logs of its requests.
+/// Interval between two log lines. A line has about 500 bytes, a thousandth of
+/// the volume that a front logs for its requests.
 const USAGE_LOG: Duration = Duration::from_secs(10);
 
-/// Logs the counters until the process ends, those that are not 0.
+/// Logs the nonzero counters periodically until the process ends.
 ///
-/// A request that was served badly is explained by its own lines; a node
-/// that cannot keep up is explained by what it sends, receives and calls.
-/// `pomeloslip costs` makes a table of these lines, by role.
+/// The lines of a request explain its own failure; these counters of messages
+/// and calls explain why a node is overloaded. `pomeloslip costs` summarizes
+/// the lines by role.
 pub(crate) async fn log_usage(counters: Arc<Counters>) {
     let mut ticks = time::interval(USAGE_LOG);
     ticks.tick().await;
--- a/crates/node/src/vacate.rs
+++ b/crates/node/src/vacate.rs
@@ -10,42 +10,42 @@
 
 use crate::{Dialect, VacateOrder, VacateState, membership::LeaseTerms};
 
-/// Part of the time for emptying a node that its own runs may take, in
-/// percent; the rest is for writing that it is done.
+/// Percentage of the time for vacating a node in which its runs may end; the
+/// remainder is for writing the status.
 const RUNS_PERCENT: u64 = 70;
 
-/// How long after a lost node's lease the other nodes say in its place that
-/// it is empty, in milliseconds: its entry has gone from their view then.
-const AFTER_LEASE_MS: u64 = 1_000;
+/// Delay in milliseconds after the lease of a lost node before other nodes
+/// report it as empty; by then its entry has been removed from their views.
+const LEASE_MARGIN_MS: u64 = 1_000;
 
-/// Nodes that say it. With all of them an order costs a call for each worker
-/// of the fleet.
-const STAND_INS: usize = 3;
+/// Number of nodes that report a lost node as empty. If all nodes did, an
+/// order would cost one call per worker of the fleet.
+const MAX_REPORTERS: usize = 3;
 
-/// Pause between tries to write how far a node is emptied.
-const RETRY: Duration = Duration::from_millis(300);
+/// Pause between attempts to write the vacate status.
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Carries out operators' orders to empty a node.
+/// Executes operators' orders to vacate a node.
 ///
-/// Nothing that must last lies on any node, so that a node is empty when the
-/// runs of its items have ended or moved. A node that is down cannot say so;
-/// the others then say it in its place.
-pub(crate) struct Vacating {
+/// Nodes hold no durable state except spooled jobs, so a node is empty once
+/// the runs of its items have ended or moved and its spool is empty. Other
+/// nodes report the status on behalf of a node that is down.
+pub(crate) struct VacateExecutor {
     pub(crate) node: String,
     pub(crate) kv: Arc<dyn Kv>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) view: JobView,
-    /// Turned true to make this node leave; it ends its runs then.
-    pub(crate) leave: watch::Sender<bool>,
-    /// Turns true when its runs have ended.
+    /// Set to true to shut this node down; it ends its runs then.
+    pub(crate) shutdown: watch::Sender<bool>,
+    /// Becomes true when the runs of this node have ended.
     pub(crate) idle: watch::Receiver<bool>,
-    /// Jobs that wait on its disk.
-    pub(crate) spooled: Option<watch::Receiver<usize>>,
-    /// How long the entry of a worker lives.
+    /// Number of jobs in the spool of this node.
+    pub(crate) spooled_jobs: Option<watch::Receiver<usize>>,
+    /// Lease terms of a worker's entry.
     pub(crate) terms: LeaseTerms,
 }
 
-impl Vacating {
+impl VacateExecutor {
     pub(crate) async fn run(
         self,
         mut orders: mpsc::UnboundedReceiver<VacateOrder>,
@@ -54,46 +54,46 @@
             log::info!(
                 node = order.node.as_str(),
                 within_ms = order.within_ms;
-                "a node is to be emptied"
+                "received an order to vacate a node"
             );
             match order.node == self.node {
-                true => self.leave(&order).await,
-                false => self.stand_in(order),
+                true => self.vacate(&order).await,
+                false => self.report_for_lost(order),
             }
         }
     }
 
-    async fn leave(&self, order: &VacateOrder) {
+    async fn vacate(&self, order: &VacateOrder) {
         self.write(&order.node, VacateState::Active, false).await;
-        self.leave.send_replace(true);
-        let most = order.within_ms * RUNS_PERCENT / 100;
+        self.shutdown.send_replace(true);
+        let timeout_ms = order.within_ms * RUNS_PERCENT / 100;
         let mut idle = self.idle.clone();
-        let ended = idle.wait_for(|idle| *idle);
-        let most = Duration::from_millis(most);
-        let all_ended = time::timeout(most, ended).await.is_ok();
-        // The disk goes with the machine: jobs that wait on it for the
-        // key-value service would have one copy less.
-        if let Some(spooled) = &self.spooled {
-            let mut spooled = spooled.clone();
-            let _ = spooled.wait_for(|jobs| *jobs == 0).await;
+        let runs_ended = idle.wait_for(|idle| *idle);
+        let timeout = Duration::from_millis(timeout_ms);
+        let all_ended = time::timeout(timeout, runs_ended).await.is_ok();
+        // The disk is lost with the machine: jobs spooled on it would have one
+        // copy less.
+        if let Some(spooled_jobs) = &self.spooled_jobs {
+            let mut spooled_jobs = spooled_jobs.clone();
+            let _ = spooled_jobs.wait_for(|count| *count == 0).await;
         }
-        log::info!(all_ended; "this node is empty");
+        log::info!(all_ended; "this node is vacated");
         self.write(&order.node, VacateState::Complete, false).await;
     }
 
-    fn stand_in(&self, order: VacateOrder) {
+    fn report_for_lost(&self, order: VacateOrder) {
         let kv = self.kv.clone();
         let dialect = self.dialect.clone();
         let view = self.view.clone();
-        let me = self.node.clone();
+        let own_name = self.node.clone();
         let workers = view.members().len();
         let lease_ms = u64::from(self.terms.lease_s(workers)) * 1_000;
-        let wait = Duration::from_millis(lease_ms + AFTER_LEASE_MS);
+        let wait = Duration::from_millis(lease_ms + LEASE_MARGIN_MS);
         tokio::spawn(async move {
             time::sleep(wait).await;
             let members = view.members();
             if members.has(&order.node)
-                || !stands_in(&members, &order.node, &me)
+                || !is_reporter(&members, &order.node, &own_name)
             {
                 return;
             }
@@ -107,16 +107,16 @@
     }
 }
 
-/// Tells whether a node is one of the few that speak for a lost one.
-fn stands_in(members: &Members, lost: &str, node: &str) -> bool {
+/// Reports whether a node is one of the few that report for a lost one.
+fn is_reporter(members: &Members, lost: &str, node: &str) -> bool {
     let rank = |name: &str| stable_hash(&[lost, name]);
     let own = rank(node);
     let nodes = members.nodes().iter();
-    let before = nodes.filter(|other| rank(&other.node) < own);
-    before.take(STAND_INS).count() < STAND_INS
+    let higher_ranked = nodes.filter(|other| rank(&other.node) < own);
+    higher_ranked.take(MAX_REPORTERS).count() < MAX_REPORTERS
 }
 
-/// Writes how far a node is emptied, again until it is written.
+/// Writes the vacate status of a node, retrying until it succeeds.
 async fn write(
     kv: &dyn Kv,
     dialect: &dyn Dialect,
@@ -140,15 +140,15 @@
     };
     loop {
         match kv.txn(txn.clone()).await {
-            Ok(reply) => {
-                log::info!(node, state:? = state, written = reply.succeeded;
-                    "how far a node is emptied is written");
+            Ok(response) => {
+                log::info!(node, state:? = state, written = response.succeeded;
+                    "vacate status written");
                 return;
             }
             Err(report) => {
                 log::info!(node, error:% = report.current_context();
-                    "how far a node is emptied is not written yet");
-                time::sleep(RETRY).await;
+                    "cannot write vacate status; retrying");
+                time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
--- a/crates/node/src/worker.rs
+++ b/crates/node/src/worker.rs
@@ -11,24 +11,25 @@
 use crate::{
     NodeError, NodeSettings, Outside, Signals, base::NodeBase,
     load::WorkerLoad, membership::LeaseTerms, probe::LoadProbe,
-    vacate::Vacating,
+    vacate::VacateExecutor,
 };
 
 /// The role that runs the items of batch jobs.
 pub struct Worker {
     base: NodeBase,
-    /// Turned true to end the runs; the node leaves when they are saved.
+    /// Set to true to stop the runs; the node shuts down once they are saved.
     stop_items: watch::Sender<bool>,
     idle: watch::Receiver<bool>,
     grace_ms: u64,
 }
 
-/// Time before the end by force at which the node ends by itself.
-const GRACE_MARGIN_MS: u64 = 500;
+/// Time before the end of the grace period at which the node exits, in
+/// milliseconds.
+const EXIT_MARGIN_MS: u64 = 500;
 
-/// Added to the time that results are kept, for clocks that differ and
-/// readers in the middle of a job.
-const KEPT_MARGIN_MS: u64 = 60_000;
+/// Added to the retention of results, to allow for clock skew and for callers
+/// that are reading a job's results.
+const RETENTION_MARGIN_MS: u64 = 60_000;
 
 impl Worker {
     /// Starts all tasks.
@@ -38,46 +39,50 @@
     /// [`NodeError::Listen`] if the address of the metrics cannot be used.
     pub async fn start(
         settings: &NodeSettings,
-        outside: Outside,
+        context: Outside,
     ) -> Result<Self, Report<NodeError>> {
         let (orders, received) = mpsc::unbounded_channel();
         let base =
-            NodeBase::start(settings, &outside, true, Some(orders)).await?;
-        let (online, heard) = OnlineLoad::new();
+            NodeBase::start(settings, &context, true, Some(orders)).await?;
+        let (online, changes) = OnlineLoad::new();
         let online = Arc::new(online);
         let load = WorkerLoad {
-            socket: base.load_socket(settings, &outside),
+            socket: base.load_socket(settings, &context),
             view: base.view.clone(),
-            cluster: outside.cluster.clone(),
+            cluster: context.cluster.clone(),
             online: online.clone(),
-            next_count: Millis::default(),
+            next_backlog_count: Millis::default(),
         };
         tokio::spawn(load.run());
-        let runner = make_runner(settings, &outside, &base, online);
-        let (stop_items, asked) = watch::channel(false);
+        let runner = make_runner(settings, &context, &base, online);
+        let (stop_items, requested) = watch::channel(false);
         let (handed_over, saved) = oneshot::channel();
-        tokio::spawn(leave_after(asked.clone(), saved, base.leave.clone()));
-        let (ended, idle) = watch::channel(false);
+        tokio::spawn(remove_entry_after_hand_over(
+            requested.clone(),
+            saved,
+            base.remove_entry.clone(),
+        ));
+        let (runs_ended, idle) = watch::channel(false);
         tokio::spawn(async move {
             runner
                 .run(
                     ShutdownSignal {
-                        requested: asked,
+                        requested,
                         handed_over,
                     },
-                    heard,
+                    changes,
                 )
                 .await;
-            ended.send_replace(true);
+            runs_ended.send_replace(true);
         });
-        let vacating = Vacating {
+        let vacating = VacateExecutor {
             node: settings.node.clone(),
-            kv: outside.kv,
-            dialect: outside.dialect,
+            kv: context.kv,
+            dialect: context.dialect,
             view: base.view.clone(),
-            leave: stop_items.clone(),
+            shutdown: stop_items.clone(),
             idle: idle.clone(),
-            spooled: base.spooled.clone(),
+            spooled_jobs: base.spooled_jobs.clone(),
             terms: LeaseTerms::new(true, settings.lease_least_ms),
         };
         tokio::spawn(vacating.run(received));
@@ -89,66 +94,67 @@
         })
     }
 
-    /// Works until a planned stop is over: other nodes go on with the items
-    /// where this one stopped them.
+    /// Runs until a planned shutdown is complete; other nodes resume the items
+    /// from their checkpoints.
     pub async fn run(mut self, mut signals: Signals) {
         let _ = signals.stop.wait_for(|stop| *stop).await;
         log::info!("a planned stop begins");
-        self.base.not_ready();
+        self.base.mark_not_ready();
         self.stop_items.send_replace(true);
-        let most = self.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-        let ended = self.idle.wait_for(|idle| *idle);
-        let ended = time::timeout(Duration::from_millis(most), ended).await;
-        log::info!(all_ended = ended.is_ok(); "a planned stop is over");
+        let timeout = self.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+        let runs_ended = self.idle.wait_for(|idle| *idle);
+        let runs_ended =
+            time::timeout(Duration::from_millis(timeout), runs_ended).await;
+        log::info!(all_ended = runs_ended.is_ok(); "a planned stop is over");
     }
 }
 
-/// Longest wait for the progress of stopped items before the node leaves, in
-/// milliseconds. Without the key-value service nothing can be saved, and
-/// nobody else could go on either.
-const HAND_OVER_MS: u64 = 1_000;
+/// Maximum wait for the checkpoints of stopped items before the node shuts
+/// down, in milliseconds. Without the key-value service no checkpoint can be
+/// saved, and no other node could resume the items either.
+const HAND_OVER_TIMEOUT_MS: u64 = 1_000;
 
-/// Ends the node's entry once its items are stopped and saved.
+/// Removes the node's entry once its items are stopped and saved.
 ///
-/// In the other order the nodes that go on read what was saved up to two
-/// seconds before, and run the rest again.
-async fn leave_after(
-    mut asked: watch::Receiver<bool>,
+/// In the reverse order other nodes would resume from checkpoints that are up
+/// to 2 s old and run the remainder again.
+async fn remove_entry_after_hand_over(
+    mut requested: watch::Receiver<bool>,
     saved: oneshot::Receiver<()>,
-    leave: watch::Sender<bool>,
+    remove_entry: watch::Sender<bool>,
 ) {
-    if asked.wait_for(|asked| *asked).await.is_err() {
+    if requested.wait_for(|requested| *requested).await.is_err() {
         return;
     }
-    let most = Duration::from_millis(HAND_OVER_MS);
-    let in_time = time::timeout(most, saved).await.is_ok();
+    let timeout = Duration::from_millis(HAND_OVER_TIMEOUT_MS);
+    let in_time = time::timeout(timeout, saved).await.is_ok();
     log::info!(in_time; "the items of this node are handed over");
-    leave.send_replace(true);
+    remove_entry.send_replace(true);
 }
 
 fn make_runner(
     settings: &NodeSettings,
-    outside: &Outside,
+    context: &Outside,
     base: &NodeBase,
     online: Arc<OnlineLoad>,
 ) -> Runner {
-    let probe = LoadProbe::new(outside.dialect.clone(), base.pool.clone());
+    let probe = LoadProbe::new(context.dialect.clone(), base.pool.clone());
     let options = RunnerOptions {
-        retention_ms: settings.results_kept_ms + KEPT_MARGIN_MS,
+        retention_ms: settings.results_kept_ms + RETENTION_MARGIN_MS,
         ..RunnerOptions::default()
     };
     let parts = RunnerParts {
         node: settings.node.clone(),
         ledger: base.ledger.clone(),
         view: base.view.clone(),
-        endpoints: outside.cluster.endpoints.clone(),
-        config: outside.cluster.config.clone(),
-        forwarder: Arc::new(base.forwarder(settings, outside)),
+        endpoints: context.cluster.endpoints.clone(),
+        config: context.cluster.config.clone(),
+        forwarder: Arc::new(base.forwarder(settings, context)),
         probe: Arc::new(probe),
         online_load: online,
-        assignments: base.plans.clone(),
-        clock: outside.cluster.clock().clone(),
-        counters: outside.counters.clone(),
+        assignments: base.assignments.clone(),
+        clock: context.cluster.clock().clone(),
+        counters: context.counters.clone(),
     };
     Runner::new(options, parts)
 }
--- a/crates/node/tests/common/cuttable.rs
+++ b/crates/node/tests/common/cuttable.rs
@@ -1,4 +1,4 @@
-//! Ways to the key-value service that can be cut.
+//! Connections to the key-value service that can be interrupted.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 };
 use tokio::{sync::watch, time::timeout};
 
-/// One node's way to the key-value service, which can be cut: calls then
-/// hang, as they do when packets vanish.
+/// A node's connection to the key-value service that can be interrupted: calls
+/// then hang, as they do when packets are dropped.
 #[derive(Clone)]
 pub(crate) struct Cuttable {
     kv: Memory,
     cut: watch::Sender<bool>,
-    least_lease_s: u32,
+    min_lease_s: u32,
 }
 
 impl Cuttable {
@@ -23,13 +23,13 @@
         Self {
             kv: kv.clone(),
             cut: watch::Sender::new(false),
-            least_lease_s: 0,
+            min_lease_s: 0,
         }
     }
 
-    /// Makes the service refuse shorter leases.
-    pub(crate) fn with_least_lease_s(mut self, least_s: u32) -> Self {
-        self.least_lease_s = least_s;
+    /// Makes the key-value service refuse shorter leases.
+    pub(crate) fn with_min_lease_s(mut self, min_s: u32) -> Self {
+        self.min_lease_s = min_s;
         self
     }
 
@@ -37,8 +37,8 @@
         self.cut.send_replace(cut);
     }
 
-    /// Ends never as long as the way is cut.
-    async fn passed(&self) {
+    /// Waits until the connection is not interrupted.
+    async fn wait_until_connected(&self) {
         let mut cut = self.cut.subscribe();
         let _ = cut.wait_for(|cut| !*cut).await;
     }
@@ -48,7 +48,7 @@
     fn get(&self, key: &str) -> KvFuture<'_, GetReply> {
         let key = key.to_owned();
         Box::pin(async move {
-            self.passed().await;
+            self.wait_until_connected().await;
             self.kv.get(&key).await
         })
     }
@@ -56,20 +56,20 @@
     fn get_prefix(&self, prefix: &str, limit: u32) -> KvFuture<'_, GetReply> {
         let prefix = prefix.to_owned();
         Box::pin(async move {
-            self.passed().await;
+            self.wait_until_connected().await;
             self.kv.get_prefix(&prefix, limit).await
         })
     }
 
     fn txn(&self, txn: Txn) -> KvFuture<'_, TxnReply> {
         Box::pin(async move {
-            self.passed().await;
+            self.wait_until_connected().await;
             self.kv.txn(txn).await
         })
     }
 
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId> {
-        if ttl_s < self.least_lease_s {
+        if ttl_s < self.min_lease_s {
             let refused = Err(Report::new(KvError::Invalid));
             return Box::pin(std::future::ready(refused));
         }
@@ -92,10 +92,10 @@
         let prefix = prefix.to_owned();
         Box::pin(async move {
             let watcher = self.kv.watch(&prefix, from_revision).await?;
-            let way = self.clone();
+            let connection = self.clone();
             let watcher = CuttableWatcher {
                 watcher,
-                way,
+                connection,
                 revision: from_revision.saturating_sub(1),
             };
             Ok(Box::new(watcher) as Box<dyn Watcher>)
@@ -103,20 +103,20 @@
     }
 }
 
-/// How often a watch without changes confirms that there are none.
-const CONFIRM: Duration = Duration::from_millis(300);
+/// Interval at which a watch confirms its revision without changes.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(300);
 
 struct CuttableWatcher {
     watcher: Box<dyn Watcher>,
-    way: Cuttable,
+    connection: Cuttable,
     revision: u64,
 }
 
 impl Watcher for CuttableWatcher {
     fn next(&mut self) -> KvFuture<'_, WatchBatch> {
         Box::pin(async move {
-            let batch = timeout(CONFIRM, self.watcher.next()).await;
-            self.way.passed().await;
+            let batch = timeout(CONFIRM_INTERVAL, self.watcher.next()).await;
+            self.connection.wait_until_connected().await;
             let batch = match batch {
                 Ok(batch) => batch?,
                 Err(_) => WatchBatch {
--- a/crates/node/tests/common/engine.rs
+++ b/crates/node/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that answers as its requests ask.
+//! An engine whose responses are controlled by the request bodies.
 
 use std::{
     net::SocketAddr,
@@ -15,9 +15,11 @@
     time::{interval, sleep},
 };
 
-/// An engine: the body of a request says what it does. `N` answers with N
-/// events; `reject` and `fail` are refused; `cut N` breaks off after N events
-/// once; `silent` stops after the head; `crash N` ends the engine and all of its connections after N events.
+/// An engine whose response depends on the body of the request. `N` sends N
+/// events; `reject` and `fail` return an error status; `cut N` closes the
+/// connection once after N / 2 of N events; `silent` hangs after the head;
+/// `crash N` stops the engine and closes all of its connections after N
+/// events.
 pub(crate) struct Engine {
     pub(crate) address: SocketAddr,
     pub(crate) runs: Arc<Mutex<Vec<String>>>,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Ends the engine: it refuses connections from then on.
+    /// Stops the engine, which then refuses connections.
     pub(crate) fn crash(&self) {
         self.crashed.send_replace(true);
     }
@@ -65,7 +67,7 @@
         *self.crashed.borrow()
     }
 
-    /// Returns how many requests it has begun to run.
+    /// Returns the number of requests that started to run.
     pub(crate) fn run_count(&self) -> usize {
         self.runs.lock().expect("lock").len()
     }
@@ -83,12 +85,12 @@
     }
 }
 
-/// Time between the head of an answer and the end of an engine that a
-/// request crashes.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+/// Delay between the last event of a poison request and the crash of the
+/// engine.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// Time between two events of an answer.
-const EVENT_PAUSE: Duration = Duration::from_millis(2);
+/// Interval between two events of a response.
+const EVENT_INTERVAL: Duration = Duration::from_millis(2);
 
 type Lines = Arc<Mutex<Vec<String>>>;
 
@@ -109,7 +111,7 @@
             "crash" => words.next().unwrap_or("0"),
             other => other,
         };
-        // Questions for the load have no id and run nothing.
+        // Load requests have no id and are not recorded as runs.
         if !id.is_empty() {
             runs.lock().expect("lock").push(format!("{id}:{after}"));
             heads.lock().expect("lock").push(head.clone());
@@ -131,11 +133,11 @@
         }
         let crashes = word == "crash";
         let last: u32 = number.parse().unwrap_or(0);
-        // An engine crashes as far behind the point from which it goes on.
+        // A resumed run crashes after the same number of further events.
         let last = if crashes { after + last } else { last };
-        // By the clock and not from event to event, so that an answer takes as
-        // long on a busy machine.
-        let mut pace = interval(EVENT_PAUSE);
+        // An interval instead of sleeps, so that a response takes equally long
+        // on a busy machine.
+        let mut pace = interval(EVENT_INTERVAL);
         for event in after + 1..=last {
             let text = format!("id: {event}\ndata: e{event}\n\n");
             let chunk = format!("{:x}\r\n{text}\r\n", text.len());
@@ -148,7 +150,7 @@
             pace.tick().await;
         }
         if crashes {
-            sleep(CRASH_AFTER).await;
+            sleep(CRASH_DELAY).await;
             crash.send_replace(true);
             return std::future::pending().await;
         }
--- a/crates/node/tests/common/engines.rs
+++ b/crates/node/tests/common/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of one service, each of which is replaced when it crashes.
+//! Engines of one service that are replaced when they crash.
 
 use std::{
     sync::{Arc, Mutex},
@@ -10,14 +10,14 @@
 
 use super::{Engine, put};
 
-/// Time between the crash of an engine and the start of its successor.
-const REPLACED_AFTER: Duration = Duration::from_millis(150);
+/// Delay between the crash of an engine and the start of its replacement.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(150);
 
-/// Time between two looks for engines that have crashed.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between two checks for crashed engines.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Engines under changing ids; each one that crashes is gone from the list
-/// of endpoints, and another one is listed, after a moment.
+/// Engines that are replaced after a crash: the crashed engine is removed from
+/// the endpoints and a new one with a new id is listed after a delay.
 #[derive(Clone)]
 pub(crate) struct Engines {
     kv: Memory,
@@ -55,10 +55,10 @@
     async fn replace(self, mut engine: Arc<Engine>, mut key: String) {
         loop {
             while !engine.has_crashed() {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             self.crashes.lock().expect("lock").push(Instant::now());
-            sleep(REPLACED_AFTER).await;
+            sleep(REPLACEMENT_DELAY).await;
             let txn = Txn {
                 success: vec![Op::Delete { key }],
                 ..Txn::default()
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Returns the engines that have not crashed, the oldest first.
+    /// Returns the engines that have not crashed, oldest first.
     pub(crate) fn alive(&self) -> Vec<Arc<Engine>> {
         let started = self.started.lock().expect("lock");
         let alive = started.iter().filter(|engine| !engine.has_crashed());
         alive.cloned().collect()
     }
 
-    /// Returns when engines have crashed.
+    /// Returns the times of the crashes.
     pub(crate) fn crashes(&self) -> Vec<Instant> {
         self.crashes.lock().expect("lock").clone()
     }
 
-    /// Returns how many runs began of requests whose ids start so.
+    /// Returns the number of started runs of requests whose ids have a prefix.
     pub(crate) fn runs_of(&self, id: &str) -> usize {
         let started = self.started.lock().expect("lock");
         let runs = started.iter().map(|engine| {
--- a/crates/node/tests/common/logger.rs
+++ b/crates/node/tests/common/logger.rs
@@ -1,4 +1,4 @@
-//! The log lines of the nodes of a test, which a failed test prints.
+//! Prints the log lines of a test's nodes when the test fails.
 
 use std::sync::Once;
 
@@ -9,7 +9,7 @@
 
 struct Printer;
 
-/// Writes the fields of a line behind its message.
+/// Formats the fields of a log record.
 struct Fields(String);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -38,8 +38,8 @@
     fn flush(&self) {}
 }
 
-/// Turns the log on. Its lines are captured with a test's output, and so
-/// are seen where one fails.
+/// Enables logging to stdout, which the test harness captures and prints for
+/// failed tests.
 pub(crate) fn start() {
     static STARTED: Once = Once::new();
     STARTED.call_once(|| {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A front and a worker over a key-value service in memory, a dialect that
-//! no platform has, and an engine that answers as its requests ask.
+//! Test fixtures: a front and a worker with an in-memory key-value service, a
+//! dialect for tests, and an engine controlled by its requests.
 
 #![allow(dead_code)]
 
@@ -87,7 +87,7 @@
                 within_ms: 2_000,
             }));
         }
-        let written: Written =
+        let written: StoredConfig =
             serde_json::from_slice(&kv.value).map_err(DialectError::new)?;
         let version = kv.mod_revision;
         let customers = written.customers.map(|customers| {
@@ -183,27 +183,27 @@
     }
 }
 
-/// A configuration of these tests.
+/// Stored form of the configuration of these tests.
 #[derive(Default, Deserialize, Serialize)]
-pub(crate) struct Written {
+pub(crate) struct StoredConfig {
     pub(crate) routes: Vec<Route>,
-    pub(crate) customers: Option<Vec<WrittenCustomer>>,
+    pub(crate) customers: Option<Vec<StoredCustomer>>,
 }
 
 #[derive(Clone, Default, Deserialize, Serialize)]
-pub(crate) struct WrittenCustomer {
+pub(crate) struct StoredCustomer {
     pub(crate) name: String,
     pub(crate) keys: Vec<String>,
-    /// Requests a second and burst.
+    /// Rate limit in requests per second, and burst.
     pub(crate) cap: Option<(f64, u32)>,
 }
 
-impl WrittenCustomer {
+impl StoredCustomer {
     fn spec(&self, version: u64) -> CustomerSpec {
         let keys = self.keys.iter();
         let keys = keys.map(|k| ApiKey::parse(k.as_bytes()).expect("a key"));
         let cap = self.cap.map(|(per_s, burst)| {
-            let cap = RateLimit::try_new(per_s, burst).expect("a cap");
+            let cap = RateLimit::try_new(per_s, burst).expect("a limit");
             cap.with_version(version)
         });
         let name = self.name.parse().expect("a name");
@@ -215,7 +215,7 @@
     }
 }
 
-/// One running node.
+/// A running node.
 pub(crate) struct Node {
     pub(crate) front: SocketAddr,
     pub(crate) ready: SocketAddr,
@@ -225,21 +225,19 @@
     pub(crate) task: JoinHandle<()>,
 }
 
-/// First port that tests give to roles: below those that the system gives to
-/// outgoing connections and to whoever binds port 0.
+/// First port that tests assign to roles, below the ephemeral port range.
 const FIRST_PORT: u16 = 20_000;
 
-/// Ports that tests may use.
+/// Number of ports that tests may use.
 const PORTS: u16 = 10_000;
 
-/// Returns an address that nothing else takes before the role binds it.
+/// Returns an address that no other socket takes before the role binds it.
 ///
-/// Symptom that this ends: a role says now and then that its address is in
-/// use. Events: a test binds port 0, closes it, and another test's socket is
-/// given the same port before the role binds it. Cause: the system hands a
-/// free port to whoever asks next. So ports are counted up here, and none is
-/// one that the system hands out.
-fn free() -> SocketAddr {
+/// Binding port 0 and closing the socket is racy: the system may give the port
+/// to another test before the role binds it, which then fails occasionally
+/// with an address in use. Ports are therefore counted up outside the
+/// ephemeral range.
+fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = (std::process::id() % u32::from(PORTS)) as u16;
     loop {
@@ -252,32 +250,32 @@
     }
 }
 
-/// Shortest lease that the settings of these tests tell: longer than roles
-/// would ask for by themselves.
-pub(crate) const LEASE_LEAST_MS: u64 = 4_500;
+/// Minimum lease in the settings of these tests, longer than roles would
+/// request by default.
+pub(crate) const MIN_LEASE_MS: u64 = 4_500;
 
 fn settings(name: &str) -> NodeSettings {
     NodeSettings {
         node: name.to_owned(),
         failure_domain: "east".to_owned(),
-        front: Some(free()),
-        ready: Some(free()),
+        front: Some(free_address()),
+        ready: Some(free_address()),
         metrics: None,
-        peer: free(),
-        kv: free(),
+        peer: free_address(),
+        kv: free_address(),
         value_bytes: 100_000,
         grace_ms: 8_000,
         results_kept_ms: 120_000,
         drain_ms: 200,
         config_ms: 2_000,
         revoke_ms: None,
-        limits: free(),
+        limits: free_address(),
         allowance: Tolerance {
             window_ms: 5_000,
             excess: 0.1,
             slack: 20,
         },
-        lease_least_ms: LEASE_LEAST_MS,
+        lease_least_ms: MIN_LEASE_MS,
         data_dir: None,
         spool_bytes: 1_000_000,
         disk_losses: 1,
@@ -288,7 +286,7 @@
     start_by(Arc::new(kv.clone()), name, worker).await
 }
 
-/// Starts a node with a way of its own to the key-value service.
+/// Starts a node with the given connection to the key-value service.
 pub(crate) async fn start_by(
     kv: Arc<dyn Kv>,
     name: &str,
@@ -297,7 +295,7 @@
     start_with(settings(name), kv, worker).await
 }
 
-/// Starts a worker with the times of a real fleet.
+/// Starts a worker with the timing of a real fleet.
 #[allow(dead_code)]
 pub(crate) async fn start_at_pace(kv: &Memory, name: &str) -> Node {
     let settings = NodeSettings {
@@ -307,7 +305,7 @@
     start_with(settings, Arc::new(kv.clone()), true).await
 }
 
-/// Starts a front of a fleet in which so many disks may be lost at once.
+/// Starts a front of a fleet that tolerates the given number of disk losses.
 pub(crate) async fn start_front_for_losses(
     kv: &Memory,
     name: &str,
@@ -320,7 +318,8 @@
     start_with(settings, Arc::new(kv.clone()), false).await
 }
 
-/// Starts a front that serves keys only so long without a confirmation.
+/// Starts a front that serves keys only for `revoke_ms` without a confirmation
+/// of the configuration.
 pub(crate) async fn start_strict(
     kv: &Memory,
     name: &str,
@@ -359,7 +358,7 @@
     tokio::spawn(timer.clone().drive());
     let paths = Arc::new(Paths::new(settings.kv));
     let counters = Arc::new(Counters::default());
-    let outside = Outside {
+    let context = Outside {
         dialect: Arc::new(TestDialect),
         kv,
         paths,
@@ -371,10 +370,10 @@
     let (stop, stopped) = watch::channel(false);
     let signals = Signals { stop: stopped };
     let task = if worker {
-        let role = Worker::start(&settings, outside).await;
+        let role = Worker::start(&settings, context).await;
         tokio::spawn(role.expect("worker").run(signals))
     } else {
-        let role = Front::start(&settings, outside).await;
+        let role = Front::start(&settings, context).await;
         tokio::spawn(role.expect("front").run(signals))
     };
     Node {
@@ -423,7 +422,7 @@
 }
 
 /// Writes the configuration and one engine.
-pub(crate) async fn furnish(kv: &Memory, engine: &Engine) {
+pub(crate) async fn write_config_and_engine(kv: &Memory, engine: &Engine) {
     let record = serde_json::to_vec(&engine.record("e1")).expect("json");
     put(kv, "endpoints/e1", record).await;
     configure(kv, None).await;
@@ -432,9 +431,9 @@
 /// Writes a configuration with customers.
 pub(crate) async fn configure(
     kv: &Memory,
-    customers: Option<Vec<WrittenCustomer>>,
+    customers: Option<Vec<StoredCustomer>>,
 ) {
-    let written = Written {
+    let written = StoredConfig {
         routes: routes(),
         customers,
     };
@@ -442,7 +441,7 @@
     put(kv, "orders/config", bytes).await;
 }
 
-/// Makes a call and returns status and body.
+/// Sends a request and returns the status and the body.
 pub(crate) async fn call(
     address: SocketAddr,
     method: &str,
@@ -453,7 +452,7 @@
     call_with(address, method, path, id, "", body).await
 }
 
-/// Makes a call with more header lines.
+/// Sends a request with additional header lines.
 pub(crate) async fn call_with(
     address: SocketAddr,
     method: &str,
@@ -499,7 +498,7 @@
     all
 }
 
-/// Calls until `good` holds of the answer.
+/// Sends requests until `good` returns true for the response.
 pub(crate) async fn call_until(
     address: SocketAddr,
     method: &str,
--- a/crates/node/tests/crash.rs
+++ b/crates/node/tests/crash.rs
@@ -1,16 +1,16 @@
-//! Endpoints that crash, seen by the nodes that send to them.
+//! Detection of endpoint crashes by the nodes that send requests to them.
 
 mod common;
 
 use std::{sync::atomic::Ordering, time::Duration};
 
-use common::{Engine, Node, call, furnish, put, ready, start};
+use common::{Engine, Node, call, put, ready, start, write_config_and_engine};
 use kv::Memory;
 use tokio::time::{sleep, timeout};
 
-async fn front_before(engines: &[&Engine]) -> (Memory, Node) {
+async fn start_front(engines: &[&Engine]) -> (Memory, Node) {
     let kv = Memory::default();
-    furnish(&kv, engines[0]).await;
+    write_config_and_engine(&kv, engines[0]).await;
     for (number, engine) in (2..).zip(&engines[1..]) {
         let id = format!("e{number}");
         let record = serde_json::to_vec(&engine.record(&id)).expect("json");
@@ -21,11 +21,11 @@
     (kv, front)
 }
 
-/// Guards against endpoint crashes that no counter shows.
+/// Guards against endpoint crashes that are missing from the counters.
 #[tokio::test]
 async fn an_endpoint_that_crashes_is_counted_once() {
     let engine = Engine::start().await;
-    let (_kv, front) = front_before(&[&engine]).await;
+    let (_kv, front) = start_front(&[&engine]).await;
     let other = tokio::spawn(async move {
         call(front.front, "POST", "/chat/1", "r1", "4000").await
     });
@@ -47,11 +47,11 @@
     assert!(counters.runs_cut_off.load(Ordering::Relaxed) >= 2);
 }
 
-/// Guards against broken connections that are taken for crashes.
+/// Guards against counting broken connections as crashes.
 #[tokio::test]
 async fn an_endpoint_that_breaks_a_connection_has_not_crashed() {
     let engines = [Engine::start().await, Engine::start().await];
-    let (_kv, front) = front_before(&[&engines[0], &engines[1]]).await;
+    let (_kv, front) = start_front(&[&engines[0], &engines[1]]).await;
     let (status, body) =
         call(front.front, "POST", "/chat/1", "r1", "cut 6").await;
     assert_eq!((status, body.matches("data: ").count()), (200, 6));
--- a/crates/node/tests/customers.rs
+++ b/crates/node/tests/customers.rs
@@ -1,12 +1,13 @@
-//! Who is served, and how much, as callers and engines see it.
+//! Authentication and rate limits of customers, tested through callers and
+//! engines.
 
 mod common;
 
 use std::{net::SocketAddr, sync::atomic::Ordering, time::Duration};
 
 use common::{
-    Engine, Node, WrittenCustomer, call_with, configure, furnish, ready,
-    start, start_strict,
+    Engine, Node, StoredCustomer, call_with, configure, ready, start,
+    start_strict, write_config_and_engine,
 };
 use kv::Memory;
 use tokio::{
@@ -23,18 +24,18 @@
     _worker: Node,
 }
 
-fn customer(name: &str, keys: &[&str]) -> WrittenCustomer {
-    WrittenCustomer {
+fn customer(name: &str, keys: &[&str]) -> StoredCustomer {
+    StoredCustomer {
         name: name.to_owned(),
         keys: keys.iter().map(|key| (*key).to_owned()).collect(),
         cap: None,
     }
 }
 
-async fn fleet(customers: Vec<WrittenCustomer>) -> Fleet {
+async fn fleet(customers: Vec<StoredCustomer>) -> Fleet {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     configure(&kv, Some(customers)).await;
     let front = start(&kv, "front-1", false).await;
     let worker = start(&kv, "worker-1", true).await;
@@ -47,40 +48,46 @@
     }
 }
 
-fn two() -> Vec<WrittenCustomer> {
+fn two_customers() -> Vec<StoredCustomer> {
     vec![
         customer("alama", &["key-a", "key-a2"]),
         customer("taevakorv", &["key-t"]),
     ]
 }
 
-async fn ask(front: SocketAddr, path: &str, id: &str, headers: &str) -> u16 {
+async fn request_status(
+    front: SocketAddr,
+    path: &str,
+    id: &str,
+    headers: &str,
+) -> u16 {
     call_with(front, "POST", path, id, headers, "1").await.0
 }
 
-/// Calls until the status is the one that is wanted.
-async fn wait_for(front: SocketAddr, headers: &str, wanted: u16) {
+/// Sends requests until one gets the expected status.
+async fn wait_for(front: SocketAddr, headers: &str, expected: u16) {
     for attempt in 0..200 {
         let id = format!("wait-{attempt}");
-        if ask(front, "/chat/1", &id, headers).await == wanted {
+        if request_status(front, "/chat/1", &id, headers).await == expected {
             return;
         }
         sleep(Duration::from_millis(30)).await;
     }
-    panic!("{headers:?} is not answered by {wanted}");
+    panic!("{headers:?} never got status {expected}");
 }
 
-/// Symptom: an engine gets the key of a caller, or a customer's name that the
-/// caller made up. Events: a request with a key and a name. Cause: headers
-/// went on as they came.
+/// Guards against forwarding the headers of a request unchanged: an engine
+/// would get the caller's key, or a customer name forged by the caller.
 #[tokio::test]
 async fn an_engine_gets_the_customer_and_never_the_key() {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     let headers = "x-key: key-a\r\nx-customer: taevakorv\r\n";
-    let status = ask(fleet.front.front, "/chat/1", "r1", headers).await;
+    let status =
+        request_status(fleet.front.front, "/chat/1", "r1", headers).await;
     assert_eq!(status, 200);
     let forged = "x-customer: alama\r\n";
-    let status = ask(fleet.front.front, "/open/1", "r2", forged).await;
+    let status =
+        request_status(fleet.front.front, "/open/1", "r2", forged).await;
     assert_eq!(status, 200, "a public route needs no key");
     let heads = fleet.engine.heads.lock().expect("lock").join("\n");
     assert!(!heads.contains("key-a"), "{heads}");
@@ -100,7 +107,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn a_key_is_judged(headers: &str, status: u16) {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     wait_for(fleet.front.front, headers, status).await;
     let runs = fleet.engine.runs.lock().expect("lock").len();
     assert_eq!(runs, usize::from(status == 200));
@@ -108,17 +115,16 @@
 
 #[tokio::test]
 async fn an_overlong_key_is_refused() {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     let headers = format!("x-key: {}\r\n", "k".repeat(5_000));
     wait_for(fleet.front.front, &headers, 401).await;
 }
 
-/// Symptom: a key that was taken away still works. Events: a connection is
-/// kept open while the key is taken away, the last one of its customer.
-/// Cause: the customer of the connection was remembered.
+/// Guards against caching the customer per connection: a revoked key, the last
+/// one of its customer, would still work on a connection that is kept open.
 #[tokio::test]
 async fn a_key_that_is_taken_away_ends_on_kept_connections() {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     let mut kept = TcpStream::connect(fleet.front.front)
         .await
         .expect("connect");
@@ -154,11 +160,11 @@
     text.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// Symptom: one customer reads, or ends, the job of another. Events: it asks
-/// for its id. Cause: whoever knew an id was served.
+/// Guards against serving job calls to any caller that knows the id: a
+/// customer could read or cancel the job of another.
 #[tokio::test]
 async fn a_job_belongs_to_its_customer() {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     let front = fleet.front.front;
     let own = "x-key: key-a\r\n";
     let other = "x-key: key-t\r\n";
@@ -175,7 +181,7 @@
     let again =
         call_with(front, "POST", "/batch/1", "job-1", other, body).await;
     assert_eq!(again.0, 409);
-    // Any key of the customer will do, also one that came later.
+    // Any key of the customer works, also one that was added later.
     let second = "x-key: key-a2\r\n";
     let mut page = String::new();
     for _ in 0..100 {
@@ -194,18 +200,19 @@
     assert_eq!(call("DELETE", "/jobs/job-1", own).await.0, 200);
 }
 
-/// Symptom: a customer is served without end. Events: it sends more than its
-/// limit, at two fronts. Cause: nobody counted.
+/// Guards against unenforced rate limits: a customer that exceeds its limit
+/// through two fronts would not be limited.
 #[tokio::test]
 async fn a_customer_is_limited_over_all_fronts() {
-    let limited = WrittenCustomer {
+    let limited = StoredCustomer {
         cap: Some((20.0, 10)),
         ..customer("alama", &["key-a"])
     };
     let fleet = fleet(vec![limited, customer("taevakorv", &["key-t"])]).await;
     let other = start(&fleet.kv, "front-2", false).await;
     ready(&other).await;
-    // Until the fronts have lent their parts, and a burst has come in.
+    // Waits until the fronts have pooled their allotments and the burst is
+    // refilled.
     wait_for(fleet.front.front, "x-key: key-a\r\n", 200).await;
     sleep(Duration::from_millis(3_500)).await;
     let before = fleet.engine.runs.lock().expect("lock").len();
@@ -213,7 +220,7 @@
     for attempt in 0..60 {
         let front = [&fleet.front, &other][attempt % 2].front;
         let id = format!("r{attempt}");
-        match ask(front, "/chat/1", &id, "x-key: key-a\r\n").await {
+        match request_status(front, "/chat/1", &id, "x-key: key-a\r\n").await {
             200 => {}
             429 => refused += 1,
             status => panic!("{status}"),
@@ -222,16 +229,15 @@
     let ran = fleet.engine.runs.lock().expect("lock").len() - before;
     assert_eq!(ran + refused, 60);
     assert!(refused > 0, "{ran} ran");
-    assert!(ran >= 10, "the burst is there after a pause: {ran} ran");
+    assert!(ran >= 10, "the burst is refilled after a pause: {ran} ran");
     wait_for(fleet.front.front, "x-key: key-t\r\n", 200).await;
 }
 
-/// Symptom: fleets whose customers have no limits pay for messages about
-/// them. Events: two fronts and a worker, with and without a limit. Cause:
-/// parts were lent whether anybody had a cap or not.
+/// Guards against quota messages in fleets whose customers have no limits:
+/// allotments were exchanged even without any rate limit.
 #[tokio::test]
 async fn without_limits_no_message_about_them_is_sent() {
-    let fleet = fleet(two()).await;
+    let fleet = fleet(two_customers()).await;
     wait_for(fleet.front.front, "x-key: key-a\r\n", 200).await;
     sleep(Duration::from_millis(1_000)).await;
     let sent = || {
@@ -239,7 +245,7 @@
         counter.load(Ordering::Relaxed)
     };
     assert_eq!(sent(), 0);
-    let limited = WrittenCustomer {
+    let limited = StoredCustomer {
         cap: Some((20.0, 10)),
         ..customer("alama", &["key-a"])
     };
@@ -248,24 +254,25 @@
     assert!(sent() > 0);
 }
 
-/// Symptom: a key that was taken away is served for as long as a front is cut
-/// off. Events: the front loses the key-value service and all other nodes,
-/// and regains them. Cause: nothing bounded the age of what it knew.
+/// Guards against an unbounded age of the configuration: a revoked key would
+/// be served for as long as a front is partitioned from the key-value service
+/// and all other nodes.
 #[tokio::test]
 async fn a_strict_front_serves_no_key_that_it_cannot_confirm() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
-    configure(&kv, Some(two())).await;
+    write_config_and_engine(&kv, &engine).await;
+    configure(&kv, Some(two_customers())).await;
     let front = start_strict(&kv, "front-1", 2_500).await;
     ready(&front).await;
     wait_for(front.front, "x-key: key-a\r\n", 200).await;
     kv.set_down(true);
     wait_for(front.front, "x-key: key-a\r\n", 503).await;
     let runs = engine.runs.lock().expect("lock").len();
-    let forged = ask(front.front, "/chat/1", "r1", "x-key: key-x\r\n").await;
-    assert_eq!(forged, 503, "nothing is certain of it either");
-    assert_eq!(ask(front.front, "/open/1", "r2", "").await, 200);
+    let forged =
+        request_status(front.front, "/chat/1", "r1", "x-key: key-x\r\n").await;
+    assert_eq!(forged, 503, "an unknown key cannot be rejected either");
+    assert_eq!(request_status(front.front, "/open/1", "r2", "").await, 200);
     assert_eq!(engine.runs.lock().expect("lock").len(), runs + 1);
     kv.set_down(false);
     wait_for(front.front, "x-key: key-a\r\n", 200).await;
