--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A front and a worker together, as callers and operators see them.
+//! End-to-end tests of a front and a worker from the view of callers and
+//! operators.
 
 mod common;
 
@@ -6,8 +7,8 @@
 
 use base::UnixMillis;
 use common::{
-    Cuttable, Engine, LEASE_LEAST_MS, Node, call, call_until, furnish, put,
-    ready, start, start_by,
+    Cuttable, Engine, MIN_LEASE_MS, Node, call, call_until, put, ready, start,
+    start_by, write_config_and_engine,
 };
 use fleet::EndpointRecord;
 use jobs::{
@@ -28,7 +29,7 @@
 async fn fleet() -> Fleet {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let front = start(&kv, "front-1", false).await;
     let worker = start(&kv, "worker-1", true).await;
     ready(&front).await;
@@ -97,7 +98,11 @@
     let runs = fleet.engine.runs.lock().expect("lock").clone();
     let of = |id: &str| runs.iter().filter(|r| r.starts_with(id)).count();
     assert_eq!(of("item-1:"), 1, "a rejected item runs once");
-    assert_eq!(of("item-2:"), 2, "a failing one as often as the route says");
+    assert_eq!(
+        of("item-2:"),
+        2,
+        "a failing item runs as often as the route permits"
+    );
     assert!(runs.contains(&"item-3:2".to_owned()), "{runs:?}");
 }
 
@@ -171,9 +176,9 @@
     assert!(text.contains("\"ran\":\"no\""), "{text}");
 }
 
-/// Symptom: callers are told that a route does not exist right after a
-/// start. Events: a request arrives before the first configuration. Cause:
-/// no configuration taken for one without routes.
+/// Guards against treating a missing configuration as one without routes: a
+/// request that arrives before the first configuration would be rejected with
+/// "no such route".
 #[tokio::test]
 async fn a_front_without_configuration_promises_that_nothing_ran() {
     let kv = Memory::default();
@@ -184,8 +189,9 @@
     assert_eq!(status, 503);
 }
 
-/// A job that cannot be kept is refused truly, and online requests go on by
-/// what is known while the key-value service is away.
+/// While the key-value service is unavailable, a job that cannot be stored is
+/// refused and never runs, and online requests are served from the last known
+/// state.
 #[tokio::test]
 async fn without_the_service_online_requests_are_served() {
     let fleet = fleet().await;
@@ -200,8 +206,8 @@
     ready(&fleet.front).await;
 }
 
-/// A planned stop cuts nothing short: what runs ends, the balancer hears of
-/// it first, and the node is gone before the end by force.
+/// A planned shutdown interrupts no request: readiness checks fail first,
+/// running requests complete, and the node exits within the grace period.
 #[tokio::test]
 async fn a_planned_stop_ends_what_runs() {
     let fleet = fleet().await;
@@ -220,7 +226,8 @@
     fleet.front.task.await.expect("stopped");
 }
 
-/// An operator's order to empty a node is answered once its runs are over.
+/// The status of an order to vacate a node becomes complete once its runs have
+/// ended.
 #[tokio::test]
 async fn a_node_says_when_it_is_empty() {
     let fleet = fleet().await;
@@ -241,23 +248,23 @@
     fleet.worker.task.await.expect("stopped");
 }
 
-/// Returns the key under which the progress of a job is saved.
+/// Returns the key of a job's checkpoints.
 async fn saved_at(kv: &Memory, job: &str) -> String {
     let job = job.parse().expect("key");
     let found = kv.get(&manifest_key(&job)).await.expect("read");
-    let head = decode_manifest(&found.kvs[0].value).expect("a head");
+    let head = decode_manifest(&found.kvs[0].value).expect("a manifest");
     checkpoint_key(&job, head.submitted_at)
 }
 
-/// Symptom: after a loss of all nodes jobs ended up to a whole run later.
-/// Events: a node that ran items was killed, another one, or itself after
-/// its restart, took its jobs up. Cause: what the items had produced lay in
-/// the killed node's memory alone, so that they ran from their first event.
+/// Guards against keeping the output of running items only in memory: when a
+/// node was killed and its jobs were resumed by another node, or by itself
+/// after a restart, the items ran again from their first event and jobs ended
+/// up to a full run later.
 #[tokio::test]
 async fn an_item_goes_on_after_what_a_lost_node_had_saved() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let front = start(&kv, "front-1", false).await;
     ready(&front).await;
     let sent = call(front.front, "POST", "/batch/1", "job-1", r#"["4","2"]"#);
@@ -271,9 +278,10 @@
     }];
     let value = encode_checkpoints(&saved).expect("encoded");
     put(&kv, &saved_at(&kv, "job-1").await, value).await;
-    // A job that is new has nothing saved, and nobody looks.
-    let save_ms = RunnerOptions::default().checkpoint_interval_ms;
-    sleep(Duration::from_millis(save_ms + 100)).await;
+    // Checkpoints of new jobs are not read, since they have none.
+    let checkpoint_interval_ms =
+        RunnerOptions::default().checkpoint_interval_ms;
+    sleep(Duration::from_millis(checkpoint_interval_ms + 100)).await;
     let worker = start(&kv, "worker-1", true).await;
     let fleet = Fleet {
         kv,
@@ -314,9 +322,9 @@
     assert!(lines > 0);
 }
 
-/// Symptom: a third of all calls to the key-value service read results.
-/// Events: a caller polls a job at several fronts. Cause: each front read
-/// each chunk from the service, though the node that wrote it is at hand.
+/// Guards against reading each result chunk from the key-value service instead
+/// of the node that wrote it: with callers polling a job at several fronts,
+/// such reads were a third of all calls to the key-value service.
 #[tokio::test]
 async fn results_are_read_from_the_node_that_wrote_them() {
     let fleet = fleet().await;
@@ -324,7 +332,7 @@
     let sent = call(front, "POST", "/batch/1", "job-1", r#"["2","3"]"#);
     assert_eq!(sent.await.0, 202);
     results(&fleet, "job-1", 2).await;
-    // What only the service could tell is gone from it.
+    // Deletes the results from the key-value service.
     let kept = fleet.kv.get_prefix("bulk/", 0).await.expect("read").kvs;
     for kv in kept {
         let txn = Txn {
@@ -345,9 +353,8 @@
     assert_eq!(read, (200, "3".into()));
 }
 
-/// Symptom: no results for seconds after a worker was lost. Events: the
-/// node that wrote them does not answer. Cause: waiting for it again and
-/// again, where the service has them as well.
+/// Guards against repeated waits for a lost node that wrote results, which
+/// delayed them for seconds although the key-value service has them as well.
 #[tokio::test]
 async fn results_of_a_lost_node_are_read_from_the_service() {
     let fleet = fleet().await;
@@ -366,18 +373,17 @@
     assert_eq!(first, second);
 }
 
-/// Symptom: no job is ever run. Events: the key-value service grants no
-/// lease as short as a worker asks for. Cause: the shortest lease of the
-/// settings was read and not heeded.
+/// Guards against ignoring the minimum lease of the settings: if the key-value
+/// service refuses the shorter lease that a worker requests, no job ever runs.
 #[tokio::test]
 async fn a_node_asks_for_a_lease_that_the_service_grants() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
-    let least_s = LEASE_LEAST_MS.div_ceil(1_000) as u32;
-    let way = Cuttable::new(&kv).with_least_lease_s(least_s);
-    let front = start_by(Arc::new(way.clone()), "front-1", false).await;
-    let worker = start_by(Arc::new(way), "worker-1", true).await;
+    write_config_and_engine(&kv, &engine).await;
+    let min_s = MIN_LEASE_MS.div_ceil(1_000) as u32;
+    let connection = Cuttable::new(&kv).with_min_lease_s(min_s);
+    let front = start_by(Arc::new(connection.clone()), "front-1", false).await;
+    let worker = start_by(Arc::new(connection), "worker-1", true).await;
     ready(&front).await;
     let fleet = Fleet {
         kv,
@@ -391,9 +397,9 @@
     results(&fleet, "job-1", 1).await;
 }
 
-/// Symptom: nobody is served, as no endpoint is known. Events: somebody
-/// else writes among the endpoints' entries. Cause: one entry that cannot
-/// be read made the whole listing unreadable.
+/// Guards against rejecting the whole listing because one entry, written by
+/// another program under the endpoints' prefix, cannot be decoded: no endpoint
+/// would be known and no request served.
 #[tokio::test]
 async fn entries_of_another_writer_do_not_harm_the_others() {
     let fleet = fleet().await;
@@ -415,16 +421,16 @@
     }
 }
 
-/// Symptom: requests go to an endpoint's former address for as long as its
-/// entry is there. Events: it starts again under its id at another address.
-/// Cause: an entry of a known id changed nothing but state and slots.
+/// Guards against updating only state and slots for an entry with a known id:
+/// when an endpoint restarted under its id at another address, requests were
+/// sent to its former address.
 #[tokio::test]
 async fn an_endpoint_that_started_again_is_used_at_its_new_address() {
     let fleet = fleet().await;
-    let reborn = Engine::start().await;
+    let restarted = Engine::start().await;
     let record = EndpointRecord {
         started_at: Some(UnixMillis::new(1_764_000_000_000)),
-        ..reborn.record("e1")
+        ..restarted.record("e1")
     };
     let record = serde_json::to_vec(&record).expect("json");
     put(&fleet.kv, "endpoints/e1", record).await;
@@ -433,23 +439,23 @@
     let (status, _) =
         call(fleet.front.front, "POST", "/chat/1", "r1", "2").await;
     assert_eq!(status, 200);
-    assert_eq!(reborn.runs.lock().expect("lock").len(), 1);
+    assert_eq!(restarted.runs.lock().expect("lock").len(), 1);
     assert_eq!(fleet.engine.runs.lock().expect("lock").len(), before);
 }
 
-/// Symptom: items run twice at the same time around each planned stop, while
-/// others wait for slots. Events: a node is stopped, another one takes its
-/// job up and runs its items from what was saved last. Cause: the stopping
-/// node went on with its runs and had not saved them.
+/// Guards against a stopping node that continues its runs without saving them:
+/// another node resumed its items from older checkpoints, so items ran twice
+/// at the same time around each planned shutdown, while others waited for
+/// slots.
 #[tokio::test]
 async fn a_stopping_node_hands_its_items_over() {
     let fleet = fleet().await;
     let front = fleet.front.front;
-    // Each worker is to have an endpoint of its own.
+    // Gives each worker an endpoint of its own.
     let second = Engine::start().await;
     let record = serde_json::to_vec(&second.record("e2")).expect("json");
     put(&fleet.kv, "endpoints/e2", record).await;
-    // The front names the one worker that it knows by then.
+    // The front assigns the job to the only worker that it knows so far.
     sleep(Duration::from_millis(500)).await;
     let sent = call(front, "POST", "/batch/1", "job-1", r#"["1200"]"#);
     assert_eq!(sent.await.0, 202);
--- a/crates/node/tests/quarantine.rs
+++ b/crates/node/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the endpoints that run them, and requests that were
-//! merely running when endpoints ended.
+//! Quarantine of poison requests, and service of requests that were only
+//! running when endpoints crashed.
 
 mod common;
 
@@ -14,18 +14,18 @@
 };
 use yare::parameterized;
 
-/// Times that a request may be sent again once it has crashed three
-/// endpoints and all nodes have had the time to hear of it.
-const RETRIES_MOST: usize = 3;
+/// Maximum number of times that a request may be sent once it has crashed
+/// three endpoints and the crashes have propagated to all nodes.
+const MAX_RETRIES: usize = 3;
 
-/// Crashes after which a request is not to be sent any more.
-const CRASHES_MOST: usize = 3;
+/// Number of crashes after which a request must be quarantined.
+const MAX_CRASHES: usize = 3;
 
-/// Time in which all nodes hear of a third crash.
-const SPREAD: Duration = Duration::from_secs(3);
+/// Time in which the third crash propagates to all nodes.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Time for which the request comes again and again.
-const REPEATED: Duration = Duration::from_secs(9);
+/// Time for which the request is repeated.
+const REPEAT_TIME: Duration = Duration::from_secs(9);
 
 struct Fleet {
     engines: Engines,
@@ -46,22 +46,24 @@
     (kv, Fleet { engines, fronts })
 }
 
-/// Waits until a request has crashed as many engines as it may, and all
-/// nodes have had the time to hear of it, or the time is up.
-async fn spread(engines: &Engines) {
-    let until = Instant::now() + REPEATED / 2;
+/// Waits until a request has caused the maximum number of crashes and they
+/// have propagated to all nodes, or until a timeout.
+async fn wait_for_propagation(engines: &Engines) {
+    let until = Instant::now() + REPEAT_TIME / 2;
     while Instant::now() < until {
-        if let Some(third) = engines.crashes().get(CRASHES_MOST - 1) {
-            let heard = *third + SPREAD;
-            return sleep(heard.saturating_duration_since(Instant::now()))
-                .await;
+        if let Some(third) = engines.crashes().get(MAX_CRASHES - 1) {
+            let propagated_at = *third + PROPAGATION_TIME;
+            return sleep(
+                propagated_at.saturating_duration_since(Instant::now()),
+            )
+            .await;
         }
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Guards against a request that crashes one endpoint after the other as its
-/// caller sends it again, to any front and with a new id each time.
+/// Guards against a poison request that crashes one endpoint after the other
+/// while its caller repeats it at any front, each time with a new id.
 #[parameterized(
     resumable_stream = { "/chat/1", "crash 0" },
     stream_that_crashes_midway = { "/chat/1", "crash 3" },
@@ -75,7 +77,7 @@
     let (_kv, fleet) = fleet(5, 3).await;
     let addresses: Vec<_> = fleet.fronts.iter().map(|f| f.front).collect();
     let sender = tokio::spawn(async move {
-        let until = Instant::now() + REPEATED;
+        let until = Instant::now() + REPEAT_TIME;
         let mut number = 0;
         while Instant::now() < until {
             let front = addresses[number % addresses.len()];
@@ -86,16 +88,16 @@
         }
         number
     });
-    spread(&fleet.engines).await;
+    wait_for_propagation(&fleet.engines).await;
     let before = fleet.engines.runs_of("bad-");
     let sent = sender.await.expect("task");
-    assert!(sent > 20, "the request came again: {sent}");
+    assert!(sent > 20, "too few repetitions of the request: {sent}");
     let after = fleet.engines.runs_of("bad-") - before;
-    assert!(after <= RETRIES_MOST, "sent {after} times more");
+    assert!(after <= MAX_RETRIES, "sent {after} times more");
 }
 
-/// Guards against an item of a job that crashes one endpoint after the other,
-/// and against the loss of the other items of its job.
+/// Guards against a job's item that crashes one endpoint after the other, and
+/// against the loss of the other items of its job.
 #[tokio::test]
 async fn an_item_that_crashes_endpoints_is_sent_no_further() {
     let (kv, fleet) = fleet(5, 1).await;
@@ -104,18 +106,18 @@
     let job = r#"["30","crash 0","40"]"#;
     let sent = call(front, "POST", "/batch/1", "job-1", job).await;
     assert_eq!(sent.0, 202);
-    spread(&fleet.engines).await;
+    wait_for_propagation(&fleet.engines).await;
     let before = fleet.engines.runs_of("item-1:");
-    sleep(REPEATED / 2).await;
+    sleep(REPEAT_TIME / 2).await;
     let after = fleet.engines.runs_of("item-1:") - before;
-    assert!(after <= RETRIES_MOST, "sent {after} times more");
+    assert!(after <= MAX_RETRIES, "sent {after} times more");
     let (_, page) = call(front, "GET", "/jobs/job-1", "p", "").await;
     assert!(page.contains("item-0 complete"), "{page}");
     assert!(page.contains("item-2 complete"), "{page}");
 }
 
-/// Guards against a job, or later ones that ask for the same path, of whose
-/// items each has a content of its own and crashes three endpoints.
+/// Guards against a job, or later jobs with the same path, whose items have
+/// different bodies and each crash three endpoints.
 #[parameterized(
     one_job = { 1, 6 },
     later_jobs = { 3, 2 },
@@ -140,15 +142,15 @@
             sleep(Duration::from_secs(1)).await;
         }
     });
-    spread(&fleet.engines).await;
+    wait_for_propagation(&fleet.engines).await;
     let before = fleet.engines.runs_of("item-");
-    sleep(REPEATED).await;
+    sleep(REPEAT_TIME).await;
     sender.await.expect("task");
     let after = fleet.engines.runs_of("item-") - before;
-    assert!(after <= RETRIES_MOST, "sent {after} times more");
+    assert!(after <= MAX_RETRIES, "sent {after} times more");
 }
 
-/// Guards against sound jobs that wait since the items of another one crash
+/// Guards against delaying sound jobs because the items of another job crash
 /// endpoints.
 #[tokio::test]
 async fn sound_jobs_beside_one_that_crashes_endpoints_are_done() {
@@ -174,19 +176,20 @@
     }
 }
 
-/// Tries of a caller whose request was cut off or refused.
-const TRIES: usize = 4;
+/// Maximum attempts of a caller whose request was interrupted or refused.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Pause of a caller before it tries again.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay before a caller retries.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Sends a request until it is served whole, and returns with which try.
-async fn served(
+/// Sends a request until its response is complete, and returns the number of
+/// the successful attempt.
+async fn send_until_complete(
     fronts: &[SocketAddr],
     id: &str,
     events: usize,
 ) -> Option<usize> {
-    for number in 0..TRIES {
+    for number in 0..MAX_ATTEMPTS {
         let front = fronts[number % fronts.len()];
         let id = format!("{id}-{number}");
         let body = events.to_string();
@@ -195,25 +198,25 @@
         if status == 200 && answer.matches("data: ").count() == events {
             return Some(number);
         }
-        assert!(!answer.contains("crash"), "held: {answer}");
-        sleep(RETRY).await;
+        assert!(!answer.contains("crash"), "quarantined: {answer}");
+        sleep(RETRY_DELAY).await;
     }
     None
 }
 
-/// Starts callers that send requests of their own and, one in two, a request
-/// that all of them send, until the time is up. They return how many of them
-/// were served, and how many were not.
+/// Starts callers that send requests for the given time. Every second caller
+/// sends one request shared by all of them, the others send requests of their
+/// own. They return the numbers of served and lost requests.
 fn callers(
     fronts: &[SocketAddr],
     count: usize,
-    lasts: Duration,
+    duration: Duration,
 ) -> JoinSet<(usize, usize)> {
     let mut callers = JoinSet::new();
     for caller in 0..count {
         let fronts = fronts.to_vec();
         callers.spawn(async move {
-            let until = Instant::now() + lasts;
+            let until = Instant::now() + duration;
             let (mut good, mut lost) = (0, 0);
             while Instant::now() < until {
                 let events = match caller % 2 {
@@ -221,7 +224,7 @@
                     _ => 60 + 17 * caller + good,
                 };
                 let id = format!("c{caller}-{good}-{lost}");
-                match served(&fronts, &id, events).await {
+                match send_until_complete(&fronts, &id, events).await {
                     Some(_) => good += 1,
                     None => lost += 1,
                 }
@@ -238,14 +241,14 @@
         .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
 }
 
-fn held(nodes: &[Node]) -> u64 {
+fn quarantined_count(nodes: &[Node]) -> u64 {
     let counters = nodes.iter().map(|node| &node.counters);
-    let held = counters.map(|all| all.requests_held.load(Ordering::Relaxed));
-    held.sum()
+    let counts = counters.map(|all| all.requests_held.load(Ordering::Relaxed));
+    counts.sum()
 }
 
-/// Guards against requests that are refused since they ran at endpoints that
-/// were killed, one after the other and several at once.
+/// Guards against refusing requests because they ran at endpoints that were
+/// killed, one after the other or several at once.
 #[parameterized(
     one_by_one = { 1, 300 },
     two_by_two = { 2, 500 },
@@ -258,8 +261,8 @@
 ) {
     let (_kv, fleet) = fleet(5, 3).await;
     let fronts: Vec<_> = fleet.fronts.iter().map(|f| f.front).collect();
-    let callers = callers(&fronts, 12, REPEATED);
-    let until = Instant::now() + REPEATED - Duration::from_secs(1);
+    let callers = callers(&fronts, 12, REPEAT_TIME);
+    let until = Instant::now() + REPEAT_TIME - Duration::from_secs(1);
     while Instant::now() < until {
         sleep(Duration::from_millis(pause_ms)).await;
         for engine in fleet.engines.alive().iter().take(killed) {
@@ -267,19 +270,18 @@
         }
     }
     let (good, lost) = total(callers).await;
-    assert_eq!(held(&fleet.fronts), 0);
+    assert_eq!(quarantined_count(&fleet.fronts), 0);
     assert!(good > 100, "the callers were busy: {good}");
     assert_eq!(lost, 0, "of {good}");
 }
 
-/// Guards against requests that are refused since they ran next to one that
-/// crashes endpoints.
+/// Guards against refusing requests because they ran next to a poison request.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_next_to_one_that_crashes_endpoints_are_served() {
     let (_kv, fleet) = fleet(6, 3).await;
     let fronts: Vec<_> = fleet.fronts.iter().map(|f| f.front).collect();
-    let callers = callers(&fronts, 12, REPEATED);
-    let until = Instant::now() + REPEATED;
+    let callers = callers(&fronts, 12, REPEAT_TIME);
+    let until = Instant::now() + REPEAT_TIME;
     let mut number = 0;
     while Instant::now() < until {
         for bad in ["crash 0", "crash 00", "crash 000"] {
@@ -296,10 +298,10 @@
     assert!(good > 100, "the callers were busy: {good}");
     assert_eq!(lost, 0, "of {good}");
     let crashes = fleet.engines.crashes().len();
-    assert!(crashes >= 3 * CRASHES_MOST, "{crashes} crashes");
+    assert!(crashes >= 3 * MAX_CRASHES, "{crashes} crashes");
 }
 
-/// Guards against items that wait as their endpoints were killed.
+/// Guards against delaying items because their endpoints were killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn items_at_killed_endpoints_are_done() {
     let (kv, fleet) = fleet(5, 1).await;
@@ -321,11 +323,11 @@
         page.matches(" complete ").count() == items.len()
     })
     .await;
-    assert_eq!(held(&[worker]), 0);
+    assert_eq!(quarantined_count(&[worker]), 0);
 }
 
-/// Guards against requests that are held since their endpoints left as
-/// announced while they ran.
+/// Guards against quarantining requests because their draining endpoints shut
+/// down while they ran.
 #[tokio::test]
 async fn the_end_of_a_draining_endpoint_is_no_crash() {
     let (kv, fleet) = fleet(1, 1).await;
@@ -352,7 +354,8 @@
     assert_eq!(counters.endpoints_crashed.load(Ordering::Relaxed), 0);
 }
 
-/// Guards against requests that are held since their endpoints fell silent.
+/// Guards against quarantining requests because their endpoints stopped
+/// responding.
 #[tokio::test]
 async fn an_endpoint_that_falls_silent_has_not_crashed() {
     let (_kv, fleet) = fleet(3, 1).await;
@@ -363,22 +366,22 @@
     }
     let counters = &fleet.fronts[0].counters;
     assert_eq!(counters.endpoints_crashed.load(Ordering::Relaxed), 0);
-    assert_eq!(held(&fleet.fronts), 0);
+    assert_eq!(quarantined_count(&fleet.fronts), 0);
 }
 
-/// Guards against requests that crash endpoints again after each restart of
-/// the nodes.
+/// Guards against poison requests that crash endpoints again after each
+/// restart of the nodes.
 #[tokio::test]
 async fn a_front_that_starts_later_sends_a_held_request_nowhere() {
     let (kv, fleet) = fleet(5, 1).await;
-    let until = Instant::now() + REPEATED;
+    let until = Instant::now() + REPEAT_TIME;
     let mut number = 0;
-    while held(&fleet.fronts) == 0 {
+    while quarantined_count(&fleet.fronts) == 0 {
         let id = format!("bad-{number}");
         let front = fleet.fronts[0].front;
         call(front, "POST", "/book/1", &id, "crash 0").await;
         number += 1;
-        assert!(Instant::now() < until, "never held");
+        assert!(Instant::now() < until, "never quarantined");
         sleep(Duration::from_millis(50)).await;
     }
     let later = start(&kv, "front-2", false).await;
--- a/crates/node/tests/readers.rs
+++ b/crates/node/tests/readers.rs
@@ -9,8 +9,8 @@
 };
 
 use common::{
-    Cuttable, Engine, Node, Written, call_until, furnish, put, ready, routes,
-    start, start_by,
+    Cuttable, Engine, Node, StoredConfig, call_until, put, ready, routes,
+    start, start_by, write_config_and_engine,
 };
 use fleet::Route;
 use kv::Memory;
@@ -58,7 +58,7 @@
 async fn add_route(kv: &Memory, prefix: &str) {
     let mut all = routes();
     all.push(Route::new(prefix, "a.example", prefix, "engines"));
-    let written = Written {
+    let written = StoredConfig {
         routes: all,
         customers: None,
     };
@@ -76,7 +76,7 @@
 async fn two_nodes_read_for_all() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = fronts(&kv).await;
     let before = kv.counts();
     sleep(Duration::from_millis(1_000)).await;
@@ -97,7 +97,7 @@
 async fn the_loss_of_readers_stops_no_news() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let mut nodes = fronts(&kv).await;
     for round in 0..3 {
         let lost = nodes.remove(0);
@@ -117,7 +117,7 @@
 async fn no_node_goes_back_to_an_older_configuration() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = fronts(&kv).await;
     add_route(&kv, "/new/").await;
     for node in &nodes {
@@ -142,7 +142,7 @@
 async fn news_pass_by_a_reader_that_is_cut_off() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = cuttable_fronts(&kv).await;
     for cut in 0..NODES {
         add_route(&kv, &format!("/before-{cut}/")).await;
@@ -171,7 +171,7 @@
 async fn news_pass_by_both_readers_when_both_are_cut_off() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = cuttable_fronts(&kv).await;
     for one in 0..NODES {
         for two in one + 1..NODES {
@@ -216,7 +216,7 @@
 async fn many_nodes_leave_the_service_to_few_readers() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let beats = kv.clone();
     let record = engine.record("e1");
     tokio::spawn(async move {
--- a/crates/node/tests/unit/load_wire.rs
+++ b/crates/node/tests/unit/load_wire.rs
@@ -1,12 +1,12 @@
-//! Which datagrams are heeded.
+//! Validation of load datagrams.
 
 use fleet::{Endpoint, EndpointRecord, EndpointState, IncarnationKey};
 use jobs::ReportVersion;
 use yare::parameterized;
 
-use super::{COUNTS_MOST, Kind, LoadUpdate, VERSION};
+use super::{Kind, LoadUpdate, MAX_COUNTS, VERSION};
 
-fn life() -> IncarnationKey {
+fn incarnation() -> IncarnationKey {
     let endpoint = Endpoint::new(EndpointRecord {
         id: "e".to_owned(),
         started_at: None,
@@ -31,19 +31,19 @@
 
 #[test]
 fn an_update_is_read_as_it_was_written() {
-    let sent = update(vec![(life(), 3)]);
+    let sent = update(vec![(incarnation(), 3)]);
     let read = LoadUpdate::decode(&sent.encode()).expect("an update");
     assert_eq!(read, sent);
 }
 
 #[test]
 fn the_largest_update_fits_a_packet() {
-    let sent = update(vec![(life(), 99); COUNTS_MOST]);
+    let sent = update(vec![(incarnation(), 99); MAX_COUNTS]);
     assert!(sent.encode().len() < 1_400);
 }
 
-/// Symptom: a worker's counts are wrong, or it ends, after a datagram that
-/// no node has sent. Cause: what arrived was taken as it was.
+/// Guards against unvalidated datagrams, which could corrupt a worker's counts
+/// or crash it.
 #[parameterized(
     empty = { b"" },
     no_json = { b"\xff\x00load" },
@@ -76,15 +76,15 @@
 
 #[test]
 fn more_counts_than_a_datagram_holds_are_refused() {
-    let sent = update(vec![(life(), 1); COUNTS_MOST + 1]);
+    let sent = update(vec![(incarnation(), 1); MAX_COUNTS + 1]);
     assert!(LoadUpdate::decode(&sent.encode()).is_err());
 }
 
-/// Every cut and every changed byte of an update is refused or read as
-/// another update; none ends the process.
+/// Truncated updates are refused; updates with a flipped bit are refused or
+/// decoded as another valid update. None causes a panic.
 #[test]
 fn damaged_updates_do_no_harm() {
-    let bytes = update(vec![(life(), 3)]).encode();
+    let bytes = update(vec![(incarnation(), 3)]).encode();
     for end in 0..bytes.len() {
         assert!(LoadUpdate::decode(&bytes[..end]).is_err());
     }
@@ -93,7 +93,7 @@
             let mut damaged = bytes.clone();
             damaged[at] ^= 1 << bit;
             if let Ok(read) = LoadUpdate::decode(&damaged) {
-                assert!(read.counts().len() <= COUNTS_MOST);
+                assert!(read.counts().len() <= MAX_COUNTS);
                 assert_eq!(read.version, VERSION);
             }
         }
--- a/crates/node/tests/unit/quota_wire.rs
+++ b/crates/node/tests/unit/quota_wire.rs
@@ -1,12 +1,12 @@
-//! Which datagrams about limits are heeded.
+//! Validation of quota datagrams.
 
 use limits::TokenRequest;
 use yare::parameterized;
 
 use super::{QuotaMessage, VERSION};
 
-fn ask() -> QuotaMessage {
-    QuotaMessage::Ask(TokenRequest {
+fn request() -> QuotaMessage {
+    QuotaMessage::Request(TokenRequest {
         front: "front-1".to_owned(),
         incarnation: 1,
         sequence: 2,
@@ -19,17 +19,17 @@
 
 #[test]
 fn a_message_is_read_as_it_was_written() {
-    let read = QuotaMessage::decode(&ask().encode()).expect("a message");
-    assert_eq!(read, ask());
+    let read = QuotaMessage::decode(&request().encode()).expect("a message");
+    assert_eq!(read, request());
     assert_eq!(read.sender(), "front-1");
 }
 
 #[test]
 fn nothing_is_lent_by_a_sender_that_cannot_be_checked() {
-    let QuotaMessage::Ask(ask) = ask().without_parts() else {
+    let QuotaMessage::Request(request) = request().without_allotments() else {
         panic!("another message");
     };
-    assert_eq!((ask.slots, ask.sequence), (0, 2));
+    assert_eq!((request.slots, request.sequence), (0, 2));
 }
 
 #[parameterized(
@@ -45,12 +45,12 @@
 
 #[test]
 fn another_version_is_refused() {
-    let text = String::from_utf8(ask().encode()).expect("text");
+    let text = String::from_utf8(request().encode()).expect("text");
     let other = text.replace(
         &format!("\"version\":{VERSION}"),
         &format!("\"version\":{}", VERSION + 1),
     );
     assert_ne!(text, other);
     let error = QuotaMessage::decode(other.as_bytes()).expect_err("refused");
-    assert_eq!(error.to_string(), "of version 2");
+    assert_eq!(error.to_string(), "unsupported version 2");
 }
