--- a/crates/cli/src/bin/pomeloslipd/fleet.rs
+++ b/crates/cli/src/bin/pomeloslipd/fleet.rs
@@ -10,7 +10,7 @@
 use base::{SystemClock, timer::Timer};
 use error_stack::{Report, ResultExt};
 use kv::paths::Paths;
-use node::{ClusterState, Front, NodeSettings, Outside, Signals, Worker};
+use node::{ClusterState, Front, NodeContext, NodeSettings, Signals, Worker};
 use obs::LogSettings;
 use pass::Counters;
 use platform::{MachineSettings, PlatformDialect, PlatformKv};
@@ -97,7 +97,7 @@
         settings.watch_wait_ms(),
     );
     let kv = kv.change_context(DaemonError)?;
-    let outside = Outside {
+    let outside = NodeContext {
         dialect: Arc::new(PlatformDialect),
         kv: Arc::new(kv),
         paths,
--- a/crates/node/src/base.rs
+++ b/crates/node/src/base.rs
@@ -40,7 +40,7 @@
 
 /// External dependencies and shared state of a node.
 #[derive(Clone)]
-pub struct Outside {
+pub struct NodeContext {
     /// Formats and names of the platform.
     pub dialect: Arc<dyn Dialect>,
     /// Client of the key-value service.
@@ -81,7 +81,7 @@
 impl NodeBase {
     pub(crate) async fn start(
         settings: &NodeSettings,
-        context: &Outside,
+        context: &NodeContext,
         runs_items: bool,
         orders: Option<mpsc::UnboundedSender<VacateOrder>>,
     ) -> Result<Self, Report<NodeError>> {
@@ -202,7 +202,7 @@
         let keeper = EntryKeeper {
             kv: context.kv.clone(),
             record,
-            terms: LeaseTerms::new(runs_items, settings.lease_least_ms),
+            terms: LeaseTerms::new(runs_items, settings.min_lease_ms),
             view: view.clone(),
             clock,
         };
@@ -238,7 +238,7 @@
     fn start_admin(
         &self,
         settings: &NodeSettings,
-        context: &Outside,
+        context: &NodeContext,
     ) -> Result<(), Report<NodeError>> {
         let admin = Arc::new(Admin::new(
             context.dialect.ready_path(),
@@ -256,7 +256,7 @@
     pub(crate) fn load_socket(
         &self,
         settings: &NodeSettings,
-        context: &Outside,
+        context: &NodeContext,
     ) -> LoadSocket {
         LoadSocket::new(
             &settings.node,
@@ -270,7 +270,7 @@
     pub(crate) fn forwarder(
         &self,
         settings: &NodeSettings,
-        context: &Outside,
+        context: &NodeContext,
     ) -> Forwarder {
         Forwarder::new(
             context.dialect.headers(),
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -88,7 +88,7 @@
 
     /// Applies a configuration unless it is older than the one in force:
     /// a delayed response must not restore a replaced configuration.
-    pub fn take_config(&self, config: Config) {
+    pub fn apply_config(&self, config: Config) {
         let current = self.config.load();
         let current_version = current.as_ref().as_ref().map(|c| c.version);
         if current_version.is_some_and(|version| version >= config.version) {
@@ -119,12 +119,12 @@
     }
 
     /// Reports whether an unknown route may be rejected as nonexistent.
-    pub fn is_config_sure(&self) -> bool {
-        self.confidence() == ConfigFreshness::Fresh
+    pub fn is_config_fresh(&self) -> bool {
+        self.config_freshness() == ConfigFreshness::Fresh
     }
 
     /// Returns how fresh the configuration is.
-    pub fn confidence(&self) -> ConfigFreshness {
+    pub fn config_freshness(&self) -> ConfigFreshness {
         let age_ms = self.config_age_ms();
         let is_older_than = |max_ms| age_ms > max_ms;
         match self.bounds {
@@ -137,7 +137,7 @@
     }
 
     /// Records that the quarantined requests have been read.
-    pub(crate) fn note_held_requests(&self) {
+    pub(crate) fn mark_quarantine_loaded(&self) {
         self.knows_quarantined.store(true, Ordering::Relaxed);
     }
 
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -28,7 +28,8 @@
 use tokio::{sync::watch, time};
 
 use crate::{
-    ClusterState, Dialect, JobCall, NodeError, NodeSettings, Outside, Signals,
+    ClusterState, Dialect, JobCall, NodeContext, NodeError, NodeSettings,
+    Signals,
     base::NodeBase,
     intake::JobIntake,
     job_heads::PeerHeads,
@@ -62,7 +63,7 @@
     /// [`NodeError::Listen`] if an address cannot be used.
     pub async fn start(
         settings: &NodeSettings,
-        context: Outside,
+        context: NodeContext,
     ) -> Result<Self, Report<NodeError>> {
         let address = settings.front.ok_or(NodeError::Listen)?;
         let base = NodeBase::start(settings, &context, false, None).await?;
@@ -295,8 +296,8 @@
         public: bool,
     ) -> Result<Identified, Refusal> {
         let customers = config.customers.as_ref();
-        let confidence = self.cluster.confidence();
-        let identified = arrived.identify(customers, public, confidence);
+        let config_freshness = self.cluster.config_freshness();
+        let identified = arrived.identify(customers, public, config_freshness);
         identified.map_err(|denied| {
             Counters::add(&self.counters.keys_refused);
             match denied {
@@ -332,7 +333,7 @@
                 let identified = self.identify(arrived, &config, public)?;
                 Ok((route.clone(), config.version, identified))
             }
-            None if self.cluster.is_config_sure() => Err(Refusal::rejected(
+            None if self.cluster.is_config_fresh() => Err(Refusal::rejected(
                 StatusCode::NOT_FOUND,
                 "no route leads there",
             )),
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -297,7 +297,7 @@
             ledger,
             view,
             clock,
-            retention_ms: settings.results_kept_ms,
+            retention_ms: settings.results_retention_ms,
             tracked: Mutex::new(tracked),
             write_lock: tokio::sync::Mutex::new(()),
             count,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -44,7 +44,7 @@
 
 pub use crate::{
     admin::Admin,
-    base::Outside,
+    base::NodeContext,
     cluster::{ClusterState, ConfigBounds},
     dialect::{
         Dialect, DialectError, JobCall, OperatorOrder, VacateOrder,
--- a/crates/node/src/quota.rs
+++ b/crates/node/src/quota.rs
@@ -104,7 +104,7 @@
         let (sender, requests) = mpsc::unbounded_channel();
         let incarnation = cluster.clock().unix().as_ms();
         let node = settings.node.as_str();
-        let tolerance = settings.allowance;
+        let tolerance = settings.tolerance;
         let options = TokenServerOptions::default();
         let service = Self {
             node: node.to_owned(),
--- a/crates/node/src/readers.rs
+++ b/crates/node/src/readers.rs
@@ -39,10 +39,10 @@
     /// Divides the time so that questions to two readers that have both been
     /// lost, one after the other, and a read of the service itself fit into
     /// it.
-    pub(crate) fn new(news_ms: u64) -> Self {
+    pub(crate) fn new(propagation_ms: u64) -> Self {
         Self {
-            age_most_ms: news_ms * 75 / 100,
-            wait_ms: news_ms * 25 / 100,
+            age_most_ms: propagation_ms * 75 / 100,
+            wait_ms: propagation_ms * 25 / 100,
             answer_ms: ANSWER_MS,
         }
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -28,7 +28,7 @@
     /// Time between the shutdown signal and the kill of the process.
     pub grace_ms: u64,
     /// Time after submission for which the results of a job are readable.
-    pub results_kept_ms: u64,
+    pub results_retention_ms: u64,
     /// Time in which an endpoint that shuts down must stop getting new work.
     pub drain_ms: u64,
     /// Time in which a configuration must be in force.
@@ -39,9 +39,9 @@
     /// Address for the datagrams by which requests are counted against limits.
     pub limits: SocketAddr,
     /// Permitted deviation from the limits of customers.
-    pub allowance: Tolerance,
+    pub tolerance: Tolerance,
     /// Minimum lease of the key-value service.
-    pub lease_least_ms: u64,
+    pub min_lease_ms: u64,
     /// Data folder on the machine's disk, if it has one.
     pub data_dir: Option<PathBuf>,
     /// Maximum total size of the jobs spooled there.
@@ -69,7 +69,7 @@
     /// change. The response at its end confirms the node's state, so it must
     /// arrive well within the time in which changes must reach all nodes.
     pub fn watch_wait_ms(&self) -> u64 {
-        self.news_ms() / 2
+        self.propagation_ms() / 2
     }
 
     /// Returns the maximum ages of the configuration's confirmation.
@@ -81,7 +81,7 @@
     }
 
     /// Returns the time in which changes must reach this node.
-    pub(crate) fn news_ms(&self) -> u64 {
+    pub(crate) fn propagation_ms(&self) -> u64 {
         let bound_ms = self.drain_ms.min(self.config_ms);
         bound_ms.clamp(MIN_PROPAGATION_MS, MAX_PROPAGATION_MS)
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -114,7 +114,7 @@
         let found = self.found;
         tokio::spawn(async move { seeded.seed(&*kv, entered, found).await });
         let pool = Arc::new(Pool::default());
-        let pace = Pace::new(settings.news_ms());
+        let pace = Pace::new(settings.propagation_ms());
         let mut feeds = Vec::new();
         for (number, (feed, reading)) in followed.into_iter().enumerate() {
             let feed = Arc::new(feed);
@@ -316,7 +316,7 @@
     orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 ) {
     let take = |kv: &KeyValue| match dialect.order(kv) {
-        Ok(OperatorOrder::Config(config)) => cluster.take_config(*config),
+        Ok(OperatorOrder::Config(config)) => cluster.apply_config(*config),
         Ok(OperatorOrder::Vacate(order)) => {
             if let Some(orders) = &orders {
                 let _ = orders.send(order);
@@ -360,7 +360,7 @@
             delta.revision,
             delta.whole,
         );
-        cluster.note_held_requests();
+        cluster.mark_quarantine_loaded();
         if after == 0 || delta.whole {
             view.replace(&delta.items, at);
         } else {
--- a/crates/node/src/worker.rs
+++ b/crates/node/src/worker.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    NodeError, NodeSettings, Outside, Signals, base::NodeBase,
+    NodeContext, NodeError, NodeSettings, Signals, base::NodeBase,
     load::WorkerLoad, membership::LeaseTerms, probe::LoadProbe,
     vacate::VacateExecutor,
 };
@@ -39,7 +39,7 @@
     /// [`NodeError::Listen`] if the address of the metrics cannot be used.
     pub async fn start(
         settings: &NodeSettings,
-        context: Outside,
+        context: NodeContext,
     ) -> Result<Self, Report<NodeError>> {
         let (orders, received) = mpsc::unbounded_channel();
         let base =
@@ -83,7 +83,7 @@
             shutdown: stop_items.clone(),
             idle: idle.clone(),
             spooled_jobs: base.spooled_jobs.clone(),
-            terms: LeaseTerms::new(true, settings.lease_least_ms),
+            terms: LeaseTerms::new(true, settings.min_lease_ms),
         };
         tokio::spawn(vacating.run(received));
         Ok(Self {
@@ -134,13 +134,13 @@
 
 fn make_runner(
     settings: &NodeSettings,
-    context: &Outside,
+    context: &NodeContext,
     base: &NodeBase,
     online: Arc<OnlineLoad>,
 ) -> Runner {
     let probe = LoadProbe::new(context.dialect.clone(), base.pool.clone());
     let options = RunnerOptions {
-        retention_ms: settings.results_kept_ms + RETENTION_MARGIN_MS,
+        retention_ms: settings.results_retention_ms + RETENTION_MARGIN_MS,
         ..RunnerOptions::default()
     };
     let parts = RunnerParts {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -31,8 +31,8 @@
 use limits::{RateLimit, Tolerance};
 use pass::{Counters, HeaderNames};
 use pomeloslip_node::{
-    ClusterState, Dialect, DialectError, Front, JobCall, NodeSettings,
-    OperatorOrder, Outside, Signals, VacateOrder, VacateState, Worker,
+    ClusterState, Dialect, DialectError, Front, JobCall, NodeContext,
+    NodeSettings, OperatorOrder, Signals, VacateOrder, VacateState, Worker,
 };
 use serde::{Deserialize, Serialize};
 use tokio::{
@@ -265,17 +265,17 @@
         kv: free_address(),
         value_bytes: 100_000,
         grace_ms: 8_000,
-        results_kept_ms: 120_000,
+        results_retention_ms: 120_000,
         drain_ms: 200,
         config_ms: 2_000,
         revoke_ms: None,
         limits: free_address(),
-        allowance: Tolerance {
+        tolerance: Tolerance {
             window_ms: 5_000,
             excess: 0.1,
             slack: 20,
         },
-        lease_least_ms: MIN_LEASE_MS,
+        min_lease_ms: MIN_LEASE_MS,
         data_dir: None,
         spool_bytes: 1_000_000,
         disk_losses: 1,
@@ -358,7 +358,7 @@
     tokio::spawn(timer.clone().drive());
     let paths = Arc::new(Paths::new(settings.kv));
     let counters = Arc::new(Counters::default());
-    let context = Outside {
+    let context = NodeContext {
         dialect: Arc::new(TestDialect),
         kv,
         paths,
