--- a/crates/node/src/quota.rs
+++ b/crates/node/src/quota.rs
@@ -234,8 +234,8 @@
             _ => return self.refuse(from, &WireError::Sender),
         };
         match message {
-            QuotaMessage::Request(count_request) => {
-                match self.server.handle(&count_request, now) {
+            QuotaMessage::Request(request) => {
+                match self.server.handle(&request, now) {
                     Some(response) => {
                         self.send(from, &QuotaMessage::Response(response))
                             .await;
--- a/crates/node/tests/customers.rs
+++ b/crates/node/tests/customers.rs
@@ -106,7 +106,7 @@
     the_second_key = { "x-key: key-a2\r\n", 200 },
 )]
 #[test_macro(tokio::test)]
-async fn a_key_is_judged(headers: &str, status: u16) {
+async fn api_keys_are_checked(headers: &str, status: u16) {
     let fleet = fleet(two_customers()).await;
     wait_for(fleet.front.front, headers, status).await;
     let runs = fleet.engine.runs.lock().expect("lock").len();
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -163,7 +163,7 @@
     bad_job_id = { "POST", "/batch/1", "a/b", "[]", 400 },
 )]
 #[test_macro(tokio::test)]
-async fn improper_calls_have_a_clear_answer(
+async fn invalid_calls_get_a_clear_response(
     method: &str,
     path: &str,
     id: &str,
@@ -193,7 +193,7 @@
 /// refused and never runs, and online requests are served from the last known
 /// state.
 #[tokio::test]
-async fn without_the_service_online_requests_are_served() {
+async fn without_the_key_value_service_online_requests_are_served() {
     let fleet = fleet().await;
     fleet.kv.set_down(true);
     let front = fleet.front.front;
@@ -209,7 +209,7 @@
 /// A planned shutdown interrupts no request: readiness checks fail first,
 /// running requests complete, and the node exits within the grace period.
 #[tokio::test]
-async fn a_planned_stop_ends_what_runs() {
+async fn a_planned_stop_completes_running_requests() {
     let fleet = fleet().await;
     let front = fleet.front.front;
     let running = tokio::spawn(async move {
@@ -229,7 +229,7 @@
 /// The status of an order to vacate a node becomes complete once its runs have
 /// ended.
 #[tokio::test]
-async fn a_node_says_when_it_is_empty() {
+async fn a_node_reports_when_it_is_vacated() {
     let fleet = fleet().await;
     put(&fleet.kv, "orders/empty/worker-1", Vec::new()).await;
     let wait = async {
@@ -261,7 +261,7 @@
 /// after a restart, the items ran again from their first event and jobs ended
 /// up to a full run later.
 #[tokio::test]
-async fn an_item_goes_on_after_what_a_lost_node_had_saved() {
+async fn an_item_resumes_from_the_checkpoint_of_a_lost_node() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     write_config_and_engine(&kv, &engine).await;
@@ -298,7 +298,7 @@
 }
 
 #[tokio::test]
-async fn what_items_produce_is_saved_while_they_run() {
+async fn checkpoints_are_saved_while_items_run() {
     let fleet = fleet().await;
     let front = fleet.front.front;
     let sent = call(front, "POST", "/batch/1", "job-1", r#"["4000"]"#);
@@ -356,7 +356,7 @@
 /// Guards against repeated waits for a lost node that wrote results, which
 /// delayed them for seconds although the key-value service has them as well.
 #[tokio::test]
-async fn results_of_a_lost_node_are_read_from_the_service() {
+async fn results_of_a_lost_node_are_read_from_the_key_value_service() {
     let fleet = fleet().await;
     let front = fleet.front.front;
     let sent = call(front, "POST", "/batch/1", "job-1", r#"["2"]"#);
--- a/crates/node/tests/quarantine.rs
+++ b/crates/node/tests/quarantine.rs
@@ -123,7 +123,7 @@
     later_jobs = { 3, 2 },
 )]
 #[test_macro(tokio::test)]
-async fn items_that_crash_endpoints_are_held_together(
+async fn items_that_crash_endpoints_are_quarantined_together(
     jobs: usize,
     items: usize,
 ) {
@@ -372,7 +372,7 @@
 /// Guards against poison requests that crash endpoints again after each
 /// restart of the nodes.
 #[tokio::test]
-async fn a_front_that_starts_later_sends_a_held_request_nowhere() {
+async fn a_front_that_starts_later_forwards_no_quarantined_request() {
     let (kv, fleet) = fleet(5, 1).await;
     let until = Instant::now() + REPEAT_TIME;
     let mut number = 0;
--- a/crates/node/tests/spool.rs
+++ b/crates/node/tests/spool.rs
@@ -124,7 +124,7 @@
 /// calls for one job wrote the same file. The test simulates slow disks by
 /// moving their folders away.
 #[tokio::test]
-async fn a_kept_job_that_is_sent_again_needs_no_disk() {
+async fn a_spooled_job_that_is_resubmitted_needs_no_disk() {
     let fleet = fleet().await;
     fleet.kv.set_down(true);
     // Until the workers detect the outage, they try to write spooled jobs to
@@ -268,7 +268,7 @@
 /// is down while the other one writes the job to the ledger, and starts long
 /// after. The completed job ran again.
 #[tokio::test]
-async fn a_job_that_the_ledger_has_is_forgotten() {
+async fn a_spooled_job_in_the_ledger_is_removed() {
     let fleet = fleet().await;
     assert_eq!(submit(&fleet.front, "job-1", r#"["2"]"#).await, 202);
     wait_for_results(&fleet.front, "job-1", 1).await;
@@ -290,7 +290,7 @@
 /// start: the disk is slow, the front times out and closes the connection, and
 /// the worker dropped the call during the write without recording the copy.
 #[tokio::test]
-async fn a_copy_whose_front_has_left_is_entered_all_the_same() {
+async fn a_copy_is_written_to_the_ledger_after_its_front_disconnects() {
     let fleet = fleet().await;
     let worker = &fleet._workers[0];
     fleet.kv.set_down(true);
@@ -320,7 +320,7 @@
 
 /// A damaged record, or one of another version, does not affect other jobs.
 #[tokio::test]
-async fn what_cannot_be_read_stays_on_disk_and_harms_nobody() {
+async fn unreadable_records_stay_on_disk_and_affect_no_other_job() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     write_config_and_engine(&kv, &engine).await;
--- a/crates/node/tests/unit/load_wire.rs
+++ b/crates/node/tests/unit/load_wire.rs
@@ -70,7 +70,7 @@
         "number":1},"whole":true,"counts":[]}"#
     },
 )]
-fn what_is_no_update_is_refused(bytes: &[u8]) {
+fn invalid_updates_are_refused(bytes: &[u8]) {
     assert!(LoadUpdate::decode(bytes).is_err());
 }
 
--- a/crates/node/tests/unit/quota_peers.rs
+++ b/crates/node/tests/unit/quota_peers.rs
@@ -21,7 +21,7 @@
 /// of all nodes expire while the key-value service is unavailable, and nodes
 /// that are not listed were no longer queried.
 #[test]
-fn a_node_that_is_not_listed_is_known_for_a_while() {
+fn an_unlisted_node_stays_a_peer_for_a_while() {
     let mut peers = QuotaPeers::default();
     let all = Roster::new(&[node("front-1", false), node("worker-1", true)]);
     assert!(peers.update(all.clone(), Millis::new(0)));
--- a/crates/node/tests/unit/quota_wire.rs
+++ b/crates/node/tests/unit/quota_wire.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn nothing_is_lent_by_a_sender_that_cannot_be_checked() {
+fn an_unverified_sender_pools_no_slots() {
     let QuotaMessage::Request(request) = request().without_allotments() else {
         panic!("another message");
     };
@@ -39,7 +39,7 @@
     unknown_field = { r#"{"version":1,"message":{"ask":{"odd":1}}}"# },
     unknown_kind = { r#"{"version":1,"message":{"order":{}}}"# },
 )]
-fn what_is_no_message_is_refused(text: &str) {
+fn invalid_messages_are_refused(text: &str) {
     assert!(QuotaMessage::decode(text.as_bytes()).is_err());
 }
 
--- a/crates/node/tests/unit/refusals.rs
+++ b/crates/node/tests/unit/refusals.rs
@@ -5,7 +5,7 @@
 use super::RefusalLog;
 
 #[test]
-fn refusals_are_logged_once_in_a_while() {
+fn refusals_are_logged_at_a_limited_rate() {
     let from: SocketAddr = ([127, 0, 0, 1], 9).into();
     let mut refusals = RefusalLog::default();
     for at in 0..1_000 {
