--- a/crates/store/benches/layouts.rs
+++ b/crates/store/benches/layouts.rs
@@ -1,9 +1,9 @@
-//! Compares ways to lay out write-once blobs on a disk.
+//! Compares on-disk layouts for write-once blobs.
 //!
 //! `cargo bench -p pomeloslip-store --bench layouts [-- --small]` prints the
-//! synced puts per second of each layout for 1, 8 and 64 writers, and each
-//! figure as a ratio to plain files with rename in the same run, the median
-//! of three rounds.
+//! synced puts per second of each layout for 1, 8 and 64 writers, and their
+//! ratio to the layout of one file per blob in the same run. Each figure is
+//! the median of three rounds.
 
 use std::{
     collections::VecDeque,
@@ -31,7 +31,7 @@
 type Outcome<T> = Result<T, Box<dyn Error + Send + Sync>>;
 type Batch = Vec<(String, Vec<u8>)>;
 
-/// A way to keep blobs.
+/// An on-disk layout for blobs.
 trait Layout: Sync {
     fn put(&self, id: String, bytes: Vec<u8>) -> Outcome<()>;
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Commits the puts of concurrent writers together.
+/// Group commit of the puts of concurrent writers.
 struct Group<C> {
     commit: C,
     state: Mutex<State>,
@@ -118,7 +118,7 @@
     }))
 }
 
-/// Blobs as values of one redb table.
+/// Stores blobs as values of one redb table.
 fn redb_values(dir: &Path) -> Outcome<Box<dyn Layout>> {
     let db = Database::builder()
         .set_cache_size(CACHE_BYTES)
@@ -135,7 +135,7 @@
     })))
 }
 
-/// This crate: a log with an index in redb.
+/// The store of this crate: a log with an index in redb.
 struct Log(Store);
 
 impl Layout for Log {
@@ -151,7 +151,7 @@
     Ok(Box::new(Log(Store::open(options)?.0)))
 }
 
-/// Returns the puts per second and the bytes on disk per byte put.
+/// Returns the puts per second and the ratio of disk bytes to payload bytes.
 fn measure(
     layout: &dyn Layout,
     dir: &Path,
@@ -195,7 +195,7 @@
 
 type Open = fn(&Path) -> Outcome<Box<dyn Layout>>;
 
-/// Returns the median by puts per second of some rounds.
+/// Runs several rounds and returns the one with the median rate.
 fn rounds(
     open: Open,
     writers: usize,
--- a/crates/store/benches/scale.rs
+++ b/crates/store/benches/scale.rs
@@ -1,9 +1,10 @@
-//! Measures what a store with many small blobs costs at rest.
+//! Measures the disk, start-up and memory cost of a store with many small
+//! blobs.
 //!
 //! `cargo bench -p pomeloslip-store --bench scale [-- --small]` stores a
-//! million blobs of 100 bytes (100,000 with `--small`) and prints the bytes
-//! of the index per blob, and the time and memory of a start with the index
-//! and without it, each in a process of its own.
+//! million blobs of 100 bytes (100,000 with `--small`). It prints the size of
+//! the index per blob, and the time and memory needed to open the store with
+//! and without the index, each measured in a separate process.
 
 use std::{error::Error, fs, path::Path, process::Command, time::Instant};
 
@@ -11,7 +12,7 @@
 
 const BLOB_BYTES: usize = 100;
 const BATCH: usize = 1000;
-/// Argument of the processes that only start a store.
+/// Argument of the child processes that only open a store.
 const OPEN_ARG: &str = "--open";
 
 type Outcome<T> = Result<T, Box<dyn Error + Send + Sync>>;
@@ -32,7 +33,7 @@
     for batch in 0..blobs / BATCH {
         let mut puts = Vec::new();
         for n in 0..BATCH {
-            // Names of different jobs come in turn.
+            // Interleaves the ids of different jobs.
             let job = (batch * 7919 + n * 31) % 5000;
             let id = format!("job-{job:06}/result/{batch:06}-{n:04}");
             puts.push((id.parse()?, bytes.clone().into(), crc32));
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-/// Starts a store and prints what that took.
+/// Opens a store and prints the time and memory that this takes.
 fn open(dir: &Path) -> Outcome<()> {
     let before_kib = resident_kib()?;
     let start = Instant::now();
--- a/crates/store/src/apply.rs
+++ b/crates/store/src/apply.rs
@@ -1,8 +1,8 @@
-//! Changes of the index, applied in the order of the log.
+//! Updates of the index, applied in log order.
 //!
-//! Applying a record twice, or after a newer one of the same id, changes
-//! nothing: the seq decides. A start may therefore read records again that
-//! the index had already seen.
+//! Applying a record twice, or after a newer record of the same id, has no
+//! effect because sequence numbers are compared. Opening a store may therefore
+//! replay records that the index already contains.
 
 use std::collections::BTreeMap;
 
@@ -12,49 +12,51 @@
     BlobId,
     record::record_bytes,
     rows::{
-        BLOBS, CURSOR, Entry, EntryRow, Held, HeldRow, QUARANTINE, SEGMENTS,
-        SegmentRow, SegmentStat, TOTALS, Totals, TotalsRow, corrupted,
+        BLOBS, CURSOR, Entry, EntryRow, QUARANTINE, QuarantineRow,
+        QuarantinedBlob, SEGMENTS, SegmentRow, SegmentStat, TOTALS, Totals,
+        TotalsRow, corrupted,
     },
     segment::SegmentNumber,
 };
 
-/// One step of a transaction.
+/// One update within an index transaction.
 #[derive(Clone, Debug)]
 pub(crate) enum Change {
-    /// A put record stands in the log.
+    /// The log contains a put record.
     Put { id: BlobId, entry: Entry },
-    /// A removal record stands in the log.
+    /// The log contains a removal record.
     Removal {
         id: BlobId,
         seq: u64,
         segment: SegmentNumber,
     },
-    /// The blob at this place is damaged.
+    /// The blob at this position is damaged.
     Quarantine { id: BlobId, entry: Entry },
-    /// The log is covered up to here.
+    /// The index is complete up to this log position.
     Covered {
         segment: SegmentNumber,
         offset: u64,
         next_seq: u64,
     },
-    /// A segment has this many bytes.
+    /// The length of a segment has changed.
     SegmentBytes { segment: SegmentNumber, bytes: u64 },
-    /// A segment no longer counts, as its file is about to be deleted.
+    /// A segment is removed from the index because its file is about to be
+    /// deleted.
     Drop { segment: SegmentNumber },
-    /// A scrub has come to this id.
+    /// A scrub has verified the blobs up to this id; `None` starts over.
     ScrubCursor(Option<BlobId>),
 }
 
 /// The tables of one write transaction.
 pub(crate) struct Tables<'t> {
     blobs: Table<'t, &'static str, EntryRow>,
-    quarantine: Table<'t, &'static str, HeldRow>,
+    quarantine: Table<'t, &'static str, QuarantineRow>,
     segments: Table<'t, u32, SegmentRow>,
-    sums: Table<'t, (), TotalsRow>,
+    totals_table: Table<'t, (), TotalsRow>,
     cursor: Table<'t, (), &'static str>,
     totals: Totals,
-    /// Segments that the transaction has touched.
-    touched: BTreeMap<SegmentNumber, SegmentStat>,
+    /// Statistics of the segments that the transaction has modified.
+    modified_segments: BTreeMap<SegmentNumber, SegmentStat>,
 }
 
 impl<'t> Tables<'t> {
@@ -62,20 +64,20 @@
         txn: &'t WriteTransaction,
     ) -> Result<Self, redb::Error> {
         let segments = txn.open_table(SEGMENTS)?;
-        let sums = txn.open_table(TOTALS)?;
-        let totals = match Totals::load(&sums)? {
+        let totals_table = txn.open_table(TOTALS)?;
+        let totals = match Totals::load(&totals_table)? {
             Some(totals) => totals,
             None if segments.is_empty()? => Totals::default(),
-            None => return Err(corrupted("there are no totals")),
+            None => return Err(corrupted("the totals are missing")),
         };
         Ok(Self {
             blobs: txn.open_table(BLOBS)?,
             quarantine: txn.open_table(QUARANTINE)?,
             segments,
-            sums,
+            totals_table,
             cursor: txn.open_table(CURSOR)?,
             totals,
-            touched: BTreeMap::new(),
+            modified_segments: BTreeMap::new(),
         })
     }
 
@@ -86,7 +88,7 @@
         match change {
             Change::Put { id, entry } => self.put(id, *entry),
             Change::Removal { id, seq, segment } => {
-                self.removal(id, *seq, *segment)
+                self.remove(id, *seq, *segment)
             }
             Change::Quarantine { id, entry } => self.quarantine(id, entry),
             Change::Covered {
@@ -101,11 +103,11 @@
                 Ok(())
             }
             Change::SegmentBytes { segment, bytes } => {
-                self.segment(*segment)?.file_bytes = *bytes;
+                self.segment_mut(*segment)?.file_bytes = *bytes;
                 Ok(())
             }
             Change::Drop { segment } => {
-                self.touched.remove(segment);
+                self.modified_segments.remove(segment);
                 self.segments.remove(*segment)?;
                 Ok(())
             }
@@ -119,53 +121,53 @@
         }
     }
 
-    /// Writes what the changes have summed up.
+    /// Writes the modified statistics and totals.
     pub(crate) fn finish(mut self) -> Result<(), redb::Error> {
-        for (number, stat) in &self.touched {
+        for (number, stat) in &self.modified_segments {
             self.segments.insert(*number, stat.to_row())?;
         }
-        self.sums.insert((), self.totals.to_row())?;
+        self.totals_table.insert((), self.totals.to_row())?;
         Ok(())
     }
 
     fn put(&mut self, id: &BlobId, entry: Entry) -> Result<(), redb::Error> {
         let bytes = entry.record_bytes(id);
-        let stat = self.segment(entry.segment)?;
+        let stat = self.segment_mut(entry.segment)?;
         stat.min_put_seq = stat.min_put_seq.min(entry.seq);
         let old = self.entry(id)?;
         if old.is_some_and(|old| old.seq > entry.seq) {
             return Ok(());
         }
         if let Some(old) = old {
-            self.release(id, &old)?;
+            self.subtract_blob(id, &old)?;
         }
         if self.quarantine.remove(id.as_str())?.is_some() {
             self.totals.quarantined = checked_sub(self.totals.quarantined, 1)?;
         }
         self.blobs.insert(id.as_str(), entry.to_row())?;
-        self.segment(entry.segment)?.live_bytes += bytes;
+        self.segment_mut(entry.segment)?.live_bytes += bytes;
         self.totals.blobs += 1;
         self.totals.payload_bytes += u64::from(entry.payload_bytes);
         Ok(())
     }
 
-    fn removal(
+    fn remove(
         &mut self,
         id: &BlobId,
         seq: u64,
         segment: SegmentNumber,
     ) -> Result<(), redb::Error> {
-        let stat = self.segment(segment)?;
+        let stat = self.segment_mut(segment)?;
         stat.removal_bytes += record_bytes(id, 0);
         stat.max_removal_seq = stat.max_removal_seq.max(seq);
         if let Some(old) = self.entry(id)?
             && old.seq < seq
         {
             self.blobs.remove(id.as_str())?;
-            self.release(id, &old)?;
+            self.subtract_blob(id, &old)?;
         }
-        if let Some(held) = self.held(id)?
-            && held.seq < seq
+        if let Some(quarantined_blob) = self.quarantined_blob(id)?
+            && quarantined_blob.seq < seq
         {
             self.quarantine.remove(id.as_str())?;
             self.totals.quarantined = checked_sub(self.totals.quarantined, 1)?;
@@ -178,18 +180,18 @@
         id: &BlobId,
         entry: &Entry,
     ) -> Result<(), redb::Error> {
-        // The blob may have been put again since the damage was seen.
-        let same = |old: &Entry| old.same_place(entry);
+        // The blob may have been put again since the damage was detected.
+        let same = |old: &Entry| old.is_same_record(entry);
         let Some(old) = self.entry(id)?.filter(same) else {
             return Ok(());
         };
         self.blobs.remove(id.as_str())?;
-        self.release(id, &old)?;
-        let held = Held {
+        self.subtract_blob(id, &old)?;
+        let quarantined_blob = QuarantinedBlob {
             seq: old.seq,
             stored_at_ms: old.stored_at_ms,
         };
-        let row = held.to_row();
+        let row = quarantined_blob.to_row();
         if self.quarantine.insert(id.as_str(), row)?.is_none() {
             self.totals.quarantined += 1;
         }
@@ -201,19 +203,23 @@
         Ok(row.map(|row| Entry::from_row(row.value())))
     }
 
-    fn held(&self, id: &BlobId) -> Result<Option<Held>, redb::Error> {
+    fn quarantined_blob(
+        &self,
+        id: &BlobId,
+    ) -> Result<Option<QuarantinedBlob>, redb::Error> {
         let row = self.quarantine.get(id.as_str())?;
-        Ok(row.map(|row| Held::from_row(row.value())))
+        Ok(row.map(|row| QuarantinedBlob::from_row(row.value())))
     }
 
-    /// Takes a blob that is no longer pointed to out of the sums.
-    fn release(
+    /// Subtracts a blob that is no longer referenced from the statistics and
+    /// totals.
+    fn subtract_blob(
         &mut self,
         id: &BlobId,
         old: &Entry,
     ) -> Result<(), redb::Error> {
         let bytes = old.record_bytes(id);
-        let stat = self.segment(old.segment)?;
+        let stat = self.segment_mut(old.segment)?;
         stat.live_bytes = checked_sub(stat.live_bytes, bytes)?;
         let payload_bytes = u64::from(old.payload_bytes);
         let totals = &mut self.totals;
@@ -223,23 +229,26 @@
         Ok(())
     }
 
-    fn segment(
+    fn segment_mut(
         &mut self,
         number: SegmentNumber,
     ) -> Result<&mut SegmentStat, redb::Error> {
-        if !self.touched.contains_key(&number) {
+        if !self.modified_segments.contains_key(&number) {
             let stat = match self.segments.get(number)? {
                 Some(row) => SegmentStat::from_row(row.value()),
                 None => SegmentStat::EMPTY,
             };
-            self.touched.insert(number, stat);
+            self.modified_segments.insert(number, stat);
         }
-        Ok(self.touched.entry(number).or_insert(SegmentStat::EMPTY))
+        Ok(self
+            .modified_segments
+            .entry(number)
+            .or_insert(SegmentStat::EMPTY))
     }
 }
 
-/// Subtracts within the sums; a result below 0 shows damage.
+/// Subtracts `part` from `sum`; a negative result indicates damage.
 fn checked_sub(sum: u64, part: u64) -> Result<u64, redb::Error> {
     sum.checked_sub(part)
-        .ok_or_else(|| corrupted("a sum is less than one of its parts"))
+        .ok_or_else(|| corrupted("a total would become negative"))
 }
--- a/crates/store/src/blocks.rs
+++ b/crates/store/src/blocks.rs
@@ -1,11 +1,12 @@
-//! The file under the index, with a checksum for each of its blocks.
+//! Storage backend of the index that keeps a checksum of each block.
 //!
-//! redb verifies its pages when a file is opened. A page that rots later is
-//! read as it is, and once a change has copied it, it has a good checksum
-//! again: blobs would be missing, or a segment would seem to hold nothing
-//! and be deleted. So every block that is read again must be what was read
-//! or written before. The checksums are in memory only, 1 byte for 1 KiB of
-//! the file; what stood there before the start is verified by redb.
+//! redb verifies its pages only when a file is opened. A page that is
+//! corrupted later is read as it is, and once an update has copied it, the
+//! copy has a valid checksum: blobs would be missing, or a segment would seem
+//! to contain no live records and be deleted. Therefore every block that is
+//! read again must match the content that was last read or written. The
+//! checksums are kept in memory only and take 1 byte per KiB of the file; redb
+//! verifies the content from before the process started.
 
 use std::{
     io,
@@ -16,41 +17,46 @@
 
 use crate::layer::LayerFile;
 
-/// Size of redb's pages, so that most accesses are of whole blocks.
+/// Page size of redb, so that most accesses cover whole blocks.
 const BLOCK_BYTES: usize = 4096;
 
-/// Checksum of each block; `None` if it was not read or written yet.
-type Sums = Vec<Option<u32>>;
+/// Checksum of each block; `None` until the block is first read or written.
+type Checksums = Vec<Option<u32>>;
 
-/// A file whose blocks cannot change behind its user's back.
+/// A file that detects changes made to its blocks by anything but itself.
 #[derive(Debug)]
 pub(crate) struct BlockFile {
     file: Box<dyn LayerFile>,
-    sums: RwLock<Sums>,
+    checksums: RwLock<Checksums>,
 }
 
 impl BlockFile {
     pub(crate) fn new(file: Box<dyn LayerFile>) -> Self {
         Self {
             file,
-            sums: RwLock::default(),
+            checksums: RwLock::default(),
         }
     }
 
-    fn sums(&self) -> RwLockReadGuard<'_, Sums> {
-        self.sums.read().unwrap_or_else(PoisonError::into_inner)
+    fn checksums(&self) -> RwLockReadGuard<'_, Checksums> {
+        self.checksums
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn sums_mut(&self) -> RwLockWriteGuard<'_, Sums> {
-        self.sums.write().unwrap_or_else(PoisonError::into_inner)
+    fn checksums_mut(&self) -> RwLockWriteGuard<'_, Checksums> {
+        self.checksums
+            .write()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the blocks around a range and verifies those that are known.
+    /// Reads the blocks that cover a range and verifies those with a known
+    /// checksum.
     ///
-    /// Returns them with the place of the first.
+    /// Returns the content and the offset of its first byte.
     fn read_blocks(
         &self,
-        sums: &Sums,
+        checksums: &Checksums,
         offset: u64,
         bytes: usize,
     ) -> io::Result<(Vec<u8>, u64)> {
@@ -62,8 +68,9 @@
         self.file.read_exact_at(&mut content, start)?;
         let first = (start / block) as usize;
         for (n, block) in content.chunks(BLOCK_BYTES).enumerate() {
-            let known = sums.get(first + n).copied().flatten();
-            if known.is_some_and(|sum| sum != crc32fast::hash(block)) {
+            let known = checksums.get(first + n).copied().flatten();
+            if known.is_some_and(|checksum| checksum != crc32fast::hash(block))
+            {
                 let text = format!("block {} has changed", first + n);
                 return Err(io::Error::new(io::ErrorKind::InvalidData, text));
             }
@@ -71,45 +78,46 @@
         Ok((content, start))
     }
 
-    /// Returns the part of some blocks that a range covers.
-    fn part(
+    /// Returns the part of the read blocks that a range covers.
+    fn slice_of(
         content: &[u8],
         start: u64,
         offset: u64,
         bytes: usize,
     ) -> io::Result<&[u8]> {
         let from = (offset - start) as usize;
-        let part = content.get(from..from + bytes);
-        part.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        let slice = content.get(from..from + bytes);
+        slice.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 }
 
-/// Notes what blocks contain from now on.
-fn note_written(sums: &mut Sums, start: u64, content: &[u8]) {
-    for (sum, block) in slots(sums, start, content) {
-        *sum = Some(crc32fast::hash(block));
+/// Records the checksums of written blocks.
+fn record_written(checksums: &mut Checksums, start: u64, content: &[u8]) {
+    for (checksum, block) in checksum_slots(checksums, start, content) {
+        *checksum = Some(crc32fast::hash(block));
     }
 }
 
-/// Notes what blocks were found to contain. A write since then goes first.
-fn note_read(sums: &mut Sums, start: u64, content: &[u8]) {
-    for (sum, block) in slots(sums, start, content) {
-        sum.get_or_insert_with(|| crc32fast::hash(block));
+/// Records the checksums of blocks that were read. A checksum from a write
+/// since then takes precedence.
+fn record_read(checksums: &mut Checksums, start: u64, content: &[u8]) {
+    for (checksum, block) in checksum_slots(checksums, start, content) {
+        checksum.get_or_insert_with(|| crc32fast::hash(block));
     }
 }
 
-fn slots<'a>(
-    sums: &'a mut Sums,
+fn checksum_slots<'a>(
+    checksums: &'a mut Checksums,
     start: u64,
     content: &'a [u8],
 ) -> impl Iterator<Item = (&'a mut Option<u32>, &'a [u8])> {
     let blocks = content.chunks(BLOCK_BYTES);
     let first = (start / BLOCK_BYTES as u64) as usize;
     let end = first + blocks.len();
-    if sums.len() < end {
-        sums.resize(end, None);
+    if checksums.len() < end {
+        checksums.resize(end, None);
     }
-    sums[first..end].iter_mut().zip(blocks)
+    checksums[first..end].iter_mut().zip(blocks)
 }
 
 impl StorageBackend for BlockFile {
@@ -118,24 +126,32 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let sums = self.sums();
-        let (content, start) = self.read_blocks(&sums, offset, out.len())?;
-        out.copy_from_slice(Self::part(&content, start, offset, out.len())?);
+        let checksums = self.checksums();
+        let (content, start) =
+            self.read_blocks(&checksums, offset, out.len())?;
+        out.copy_from_slice(Self::slice_of(
+            &content,
+            start,
+            offset,
+            out.len(),
+        )?);
         let first = (start / BLOCK_BYTES as u64) as usize;
         let last = first + content.len().div_ceil(BLOCK_BYTES);
-        let known = sums.get(first..last);
-        if !known.is_some_and(|sums| sums.iter().all(Option::is_some)) {
-            drop(sums);
-            note_read(&mut self.sums_mut(), start, &content);
+        let known = checksums.get(first..last);
+        if !known
+            .is_some_and(|checksums| checksums.iter().all(Option::is_some))
+        {
+            drop(checksums);
+            record_read(&mut self.checksums_mut(), start, &content);
         }
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut sums = self.sums_mut();
-        // The last block may end elsewhere than before.
+        let mut checksums = self.checksums_mut();
+        // The last block may be partial before or after the change.
         let whole = len.min(self.file.len()?) / BLOCK_BYTES as u64;
-        sums.truncate(whole as usize);
+        checksums.truncate(whole as usize);
         self.file.set_len(len)
     }
 
@@ -144,17 +160,17 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut sums = self.sums_mut();
+        let mut checksums = self.checksums_mut();
         let block = BLOCK_BYTES as u64;
         let aligned = offset.is_multiple_of(block)
             && data.len().is_multiple_of(BLOCK_BYTES);
         if aligned {
             self.file.write_all_at(data, offset)?;
-            note_written(&mut sums, offset, data);
+            record_written(&mut checksums, offset, data);
             return Ok(());
         }
         let (mut content, start) =
-            self.read_blocks(&sums, offset, data.len())?;
+            self.read_blocks(&checksums, offset, data.len())?;
         let from = (offset - start) as usize;
         let end = from + data.len();
         if content.len() < end {
@@ -162,7 +178,7 @@
         }
         content[from..end].copy_from_slice(data);
         self.file.write_all_at(data, offset)?;
-        note_written(&mut sums, start, &content);
+        record_written(&mut checksums, start, &content);
         Ok(())
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,42 +1,43 @@
 use std::{fmt, io};
 
-/// Says what became of a call to the store.
+/// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreError {
-    /// Another process or another [`Store`](crate::Store) has the folder.
+    /// Another process or another [`Store`](crate::Store) has locked the
+    /// folder.
     Locked,
-    /// The folder cannot be used at all.
+    /// The folder cannot be read or written at all.
     Folder,
-    /// The blob is over the limit of one blob; nothing was stored.
+    /// The blob exceeds the maximum size of a blob; nothing was stored.
     TooLarge,
-    /// The bytes that arrived do not match their checksum; nothing was
-    /// stored.
+    /// The bytes do not match the given checksum; nothing was stored.
     WrongCrc,
-    /// The id already names other content, which stays; nothing was stored.
+    /// A blob with this id and different content exists and is kept; nothing
+    /// was stored.
     OtherContent,
-    /// The store would grow over its quota; nothing was stored.
+    /// The put would exceed the quota of the store; nothing was stored.
     QuotaExceeded,
     /// The disk is full; nothing was stored.
     DiskFull,
-    /// The disk failed; nothing was stored or removed.
+    /// An I/O error occurred; nothing was stored or removed.
     NotDone,
-    /// The disk failed and the call may have taken effect. Repeating it is
-    /// safe: a put of the same content is idempotent.
+    /// An I/O error occurred and the call may have taken effect. Retrying it
+    /// is safe: a put of the same content is idempotent.
     Unknown,
-    /// The copy on this disk is damaged. It is never served; fetch the other
-    /// copy and put it again.
+    /// The copy on this disk is damaged. It is never returned; fetch the
+    /// replica from another data VM and put it again.
     Corrupt,
-    /// Reading failed for a reason that does not show damage; the blob may
-    /// be whole.
+    /// Reading failed for a reason that does not indicate damage; the blob may
+    /// be intact.
     Read,
-    /// The prefix does not end with `/`, so that it would also match the
-    /// neighbours of the meant names.
+    /// The prefix does not end with `/`, so it would also match ids that only
+    /// start with the same text, such as `job-10` for `job-1`.
     BadPrefix,
 }
 
 impl StoreError {
-    /// Tells whether a put or removal that failed so certainly had no
-    /// effect.
+    /// Reports whether a put or removal that failed with this error certainly
+    /// had no effect.
     ///
     /// # Example
     ///
@@ -51,7 +52,7 @@
         self != StoreError::Unknown
     }
 
-    /// Classifies a failed write that was undone.
+    /// Classifies the error of a write that was rolled back.
     pub(crate) fn of_write(error: &io::Error) -> Self {
         if is_full(error) {
             StoreError::DiskFull
@@ -61,7 +62,7 @@
     }
 }
 
-/// Tells whether an error of the operating system means a full disk.
+/// Reports whether an I/O error means that the disk is full.
 pub(crate) fn is_full(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -72,17 +73,17 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            StoreError::Locked => "the data folder is in use by another store",
+            StoreError::Locked => "the data folder is locked by another store",
             StoreError::Folder => "the data folder cannot be used",
             StoreError::TooLarge => "the blob is too large",
             StoreError::WrongCrc => "the bytes do not match their checksum",
-            StoreError::OtherContent => "the id already names other content",
+            StoreError::OtherContent => {
+                "a blob with this id and other content exists"
+            }
             StoreError::QuotaExceeded => "the store has reached its quota",
             StoreError::DiskFull => "the disk is full",
-            StoreError::NotDone => "the disk failed; the call had no effect",
-            StoreError::Unknown => {
-                "the disk failed; the call may have taken effect"
-            }
+            StoreError::NotDone => "I/O error; the call had no effect",
+            StoreError::Unknown => "I/O error; the call may have taken effect",
             StoreError::Corrupt => "the copy on this disk is damaged",
             StoreError::Read => "the blob could not be read",
             StoreError::BadPrefix => "the prefix does not end with '/'",
--- a/crates/store/src/group.rs
+++ b/crates/store/src/group.rs
@@ -1,9 +1,10 @@
-//! Lets concurrent writers share one sync.
+//! Group commit: concurrent writers share one sync.
 //!
-//! A writer that finds nobody at work leads: it commits everything that
-//! waits. The writers that come meanwhile wait, and one of them leads next.
-//! A thread of the store's own was rejected: it would have to be stopped and
-//! watched, and each put would wake two threads instead of none or one.
+//! A writer that finds no leader becomes the leader and commits all pending
+//! requests. Writers that arrive meanwhile wait, and one of them becomes the
+//! next leader. A dedicated commit thread was rejected: it would need to be
+//! stopped and supervised, and each put would wake two threads instead of none
+//! or one.
 
 use std::{
     collections::VecDeque,
@@ -14,25 +15,25 @@
 };
 
 enum Message<R> {
-    /// The request is done.
+    /// The result of the request.
     Done(R),
-    /// Its writer leads from here on.
+    /// The writer of the request becomes the leader.
     Lead,
 }
 
-/// A request with the way back to its writer.
-struct Waiting<Q, R> {
+/// A queued request with the channel to its writer.
+struct PendingRequest<Q, R> {
     request: Q,
     bytes: usize,
     reply: Sender<Message<R>>,
 }
 
 struct Queue<Q, R> {
-    waiting: VecDeque<Waiting<Q, R>>,
-    is_led: bool,
+    pending: VecDeque<PendingRequest<Q, R>>,
+    has_leader: bool,
 }
 
-/// Gathers requests of concurrent callers into batches.
+/// Collects requests of concurrent callers into batches.
 pub(crate) struct Group<Q, R> {
     queue: Mutex<Queue<Q, R>>,
     max_bytes: usize,
@@ -40,97 +41,99 @@
 }
 
 impl<Q, R> Group<Q, R> {
-    /// Bounds a batch; a single request may be larger.
+    /// Creates a group with limits for one batch; a single request may exceed
+    /// `max_bytes`.
     pub(crate) fn new(max_bytes: usize, max_requests: usize) -> Self {
         Self {
             queue: Mutex::new(Queue {
-                waiting: VecDeque::new(),
-                is_led: false,
+                pending: VecDeque::new(),
+                has_leader: false,
             }),
             max_bytes,
             max_requests,
         }
     }
 
-    /// Has a request done as part of a batch.
+    /// Runs a request as part of a batch.
     ///
-    /// `commit` returns one result for each request, in order. `None` is
-    /// returned if it panicked in another thread.
+    /// `commit` returns one result for each request, in order. Returns `None`
+    /// if it panicked in another thread.
     pub(crate) fn run(
         &self,
         request: Q,
         bytes: usize,
         commit: impl Fn(Vec<Q>) -> Vec<R>,
     ) -> Option<R> {
-        let (reply, answer) = channel();
+        let (reply, responses) = channel();
         let mut queue = self.queue();
-        queue.waiting.push_back(Waiting {
+        queue.pending.push_back(PendingRequest {
             request,
             bytes,
             reply,
         });
-        let leads = !queue.is_led;
-        queue.is_led = true;
+        let is_leader = !queue.has_leader;
+        queue.has_leader = true;
         drop(queue);
-        if leads {
+        if is_leader {
             self.lead(&commit);
         }
-        self.wait(&answer, &commit)
+        self.wait(&responses, &commit)
     }
 
     fn wait(
         &self,
-        answer: &Receiver<Message<R>>,
+        responses: &Receiver<Message<R>>,
         commit: &impl Fn(Vec<Q>) -> Vec<R>,
     ) -> Option<R> {
         loop {
-            match answer.recv().ok()? {
+            match responses.recv().ok()? {
                 Message::Done(result) => return Some(result),
                 Message::Lead => self.lead(commit),
             }
         }
     }
 
-    /// Commits one batch and passes the lead on.
+    /// Commits one batch, then hands over the leadership.
     fn lead(&self, commit: &impl Fn(Vec<Q>) -> Vec<R>) {
-        // If the commit panics, the requests of this batch end without an
-        // answer; all later ones must not wait for ever, so the lead is
-        // passed on while the stack unwinds too.
-        let _pass_on = PassOn(self);
+        // If the commit panics, the requests of this batch get no response,
+        // but later ones must not wait forever. The guard therefore hands over
+        // the leadership also during unwinding.
+        let _guard = LeadershipGuard(self);
         let batch = self.take_batch();
         let mut requests = Vec::with_capacity(batch.len());
         let mut replies = Vec::with_capacity(batch.len());
-        for waiting in batch {
-            requests.push(waiting.request);
-            replies.push(waiting.reply);
+        for pending in batch {
+            requests.push(pending.request);
+            replies.push(pending.reply);
         }
         let results = commit(requests);
         for (reply, result) in replies.into_iter().zip(results) {
-            // A writer that is gone needs no answer.
+            // A writer that has gone away needs no response.
             reply.send(Message::Done(result)).ok();
         }
     }
 
-    fn take_batch(&self) -> Vec<Waiting<Q, R>> {
+    fn take_batch(&self) -> Vec<PendingRequest<Q, R>> {
         let mut queue = self.queue();
         let mut batch = Vec::new();
         let mut bytes = 0;
-        while let Some(next) = queue.waiting.front() {
+        while let Some(next) = queue.pending.front() {
             let full = bytes + next.bytes > self.max_bytes
                 || batch.len() == self.max_requests;
             if full && !batch.is_empty() {
                 break;
             }
             bytes += next.bytes;
-            batch.extend(queue.waiting.pop_front());
+            batch.extend(queue.pending.pop_front());
         }
         batch
     }
 
-    fn pass_on(&self) {
+    fn pass_leadership(&self) {
         let mut queue = self.queue();
-        // A writer waits for its answer as long as it is queued.
-        queue.is_led = match queue.waiting.front() {
+        // A writer waits for its response as long as its request is queued, so
+        // the send succeeds.
+        queue.has_leader = match queue.pending.front() {
             Some(next) => next.reply.send(Message::Lead).is_ok(),
             None => false,
         };
@@ -141,10 +144,10 @@
     }
 }
 
-struct PassOn<'a, Q, R>(&'a Group<Q, R>);
+struct LeadershipGuard<'a, Q, R>(&'a Group<Q, R>);
 
-impl<Q, R> Drop for PassOn<'_, Q, R> {
+impl<Q, R> Drop for LeadershipGuard<'_, Q, R> {
     fn drop(&mut self) {
-        self.0.pass_on();
+        self.0.pass_leadership();
     }
 }
--- a/crates/store/src/id.rs
+++ b/crates/store/src/id.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted id, in bytes.
-pub(crate) const ID_MAX_BYTES: usize = 200;
+/// Maximum length of an id, in bytes.
+pub(crate) const MAX_ID_BYTES: usize = 200;
 
-/// Says why a text is no valid blob id.
+/// Why a string is not a valid blob id.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BlobIdError {
-    /// The text is empty or has an empty segment.
+    /// The string is empty or has an empty path segment.
     EmptySegment,
-    /// The text has this many bytes, which is over the limit.
+    /// The string has this many bytes, which exceeds the limit.
     TooLong(usize),
-    /// The text has a character that no id may have.
+    /// The string has a character that is not allowed in ids.
     Character(char),
-    /// The text has two dots in a row.
+    /// The string has two consecutive dots.
     DoubleDot,
 }
 
@@ -22,30 +22,33 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BlobIdError::EmptySegment => {
-                f.write_str("a blob id has no empty segments")
+                f.write_str("a blob id must not have empty segments")
             }
             BlobIdError::TooLong(bytes) => write!(
                 f,
-                "a blob id of {bytes} bytes is over the limit of \
-                 {ID_MAX_BYTES}"
+                "a blob id of {bytes} bytes exceeds the limit of \
+                 {MAX_ID_BYTES}"
             ),
             BlobIdError::Character(found) => write!(
                 f,
-                "a blob id takes letters, digits and . _ - / only, not \
+                "a blob id may contain only letters, digits and . _ - /, not \
                  {found:?}"
             ),
-            BlobIdError::DoubleDot => f.write_str("a blob id has no '..'"),
+            BlobIdError::DoubleDot => {
+                f.write_str("a blob id must not contain '..'")
+            }
         }
     }
 }
 
 impl std::error::Error for BlobIdError {}
 
-/// Names one blob.
+/// Identifier of one blob.
 ///
-/// It has 1 to 200 bytes in segments of letters, digits, `.`, `_` and `-`
-/// that are joined by `/`; `..` is refused. To the store an id is opaque but
-/// for its order and its prefixes. Clones share one allocation.
+/// An id has 1 to 200 bytes: one or more segments of ASCII letters, digits,
+/// `.`, `_` and `-`, joined by `/`. `..` is rejected. The store treats ids as
+/// opaque except for their order and their prefixes. Clones share one
+/// allocation.
 ///
 /// # Example
 ///
@@ -64,15 +67,15 @@
 pub struct BlobId(Arc<str>);
 
 impl BlobId {
-    /// Returns the id as text.
+    /// Returns the id as a string slice.
     #[inline]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-fn check(text: &str) -> Result<(), BlobIdError> {
-    if text.len() > ID_MAX_BYTES {
+fn validate(text: &str) -> Result<(), BlobIdError> {
+    if text.len() > MAX_ID_BYTES {
         return Err(BlobIdError::TooLong(text.len()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._-/".contains(c);
@@ -92,7 +95,7 @@
     type Err = BlobIdError;
 
     fn from_str(text: &str) -> Result<Self, BlobIdError> {
-        check(text)?;
+        validate(text)?;
         Ok(Self(text.into()))
     }
 }
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,12 +1,13 @@
-//! Where each blob stands: a redb file that is only a cache of the log.
+//! Index of the log positions of all blobs: a redb file that is only a cache
+//! of the log.
 //!
-//! Every fact in it can be read again from the segments. It is therefore
-//! committed without a sync, made durable now and then, and thrown away when
-//! it shows any damage. It also says up to which place of the log it is
-//! complete, so that a start reads only what comes after.
+//! Everything in the index can be restored from the segments. It is therefore
+//! committed without a sync, made durable only at intervals, and discarded
+//! when it shows any damage. It also records up to which log position it is
+//! complete, so that opening the store replays only the rest of the log.
 //!
-//! redb may panic on a file that was damaged under it; each use is guarded
-//! ([`guard`]), and a panic counts as damage.
+//! redb may panic on a file that is corrupted while in use, so every call is
+//! wrapped in [`catch_panic`], and a panic counts as damage.
 
 use std::{
     fmt,
@@ -26,37 +27,37 @@
     error::is_full,
     layer::{FileLayer, LayerFile},
     rows::{
-        BLOBS, CURSOR, Entry, Held, QUARANTINE, SEGMENTS, SegmentStat, TOTALS,
-        Totals, parse_id,
+        BLOBS, CURSOR, Entry, QUARANTINE, QuarantinedBlob, SEGMENTS,
+        SegmentStat, TOTALS, Totals, parse_id,
     },
     segment::SegmentNumber,
 };
 
-/// File of the index.
+/// File name of the index.
 pub(crate) const INDEX_NAME: &str = "index.redb";
 
 /// Why a call to the index failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum IndexError {
-    /// There is no space for it to grow.
+    /// There is no disk space for the index to grow.
     Full,
-    /// It must be built again.
-    Broken,
+    /// The index is damaged and must be rebuilt.
+    Damaged,
 }
 
 impl fmt::Display for IndexError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            IndexError::Full => "the disk is too full for the index",
-            IndexError::Broken => "the index is damaged",
+            IndexError::Full => "no disk space is left for the index",
+            IndexError::Damaged => "the index is damaged",
         })
     }
 }
 
 impl std::error::Error for IndexError {}
 
-/// Runs a use of redb and turns errors and panics into one type.
-fn guard<T>(
+/// Calls redb and converts errors and panics into [`IndexError`].
+fn catch_panic<T>(
     work: impl FnOnce() -> Result<T, redb::Error>,
 ) -> Result<T, Report<IndexError>> {
     match catch_unwind(AssertUnwindSafe(work)) {
@@ -65,13 +66,15 @@
             Err(Report::new(error).change_context(IndexError::Full))
         }
         Ok(Err(error)) => {
-            Err(Report::new(error).change_context(IndexError::Broken))
+            Err(Report::new(error).change_context(IndexError::Damaged))
+        }
+        Err(_) => {
+            Err(Report::new(IndexError::Damaged).attach("redb panicked"))
         }
-        Err(_) => Err(Report::new(IndexError::Broken).attach("redb panicked")),
     }
 }
 
-/// What the index knows of an id.
+/// Result of looking up an id.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Lookup {
     Absent,
@@ -82,36 +85,36 @@
 /// The open index.
 #[derive(Debug)]
 pub(crate) struct Index {
-    /// `None` only while it is dropped.
+    /// `None` only while the index is being dropped.
     db: Option<Database>,
 }
 
 impl Drop for Index {
     fn drop(&mut self) {
         let db = self.db.take();
-        // Closing a damaged file may panic like any other use.
+        // Closing a damaged file may panic, as any other call may.
         if catch_unwind(AssertUnwindSafe(|| drop(db))).is_err() {
-            log::warn!("closing a damaged index failed");
+            log::warn!("redb panicked while closing a damaged index");
         }
     }
 }
 
 impl Index {
-    /// Opens the existing index and verifies every page of it.
+    /// Opens the existing index and verifies all of its pages.
     pub(crate) fn open(
         layer: &dyn FileLayer,
         cache_bytes: usize,
     ) -> Result<Self, Report<IndexError>> {
-        let file = guard(|| Ok(layer.open(INDEX_NAME)?))?;
+        let file = catch_panic(|| Ok(layer.open(INDEX_NAME)?))?;
         Self::with_file(file, cache_bytes)
     }
 
-    /// Starts an empty index in place of any other.
+    /// Creates an empty index, replacing any existing one.
     pub(crate) fn create(
         layer: &dyn FileLayer,
         cache_bytes: usize,
     ) -> Result<Self, Report<IndexError>> {
-        let file = guard(|| {
+        let file = catch_panic(|| {
             let file = layer.create(INDEX_NAME)?;
             layer.sync_folder()?;
             Ok(file)
@@ -123,7 +126,7 @@
         file: Box<dyn LayerFile>,
         cache_bytes: usize,
     ) -> Result<Self, Report<IndexError>> {
-        guard(|| {
+        catch_panic(|| {
             let db = Database::builder()
                 .set_cache_size(cache_bytes)
                 .set_check_integrity_on_open(true)
@@ -136,13 +139,13 @@
         self.db.as_ref().ok_or(redb::Error::DatabaseClosed)
     }
 
-    /// Applies changes in order, as one transaction.
+    /// Applies changes in order in one transaction.
     pub(crate) fn apply(
         &self,
         changes: &[Change],
         durable: bool,
     ) -> Result<(), Report<IndexError>> {
-        guard(|| {
+        catch_panic(|| {
             let mut txn = self.db()?.begin_write()?;
             txn.set_durability(if durable {
                 Durability::Immediate
@@ -162,19 +165,19 @@
     fn read<T>(
         &self,
         work: impl FnOnce(&ReadTransaction) -> Result<T, redb::Error>,
-        otherwise: T,
+        default: T,
     ) -> Result<T, Report<IndexError>> {
-        guard(|| {
+        catch_panic(|| {
             let txn = self.db()?.begin_read()?;
             match work(&txn) {
-                // Nothing was ever written.
-                Err(redb::Error::TableDoesNotExist(_)) => Ok(otherwise),
+                // Nothing has been written yet.
+                Err(redb::Error::TableDoesNotExist(_)) => Ok(default),
                 other => other,
             }
         })
     }
 
-    /// Looks up many ids in one transaction.
+    /// Looks up several ids in one transaction.
     pub(crate) fn lookup(
         &self,
         ids: &[&BlobId],
@@ -208,7 +211,8 @@
         Ok(found.first().copied().unwrap_or(Lookup::Absent))
     }
 
-    /// Lists blobs with a prefix that come after an id, in order.
+    /// Lists blobs whose ids start with a prefix and sort after `after`, in
+    /// order.
     pub(crate) fn list(
         &self,
         prefix: &str,
@@ -218,7 +222,7 @@
         let collect = |txn: &ReadTransaction| {
             let table = txn.open_table(BLOBS)?;
             let mut found = Vec::new();
-            for row in table.range::<&str>(range(prefix, after))? {
+            for row in table.range::<&str>(range_after(prefix, after))? {
                 let (id, entry) = row?;
                 if found.len() == limit || !id.value().starts_with(prefix) {
                     break;
@@ -232,8 +236,8 @@
         self.read(collect, Vec::new())
     }
 
-    /// Lists quarantined ids after an id, in order, with the time at which
-    /// they were stored.
+    /// Lists quarantined ids that start with a prefix and sort after `after`,
+    /// in order, with the times at which their blobs were stored.
     pub(crate) fn quarantined(
         &self,
         prefix: &str,
@@ -243,21 +247,22 @@
         let collect = |txn: &ReadTransaction| {
             let table = txn.open_table(QUARANTINE)?;
             let mut found = Vec::new();
-            for row in table.range::<&str>(range(prefix, after))? {
-                let (id, held) = row?;
+            for row in table.range::<&str>(range_after(prefix, after))? {
+                let (id, quarantined_blob) = row?;
                 if found.len() == limit || !id.value().starts_with(prefix) {
                     break;
                 }
                 let id = parse_id(id.value())?;
-                let held = Held::from_row(held.value());
-                found.push((id, held.stored_at_ms));
+                let quarantined_blob =
+                    QuarantinedBlob::from_row(quarantined_blob.value());
+                found.push((id, quarantined_blob.stored_at_ms));
             }
             Ok(found)
         };
         self.read(collect, Vec::new())
     }
 
-    /// Returns all segments that the index knows.
+    /// Returns the statistics of all segments in the index.
     pub(crate) fn segments(
         &self,
     ) -> Result<Vec<(SegmentNumber, SegmentStat)>, Report<IndexError>> {
@@ -284,7 +289,7 @@
         self.read(collect, Totals::default())
     }
 
-    /// Returns the id up to which the last scrub came.
+    /// Returns the id up to which the last scrub has verified the blobs.
     pub(crate) fn scrub_cursor(
         &self,
     ) -> Result<Option<String>, Report<IndexError>> {
@@ -296,7 +301,7 @@
     }
 }
 
-fn range<'a>(
+fn range_after<'a>(
     prefix: &'a str,
     after: Option<&'a str>,
 ) -> (Bound<&'a str>, Bound<&'a str>) {
--- a/crates/store/src/layer.rs
+++ b/crates/store/src/layer.rs
@@ -1,8 +1,9 @@
-//! The few file operations that the store needs, and the real disk.
+//! File operations that the store needs, and their implementation on the
+//! operating system's file system.
 //!
-//! Tests hand in a layer that loses unsynced writes or fails
-//! ([`SimDisk`](crate::sim::SimDisk)); a full or dying disk cannot be had
-//! otherwise at a chosen moment.
+//! Tests use [`SimDisk`](crate::sim::SimDisk), which loses unsynced writes and
+//! fails on demand: a full or failing disk cannot be produced at a chosen
+//! moment otherwise.
 
 use std::{
     any::Any,
@@ -13,19 +14,19 @@
     path::PathBuf,
 };
 
-/// Name of the file whose lock marks the folder as in use.
+/// Name of the lock file that marks the folder as in use.
 const LOCK_NAME: &str = "LOCK";
 
-/// Holds a folder's lock until it is dropped.
+/// Holds the lock of a folder until it is dropped.
 pub type LockGuard = Box<dyn Any + Send + Sync>;
 
-/// One folder of files without subfolders.
+/// A single folder of files without subfolders.
 pub trait FileLayer: Debug + Send + Sync + 'static {
-    /// Takes the folder's lock.
+    /// Acquires the lock of the folder.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::WouldBlock`] if another holder has it.
+    /// [`io::ErrorKind::WouldBlock`] if the lock is already held.
     fn lock(&self) -> io::Result<LockGuard>;
 
     /// Lists the names of all files.
@@ -34,16 +35,16 @@
     /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Box<dyn LayerFile>>;
 
-    /// Creates an empty file, or empties an existing one.
+    /// Creates an empty file, or truncates an existing one.
     fn create(&self, name: &str) -> io::Result<Box<dyn LayerFile>>;
 
-    /// Renames a file over any other of the new name.
+    /// Renames a file, replacing any file that has the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Deletes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes creations, renames and deletions outlast a power failure.
+    /// Makes created, renamed and deleted files durable.
     fn sync_folder(&self) -> io::Result<()>;
 }
 
@@ -52,12 +53,12 @@
     /// Returns the length in bytes.
     fn len(&self) -> io::Result<u64>;
 
-    /// Tells whether the file has no bytes.
+    /// Reports whether the file is empty.
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
 
-    /// Fills the buffer from an offset.
+    /// Fills the buffer with the bytes at an offset.
     ///
     /// # Errors
     ///
@@ -67,26 +68,26 @@
     /// Writes all bytes at an offset.
     fn write_all_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
 
-    /// Truncates the file, or extends it by zeros.
+    /// Truncates the file, or extends it with zeros.
     fn set_len(&self, len: u64) -> io::Result<()>;
 
-    /// Makes bytes and length outlast a power failure.
+    /// Makes the content and length of the file durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A folder of the operating system's file system.
 #[derive(Debug)]
 pub(crate) struct DirLayer {
     dir: PathBuf,
 }
 
 impl DirLayer {
-    /// Opens a folder, creating it with its parents if it is missing.
+    /// Opens a folder, creating it and its parents if it is missing.
     pub(crate) fn new(dir: PathBuf) -> io::Result<Self> {
         if !dir.is_dir() {
             fs::create_dir_all(&dir)?;
-            // A power failure could otherwise take the new folder away with
-            // all that was acknowledged in it.
+            // Without these syncs a power failure could remove the new folder
+            // together with everything acknowledged in it.
             for parent in dir.ancestors().skip(1) {
                 if let Ok(parent) = File::open(parent) {
                     parent.sync_all()?;
@@ -116,7 +117,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.dir)? {
-            // A name that is no UTF-8 is none of the store's.
+            // The store creates no files with names that are not UTF-8.
             if let Ok(name) = entry?.file_name().into_string() {
                 names.push(name);
             }
@@ -174,7 +175,8 @@
     }
 
     fn sync(&self) -> io::Result<()> {
-        // Data and, where it changed, the length; times are of no use.
+        // `fdatasync` covers the data and a changed length; timestamps are not
+        // needed.
         self.0.sync_data()
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,17 @@
-//! Bulk store of a data VM: checksummed write-once blobs.
+//! Bulk store of a data VM: checksummed, write-once blobs on local disk.
 //!
-//! A [`Store`] keeps its files in one folder and does no networking. Blobs
-//! are appended to a log that is synced before a put is acknowledged;
-//! concurrent puts share a sync. An index in redb says where each blob
-//! stands and can be built from the log again at any time. Each read
-//! verifies a checksum, and a damaged blob is never served: its holder
-//! fetches the other copy and puts it again.
+//! A [`Store`] keeps its files in one folder and does no networking. Blobs are
+//! appended to a segmented log, which is synced before a put is acknowledged;
+//! concurrent puts share one sync (group commit). A redb index maps each blob
+//! id to its position in the log and can be rebuilt from the log at any time.
+//! Every read verifies a checksum. A damaged blob is never returned: the
+//! caller fetches the replica from another data VM and puts it again.
 //!
-//! A [`Spool`] keeps a few records that wait to be handed on.
+//! A [`Spool`] keeps a few records on disk until they are delivered elsewhere.
 //!
-//! docs/design/store.md weighs the alternatives. The [`sim`] module has a
-//! disk in memory that crashes, fills up and rots on demand.
+//! docs/design/store.md compares the alternatives. The [`sim`] module provides
+//! an in-memory disk that simulates power failures, full disks, I/O errors and
+//! bit rot.
 
 mod apply;
 mod blocks;
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -8,17 +8,18 @@
 const DEFAULT_SEGMENT_BYTES: u64 = 64 << 20;
 const DEFAULT_CHECKPOINT_BYTES: u64 = 32 << 20;
 const DEFAULT_INDEX_CACHE_BYTES: usize = 2 << 20;
-/// Offsets are kept in 32 bits, and a batch may reach past the limit.
-const SEGMENT_MAX_BYTES: u64 = 1 << 30;
+/// The index stores offsets as 32-bit integers, and the last batch of a
+/// segment may extend past this limit.
+const MAX_SEGMENT_BYTES: u64 = 1 << 30;
 
-/// Where the files are.
+/// Where the store keeps its files.
 #[derive(Clone, Debug)]
-pub(crate) enum Place {
+pub(crate) enum Location {
     Dir(PathBuf),
     Layer(Arc<dyn FileLayer>),
 }
 
-/// Settings of a store.
+/// Configuration of a [`Store`](crate::Store).
 ///
 /// # Example
 ///
@@ -32,12 +33,12 @@
 /// ```
 #[derive(Clone)]
 pub struct StoreOptions {
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) limits: Limits,
 }
 
-/// The numbers among the settings.
+/// The numeric options.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
     pub(crate) quota_bytes: u64,
@@ -47,19 +48,20 @@
 }
 
 impl StoreOptions {
-    /// Keeps the files in a folder, which is created if it is missing.
+    /// Creates options for a store in a folder, which is created if it is
+    /// missing.
     pub fn new(dir: impl Into<PathBuf>) -> Self {
-        Self::with_place(Place::Dir(dir.into()))
+        Self::with_location(Location::Dir(dir.into()))
     }
 
-    /// Keeps the files in a layer of the caller's.
+    /// Creates options for a store on a caller-supplied file layer.
     pub fn with_layer(layer: impl FileLayer) -> Self {
-        Self::with_place(Place::Layer(Arc::new(layer)))
+        Self::with_location(Location::Layer(Arc::new(layer)))
     }
 
-    fn with_place(place: Place) -> Self {
+    fn with_location(location: Location) -> Self {
         Self {
-            place,
+            location,
             clock: Arc::new(SystemClock::new()),
             limits: Limits {
                 quota_bytes: DEFAULT_QUOTA_BYTES,
@@ -70,42 +72,43 @@
         }
     }
 
-    /// Bounds the bytes of the log's files; 8 GiB by default.
+    /// Limits the size of the log files; 8 GiB by default.
     ///
-    /// Space of removed blobs counts until it is reclaimed. The index comes
-    /// on top; docs/design/store.md says how large it is.
+    /// The space of removed blobs counts until it is reclaimed. The index is
+    /// not included; docs/design/store.md gives its size.
     pub fn quota_bytes(mut self, bytes: u64) -> Self {
         self.limits.quota_bytes = bytes;
         self
     }
 
-    /// Returns the quota.
+    /// Returns the quota in bytes.
     #[inline]
     pub fn get_quota_bytes(&self) -> u64 {
         self.limits.quota_bytes
     }
 
-    /// Sets after how many bytes a new file of the log is begun; 64 MiB by
-    /// default, 1 GiB at most.
+    /// Sets the size at which a new log segment is started; 64 MiB by default,
+    /// at most 1 GiB.
     pub fn segment_bytes(mut self, bytes: u64) -> Self {
-        self.limits.segment_bytes = bytes.clamp(1, SEGMENT_MAX_BYTES);
+        self.limits.segment_bytes = bytes.clamp(1, MAX_SEGMENT_BYTES);
         self
     }
 
-    /// Sets after how many bytes of new log the index is made durable; 32
-    /// MiB by default. A start reads at most this much of the log.
+    /// Sets how many bytes of log are written between durable commits of the
+    /// index; 32 MiB by default. Opening the store replays at most this much
+    /// of the log.
     pub fn checkpoint_bytes(mut self, bytes: u64) -> Self {
         self.limits.checkpoint_bytes = bytes;
         self
     }
 
-    /// Bounds the memory for pages of the index; 2 MiB by default.
+    /// Limits the page cache of the index; 2 MiB by default.
     pub fn index_cache_bytes(mut self, bytes: usize) -> Self {
         self.limits.index_cache_bytes = bytes;
         self
     }
 
-    /// Takes the time at which blobs are stored from another clock.
+    /// Sets the clock that timestamps stored blobs.
     pub fn clock(mut self, clock: Arc<dyn Clock>) -> Self {
         self.clock = clock;
         self
--- a/crates/store/src/put.rs
+++ b/crates/store/src/put.rs
@@ -10,16 +10,16 @@
     index::Lookup,
     record::{Header, Kind, Record},
     rows::Entry,
-    segment::ReadFault,
+    segment::ReadError,
     writer::{Core, Writer},
 };
 
-/// Most bytes of blobs in a batch, unless a single one is larger.
-pub(crate) const BATCH_MAX_BYTES: usize = 16 << 20;
-/// Most blobs in a batch.
-pub(crate) const BATCH_MAX_BLOBS: usize = 1024;
+/// Maximum total size of the blobs in a batch, unless a single one is larger.
+pub(crate) const MAX_BATCH_BYTES: usize = 16 << 20;
+/// Maximum number of blobs in a batch.
+pub(crate) const MAX_BATCH_BLOBS: usize = 1024;
 
-/// A blob whose checksum was found right.
+/// A blob to store, whose checksum has been verified.
 #[derive(Clone, Debug)]
 pub(crate) struct PutRequest {
     pub(crate) id: BlobId,
@@ -29,20 +29,22 @@
 
 pub(crate) type PutResult = Result<Put, Report<StoreError>>;
 
-/// What becomes of one request.
-enum Plan {
-    /// It needs no write.
-    Decided(PutResult),
-    /// It becomes this record of the batch.
+/// How a request of the batch is handled.
+enum PutPlan {
+    /// The result is known without a write.
+    Resolved(PutResult),
+    /// The request is written as a record of the batch.
     Write,
-    /// It repeats a request that is written.
-    Repeat,
-    /// It has the id of a request that is written, but other content.
+    /// An earlier request of the batch writes the same blob.
+    Duplicate,
+    /// An earlier request of the batch writes different content under the same
+    /// id.
     Conflict,
 }
 
 impl Core {
-    /// Stores what is new, and answers each request in order.
+    /// Stores the new blobs of a batch and returns one result per request, in
+    /// order.
     pub(crate) fn put_batch(
         &self,
         requests: Vec<PutRequest>,
@@ -62,11 +64,11 @@
             .into_iter()
             .zip(&requests)
             .map(|(plan, request)| match (plan, &outcome) {
-                (Plan::Decided(result), _) => result,
-                (_, Err(error)) => Err(copy_of(error)),
-                (Plan::Write, Ok(())) => Ok(Put::Stored),
-                (Plan::Repeat, Ok(())) => Ok(Put::AlreadySame),
-                (Plan::Conflict, Ok(())) => Err(other_content(request)),
+                (PutPlan::Resolved(result), _) => result,
+                (_, Err(error)) => Err(duplicate_report(error)),
+                (PutPlan::Write, Ok(())) => Ok(Put::Stored),
+                (PutPlan::Duplicate, Ok(())) => Ok(Put::AlreadySame),
+                (PutPlan::Conflict, Ok(())) => Err(content_conflict(request)),
             })
             .collect()
     }
@@ -75,26 +77,28 @@
         &self,
         writer: &mut Writer,
         requests: &[PutRequest],
-    ) -> Result<Vec<Plan>, Report<StoreError>> {
+    ) -> Result<Vec<PutPlan>, Report<StoreError>> {
         let all_bytes = requests.iter().map(PutRequest::record_bytes).sum();
-        // Before the lookups, as this moves blobs.
-        if let Err(error) = self.make_room(writer, all_bytes) {
-            log::warn!("no space could be reclaimed: {error:#}");
+        // This must precede the lookups because it moves blobs.
+        if let Err(error) = self.reclaim_to_fit(writer, all_bytes) {
+            log::warn!("cannot reclaim space: {error:#}");
         }
         let ids: Vec<&BlobId> = requests.iter().map(|r| &r.id).collect();
         let found = self
             .with_index_locked(writer, |index| index.lookup(&ids))
             .change_context(StoreError::NotDone)?;
-        let mut plans: Vec<Plan> = Vec::with_capacity(requests.len());
+        let mut plans: Vec<PutPlan> = Vec::with_capacity(requests.len());
         let mut planned: BTreeMap<&BlobId, &PutRequest> = BTreeMap::new();
         let mut batch_bytes = 0;
         for (request, found) in requests.iter().zip(found) {
             let plan = match planned.get(&request.id) {
-                Some(first) if first.bytes == request.bytes => Plan::Repeat,
-                Some(_) => Plan::Conflict,
+                Some(first) if first.bytes == request.bytes => {
+                    PutPlan::Duplicate
+                }
+                Some(_) => PutPlan::Conflict,
                 None => self.plan_one(writer, request, found, batch_bytes),
             };
-            if matches!(plan, Plan::Write) {
+            if matches!(plan, PutPlan::Write) {
                 batch_bytes += request.record_bytes();
                 planned.insert(&request.id, request);
             }
@@ -109,23 +113,23 @@
         request: &PutRequest,
         found: Lookup,
         batch_bytes: u64,
-    ) -> Plan {
+    ) -> PutPlan {
         if let Lookup::Present(entry) = found
             && let Some(result) = self.compare(request, entry)
         {
-            return Plan::Decided(result);
+            return PutPlan::Resolved(result);
         }
-        let wanted_bytes = batch_bytes + request.record_bytes();
-        if writer.disk_bytes + wanted_bytes > self.limits.quota_bytes {
+        let needed_bytes = batch_bytes + request.record_bytes();
+        if writer.disk_bytes + needed_bytes > self.limits.quota_bytes {
             let error = Report::new(StoreError::QuotaExceeded)
                 .attach(format!("quota: {} bytes", self.limits.quota_bytes));
-            return Plan::Decided(Err(error));
+            return PutPlan::Resolved(Err(error));
         }
-        Plan::Write
+        PutPlan::Write
     }
 
-    /// Compares a request with the blob of its id, or returns `None` if that
-    /// is damaged and must be replaced.
+    /// Compares a request with the stored blob of its id. Returns `None` if
+    /// the stored blob is damaged and must be replaced.
     fn compare(
         &self,
         request: &PutRequest,
@@ -135,8 +139,8 @@
             Ok(record) if record.payload == request.bytes => {
                 Some(Ok(Put::AlreadySame))
             }
-            Ok(_) => Some(Err(other_content(request))),
-            Err(ReadFault::Failed(error)) => Some(Err(
+            Ok(_) => Some(Err(content_conflict(request))),
+            Err(ReadError::Failed(error)) => Some(Err(
                 Report::new(error).change_context(StoreError::NotDone)
             )),
             Err(_) => {
@@ -146,17 +150,21 @@
         }
     }
 
-    fn records(&self, requests: &[PutRequest], plans: &[Plan]) -> Vec<Record> {
+    fn records(
+        &self,
+        requests: &[PutRequest],
+        plans: &[PutPlan],
+    ) -> Vec<Record> {
         let stored_at = self.clock.unix();
         requests
             .iter()
             .zip(plans)
-            .filter(|(_, plan)| matches!(plan, Plan::Write))
+            .filter(|(_, plan)| matches!(plan, PutPlan::Write))
             .map(|(request, _)| Record {
                 header: Header {
                     kind: Kind::Put,
                     id: request.id.clone(),
-                    // Checked against the limit before.
+                    // `validate` in store.rs has limited the length.
                     payload_bytes: request.bytes.len() as u32,
                     payload_crc: request.crc32,
                     seq: 0,
@@ -175,15 +183,16 @@
     }
 }
 
-fn other_content(request: &PutRequest) -> Report<StoreError> {
+fn content_conflict(request: &PutRequest) -> Report<StoreError> {
     Report::new(StoreError::OtherContent).attach(request.id.to_string())
 }
 
 fn fail_all(error: &Report<StoreError>, count: usize) -> Vec<PutResult> {
-    (0..count).map(|_| Err(copy_of(error))).collect()
+    (0..count).map(|_| Err(duplicate_report(error))).collect()
 }
 
-/// Reports cannot be cloned; the others of a batch get the outer part.
-fn copy_of(error: &Report<StoreError>) -> Report<StoreError> {
+/// Copies the context and text of a report, since reports cannot be cloned and
+/// every request of a failed batch needs one.
+fn duplicate_report(error: &Report<StoreError>) -> Report<StoreError> {
     Report::new(*error.current_context()).attach(format!("{error:#}"))
 }
--- a/crates/store/src/reclaim.rs
+++ b/crates/store/src/reclaim.rs
@@ -1,9 +1,9 @@
-//! Reclaims the space of removed blobs.
+//! Reclaims the space of removed blobs (log compaction).
 //!
 //! The live records of a segment are copied to the end of the log, and its
-//! file is deleted. A removal record must stay as long as a put record that
-//! it removes may stand in any other file: if the index were lost, that blob
-//! would come back.
+//! file is deleted. A removal record must be kept as long as any other file
+//! may contain a put record that it removes: otherwise that blob would
+//! reappear if the index were lost and rebuilt.
 
 use error_stack::{Report, ResultExt};
 
@@ -14,114 +14,122 @@
     record::{Header, Kind, Record},
     rows::{Entry, SegmentStat},
     scan::{Item, Scanner},
-    segment::{ReadFault, SegmentNumber},
+    segment::{ReadError, SegmentNumber},
     writer::{Core, Writer, header_change},
 };
 
-/// Bytes that are copied in one batch, while puts wait.
+/// Bytes that are copied in one batch, during which puts wait.
 const COPY_BATCH_BYTES: u64 = 1 << 20;
-/// Blobs that are looked at together.
-const PAGE: usize = 1024;
+/// Number of blobs that are listed at a time.
+const PAGE_BLOBS: usize = 1024;
 
-/// Which segments are worth copying.
+/// How much of a segment must be reclaimable for it to be copied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Worth {
-    /// Those without any live record.
-    Dead,
-    /// Those of which at least half can be reclaimed.
+pub(crate) enum ReclaimThreshold {
+    /// Everything: the segment contains no record that must be kept.
+    All,
+    /// At least half of the segment.
     Half,
-    /// Those of which at least an eighth can be reclaimed; for a store that
-    /// has reached its quota. With less, each put would copy a whole file.
+    /// At least an eighth, for a store that has reached its quota. With a
+    /// lower threshold each put would copy a whole file.
     Eighth,
 }
 
-impl Worth {
-    fn admits(self, stat: &SegmentStat, garbage: u64) -> bool {
+impl ReclaimThreshold {
+    fn is_met(self, stat: &SegmentStat, garbage: u64) -> bool {
         match self {
-            Worth::Dead => garbage == stat.file_bytes,
-            Worth::Half => garbage > 0 && garbage * 2 >= stat.file_bytes,
-            Worth::Eighth => garbage > 0 && garbage * 8 >= stat.file_bytes,
+            ReclaimThreshold::All => garbage == stat.file_bytes,
+            ReclaimThreshold::Half => {
+                garbage > 0 && garbage * 2 >= stat.file_bytes
+            }
+            ReclaimThreshold::Eighth => {
+                garbage > 0 && garbage * 8 >= stat.file_bytes
+            }
         }
     }
 }
 
-/// A segment that is being copied.
+/// Progress of copying a segment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Copying {
+pub(crate) struct CopyState {
     segment: SegmentNumber,
-    /// Where the next record to look at starts.
+    /// Offset of the next record to examine.
     offset: u64,
-    /// Tells that no other file has what its removal records remove.
+    /// Whether the removal records can be dropped, since no other segment
+    /// contains put records that they remove.
     drops_removals: bool,
 }
 
-/// A segment to reclaim.
+/// A segment that may be reclaimed.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
-    copying: Copying,
+    copying: CopyState,
     garbage_bytes: u64,
-    /// Tells that nothing in it has to be copied.
+    /// Whether the segment contains no record that must be kept.
     is_dead: bool,
 }
 
 impl Core {
-    /// Reclaims until about `budget_bytes` are copied.
+    /// Reclaims segments until about `budget_bytes` have been copied.
     pub(crate) fn reclaim(
         &self,
         writer: &mut Writer,
         budget_bytes: u64,
-        worth: Worth,
+        threshold: ReclaimThreshold,
     ) -> Result<Reclaimed, Report<StoreError>> {
-        let mut done = Reclaimed::default();
+        let mut reclaimed = Reclaimed::default();
         while let Some(copying) =
-            self.next_copying(writer, worth, &mut done)?
+            self.next_copy(writer, threshold, &mut reclaimed)?
         {
-            if done.copied_bytes >= budget_bytes {
-                done.more = true;
+            if reclaimed.copied_bytes >= budget_bytes {
+                reclaimed.more = true;
                 break;
             }
-            self.copy_step(writer, copying, &mut done)?;
+            self.copy_step(writer, copying, &mut reclaimed)?;
         }
-        Ok(done)
+        Ok(reclaimed)
     }
 
-    /// Deletes the segments of which nothing is needed.
-    pub(crate) fn delete_dead(
+    /// Deletes the segments that contain no record that must be kept.
+    pub(crate) fn delete_dead_segments(
         &self,
         writer: &mut Writer,
     ) -> Result<(), Report<StoreError>> {
-        while let Some(dead) = self.choose(writer, Worth::Dead)? {
+        while let Some(dead) =
+            self.choose_segment(writer, ReclaimThreshold::All)?
+        {
             self.delete_segment(writer, dead.copying.segment)?;
         }
         Ok(())
     }
 
-    /// Frees space until a batch fits the quota, if that can be done.
-    pub(crate) fn make_room(
+    /// Reclaims segments until a batch fits the quota, if possible.
+    pub(crate) fn reclaim_to_fit(
         &self,
         writer: &mut Writer,
-        wanted_bytes: u64,
+        needed_bytes: u64,
     ) -> Result<(), Report<StoreError>> {
         let quota = self.limits.quota_bytes;
-        while writer.disk_bytes + wanted_bytes > quota {
-            if !self.reclaim(writer, 1, Worth::Eighth)?.more {
+        while writer.disk_bytes + needed_bytes > quota {
+            if !self.reclaim(writer, 1, ReclaimThreshold::Eighth)?.more {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Returns the segment in work, or begins the one with most to gain.
-    fn next_copying(
+    /// Returns the segment that is being copied, or starts with the one that
+    /// has the most reclaimable bytes.
+    fn next_copy(
         &self,
         writer: &mut Writer,
-        worth: Worth,
-        done: &mut Reclaimed,
-    ) -> Result<Option<Copying>, Report<StoreError>> {
+        threshold: ReclaimThreshold,
+        reclaimed: &mut Reclaimed,
+    ) -> Result<Option<CopyState>, Report<StoreError>> {
         if writer.copying.is_some() {
             return Ok(writer.copying);
         }
-        while let Some(candidate) = self.choose(writer, worth)? {
+        while let Some(candidate) = self.choose_segment(writer, threshold)? {
             let segment = candidate.copying.segment;
             let active = writer.active.as_ref().map(|a| a.number);
             if active == Some(segment) {
@@ -131,42 +139,43 @@
                 writer.copying = Some(candidate.copying);
                 return Ok(writer.copying);
             }
-            done.freed_bytes += self.delete_segment(writer, segment)?;
+            reclaimed.freed_bytes += self.delete_segment(writer, segment)?;
         }
         Ok(None)
     }
 
-    /// Chooses the segment with most to gain.
-    fn choose(
+    /// Chooses the segment with the most reclaimable bytes.
+    fn choose_segment(
         &self,
         writer: &mut Writer,
-        worth: Worth,
+        threshold: ReclaimThreshold,
     ) -> Result<Option<Candidate>, Report<StoreError>> {
         let stats = self.with_index_locked(writer, Index::segments)?;
-        // Another segment would take the place of the active one at once.
+        // If the active segment were deleted, the next write would create
+        // another one at once.
         let active = writer.active.as_ref().map(|a| a.number);
         let skip = |number: SegmentNumber| {
             writer.unreadable.contains(&number)
-                || worth == Worth::Dead && active == Some(number)
+                || threshold == ReclaimThreshold::All && active == Some(number)
         };
         Ok(stats
             .iter()
             .filter(|(number, _)| !skip(*number))
-            .map(|(number, stat)| candidate(&stats, *number, stat))
+            .map(|(number, stat)| reclaim_candidate(&stats, *number, stat))
             .zip(&stats)
             .filter(|(candidate, (_, stat))| {
-                worth.admits(stat, candidate.garbage_bytes)
+                threshold.is_met(stat, candidate.garbage_bytes)
             })
             .map(|(candidate, _)| candidate)
             .max_by_key(|candidate| candidate.garbage_bytes))
     }
 
-    /// Copies one batch, and deletes the segment once nothing is left.
+    /// Copies one batch, and deletes the segment after the last one.
     fn copy_step(
         &self,
         writer: &mut Writer,
-        mut copying: Copying,
-        done: &mut Reclaimed,
+        mut copying: CopyState,
+        reclaimed: &mut Reclaimed,
     ) -> Result<(), Report<StoreError>> {
         let mut records = Vec::new();
         let mut damaged = Vec::new();
@@ -178,8 +187,8 @@
         ) {
             Ok(is_last) => is_last,
             Err(error) => {
-                // Tried again after a restart; it would be chosen again
-                // and again before the others.
+                // The segment is skipped until the next restart. Otherwise it
+                // would be chosen again before all others each time.
                 writer.unreadable.insert(copying.segment);
                 writer.copying = None;
                 return Err(error);
@@ -189,27 +198,27 @@
             records.iter().map(|r| r.header.record_bytes()).sum();
         writer.commit(self, records)?;
         self.apply(writer, &damaged, false)?;
-        done.copied_bytes += copied_bytes;
+        reclaimed.copied_bytes += copied_bytes;
         writer.copying = Some(copying);
         if is_last {
             writer.copying = None;
-            done.freed_bytes +=
+            reclaimed.freed_bytes +=
                 self.delete_segment(writer, copying.segment)?;
         }
         Ok(())
     }
 
-    /// Gathers the next records to copy; returns whether these are the last.
+    /// Collects the next records to copy; returns whether they are the last.
     fn collect(
         &self,
         writer: &mut Writer,
-        copying: &mut Copying,
+        copying: &mut CopyState,
         records: &mut Vec<Record>,
         damaged: &mut Vec<Change>,
     ) -> Result<bool, Report<StoreError>> {
         let (file, salt) = match self.segments.open(copying.segment) {
             Ok(opened) => opened,
-            Err(ReadFault::Failed(error)) => {
+            Err(ReadError::Failed(error)) => {
                 return Err(
                     Report::new(error).change_context(StoreError::NotDone)
                 );
@@ -226,8 +235,8 @@
                 return Ok(true);
             };
             if let Item::Record { offset, header } = item {
-                let record =
-                    self.live(writer, copying, offset, header, damaged)?;
+                let record = self
+                    .live_record(writer, copying, offset, header, damaged)?;
                 if let Some(record) = record {
                     bytes += record.header.record_bytes();
                     records.push(record);
@@ -239,10 +248,10 @@
     }
 
     /// Returns the record if it must be kept.
-    fn live(
+    fn live_record(
         &self,
         writer: &mut Writer,
-        copying: &Copying,
+        copying: &CopyState,
         offset: u64,
         header: Header,
         damaged: &mut Vec<Change>,
@@ -259,12 +268,12 @@
             return Ok(None);
         };
         let found = self.with_index_locked(writer, |i| i.get(&id))?;
-        if !matches!(found, Lookup::Present(e) if e.same_place(&entry)) {
+        if !matches!(found, Lookup::Present(e) if e.is_same_record(&entry)) {
             return Ok(None);
         }
         match self.segments.read(&id, &entry) {
             Ok(record) => Ok(Some(record)),
-            Err(ReadFault::Failed(error)) => {
+            Err(ReadError::Failed(error)) => {
                 Err(Report::new(error).change_context(StoreError::NotDone))
             }
             Err(_) => {
@@ -275,7 +284,8 @@
         }
     }
 
-    /// Deletes a segment of which nothing is needed; returns its bytes.
+    /// Deletes a segment that contains no record that must be kept; returns
+    /// its length in bytes.
     fn delete_segment(
         &self,
         writer: &mut Writer,
@@ -287,11 +297,11 @@
             return Ok(0);
         };
         if stat.live_bytes > 0 {
-            // The scan did not meet them, as their headers are damaged.
+            // Live records with damaged headers, which the scan cannot find.
             self.quarantine_segment(writer, segment)?;
         }
-        // The index must know on the disk that the file is not needed
-        // before it is gone: removal records may go with it.
+        // The index must have dropped the segment durably before the file is
+        // deleted, because removal records may be deleted with it.
         let drop = [Change::Drop { segment }];
         self.apply(writer, &drop, true)?;
         writer.disk_bytes = writer.disk_bytes.saturating_sub(stat.file_bytes);
@@ -309,7 +319,7 @@
         let mut after: Option<String> = None;
         loop {
             let page = self.with_index_locked(writer, |index| {
-                index.list("", after.as_deref(), PAGE)
+                index.list("", after.as_deref(), PAGE_BLOBS)
             })?;
             let Some((last, _)) = page.last() else {
                 return Ok(());
@@ -328,14 +338,14 @@
     }
 }
 
-/// Works out what reclaiming a segment would gain.
-fn candidate(
+/// Calculates how much space reclaiming a segment would free.
+fn reclaim_candidate(
     stats: &[(SegmentNumber, SegmentStat)],
     segment: SegmentNumber,
     stat: &SegmentStat,
 ) -> Candidate {
-    // Tells whether no other file can have a put that the segment's removal
-    // records remove.
+    // Whether no other segment can contain a put record that the segment's
+    // removal records remove.
     let drops_removals = stats
         .iter()
         .filter(|(number, _)| *number != segment)
@@ -347,7 +357,7 @@
     };
     let used = stat.live_bytes + kept;
     Candidate {
-        copying: Copying {
+        copying: CopyState {
             segment,
             offset: 0,
             drops_removals,
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,5 +1,5 @@
-//! One record of a segment: a header with its own checksum, the id and the
-//! bytes of the blob.
+//! Format of a record in a segment: a header with its own checksum, the id and
+//! the content of the blob.
 //!
 //! ```text
 //!  0 magic u32 | 4 kind u8 | 5 id length u8 | 6 zero u16
@@ -9,32 +9,32 @@
 //! 44 id, then payload
 //! ```
 //!
-//! All numbers are little-endian. The salt is random per segment and stands
-//! in the file's name only. Without it a caller could put a blob whose bytes
-//! look like records; after damage before it, the search for the next record
-//! would take these for the store's own.
+//! All numbers are little-endian. The salt is random per segment and appears
+//! only in the name of the segment file. It protects against a blob whose
+//! content looks like records: if the record before it were damaged, the
+//! search for the next record would otherwise accept these as the store's own.
 
 use base::UnixMillis;
 use bytes::Bytes;
 use crc32fast::Hasher;
 
-use crate::{BlobId, id::ID_MAX_BYTES, store::BLOB_MAX_BYTES};
+use crate::{BlobId, id::MAX_ID_BYTES, store::BLOB_MAX_BYTES};
 
-/// First bytes of each record.
+/// Magic number at the start of each record.
 pub(crate) const MAGIC: [u8; 4] = *b"pBr1";
-/// Bytes before the id.
+/// Length of the header before the id.
 pub(crate) const HEADER_BYTES: usize = 44;
-/// Bytes that certainly hold a whole header with its id.
-pub(crate) const HEADER_MAX_BYTES: usize = HEADER_BYTES + ID_MAX_BYTES;
+/// Maximum length of a header with its id.
+pub(crate) const MAX_HEADER_BYTES: usize = HEADER_BYTES + MAX_ID_BYTES;
 
-const HEADER_CRC_AT: usize = 40;
+const HEADER_CRC_OFFSET: usize = 40;
 
-/// What a record does.
+/// Type of a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Kind {
     /// Stores a blob.
     Put,
-    /// Removes the blobs of this id that were stored before.
+    /// Removes all earlier blobs with this id (tombstone).
     Removal,
 }
 
@@ -62,30 +62,33 @@
     pub(crate) id: BlobId,
     pub(crate) payload_bytes: u32,
     pub(crate) payload_crc: u32,
-    /// Order of puts and removals; kept when a record is copied.
+    /// Sequence number that orders puts and removals; kept when a record is
+    /// copied.
     pub(crate) seq: u64,
-    /// Group commit that wrote the record; new when it is copied.
+    /// Sequence number of the group commit that wrote the record; replaced
+    /// when the record is copied.
     pub(crate) batch: u64,
     pub(crate) stored_at: UnixMillis,
 }
 
 impl Header {
-    /// Returns the bytes from the start of the record to its payload.
+    /// Returns the length of header and id, which is the offset of the
+    /// payload.
     pub(crate) fn prefix_bytes(&self) -> usize {
         HEADER_BYTES + self.id.as_str().len()
     }
 
-    /// Returns the bytes of the whole record.
+    /// Returns the length of the whole record.
     pub(crate) fn record_bytes(&self) -> u64 {
         record_bytes(&self.id, self.payload_bytes)
     }
 
-    /// Appends header and id to a buffer.
+    /// Appends the encoded header and id to a buffer.
     pub(crate) fn encode(&self, salt: u64, out: &mut Vec<u8>) {
         let start = out.len();
         let id = self.id.as_str().as_bytes();
         out.extend_from_slice(&MAGIC);
-        // The id's length is checked by its type and fits a byte.
+        // `BlobId` limits the length, so that it fits a byte.
         out.extend_from_slice(&[self.kind.to_byte(), id.len() as u8, 0, 0]);
         out.extend_from_slice(&self.payload_bytes.to_le_bytes());
         out.extend_from_slice(&self.payload_crc.to_le_bytes());
@@ -97,10 +100,11 @@
         out.extend_from_slice(id);
     }
 
-    /// Decodes the record that starts the bytes, if it is whole and right.
+    /// Decodes the header and id at the start of `bytes`; returns `None` if
+    /// they are truncated or invalid.
     pub(crate) fn decode(salt: u64, bytes: &[u8]) -> Option<Self> {
         let (head, rest) = bytes.split_at_checked(HEADER_BYTES)?;
-        let (fields, crc) = head.split_at_checked(HEADER_CRC_AT)?;
+        let (fields, crc) = head.split_at_checked(HEADER_CRC_OFFSET)?;
         let id = rest.get(..usize::from(fields[5]))?;
         let crc = u32::from_le_bytes(crc.try_into().ok()?);
         if fields[..4] != MAGIC || crc != header_crc(salt, fields, id) {
@@ -115,12 +119,12 @@
             batch: u64_at(fields, 24)?,
             stored_at: UnixMillis::new(u64_at(fields, 32)?),
         };
-        let sound = header.payload_bytes as usize <= BLOB_MAX_BYTES;
-        sound.then_some(header)
+        let is_valid = header.payload_bytes as usize <= BLOB_MAX_BYTES;
+        is_valid.then_some(header)
     }
 }
 
-/// Returns the bytes of a whole record.
+/// Returns the length of a whole record.
 pub(crate) fn record_bytes(id: &BlobId, payload_bytes: u32) -> u64 {
     (HEADER_BYTES + id.as_str().len()) as u64 + u64::from(payload_bytes)
 }
@@ -143,7 +147,7 @@
     field.try_into().ok().map(u64::from_le_bytes)
 }
 
-/// A record to be written.
+/// A record with its payload.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) header: Header,
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,4 +1,4 @@
-//! Starts a store on whatever is in its folder.
+//! Opens a store and recovers from crashes and damage.
 
 use std::{
     collections::{BTreeMap, BTreeSet, btree_map::Entry},
@@ -13,7 +13,7 @@
     apply::Change,
     index::{INDEX_NAME, Index, IndexError},
     layer::{DirLayer, FileLayer},
-    options::{Limits, Place},
+    options::{Limits, Location},
     replay::{Mode, Replayed, discard_index, replay},
     report::{Damage, IndexOrigin},
     rows::{SegmentStat, Totals},
@@ -21,17 +21,18 @@
     writer::{Core, Writer},
 };
 
-/// End of the name of a file that was set aside.
-const ASIDE_END: &str = ".broken";
+/// Suffix that is added to the name of an unusable file.
+const UNUSABLE_SUFFIX: &str = ".broken";
 
-/// The last checkpoint can lie this many times its distance back.
+/// Number of checkpoint distances at the end of the log whose payloads are
+/// verified on opening: the last durable checkpoint may be this far back.
 const VERIFY_CHECKPOINTS: u64 = 2;
 
-/// Opens the folder, takes its lock and recovers what it holds.
+/// Locks the folder and recovers its content.
 pub(crate) fn open(
     options: StoreOptions,
 ) -> Result<(Arc<Core>, OpenReport), Report<StoreError>> {
-    let layer = open_layer(options.place)?;
+    let layer = open_layer(options.location)?;
     let lock = layer.lock().map_err(|error| {
         let context = match error.kind() {
             io::ErrorKind::WouldBlock => StoreError::Locked,
@@ -41,14 +42,14 @@
     })?;
     let mut report = OpenReport::default();
     let names = layer.list().change_context(StoreError::Folder)?;
-    let salts = find_segments(layer.as_ref(), &names, &mut report);
+    let salts = collect_segments(layer.as_ref(), &names, &mut report);
     let segments = Segments::new(layer, salts);
     let has_index = names.iter().any(|name| name == INDEX_NAME);
     let (index, replayed) =
         open_index(&segments, options.limits, has_index, &mut report)
             .change_context(StoreError::Folder)
             .attach("building the index")?;
-    let writer = shorten(&segments, &index, &replayed, &mut report)?;
+    let writer = clean_up(&segments, &index, &replayed, &mut report)?;
     report.replayed_records = replayed.records;
     report.torn_bytes = replayed.torn_bytes;
     report.torn = replayed.torn;
@@ -68,10 +69,12 @@
     Ok((Arc::new(core), report))
 }
 
-fn open_layer(place: Place) -> Result<Arc<dyn FileLayer>, Report<StoreError>> {
-    match place {
-        Place::Layer(layer) => Ok(layer),
-        Place::Dir(dir) => {
+fn open_layer(
+    location: Location,
+) -> Result<Arc<dyn FileLayer>, Report<StoreError>> {
+    match location {
+        Location::Layer(layer) => Ok(layer),
+        Location::Dir(dir) => {
             let layer =
                 DirLayer::new(dir).change_context(StoreError::Folder)?;
             Ok(Arc::new(layer))
@@ -79,9 +82,9 @@
     }
 }
 
-/// Returns the segments among the files; a second one of the same number is
-/// set aside.
-fn find_segments(
+/// Returns the segments among the files; a second file with the same segment
+/// number is renamed as unusable.
+fn collect_segments(
     layer: &dyn FileLayer,
     names: &[String],
     report: &mut OpenReport,
@@ -95,17 +98,21 @@
             Entry::Vacant(entry) => {
                 entry.insert(salt);
             }
-            Entry::Occupied(_) => set_aside(layer, name, report),
+            Entry::Occupied(_) => rename_unusable(layer, name, report),
         }
     }
     salts
 }
 
-fn set_aside(layer: &dyn FileLayer, name: &str, report: &mut OpenReport) {
-    let aside = format!("{name}{ASIDE_END}");
+fn rename_unusable(
+    layer: &dyn FileLayer,
+    name: &str,
+    report: &mut OpenReport,
+) {
+    let aside = format!("{name}{UNUSABLE_SUFFIX}");
     match layer.rename(name, &aside) {
         Ok(()) => log::error!("{name} is unusable, renamed to {aside}"),
-        Err(error) => log::error!("{name} is unusable: {error}"),
+        Err(error) => log::error!("cannot rename unusable {name}: {error}"),
     }
     report.set_aside.push(name.to_owned());
 }
@@ -129,7 +136,7 @@
                 return Ok(opened);
             }
             Err(error) => {
-                log::error!("the index is built again: {error:#}");
+                log::error!("the index is unusable and is rebuilt: {error:#}");
                 report.damaged.clear();
                 report.index = IndexOrigin::Rebuilt {
                     reason: format!("{error:#}"),
@@ -148,7 +155,7 @@
     Ok((index, replayed))
 }
 
-/// Brings an index that is whole up to the end of the log.
+/// Brings an intact index up to date with the log.
 fn catch_up(
     segments: &Segments,
     index: &Index,
@@ -157,7 +164,7 @@
 ) -> Result<Replayed, Report<IndexError>> {
     let totals = index.totals()?;
     let known = index.segments()?;
-    forget_deleted(segments, &totals, &known);
+    delete_dropped(segments, &totals, &known);
     for (number, stat) in &known {
         check_length(segments, *number, stat, report);
     }
@@ -171,9 +178,9 @@
 
 /// Deletes segments that the index has already dropped.
 ///
-/// A crash may bring a deleted file back. Its removed blobs would come back
-/// with it, should the index be built again later.
-fn forget_deleted(
+/// A crash may undo the deletion of a file. Its removed blobs would reappear
+/// if the index were rebuilt later.
+fn delete_dropped(
     segments: &Segments,
     totals: &Totals,
     known: &[(SegmentNumber, SegmentStat)],
@@ -182,14 +189,14 @@
         let dropped = number <= totals.covered_segment
             && known.iter().all(|(other, _)| *other != number);
         if dropped && let Err(error) = segments.delete(number) {
-            log::warn!("segment {number}: {error}");
+            log::warn!("cannot delete dropped segment {number}: {error}");
         }
     }
 }
 
-/// Reports a segment that is missing or shorter than the index knows.
+/// Reports a segment that is missing or shorter than recorded in the index.
 ///
-/// Its blobs stay in the index, so that reads and scrubs can name them.
+/// Its blobs stay in the index, so that reads and scrubs can report them.
 fn check_length(
     segments: &Segments,
     number: SegmentNumber,
@@ -208,18 +215,19 @@
     }
 }
 
-/// Cuts the torn batch off, takes useless files away and returns the writer
-/// for what stays.
-fn shorten(
+/// Truncates the torn batch, deletes or renames unusable files and returns the
+/// writer for the remaining log.
+fn clean_up(
     segments: &Segments,
     index: &Index,
     replayed: &Replayed,
     report: &mut OpenReport,
 ) -> Result<Writer, Report<StoreError>> {
-    if let Some((number, cut)) = replayed.cut
+    if let Some((number, truncate_at)) = replayed.truncate_at
         && let Ok((file, _)) = segments.open(number)
     {
-        file.set_len(cut).change_context(StoreError::Folder)?;
+        file.set_len(truncate_at)
+            .change_context(StoreError::Folder)?;
         file.sync().change_context(StoreError::Folder)?;
     }
     for (number, from, to) in &replayed.damaged {
@@ -243,8 +251,8 @@
         } else if !scanned.has_records {
             let salt = segments.salt(*number).unwrap_or(0);
             let name = segment_name(*number, salt);
-            set_aside(segments.layer().as_ref(), &name, report);
-            segments.forget(*number);
+            rename_unusable(segments.layer().as_ref(), &name, report);
+            segments.unregister(*number);
             drops.push(Change::Drop { segment: *number });
         }
     }
@@ -272,7 +280,7 @@
         disk_bytes,
         copying: None,
         unreadable: BTreeSet::new(),
-        unsaved_bytes: 0,
-        unsaved_records: 0,
+        nondurable_bytes: 0,
+        nondurable_records: 0,
     })
 }
--- a/crates/store/src/remove.rs
+++ b/crates/store/src/remove.rs
@@ -8,16 +8,16 @@
     record::{Header, Kind, Record},
 };
 
-/// Blobs that are looked at or removed together.
-const PAGE: usize = 512;
+/// Number of blobs that are listed or removed at a time.
+const PAGE_BLOBS: usize = 512;
 
-/// Removing blobs.
+/// Removal of blobs.
 impl Store {
-    /// Removes a blob and returns whether there was one, damaged or not.
+    /// Removes a blob and returns whether it existed, damaged or not.
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Unknown`] it may be removed or not.
+    /// After [`StoreError::Unknown`] the blob may or may not be removed.
     ///
     /// # Example
     ///
@@ -35,15 +35,16 @@
         Ok(removed.blobs > 0)
     }
 
-    /// Removes all blobs whose ids begin with a prefix, which ends with `/`.
+    /// Removes all blobs whose ids start with a prefix, which must end with
+    /// `/`.
     ///
-    /// Blobs that are put meanwhile may stay. After an error a part of them
-    /// may be removed.
+    /// Blobs that are put concurrently may remain. After an error some of the
+    /// blobs may have been removed.
     ///
     /// # Errors
     ///
-    /// [`StoreError::BadPrefix`] if the prefix does not end with `/`:
-    /// `job-1` would remove `job-10` too.
+    /// [`StoreError::BadPrefix`] if the prefix does not end with `/`: `job-1`
+    /// would also remove `job-10`.
     ///
     /// # Example
     ///
@@ -69,14 +70,14 @@
         self.remove_where(prefix, |_| true)
     }
 
-    /// Removes the blobs that were stored more than `max_age_ms` before
-    /// `now`, damaged ones included.
+    /// Removes the blobs that were stored more than `max_age_ms` before `now`,
+    /// including damaged ones.
     ///
-    /// It looks at every entry of the index, so call it rarely.
+    /// This scans the whole index, so call it rarely.
     ///
     /// # Errors
     ///
-    /// After an error a part of them may be removed.
+    /// After an error some of the blobs may have been removed.
     ///
     /// # Example
     ///
@@ -137,7 +138,7 @@
         Ok(sum)
     }
 
-    /// Returns ids with the times at which they were stored.
+    /// Returns a page of ids with the times at which their blobs were stored.
     fn page(
         &self,
         prefix: &str,
@@ -146,9 +147,9 @@
     ) -> Result<Vec<(BlobId, u64)>, Report<StoreError>> {
         self.core().with_index(|index| {
             if quarantined {
-                return index.quarantined(prefix, after, PAGE);
+                return index.quarantined(prefix, after, PAGE_BLOBS);
             }
-            let page = index.list(prefix, after, PAGE)?;
+            let page = index.list(prefix, after, PAGE_BLOBS)?;
             let stored = page.into_iter().map(|(id, e)| (id, e.stored_at_ms));
             Ok(stored.collect())
         })
@@ -183,9 +184,9 @@
         }
         if removed.blobs > 0 {
             writer.commit(core, records)?;
-            // The blobs are removed also if their space is not yet free.
-            if let Err(error) = core.delete_dead(writer) {
-                log::warn!("deleting unneeded segments: {error:#}");
+            // The removal has succeeded even if freeing the space fails.
+            if let Err(error) = core.delete_dead_segments(writer) {
+                log::warn!("cannot delete unused segments: {error:#}");
             }
         }
         Ok(removed)
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -1,8 +1,8 @@
-//! Reads the log into the index.
+//! Replays the log into the index.
 //!
-//! Batches are written one after the other, each only after the one before
-//! it was synced. So only the last batch of the log can be torn by a crash:
-//! whatever is wrong in an earlier one is damage to acknowledged blobs.
+//! Each batch is written only after the previous one has been synced. A crash
+//! can therefore tear only the last batch of the log; any error in an earlier
+//! batch is damage to acknowledged blobs.
 
 use std::collections::BTreeMap;
 
@@ -13,70 +13,72 @@
     apply::Change,
     index::{INDEX_NAME, Index, IndexError},
     layer::FileLayer,
-    put::BATCH_MAX_BYTES,
-    record::{HEADER_MAX_BYTES, Header, Kind, Record},
+    put::MAX_BATCH_BYTES,
+    record::{Header, Kind, MAX_HEADER_BYTES, Record},
     scan::{Item, Scanner},
     segment::{SegmentNumber, Segments},
     store::BLOB_MAX_BYTES,
     writer::header_change,
 };
 
-/// Changes that are committed together.
-const CHUNK_CHANGES: usize = 32 << 10;
+/// Number of changes in one index transaction.
+const TXN_CHANGES: usize = 32 << 10;
 
-/// A crash cannot tear more than one batch; more than this is damage.
-const TORN_MAX_BYTES: u64 =
-    (BATCH_MAX_BYTES + BLOB_MAX_BYTES + HEADER_MAX_BYTES) as u64;
+/// Maximum length of a torn batch, since a crash can tear only one; a longer
+/// invalid region is damage.
+const MAX_TORN_BYTES: u64 =
+    (MAX_BATCH_BYTES + BLOB_MAX_BYTES + MAX_HEADER_BYTES) as u64;
 
-/// When the log is read.
+/// Why the log is replayed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Mode {
-    /// At a start, when the last batch may be torn.
+    /// The store is being opened; the last batch may be torn.
     Start {
         /// Bytes of payloads to verify besides those of the last batch.
         verify_bytes: u64,
     },
-    /// While the store runs, when every batch is whole.
+    /// The store is running; every batch is complete.
     Running,
 }
 
-/// What reading the log found.
+/// Result of replaying the log.
 #[derive(Debug, Default)]
 pub(crate) struct Replayed {
     pub(crate) records: u64,
     pub(crate) next_seq: u64,
-    /// Where the torn batch begins; the segment ends there.
-    pub(crate) cut: Option<(SegmentNumber, u64)>,
+    /// Position of the torn batch, at which the segment is truncated.
+    pub(crate) truncate_at: Option<(SegmentNumber, u64)>,
     pub(crate) torn_bytes: u64,
-    /// Blobs of the torn batch that are not whole.
+    /// Blobs of the torn batch that are incomplete.
     pub(crate) torn: Vec<BlobId>,
-    /// Whole records of the torn batch that the cut takes away.
+    /// Complete records of the torn batch that are lost by the truncation and
+    /// must be written again.
     pub(crate) rescued: Vec<Record>,
     pub(crate) corrupt: Vec<BlobId>,
-    /// Segment, start and end of unreadable bytes.
+    /// Segment, start and end of each unreadable region.
     pub(crate) damaged: Vec<(SegmentNumber, u64, u64)>,
-    pub(crate) scanned: BTreeMap<SegmentNumber, Scanned>,
+    pub(crate) scanned: BTreeMap<SegmentNumber, SegmentScan>,
 }
 
-/// What reading one segment found.
+/// Result of scanning one segment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Scanned {
-    /// Length without a torn batch.
+pub(crate) struct SegmentScan {
+    /// Length without the torn batch.
     pub(crate) bytes: u64,
-    /// Tells whether there is a record in it.
+    /// Whether the segment contains a valid record.
     pub(crate) has_records: bool,
-    /// Tells whether the file could be opened.
+    /// Whether the file could be opened.
     pub(crate) is_open: bool,
 }
 
 #[derive(Debug)]
-struct Found {
+struct LogRecord {
     segment: SegmentNumber,
     offset: u64,
     header: Header,
 }
 
-impl Found {
+impl LogRecord {
     fn end(&self) -> u64 {
         self.offset + self.header.record_bytes()
     }
@@ -85,51 +87,51 @@
 struct Replayer<'a> {
     segments: &'a Segments,
     index: &'a Index,
-    verify_left: u64,
+    verify_remaining_bytes: u64,
     last_batch: u64,
-    /// Records and damage since the last batch began.
-    zone: Vec<Found>,
-    zone_damage: Vec<(SegmentNumber, u64, u64)>,
+    /// Records since the start of the last batch.
+    batch_records: Vec<LogRecord>,
+    batch_damage: Vec<(SegmentNumber, u64, u64)>,
     changes: Vec<Change>,
-    out: Replayed,
+    result: Replayed,
 }
 
-/// Applies the log from a place on to the index.
+/// Applies the log from a position onwards to the index.
 pub(crate) fn replay(
     segments: &Segments,
     index: &Index,
     from: (SegmentNumber, u64),
     mode: Mode,
 ) -> Result<Replayed, Report<IndexError>> {
-    let verify_left = match mode {
+    let verify_remaining_bytes = match mode {
         Mode::Start { verify_bytes } => verify_bytes,
         Mode::Running => 0,
     };
     let mut replayer = Replayer {
         segments,
         index,
-        verify_left,
+        verify_remaining_bytes,
         last_batch: 0,
-        zone: Vec::new(),
-        zone_damage: Vec::new(),
+        batch_records: Vec::new(),
+        batch_damage: Vec::new(),
         changes: Vec::new(),
-        out: Replayed::default(),
+        result: Replayed::default(),
     };
     for (number, _) in segments.all() {
         if number < from.0 {
             continue;
         }
         let start = if number == from.0 { from.1 } else { 0 };
-        replayer.segment(number, start)?;
+        replayer.scan_segment(number, start)?;
     }
     if mode != Mode::Running {
-        replayer.cut_torn_batch();
+        replayer.truncate_torn_batch();
     }
-    replayer.flush_zone()?;
+    replayer.flush_batch()?;
     replayer.finish()
 }
 
-/// Builds the index from the whole log in place of the one on the disk.
+/// Rebuilds the index from the whole log, replacing the one on disk.
 pub(crate) fn rebuild_index(
     segments: &Segments,
     cache_bytes: usize,
@@ -144,20 +146,21 @@
     build().inspect_err(|_| discard_index(layer))
 }
 
-/// Removes the file of the index, if there is one.
+/// Removes the index file, if it exists.
 ///
-/// It is removed rather than emptied: a reader may still have it open.
+/// The file is removed rather than truncated because a reader may still have
+/// it open.
 pub(crate) fn discard_index(layer: &dyn FileLayer) {
     if layer.remove(INDEX_NAME).is_err() {
-        // Perhaps it is a folder; it only has to be out of the way. If it
-        // cannot be, creating the new one fails and says so.
+        // The name may belong to a folder, which only has to be renamed. If
+        // that fails too, creating the new index reports the error.
         let aside = format!("{INDEX_NAME}.broken");
         layer.rename(INDEX_NAME, &aside).ok();
     }
 }
 
 impl Replayer<'_> {
-    fn segment(
+    fn scan_segment(
         &mut self,
         number: SegmentNumber,
         start: u64,
@@ -166,8 +169,8 @@
         let opened = segments.open(number).ok();
         let len = opened.as_ref().and_then(|(file, _)| file.len().ok());
         let (Some((file, salt)), Some(len)) = (opened, len) else {
-            self.zone_damage.push((number, start, start));
-            self.scanned(number, 0, false, false);
+            self.batch_damage.push((number, start, start));
+            self.record_scan(number, 0, false, false);
             return Ok(());
         };
         let mut has_records = start > 0;
@@ -176,77 +179,77 @@
             match scanner.next() {
                 Ok(Some(Item::Record { offset, header })) => {
                     has_records = true;
-                    self.found(Found {
+                    self.add(LogRecord {
                         segment: number,
                         offset,
                         header,
                     })?;
                 }
                 Ok(Some(Item::Damage { from, to })) => {
-                    self.zone_damage.push((number, from, to));
+                    self.batch_damage.push((number, from, to));
                 }
                 Ok(None) => break,
                 Err(error) => {
-                    log::warn!("segment {number}: {error}");
+                    log::warn!("segment {number}: read failed: {error}");
                     let from = scanner.position();
-                    self.zone_damage.push((number, from, len));
+                    self.batch_damage.push((number, from, len));
                     break;
                 }
             }
         }
-        self.scanned(number, len, has_records, true);
+        self.record_scan(number, len, has_records, true);
         Ok(())
     }
 
-    fn scanned(
+    fn record_scan(
         &mut self,
         number: SegmentNumber,
         bytes: u64,
         has_records: bool,
         is_open: bool,
     ) {
-        let scanned = Scanned {
+        let scanned = SegmentScan {
             bytes,
             has_records,
             is_open,
         };
-        self.out.scanned.insert(number, scanned);
+        self.result.scanned.insert(number, scanned);
     }
 
-    fn found(&mut self, found: Found) -> Result<(), Report<IndexError>> {
+    fn add(&mut self, found: LogRecord) -> Result<(), Report<IndexError>> {
         let header = &found.header;
         let after = header.seq.max(header.batch) + 1;
-        self.out.next_seq = self.out.next_seq.max(after);
-        self.out.records += 1;
+        self.result.next_seq = self.result.next_seq.max(after);
+        self.result.records += 1;
         if header.batch > self.last_batch {
-            self.flush_zone()?;
+            self.flush_batch()?;
             self.last_batch = found.header.batch;
         }
-        self.zone.push(found);
+        self.batch_records.push(found);
         Ok(())
     }
 
-    /// Takes the batch read so far as acknowledged.
-    fn flush_zone(&mut self) -> Result<(), Report<IndexError>> {
-        self.out.damaged.append(&mut self.zone_damage);
-        for found in std::mem::take(&mut self.zone) {
+    /// Applies the records of the current batch, which is complete.
+    fn flush_batch(&mut self) -> Result<(), Report<IndexError>> {
+        self.result.damaged.append(&mut self.batch_damage);
+        for found in std::mem::take(&mut self.batch_records) {
             let change =
                 header_change(&found.header, found.segment, found.offset);
             let bytes = found.header.record_bytes();
-            let check = self.verify_left >= bytes;
-            self.verify_left -= if check { bytes } else { 0 };
+            let check = self.verify_remaining_bytes >= bytes;
+            self.verify_remaining_bytes -= if check { bytes } else { 0 };
             let damaged = check && self.read(&found).is_none();
             if let Change::Put { id, entry } = &change
                 && damaged
             {
                 let (id, entry) = (id.clone(), *entry);
-                self.out.corrupt.push(id.clone());
+                self.result.corrupt.push(id.clone());
                 self.changes.push(change);
                 self.changes.push(Change::Quarantine { id, entry });
             } else {
                 self.changes.push(change);
             }
-            if self.changes.len() >= CHUNK_CHANGES {
+            if self.changes.len() >= TXN_CHANGES {
                 let (segment, offset) = (found.segment, found.end());
                 self.commit(segment, offset)?;
             }
@@ -254,58 +257,58 @@
         Ok(())
     }
 
-    /// Finds where the last batch is torn and keeps the rest of it.
+    /// Finds where the last batch is torn and keeps its complete records.
     ///
-    /// It stands in the last segment: a new one is begun only when all
-    /// before it are synced.
-    fn cut_torn_batch(&mut self) {
-        let scanned = self.out.scanned.iter();
-        let Some((&last, &Scanned { bytes: len, .. })) =
+    /// The torn batch is in the last segment: a new segment is started only
+    /// after all earlier ones are synced.
+    fn truncate_torn_batch(&mut self) {
+        let scanned = self.result.scanned.iter();
+        let Some((&last, &SegmentScan { bytes: len, .. })) =
             scanned.rev().find(|(_, scanned)| scanned.bytes > 0)
         else {
             return;
         };
-        let mut cut = len;
+        let mut truncate_at = len;
         let mut records = Vec::new();
-        for found in &self.zone {
+        for found in &self.batch_records {
             let record = self.read(found);
             if record.is_none() && found.segment == last {
-                cut = cut.min(found.offset);
+                truncate_at = truncate_at.min(found.offset);
             }
             records.push(record);
         }
-        for (segment, from, _) in &self.zone_damage {
+        for (segment, from, _) in &self.batch_damage {
             if *segment == last {
-                cut = cut.min(*from);
+                truncate_at = truncate_at.min(*from);
             }
         }
-        if cut == len || len - cut > TORN_MAX_BYTES {
+        if truncate_at == len || len - truncate_at > MAX_TORN_BYTES {
             return;
         }
-        let is_cut = |segment: SegmentNumber, offset: u64| {
-            segment == last && offset >= cut
+        let is_truncated = |segment: SegmentNumber, offset: u64| {
+            segment == last && offset >= truncate_at
         };
-        self.zone_damage
-            .retain(|(segment, from, _)| !is_cut(*segment, *from));
-        let zone = std::mem::take(&mut self.zone);
-        for (found, record) in zone.into_iter().zip(records) {
-            if !is_cut(found.segment, found.offset) {
-                self.zone.push(found);
+        self.batch_damage
+            .retain(|(segment, from, _)| !is_truncated(*segment, *from));
+        let batch_records = std::mem::take(&mut self.batch_records);
+        for (found, record) in batch_records.into_iter().zip(records) {
+            if !is_truncated(found.segment, found.offset) {
+                self.batch_records.push(found);
             } else if let Some(record) = record {
-                self.out.rescued.push(record);
+                self.result.rescued.push(record);
             } else {
-                self.out.torn.push(found.header.id);
+                self.result.torn.push(found.header.id);
             }
         }
-        if let Some(scanned) = self.out.scanned.get_mut(&last) {
-            scanned.bytes = cut;
+        if let Some(scanned) = self.result.scanned.get_mut(&last) {
+            scanned.bytes = truncate_at;
         }
-        self.out.torn_bytes = len - cut;
-        self.out.cut = Some((last, cut));
+        self.result.torn_bytes = len - truncate_at;
+        self.result.truncate_at = Some((last, truncate_at));
     }
 
-    /// Reads a record, or returns `None` if it is damaged.
-    fn read(&self, found: &Found) -> Option<Record> {
+    /// Reads and verifies a record; returns `None` if it is damaged.
+    fn read(&self, found: &LogRecord) -> Option<Record> {
         let header = &found.header;
         if header.kind == Kind::Removal {
             return Some(Record {
@@ -328,7 +331,7 @@
         self.changes.push(Change::Covered {
             segment,
             offset,
-            next_seq: self.out.next_seq,
+            next_seq: self.result.next_seq,
         });
         self.index.apply(&self.changes, true)?;
         self.changes.clear();
@@ -337,7 +340,7 @@
 
     fn finish(mut self) -> Result<Replayed, Report<IndexError>> {
         let mut last = None;
-        for (&segment, scanned) in &self.out.scanned {
+        for (&segment, scanned) in &self.result.scanned {
             let bytes = scanned.bytes;
             self.changes.push(Change::SegmentBytes { segment, bytes });
             last = Some((segment, bytes));
@@ -345,6 +348,6 @@
         if let Some((segment, bytes)) = last {
             self.commit(segment, bytes)?;
         }
-        Ok(self.out)
+        Ok(self.result)
     }
 }
--- a/crates/store/src/report.rs
+++ b/crates/store/src/report.rs
@@ -1,4 +1,4 @@
-//! What the calls of a store return.
+//! Return values of the store's calls.
 
 use base::UnixMillis;
 use bytes::Bytes;
@@ -6,34 +6,34 @@
 
 use crate::BlobId;
 
-/// Says what a put did.
+/// Result of a successful put.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Put {
-    /// The blob is new, or replaces a damaged copy.
+    /// The blob was written: it is new or replaces a damaged copy.
     Stored,
-    /// The same bytes were stored before; they were read and compared.
+    /// The same content was already stored; it was read back and compared.
     AlreadySame,
 }
 
-/// A blob whose checksum was verified.
+/// A blob whose checksum has been verified.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Blob {
     /// The content.
     pub bytes: Bytes,
-    /// Its CRC-32 (IEEE).
+    /// CRC-32 (IEEE) of the content.
     pub crc32: u32,
     /// When this copy was stored.
     pub stored_at: UnixMillis,
 }
 
-/// A blob in a listing; its content was not looked at.
+/// A blob in a listing; its content has not been read.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct BlobInfo {
-    /// The name.
+    /// Id of the blob.
     pub id: BlobId,
-    /// Length of the content.
+    /// Length of the content in bytes.
     pub bytes: u64,
     /// CRC-32 (IEEE) of the content.
     pub crc32: u32,
@@ -41,51 +41,51 @@
     pub stored_at: UnixMillis,
 }
 
-/// Sums over a store.
+/// Totals over a store.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub struct StoreStat {
-    /// Number of blobs, without quarantined ones.
+    /// Number of blobs, excluding quarantined ones.
     pub blobs: u64,
-    /// Sum of their lengths.
+    /// Total length of these blobs in bytes.
     pub bytes: u64,
-    /// Number of damaged blobs that wait to be put again or removed.
+    /// Number of damaged blobs that have not yet been put again or removed.
     pub quarantined: u64,
-    /// Bytes of the log's files, which the quota bounds.
+    /// Size of the log files in bytes, which the quota limits.
     pub disk_bytes: u64,
-    /// The quota.
+    /// The quota in bytes.
     pub quota_bytes: u64,
 }
 
-/// What a removal took away.
+/// What a removal deleted.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub struct Removed {
-    /// Number of blobs, quarantined ones included.
+    /// Number of removed blobs, including quarantined ones.
     pub blobs: u64,
-    /// Sum of their lengths, without quarantined ones.
+    /// Total length of the removed blobs in bytes, excluding quarantined ones.
     pub bytes: u64,
 }
 
-/// What a step of a scrub found.
+/// Result of one scrub step.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct ScrubReport {
-    /// Blobs that were read and verified.
+    /// Number of blobs that were read and verified.
     pub blobs: u64,
-    /// Bytes that were read.
+    /// Number of bytes that were read.
     pub bytes: u64,
-    /// Blobs that are damaged and now quarantined.
+    /// Blobs that were found damaged and are now quarantined.
     pub corrupt: Vec<BlobId>,
-    /// Tells that the last blob was reached; the next call starts over.
+    /// Whether the last blob was reached; the next call starts over.
     pub complete: bool,
 }
 
-/// What a step of reclaiming space did.
+/// Result of one step of reclaiming space.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
@@ -93,69 +93,72 @@
 pub struct Reclaimed {
     /// Bytes of live records that were copied.
     pub copied_bytes: u64,
-    /// Bytes of files that were deleted.
+    /// Bytes of segment files that were deleted.
     pub freed_bytes: u64,
-    /// Tells that more can be reclaimed.
+    /// Whether more space can be reclaimed.
     pub more: bool,
 }
 
-/// How a start came by its index.
+/// Where the index came from when the store was opened.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IndexOrigin {
     /// The folder was empty.
     #[default]
     New,
-    /// The index on the disk was whole.
+    /// The index on disk was intact.
     Intact,
-    /// The index was missing or damaged and was built again from the log.
+    /// The index was missing or damaged and was rebuilt from the log.
     Rebuilt {
-        /// What was wrong with it.
+        /// Why the index could not be used.
         reason: String,
     },
 }
 
-/// Bytes of the log that cannot be read.
+/// An unreadable region of the log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct Damage {
-    /// Name of the file.
+    /// Name of the segment file.
     pub file: String,
-    /// Where the damage starts.
+    /// Offset at which the damage starts.
     pub from: u64,
-    /// How many bytes it has.
+    /// Length of the region in bytes.
     pub bytes: u64,
 }
 
-/// What a start found.
+/// What opening a store found.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct OpenReport {
-    /// Number of blobs, without quarantined ones.
+    /// Number of blobs, excluding quarantined ones.
     pub blobs: u64,
-    /// Sum of their lengths.
+    /// Total length of these blobs in bytes.
     pub bytes: u64,
-    /// Where the index comes from.
+    /// Where the index came from.
     pub index: IndexOrigin,
-    /// Records read from the log because the index did not have them.
+    /// Number of records replayed from the log because the index did not
+    /// contain them.
     pub replayed_records: u64,
-    /// Bytes cut off the end of the log: a write that a crash interrupted.
+    /// Bytes truncated from the end of the log: a write that a crash
+    /// interrupted.
     pub torn_bytes: u64,
-    /// Blobs of that write whose headers are whole. None was acknowledged,
-    /// unless the disk damaged the last batch later.
+    /// Blobs of that torn write whose headers are intact. None of them was
+    /// acknowledged, unless the last batch was complete and the disk damaged
+    /// it later.
     pub torn: Vec<BlobId>,
-    /// Blobs found damaged; they are quarantined.
+    /// Blobs that were found damaged; they are quarantined.
     pub corrupt: Vec<BlobId>,
-    /// Regions found damaged. Blobs in them are found by
-    /// [`scrub`](crate::Store::scrub), or missing if the index was lost too.
+    /// Damaged regions of the log. [`scrub`](crate::Store::scrub) finds the
+    /// blobs in them; if the index was lost too, these blobs are missing.
     pub damaged: Vec<Damage>,
-    /// Files that were renamed because nothing in them can be used.
+    /// Files that were renamed because none of their content is usable.
     pub set_aside: Vec<String>,
 }
 
 impl OpenReport {
-    /// Tells whether acknowledged blobs may be damaged or missing, so that
-    /// the holder of the other copies should compare.
+    /// Reports whether acknowledged blobs may be damaged or missing, so that
+    /// this store should be compared with its replicas.
     ///
     /// # Example
     ///
@@ -169,7 +172,8 @@
     /// # Ok::<(), pomeloslip_store::BlobIdError>(())
     /// ```
     pub fn needs_repair(&self) -> bool {
-        // A torn batch cannot be told from one that was damaged later.
+        // A torn batch cannot be distinguished from a complete one that was
+        // damaged later.
         self.torn_bytes > 0
             || !self.corrupt.is_empty()
             || !self.damaged.is_empty()
--- a/crates/store/src/rows.rs
+++ b/crates/store/src/rows.rs
@@ -1,21 +1,21 @@
-//! Tables of the index and their rows.
+//! Tables of the index and their row types.
 
 use redb::{ReadableTable, TableDefinition};
 
 use crate::{BlobId, record::record_bytes, segment::SegmentNumber};
 
-/// [`Entry`] as redb keeps it.
+/// Stored form of [`Entry`].
 pub(crate) type EntryRow = (u64, u32, u32, u32, u32, u64);
-/// Seq and time of a damaged blob.
-pub(crate) type HeldRow = (u64, u64);
-/// [`SegmentStat`] as redb keeps it.
+/// Stored form of [`QuarantinedBlob`].
+pub(crate) type QuarantineRow = (u64, u64);
+/// Stored form of [`SegmentStat`].
 pub(crate) type SegmentRow = (u64, u64, u64, u64, u64);
-/// [`Totals`] as redb keeps them.
+/// Stored form of [`Totals`].
 pub(crate) type TotalsRow = (u64, u64, u64, u64, u32, u64);
 
 pub(crate) const BLOBS: TableDefinition<&str, EntryRow> =
     TableDefinition::new("blobs");
-pub(crate) const QUARANTINE: TableDefinition<&str, HeldRow> =
+pub(crate) const QUARANTINE: TableDefinition<&str, QuarantineRow> =
     TableDefinition::new("quarantine");
 pub(crate) const SEGMENTS: TableDefinition<u32, SegmentRow> =
     TableDefinition::new("segments");
@@ -24,18 +24,18 @@
 pub(crate) const CURSOR: TableDefinition<(), &str> =
     TableDefinition::new("scrub_cursor");
 
-/// Makes the error that stands for a damaged index.
+/// Creates the error that marks the index as damaged.
 pub(crate) fn corrupted(text: &str) -> redb::Error {
     redb::Error::Corrupted(text.to_owned())
 }
 
-/// Takes an id from a table; one that is no id shows damage.
+/// Parses an id from a table; an invalid id indicates damage.
 pub(crate) fn parse_id(id: &str) -> Result<BlobId, redb::Error> {
     id.parse()
         .map_err(|error| corrupted(&format!("key {id:?}: {error}")))
 }
 
-/// Place and properties of one blob.
+/// Position and properties of one blob.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Entry {
     pub(crate) seq: u64,
@@ -73,42 +73,42 @@
         record_bytes(id, self.payload_bytes)
     }
 
-    /// Tells whether both name the same bytes on the disk.
-    pub(crate) fn same_place(&self, other: &Self) -> bool {
+    /// Reports whether both entries refer to the same record in the log.
+    pub(crate) fn is_same_record(&self, other: &Self) -> bool {
         (self.seq, self.segment, self.offset)
             == (other.seq, other.segment, other.offset)
     }
 }
 
-/// A blob in quarantine.
+/// A quarantined blob.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Held {
+pub(crate) struct QuarantinedBlob {
     pub(crate) seq: u64,
     pub(crate) stored_at_ms: u64,
 }
 
-impl Held {
-    pub(crate) fn from_row((seq, stored_at_ms): HeldRow) -> Self {
+impl QuarantinedBlob {
+    pub(crate) fn from_row((seq, stored_at_ms): QuarantineRow) -> Self {
         Self { seq, stored_at_ms }
     }
 
-    pub(crate) fn to_row(self) -> HeldRow {
+    pub(crate) fn to_row(self) -> QuarantineRow {
         (self.seq, self.stored_at_ms)
     }
 }
 
-/// What is known of one segment.
+/// Statistics of one segment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct SegmentStat {
-    /// Bytes up to the last good batch.
+    /// File length up to the end of the last complete batch.
     pub(crate) file_bytes: u64,
-    /// Bytes of records that the index points to.
+    /// Bytes of the records that the index points to.
     pub(crate) live_bytes: u64,
     /// Bytes of removal records.
     pub(crate) removal_bytes: u64,
-    /// Lowest seq of its put records, live or not.
+    /// Lowest sequence number of the put records, live or not.
     pub(crate) min_put_seq: u64,
-    /// Highest seq of its removal records.
+    /// Highest sequence number of the removal records.
     pub(crate) max_removal_seq: u64,
 }
 
@@ -142,7 +142,8 @@
     }
 }
 
-/// Totals, and how far the log is covered.
+/// Totals over the store, and the log position up to which the index is
+/// complete.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Totals {
     pub(crate) blobs: u64,
@@ -154,7 +155,8 @@
 }
 
 impl Totals {
-    /// Reads the totals; every transaction but the first leaves some.
+    /// Reads the totals; returns `None` if no transaction has been committed
+    /// yet.
     pub(crate) fn load(
         table: &impl ReadableTable<(), TotalsRow>,
     ) -> Result<Option<Self>, redb::Error> {
--- a/crates/store/src/scan.rs
+++ b/crates/store/src/scan.rs
@@ -1,37 +1,37 @@
-//! Reads the headers of a segment in order and finds its way past damage.
+//! Reads the headers of a segment in order and resynchronizes after damage.
 
 use std::io;
 
 use crate::{
     layer::LayerFile,
-    record::{HEADER_MAX_BYTES, Header, MAGIC},
+    record::{Header, MAGIC, MAX_HEADER_BYTES},
 };
 
-/// Bytes read at once. Larger windows would read more of the payloads, which
+/// Bytes read at once. A larger window would read more payload bytes, which
 /// are skipped.
 const WINDOW_BYTES: usize = 16 << 10;
 
-/// What stands at a place of a segment.
+/// An item found by a scan.
 #[derive(Debug)]
 pub(crate) enum Item {
-    /// A record with a right header. Its payload is not looked at and may
-    /// reach past the end of the file.
+    /// A record with a valid header. Its payload has not been verified and may
+    /// extend past the end of the file.
     Record {
-        /// Where the record starts.
+        /// Offset of the record.
         offset: u64,
-        /// The record without its payload.
+        /// Header of the record.
         header: Header,
     },
-    /// Bytes that are no record, up to the next record or the end.
+    /// Bytes that are not a valid record, up to the next record or the end.
     Damage {
-        /// Where the damage starts.
+        /// Offset at which the damage starts.
         from: u64,
-        /// Where the next record starts, or the end of the file.
+        /// Offset of the next record, or the end of the file.
         to: u64,
     },
 }
 
-/// Walks over one segment.
+/// Iterates over the records of one segment.
 #[derive(Debug)]
 pub(crate) struct Scanner<'a> {
     file: &'a dyn LayerFile,
@@ -39,11 +39,11 @@
     len: u64,
     next: u64,
     window: Vec<u8>,
-    window_at: u64,
+    window_offset: u64,
 }
 
 impl<'a> Scanner<'a> {
-    /// Starts at the start of a record and ends at `len`.
+    /// Creates a scanner that starts at a record boundary and ends at `len`.
     pub(crate) fn new(
         file: &'a dyn LayerFile,
         salt: u64,
@@ -56,16 +56,16 @@
             len,
             next: from,
             window: Vec::new(),
-            window_at: 0,
+            window_offset: 0,
         }
     }
 
-    /// Returns where the next item starts.
+    /// Returns the offset of the next item.
     pub(crate) fn position(&self) -> u64 {
         self.next
     }
 
-    /// Returns the next record or damaged region; `None` at the end.
+    /// Returns the next record or damaged region, or `None` at the end.
     pub(crate) fn next(&mut self) -> io::Result<Option<Item>> {
         if self.next >= self.len {
             return Ok(None);
@@ -87,19 +87,20 @@
 
     fn header_at(&mut self, offset: u64) -> io::Result<Option<Header>> {
         let salt = self.salt;
-        let bytes = self.bytes_at(offset, HEADER_MAX_BYTES)?;
+        let bytes = self.bytes_at(offset, MAX_HEADER_BYTES)?;
         Ok(Header::decode(salt, bytes))
     }
 
-    /// Returns where the first record at or after an offset starts.
+    /// Returns the offset of the first valid record at or after an offset, or
+    /// the end.
     fn find_record(&mut self, mut offset: u64) -> io::Result<u64> {
         while offset < self.len {
-            let bytes = self.bytes_at(offset, HEADER_MAX_BYTES)?;
+            let bytes = self.bytes_at(offset, MAX_HEADER_BYTES)?;
             let found = bytes
                 .windows(MAGIC.len())
                 .position(|window| *window == MAGIC);
             let Some(at) = found else {
-                // The magic may begin in the last bytes of the window.
+                // The magic number may start in the last bytes of the window.
                 let step = bytes.len().saturating_sub(MAGIC.len() - 1);
                 offset += step.max(1) as u64;
                 continue;
@@ -113,19 +114,23 @@
         Ok(self.len)
     }
 
-    /// Returns what the window has from an offset on: at least `want` bytes
-    /// unless the file ends before.
-    fn bytes_at(&mut self, offset: u64, want: usize) -> io::Result<&[u8]> {
-        let left = self.len.saturating_sub(offset);
-        let want = (want as u64).min(left);
-        let window_end = self.window_at + self.window.len() as u64;
-        if offset < self.window_at || offset + want > window_end {
-            let bytes = left.min(WINDOW_BYTES as u64) as usize;
+    /// Returns the buffered bytes from an offset: at least `min_bytes` unless
+    /// the file ends before.
+    fn bytes_at(
+        &mut self,
+        offset: u64,
+        min_bytes: usize,
+    ) -> io::Result<&[u8]> {
+        let remaining = self.len.saturating_sub(offset);
+        let min_bytes = (min_bytes as u64).min(remaining);
+        let window_end = self.window_offset + self.window.len() as u64;
+        if offset < self.window_offset || offset + min_bytes > window_end {
+            let bytes = remaining.min(WINDOW_BYTES as u64) as usize;
             self.window.resize(bytes, 0);
-            self.window_at = offset;
+            self.window_offset = offset;
             self.file.read_exact_at(&mut self.window, offset)?;
         }
-        let start = (offset - self.window_at) as usize;
+        let start = (offset - self.window_offset) as usize;
         Ok(&self.window[start..])
     }
 }
--- a/crates/store/src/scrub.rs
+++ b/crates/store/src/scrub.rs
@@ -1,4 +1,4 @@
-//! Verifies the whole store, a part at each call.
+//! Verifies the whole store incrementally.
 
 use error_stack::Report;
 
@@ -7,13 +7,13 @@
     writer::Core,
 };
 
-/// Blobs that are looked up together.
-const PAGE: usize = 64;
+/// Number of blobs that are listed at a time.
+const PAGE_BLOBS: usize = 64;
 
-/// Verifies blobs in the order of their ids until the budget is used.
+/// Verifies blobs in the order of their ids until the byte budget is used up.
 ///
-/// That order, not the log's, finds also the blobs whose headers are damaged:
-/// the index has their names.
+/// Following the index instead of the log also finds blobs whose headers are
+/// damaged, since the index has their ids.
 pub(crate) fn scrub(
     store: &Store,
     core: &Core,
@@ -22,8 +22,9 @@
     let mut report = ScrubReport::default();
     let mut after = core.with_index(Index::scrub_cursor)?;
     let cursor = loop {
-        let page =
-            core.with_index(|index| index.list("", after.as_deref(), PAGE))?;
+        let page = core.with_index(|index| {
+            index.list("", after.as_deref(), PAGE_BLOBS)
+        })?;
         if page.is_empty() {
             report.complete = true;
             break None;
@@ -54,7 +55,7 @@
     report: &mut ScrubReport,
 ) -> Result<(), Report<StoreError>> {
     match store.get(id) {
-        // It may be removed meanwhile.
+        // `None` means that the blob has been removed concurrently.
         Ok(_) => report.blobs += 1,
         Err(error) if *error.current_context() == StoreError::Corrupt => {
             report.corrupt.push(id.clone());
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,4 +1,4 @@
-//! Files of the log: their names, reading one record, appending a batch.
+//! Segment files of the log: naming, reading a record, appending a batch.
 
 use std::{
     collections::BTreeMap,
@@ -16,26 +16,26 @@
     rows::Entry,
 };
 
-/// Payloads from this size on are written from where they are; smaller ones
-/// are gathered, as a system call costs more than copying them.
-const GATHER_MAX_BYTES: usize = 64 << 10;
+/// Smaller payloads are copied into one buffer, since that is cheaper than a
+/// system call for each; larger ones are written directly.
+const COALESCE_THRESHOLD_BYTES: usize = 64 << 10;
 
-const NAME_START: &str = "seg-";
-const NAME_END: &str = ".log";
+const NAME_PREFIX: &str = "seg-";
+const NAME_SUFFIX: &str = ".log";
 const NUMBER_DIGITS: usize = 8;
 const SALT_DIGITS: usize = 16;
 
-/// Number of a segment, in the order of writing.
+/// Number of a segment; segments are numbered in the order of writing.
 pub(crate) type SegmentNumber = u32;
 
 /// Returns the file name of a segment.
 pub(crate) fn segment_name(number: SegmentNumber, salt: u64) -> String {
-    format!("{NAME_START}{number:08x}-{salt:016x}{NAME_END}")
+    format!("{NAME_PREFIX}{number:08x}-{salt:016x}{NAME_SUFFIX}")
 }
 
-/// Returns number and salt from a file name; `None` for other files.
+/// Parses number and salt from a file name; returns `None` for other files.
 pub(crate) fn parse_segment_name(name: &str) -> Option<(SegmentNumber, u64)> {
-    let middle = name.strip_prefix(NAME_START)?.strip_suffix(NAME_END)?;
+    let middle = name.strip_prefix(NAME_PREFIX)?.strip_suffix(NAME_SUFFIX)?;
     let (number, salt) = middle.split_once('-')?;
     if number.len() != NUMBER_DIGITS || salt.len() != SALT_DIGITS {
         return None;
@@ -46,16 +46,16 @@
 
 /// Why a record could not be read.
 #[derive(Debug)]
-pub(crate) enum ReadFault {
-    /// The segment does not exist (any more).
+pub(crate) enum ReadError {
+    /// The segment does not exist or has been deleted.
     Gone,
-    /// What stands there is not the whole record.
+    /// The bytes at this position are not the complete, valid record.
     Damaged,
-    /// The operating system failed otherwise.
+    /// Another I/O error occurred.
     Failed(io::Error),
 }
 
-/// The segments that exist, with their salts.
+/// The existing segments with their salts.
 #[derive(Debug)]
 pub(crate) struct Segments {
     layer: Arc<dyn FileLayer>,
@@ -77,7 +77,7 @@
         &self.layer
     }
 
-    /// Returns numbers and salts in the order of writing.
+    /// Returns the numbers and salts of all segments in the order of writing.
     pub(crate) fn all(&self) -> Vec<(SegmentNumber, u64)> {
         let salts = self.salts.read().unwrap_or_else(PoisonError::into_inner);
         salts
@@ -91,7 +91,7 @@
         salts.get(&number).copied()
     }
 
-    pub(crate) fn forget(&self, number: SegmentNumber) {
+    pub(crate) fn unregister(&self, number: SegmentNumber) {
         let mut salts =
             self.salts.write().unwrap_or_else(PoisonError::into_inner);
         salts.remove(&number);
@@ -103,13 +103,13 @@
         salts.insert(number, salt);
     }
 
-    /// Deletes a segment's file for good.
+    /// Deletes a segment file durably.
     pub(crate) fn delete(&self, number: SegmentNumber) -> io::Result<()> {
         let Some(salt) = self.salt(number) else {
             return Ok(());
         };
         self.layer.remove(&segment_name(number, salt))?;
-        self.forget(number);
+        self.unregister(number);
         self.layer.sync_folder()
     }
 
@@ -117,26 +117,27 @@
     pub(crate) fn open(
         &self,
         number: SegmentNumber,
-    ) -> Result<(Box<dyn LayerFile>, u64), ReadFault> {
-        let salt = self.salt(number).ok_or(ReadFault::Gone)?;
+    ) -> Result<(Box<dyn LayerFile>, u64), ReadError> {
+        let salt = self.salt(number).ok_or(ReadError::Gone)?;
         match self.layer.open(&segment_name(number, salt)) {
             Ok(file) => Ok((file, salt)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                Err(ReadFault::Gone)
+                Err(ReadError::Gone)
             }
-            Err(error) => Err(ReadFault::Failed(error)),
+            Err(error) => Err(ReadError::Failed(error)),
         }
     }
 
-    /// Reads a blob where the index says that it is, and checks everything.
+    /// Reads a blob at the position given by the index and verifies it.
     ///
-    /// The file is opened for each read. Open files would have to be bounded
-    /// and closed when their segment is deleted, for some microseconds less.
+    /// The file is opened for each read. Caching open files would save some
+    /// microseconds, but the cache would have to be bounded and its files
+    /// closed when their segment is deleted.
     pub(crate) fn read(
         &self,
         id: &BlobId,
         entry: &Entry,
-    ) -> Result<Record, ReadFault> {
+    ) -> Result<Record, ReadError> {
         let (file, salt) = self.open(entry.segment)?;
         read_record(file.as_ref(), salt, id, entry)
     }
@@ -148,23 +149,23 @@
     salt: u64,
     id: &BlobId,
     entry: &Entry,
-) -> Result<Record, ReadFault> {
+) -> Result<Record, ReadError> {
     let bytes = entry.record_bytes(id);
     let offset = u64::from(entry.offset);
-    // A damaged index may name any length; it must not become the size of a
-    // buffer.
-    let file_bytes = file.len().map_err(ReadFault::Failed)?;
+    // A damaged index may contain any length, which must not determine the
+    // size of a buffer.
+    let file_bytes = file.len().map_err(ReadError::Failed)?;
     if offset + bytes > file_bytes {
-        return Err(ReadFault::Damaged);
+        return Err(ReadError::Damaged);
     }
     let mut buffer = vec![0; bytes as usize];
     if let Err(error) = file.read_exact_at(&mut buffer, offset) {
         return Err(match error.kind() {
-            io::ErrorKind::UnexpectedEof => ReadFault::Damaged,
-            _ => ReadFault::Failed(error),
+            io::ErrorKind::UnexpectedEof => ReadError::Damaged,
+            _ => ReadError::Failed(error),
         });
     }
-    let header = Header::decode(salt, &buffer).ok_or(ReadFault::Damaged)?;
+    let header = Header::decode(salt, &buffer).ok_or(ReadError::Damaged)?;
     let payload = Bytes::from(buffer).slice(header.prefix_bytes()..);
     let expected = header.kind == Kind::Put
         && header.id == *id
@@ -172,23 +173,23 @@
         && header.payload_bytes as usize == payload.len()
         && header.payload_crc == crc32fast::hash(&payload);
     if !expected {
-        return Err(ReadFault::Damaged);
+        return Err(ReadError::Damaged);
     }
     Ok(Record { header, payload })
 }
 
-/// What became of a batch that could not be written.
+/// Why a batch could not be appended.
 #[derive(Debug)]
-pub(crate) enum AppendFault {
-    /// The segment is as before and can be used further.
-    Undone(io::Error),
-    /// No byte of the batch stays, but the segment must not be used further.
-    UndoneAndFailed(io::Error),
-    /// Some of the batch may appear after a restart.
+pub(crate) enum AppendError {
+    /// The batch was rolled back and the segment can still be used.
+    RolledBack(io::Error),
+    /// The batch was rolled back, but the segment must not be used any more.
+    RolledBackUnusable(io::Error),
+    /// The rollback failed: parts of the batch may reappear after a restart.
     Unknown(io::Error),
 }
 
-/// The segment that batches are appended to.
+/// The segment to which batches are appended.
 #[derive(Debug)]
 pub(crate) struct ActiveSegment {
     pub(crate) number: SegmentNumber,
@@ -198,12 +199,12 @@
 }
 
 impl ActiveSegment {
-    /// Creates a segment whose name outlasts a power failure.
+    /// Creates a segment whose file survives a power failure.
     pub(crate) fn create(
         segments: &Segments,
         number: SegmentNumber,
     ) -> io::Result<Self> {
-        // The hasher's keys are random, and no other source of randomness
+        // The keys of the hasher are random, so no other source of randomness
         // is needed.
         let mut hasher = RandomState::new().build_hasher();
         hasher.write_u32(number);
@@ -220,15 +221,16 @@
         })
     }
 
-    /// Writes and syncs a batch, and returns the offset of each record.
+    /// Writes and syncs a batch and returns the offset of each record.
     ///
     /// # Errors
     ///
-    /// The batch is undone if the disk still permits it.
+    /// The batch is rolled back unless the rollback fails too
+    /// ([`AppendError::Unknown`]).
     pub(crate) fn append(
         &mut self,
         records: &[Record],
-    ) -> Result<Vec<u64>, AppendFault> {
+    ) -> Result<Vec<u64>, AppendError> {
         let start = self.end;
         let written = self.write(records).map_err(|error| (error, false));
         let synced = written.and_then(|offsets| {
@@ -240,21 +242,25 @@
             Err(failure) => failure,
         };
         self.end = start;
-        if let Err(undo) = self.undo_to(start) {
-            log::error!("segment {}: undo failed: {undo}", self.number);
-            return Err(AppendFault::Unknown(error));
+        if let Err(rollback_error) = self.truncate_to(start) {
+            log::error!(
+                "segment {}: rollback failed: {rollback_error}",
+                self.number
+            );
+            return Err(AppendError::Unknown(error));
         }
-        // After a failed sync the system may hold pages as clean that never
-        // reached the disk; nothing more is trusted to this file.
+        // After a failed sync the operating system may mark pages as clean
+        // that never reached the disk, so nothing more is written to this
+        // file.
         Err(if sync_failed {
-            AppendFault::UndoneAndFailed(error)
+            AppendError::RolledBackUnusable(error)
         } else {
-            AppendFault::Undone(error)
+            AppendError::RolledBack(error)
         })
     }
 
-    /// Takes back everything from an offset on.
-    pub(crate) fn undo_to(&mut self, end: u64) -> io::Result<()> {
+    /// Truncates the segment to an offset.
+    pub(crate) fn truncate_to(&mut self, end: u64) -> io::Result<()> {
         self.end = end;
         self.file.set_len(end)?;
         self.file.sync()
@@ -262,23 +268,23 @@
 
     fn write(&mut self, records: &[Record]) -> io::Result<Vec<u64>> {
         let mut offsets = Vec::with_capacity(records.len());
-        let mut gathered = Vec::new();
+        let mut buffer = Vec::new();
         for record in records {
-            offsets.push(self.end + gathered.len() as u64);
-            record.header.encode(self.salt, &mut gathered);
-            if record.payload.len() < GATHER_MAX_BYTES {
-                gathered.extend_from_slice(&record.payload);
+            offsets.push(self.end + buffer.len() as u64);
+            record.header.encode(self.salt, &mut buffer);
+            if record.payload.len() < COALESCE_THRESHOLD_BYTES {
+                buffer.extend_from_slice(&record.payload);
             } else {
-                self.write_part(&gathered)?;
-                gathered.clear();
-                self.write_part(&record.payload)?;
+                self.write_at_end(&buffer)?;
+                buffer.clear();
+                self.write_at_end(&record.payload)?;
             }
         }
-        self.write_part(&gathered)?;
+        self.write_at_end(&buffer)?;
         Ok(offsets)
     }
 
-    fn write_part(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn write_at_end(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.file.write_all_at(bytes, self.end)?;
         self.end += bytes.len() as u64;
         Ok(())
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,9 +1,10 @@
-//! A disk in memory that crashes, fills up, fails and rots on demand.
+//! In-memory disk that simulates crashes, a full disk, I/O errors and bit rot.
 //!
-//! Like a real one it keeps what was written in a cache until it is synced.
-//! A crash keeps a random part of the rest: each write may be lost, torn or
-//! kept, in any order; creations, renames and deletions are kept up to a
-//! random one. The same seed and the same calls give the same disk.
+//! Like a real disk, it caches writes until they are synced. A crash keeps a
+//! random subset of the unsynced changes: each write may be lost, torn or
+//! kept, independent of the others; of the creations, renames and deletions a
+//! random prefix is kept. The same seed and the same calls produce the same
+//! disk.
 
 use std::{
     any::Any,
@@ -14,7 +15,7 @@
 
 use crate::layer::{FileLayer, LayerFile, LockGuard};
 
-/// Writes are torn at multiples of this, and at any byte now and then.
+/// Writes are torn at multiples of this size, and sometimes at any byte.
 const SECTOR_BYTES: u64 = 512;
 
 type Inode = u64;
@@ -80,19 +81,19 @@
     synced_names: BTreeMap<String, Inode>,
     unsynced: Vec<FolderOp>,
     next_inode: Inode,
-    /// Counts crashes; handles from before one are dead.
-    life: u64,
+    /// Incremented by each crash, which invalidates all handles from before.
+    incarnation: u64,
     is_locked: bool,
     random: u64,
     changes: u64,
     syncs: u64,
-    dies_after: Option<u64>,
+    fails_after: Option<u64>,
     failing_syncs: u32,
     capacity_bytes: Option<u64>,
 }
 
 impl Disk {
-    /// Returns a random number (SplitMix64).
+    /// Returns a pseudorandom number (SplitMix64).
     fn random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.random;
@@ -101,16 +102,16 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Counts a change, which fails once the disk has died.
-    fn change(&mut self) -> io::Result<()> {
+    /// Counts a change; returns an error once the disk has failed.
+    fn count_change(&mut self) -> io::Result<()> {
         self.changes += 1;
-        self.alive()
+        self.check_alive()
     }
 
-    fn alive(&self) -> io::Result<()> {
-        match self.dies_after {
+    fn check_alive(&self) -> io::Result<()> {
+        match self.fails_after {
             Some(limit) if self.changes > limit => {
-                Err(io::Error::other("the simulated disk is dead"))
+                Err(io::Error::other("the simulated disk has failed"))
             }
             _ => Ok(()),
         }
@@ -122,8 +123,8 @@
         files.map(|file| file.content.len() as u64).sum()
     }
 
-    /// Returns how many of the bytes that a file grows by there is room for.
-    fn room_for(&self, growth: u64) -> u64 {
+    /// Returns how many of `growth` additional bytes fit on the disk.
+    fn available_bytes(&self, growth: u64) -> u64 {
         let capacity = self.capacity_bytes.unwrap_or(u64::MAX);
         growth.min(capacity.saturating_sub(self.used_bytes()))
     }
@@ -140,30 +141,30 @@
         for inode in inodes {
             let mut file = self.files.remove(&inode).unwrap_or_default();
             for op in std::mem::take(&mut file.unsynced) {
-                if let Some(op) = self.survivor(op) {
+                if let Some(op) = self.surviving_op(op) {
                     op.apply(&mut file.synced);
                 }
             }
             file.content = file.synced.clone();
             self.files.insert(inode, file);
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.is_locked = false;
-        self.dies_after = None;
+        self.fails_after = None;
         self.failing_syncs = 0;
         self.capacity_bytes = None;
     }
 
-    /// Returns what a crash leaves of an unsynced change.
-    fn survivor(&mut self, op: FileOp) -> Option<FileOp> {
+    /// Returns the part of an unsynced change that survives a crash.
+    fn surviving_op(&mut self, op: FileOp) -> Option<FileOp> {
         match (self.random() % 4, op) {
             (0, _) => None,
             (1, FileOp::Write { offset, mut bytes }) => {
-                let mut cut = self.random() % (bytes.len() as u64 + 1);
+                let mut kept_bytes = self.random() % (bytes.len() as u64 + 1);
                 if !self.random().is_multiple_of(4) {
-                    cut -= cut % SECTOR_BYTES;
+                    kept_bytes -= kept_bytes % SECTOR_BYTES;
                 }
-                bytes.truncate(cut as usize);
+                bytes.truncate(kept_bytes as usize);
                 Some(FileOp::Write { offset, bytes })
             }
             (_, op) => Some(op),
@@ -171,7 +172,7 @@
     }
 }
 
-/// A disk in memory; clones share it.
+/// In-memory disk; clones share their state.
 ///
 /// # Example
 ///
@@ -196,7 +197,7 @@
 pub struct SimDisk(Arc<Mutex<Disk>>);
 
 impl SimDisk {
-    /// Makes an empty disk whose crashes follow a seed.
+    /// Creates an empty disk; the seed determines the outcome of crashes.
     pub fn new(seed: u64) -> Self {
         let disk = Disk {
             random: seed,
@@ -209,46 +210,47 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Cuts the power and starts again: unsynced changes are lost in part,
-    /// all handles are dead, the lock is free and no fault is set.
+    /// Simulates a power failure and restart: some of the unsynced changes are
+    /// lost, all handles are invalid, the lock is released and no fault is
+    /// configured.
     pub fn crash(&self) {
         self.disk().crash();
     }
 
-    /// Lets `count` more changes succeed; then every call fails until the
-    /// next crash.
+    /// Lets `count` more changes succeed, after which every call fails until
+    /// the next crash.
     pub fn die_after(&self, count: u64) {
         let mut disk = self.disk();
-        disk.dies_after = Some(disk.changes + count);
+        disk.fails_after = Some(disk.changes + count);
     }
 
-    /// Tells whether the disk has died.
+    /// Reports whether the disk has failed.
     pub fn is_dead(&self) -> bool {
-        self.disk().alive().is_err()
+        self.disk().check_alive().is_err()
     }
 
-    /// Returns how many changes were asked for so far.
+    /// Returns the number of changes requested so far.
     pub fn changes(&self) -> u64 {
         self.disk().changes
     }
 
-    /// Returns how many syncs of files were asked for so far.
+    /// Returns the number of file syncs requested so far.
     pub fn syncs(&self) -> u64 {
         self.disk().syncs
     }
 
-    /// Lets the next `count` syncs fail. As on Linux, what they were to
-    /// write is then held for clean though it never reaches the disk.
+    /// Makes the next `count` syncs fail. As on Linux, the unsynced data is
+    /// then treated as clean although it never reaches the disk.
     pub fn fail_syncs(&self, count: u32) {
         self.disk().failing_syncs = count;
     }
 
-    /// Bounds the bytes of all files; `None` is no bound.
+    /// Limits the total size of all files; `None` means no limit.
     pub fn set_capacity_bytes(&self, capacity: Option<u64>) {
         self.disk().capacity_bytes = capacity;
     }
 
-    /// Returns the bytes of all files.
+    /// Returns the total size of all files.
     pub fn used_bytes(&self) -> u64 {
         self.disk().used_bytes()
     }
@@ -258,15 +260,15 @@
         self.disk().names.keys().cloned().collect()
     }
 
-    /// Returns the bytes of a file.
+    /// Returns the content of a file.
     pub fn content(&self, name: &str) -> Option<Vec<u8>> {
         let disk = self.disk();
         let inode = disk.names.get(name)?;
         Some(disk.files.get(inode)?.content.clone())
     }
 
-    /// Replaces the bytes of a file behind the back of its users, also on
-    /// the disk itself. Does nothing if there is no such file.
+    /// Replaces the content of a file, both cached and durable, without its
+    /// users noticing. Does nothing if there is no such file.
     pub fn set_content(&self, name: &str, content: Vec<u8>) {
         let mut disk = self.disk();
         let inode = disk.names.get(name).copied();
@@ -288,32 +290,32 @@
         disk.is_locked = true;
         let guard = SimLock {
             disk: self.clone(),
-            life: disk.life,
+            incarnation: disk.incarnation,
         };
         let guard: Box<dyn Any + Send + Sync> = Box::new(guard);
         Ok(guard)
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
-        self.disk().alive()?;
+        self.disk().check_alive()?;
         Ok(self.names())
     }
 
     fn open(&self, name: &str) -> io::Result<Box<dyn LayerFile>> {
         let disk = self.disk();
-        disk.alive()?;
+        disk.check_alive()?;
         let inode = disk.names.get(name).copied();
         let inode = inode.ok_or(io::ErrorKind::NotFound)?;
         Ok(Box::new(SimHandle {
             disk: self.clone(),
             inode,
-            life: disk.life,
+            incarnation: disk.incarnation,
         }))
     }
 
     fn create(&self, name: &str) -> io::Result<Box<dyn LayerFile>> {
         let mut disk = self.disk();
-        disk.change()?;
+        disk.count_change()?;
         let old = disk.names.get(name).copied();
         let inode = old.unwrap_or(disk.next_inode);
         if let Some(file) = disk.files.get_mut(&inode) {
@@ -328,13 +330,13 @@
         Ok(Box::new(SimHandle {
             disk: self.clone(),
             inode,
-            life: disk.life,
+            incarnation: disk.incarnation,
         }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.change()?;
+        disk.count_change()?;
         if !disk.names.contains_key(from) {
             return Err(io::ErrorKind::NotFound.into());
         }
@@ -346,7 +348,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.change()?;
+        disk.count_change()?;
         if !disk.names.contains_key(name) {
             return Err(io::ErrorKind::NotFound.into());
         }
@@ -358,7 +360,7 @@
 
     fn sync_folder(&self) -> io::Result<()> {
         let mut disk = self.disk();
-        disk.change()?;
+        disk.count_change()?;
         disk.synced_names = disk.names.clone();
         disk.unsynced.clear();
         Ok(())
@@ -367,13 +369,13 @@
 
 struct SimLock {
     disk: SimDisk,
-    life: u64,
+    incarnation: u64,
 }
 
 impl Drop for SimLock {
     fn drop(&mut self) {
         let mut disk = self.disk.disk();
-        if disk.life == self.life {
+        if disk.incarnation == self.incarnation {
             disk.is_locked = false;
         }
     }
@@ -383,7 +385,7 @@
 struct SimHandle {
     disk: SimDisk,
     inode: Inode,
-    life: u64,
+    incarnation: u64,
 }
 
 impl SimHandle {
@@ -392,7 +394,7 @@
         work: impl FnOnce(&mut Disk, &mut SimFile) -> io::Result<T>,
     ) -> io::Result<T> {
         let mut disk = self.disk.disk();
-        if disk.life != self.life {
+        if disk.incarnation != self.incarnation {
             return Err(io::Error::other("the handle is from before a crash"));
         }
         let Some(mut file) = disk.files.remove(&self.inode) else {
@@ -407,14 +409,14 @@
 impl LayerFile for SimHandle {
     fn len(&self) -> io::Result<u64> {
         self.with(|disk, file| {
-            disk.alive()?;
+            disk.check_alive()?;
             Ok(file.content.len() as u64)
         })
     }
 
     fn read_exact_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<()> {
         self.with(|disk, file| {
-            disk.alive()?;
+            disk.check_alive()?;
             let rest = file.content.get(offset as usize..);
             let bytes = rest.and_then(|rest| rest.get(..buffer.len()));
             let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)?;
@@ -425,12 +427,14 @@
 
     fn write_all_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
         self.with(|disk, file| {
-            disk.change()?;
+            disk.count_change()?;
             let len = file.content.len() as u64;
             let growth = (offset + bytes.len() as u64).saturating_sub(len);
-            // `used_bytes` does not see the file in hand.
-            let room = disk.room_for(len + growth).saturating_sub(len);
-            let fits = bytes.len() as u64 - (growth - room.min(growth));
+            // `used_bytes` does not include this file, which `with` has taken
+            // out of the map.
+            let available =
+                disk.available_bytes(len + growth).saturating_sub(len);
+            let fits = bytes.len() as u64 - (growth - available.min(growth));
             let op = FileOp::Write {
                 offset,
                 bytes: bytes[..fits as usize].to_vec(),
@@ -446,9 +450,9 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         self.with(|disk, file| {
-            disk.change()?;
+            disk.count_change()?;
             let old = file.content.len() as u64;
-            if len > old && disk.room_for(len) < len {
+            if len > old && disk.available_bytes(len) < len {
                 return Err(io::ErrorKind::StorageFull.into());
             }
             let op = FileOp::SetLen(len);
@@ -460,7 +464,7 @@
 
     fn sync(&self) -> io::Result<()> {
         self.with(|disk, file| {
-            disk.change()?;
+            disk.count_change()?;
             disk.syncs += 1;
             let ops = std::mem::take(&mut file.unsynced);
             if disk.failing_syncs > 0 {
--- a/crates/store/src/spool.rs
+++ b/crates/store/src/spool.rs
@@ -7,19 +7,19 @@
     layer::{DirLayer, LayerFile},
 };
 
-/// What became of a call to a [`Spool`].
+/// Why a call to a [`Spool`] failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SpoolError {
-    /// The folder cannot be used.
+    /// The folder cannot be created.
     Folder,
-    /// The name cannot be that of a file.
+    /// The name is not a valid file name.
     Name,
-    /// The record would not fit the bytes that the spool may take.
+    /// The record would exceed the size limit of the spool.
     Full,
-    /// The disk failed. A record that was to be kept may come back after a
-    /// restart.
+    /// An I/O error occurred. A record whose write failed may still exist
+    /// after a restart.
     Disk,
-    /// The record is not whole.
+    /// The record is truncated or its checksum does not match.
     Damaged,
 }
 
@@ -27,23 +27,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             SpoolError::Folder => "the folder cannot be used",
-            SpoolError::Name => "the name cannot be that of a file",
+            SpoolError::Name => "the name is not a valid file name",
             SpoolError::Full => "the spool is full",
-            SpoolError::Disk => "the disk failed",
-            SpoolError::Damaged => "the record is not whole",
+            SpoolError::Disk => "an I/O error occurred",
+            SpoolError::Damaged => "the record is damaged",
         })
     }
 }
 
 impl std::error::Error for SpoolError {}
 
-/// A few records that wait on disk to be handed on.
+/// A small on-disk queue of records that are to be delivered elsewhere.
 ///
-/// A record is one file, written under another name, synced, and then
-/// renamed, so that after a power failure it is there as a whole or not at
-/// all. [`Store`](crate::Store) was rejected for this: its log and index
-/// serve millions of blobs that stay, and take a hundred times the memory
-/// and the start-up of a folder that is empty nearly always.
+/// A record is one file. It is written under a temporary name, synced and then
+/// renamed, so that after a power failure it exists completely or not at all.
+/// [`Store`](crate::Store) was rejected for this purpose: its log and index
+/// are built for millions of long-lived blobs and need a hundred times the
+/// memory and start-up time of a folder that is almost always empty.
 ///
 /// # Example
 ///
@@ -66,18 +66,19 @@
     bytes_most: u64,
 }
 
-/// End of the names of whole records.
-const WHOLE: &str = ".rec";
+/// File name suffix of complete records.
+const RECORD_SUFFIX: &str = ".rec";
 
-/// End of the names of records that are being written.
-const PART: &str = ".part";
+/// File name suffix of records that are being written.
+const TEMP_SUFFIX: &str = ".part";
 
-/// Bytes of the checksum that begins a file.
+/// Length of the checksum at the start of a file.
 const CHECKSUM_BYTES: usize = 4;
 
 impl Spool {
-    /// Opens a folder, which is created if it is missing, for records of
-    /// `bytes_most` together.
+    /// Opens a spool in a folder, which is created if it is missing.
+    ///
+    /// The records may take up to `max_bytes` in total.
     ///
     /// # Errors
     ///
@@ -91,7 +92,7 @@
         Ok(Self::with_layer(layer, bytes_most))
     }
 
-    /// Keeps the records in a layer of the caller's.
+    /// Creates a spool on a caller-supplied file layer.
     pub fn with_layer(layer: impl FileLayer, bytes_most: u64) -> Self {
         Self {
             layer: Arc::new(layer),
@@ -99,8 +100,9 @@
         }
     }
 
-    /// Keeps a record; when this returns, a power failure does not lose it.
-    /// A record of the same name is replaced.
+    /// Stores a record, replacing any record of the same name.
+    ///
+    /// Once this returns `Ok`, the record survives a power failure.
     ///
     /// # Errors
     ///
@@ -110,7 +112,7 @@
         name: &str,
         bytes: &[u8],
     ) -> Result<(), Report<SpoolError>> {
-        let name = checked(name)?;
+        let name = validate_name(name)?;
         let used = self.used_bytes()?;
         if used + bytes.len() as u64 > self.bytes_most {
             return Err(Report::new(SpoolError::Full));
@@ -120,13 +122,14 @@
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let part = format!("{name}{PART}");
-        let file = self.layer.create(&part)?;
+        let temp_name = format!("{name}{TEMP_SUFFIX}");
+        let file = self.layer.create(&temp_name)?;
         let checksum = crc32fast::hash(bytes).to_le_bytes();
         file.write_all_at(&checksum, 0)?;
         file.write_all_at(bytes, CHECKSUM_BYTES as u64)?;
         file.sync()?;
-        self.layer.rename(&part, &format!("{name}{WHOLE}"))?;
+        self.layer
+            .rename(&temp_name, &format!("{name}{RECORD_SUFFIX}"))?;
         self.layer.sync_folder()
     }
 
@@ -137,7 +140,9 @@
     /// [`SpoolError::Disk`].
     pub fn names(&self) -> Result<Vec<String>, Report<SpoolError>> {
         let files = self.layer.list().change_context(SpoolError::Disk)?;
-        let names = files.iter().filter_map(|name| name.strip_suffix(WHOLE));
+        let names = files
+            .iter()
+            .filter_map(|name| name.strip_suffix(RECORD_SUFFIX));
         Ok(names.map(str::to_owned).collect())
     }
 
@@ -147,7 +152,7 @@
     ///
     /// [`SpoolError::Disk`], [`SpoolError::Damaged`].
     pub fn read(&self, name: &str) -> Result<Vec<u8>, Report<SpoolError>> {
-        let file = format!("{}{WHOLE}", checked(name)?);
+        let file = format!("{}{RECORD_SUFFIX}", validate_name(name)?);
         let file = self.layer.open(&file);
         let file = file.change_context(SpoolError::Disk)?;
         let all = read_all(&*file).change_context(SpoolError::Disk)?;
@@ -160,13 +165,13 @@
         }
     }
 
-    /// Removes a record; one that is not there is no error.
+    /// Removes a record; a missing record is not an error.
     ///
     /// # Errors
     ///
-    /// [`SpoolError::Disk`]; the record may come back after a restart.
+    /// [`SpoolError::Disk`], after which the record may reappear on restart.
     pub fn remove(&self, name: &str) -> Result<(), Report<SpoolError>> {
-        let file = format!("{}{WHOLE}", checked(name)?);
+        let file = format!("{}{RECORD_SUFFIX}", validate_name(name)?);
         match self.layer.remove(&file) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
                 Err(error).change_context(SpoolError::Disk)
@@ -178,7 +183,7 @@
     fn used_bytes(&self) -> Result<u64, Report<SpoolError>> {
         let mut used = 0;
         for name in self.names()? {
-            let file = self.layer.open(&format!("{name}{WHOLE}"));
+            let file = self.layer.open(&format!("{name}{RECORD_SUFFIX}"));
             let length = file.and_then(|file| file.len());
             used += length.change_context(SpoolError::Disk)?;
         }
@@ -192,12 +197,13 @@
     Ok(bytes)
 }
 
-fn checked(name: &str) -> Result<&str, Report<SpoolError>> {
-    let plain = |byte: u8| {
+fn validate_name(name: &str) -> Result<&str, Report<SpoolError>> {
+    let is_allowed = |byte: u8| {
         byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.')
     };
-    let fits = (1..=128).contains(&name.len()) && !name.starts_with('.');
-    match fits && name.bytes().all(plain) {
+    let is_length_valid =
+        (1..=128).contains(&name.len()) && !name.starts_with('.');
+    match is_length_valid && name.bytes().all(is_allowed) {
         true => Ok(name),
         false => Err(Report::new(SpoolError::Name)),
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -10,25 +10,26 @@
     apply::Change,
     group::Group,
     index::{Index, Lookup},
-    put::{BATCH_MAX_BLOBS, BATCH_MAX_BYTES, PutRequest, PutResult},
-    reclaim::Worth,
+    put::{MAX_BATCH_BLOBS, MAX_BATCH_BYTES, PutRequest, PutResult},
+    reclaim::ReclaimThreshold,
     record::Record,
     recover,
     rows::Entry,
-    segment::ReadFault,
+    segment::ReadError,
     writer::Core,
 };
 
-/// Longest blob, in bytes.
+/// Maximum size of a blob, in bytes.
 pub const BLOB_MAX_BYTES: usize = 4 << 20;
 
-/// How often a read looks again for a blob that is being moved.
+/// Lookups per read, since a blob may be moved between the lookup and the
+/// read.
 const READ_ATTEMPTS: usize = 3;
 
-/// Keeps write-once blobs in one folder.
+/// A store of write-once blobs in one folder.
 ///
-/// All calls block on the disk; from async code use `spawn_blocking`. Clones
-/// share one store, whose folder is free again once the last is dropped.
+/// All calls block on disk I/O; use `spawn_blocking` from async code. Clones
+/// share one store; the folder is unlocked when the last clone is dropped.
 ///
 /// # Example
 ///
@@ -71,15 +72,15 @@
 }
 
 impl Store {
-    /// Opens the folder and recovers what it holds.
+    /// Opens the folder and recovers its content.
     ///
-    /// A damaged folder opens too, with what can be read; the report says
-    /// what cannot.
+    /// A damaged folder is opened with whatever is readable; the report lists
+    /// the rest.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Locked`] if another store has the folder, and
-    /// [`StoreError::Folder`] if it cannot be read or written at all.
+    /// [`StoreError::Locked`] if another store uses the folder, and
+    /// [`StoreError::Folder`] if the folder cannot be read or written at all.
     ///
     /// # Example
     ///
@@ -99,7 +100,7 @@
         options: StoreOptions,
     ) -> Result<(Self, OpenReport), Report<StoreError>> {
         let (core, report) = recover::open(options)?;
-        let puts = Group::new(BATCH_MAX_BYTES, BATCH_MAX_BLOBS);
+        let puts = Group::new(MAX_BATCH_BYTES, MAX_BATCH_BLOBS);
         Ok((Self(Arc::new(Shared { core, puts })), report))
     }
 
@@ -107,15 +108,14 @@
         &self.0.core
     }
 
-    /// Stores a blob and returns once it is synced to the disk.
+    /// Stores a blob and returns once it is synced to disk.
     ///
-    /// Puts that wait at the same time share a sync. A repeated put of the
-    /// same bytes is answered after reading and comparing them; if the copy
-    /// on the disk turns out damaged, it is replaced.
+    /// Concurrent puts share a sync. A repeated put of the same content reads
+    /// the stored copy and compares it; a damaged copy is replaced.
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Unknown`] the blob may be stored or not; repeat
+    /// After [`StoreError::Unknown`] the blob may or may not be stored; retry
     /// the put. After any other error this put stored nothing.
     ///
     /// # Example
@@ -137,7 +137,7 @@
         bytes: Bytes,
         crc32: u32,
     ) -> Result<Put, Report<StoreError>> {
-        let request = check(id, bytes, crc32)?;
+        let request = validate(id, bytes, crc32)?;
         let size = request.bytes.len();
         let core = self.core();
         self.0
@@ -146,8 +146,9 @@
             .unwrap_or_else(|| Err(Report::new(StoreError::Unknown)))
     }
 
-    /// Stores several blobs that one caller has at once, with as few syncs
-    /// as their sizes permit, and returns one result for each, in order.
+    /// Stores several blobs with as few syncs as their sizes permit.
+    ///
+    /// Returns one result per blob, in order.
     ///
     /// # Example
     ///
@@ -174,17 +175,18 @@
         let mut batch = Vec::new();
         let mut batch_bytes = 0;
         for (id, bytes, crc32) in blobs {
-            let request = match check(&id, bytes, crc32) {
+            let request = match validate(&id, bytes, crc32) {
                 Ok(request) => request,
                 Err(error) => {
-                    // Results keep the order of the blobs.
+                    // The pending batch is stored first so that the results
+                    // stay in the order of the blobs.
                     results.append(&mut self.put_now(&mut batch));
                     results.push(Err(error));
                     continue;
                 }
             };
             batch_bytes += request.bytes.len();
-            if batch_bytes > BATCH_MAX_BYTES || batch.len() == BATCH_MAX_BLOBS
+            if batch_bytes > MAX_BATCH_BYTES || batch.len() == MAX_BATCH_BLOBS
             {
                 results.append(&mut self.put_now(&mut batch));
                 batch_bytes = request.bytes.len();
@@ -199,12 +201,14 @@
         self.core().put_batch(std::mem::take(batch))
     }
 
-    /// Reads a blob and verifies it; `None` if there is none of that name.
+    /// Reads and verifies a blob; returns `None` if there is no blob with this
+    /// id.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Corrupt`] if the copy is damaged. It is quarantined:
-    /// all reads say the same until it is put again or removed.
+    /// [`StoreError::Corrupt`] if the copy is damaged. The blob is then
+    /// quarantined: all reads return this error until it is put again or
+    /// removed.
     ///
     /// # Example
     ///
@@ -229,22 +233,24 @@
                 Lookup::Quarantined => return Err(corrupt(id)),
                 Lookup::Present(entry) => entry,
             };
-            // The same place twice: the blob was not being moved.
-            if last.is_some_and(|last| last.same_place(&entry)) {
+            // The same position was read twice, so the blob was not being
+            // moved and is damaged.
+            if last.is_some_and(|last| last.is_same_record(&entry)) {
                 self.quarantine(id, entry)?;
                 return Err(corrupt(id));
             }
             last = Some(entry);
             match self.core().segments.read(id, &entry) {
                 Ok(record) => return Ok(Some(blob(record))),
-                Err(ReadFault::Failed(error)) => {
+                Err(ReadError::Failed(error)) => {
                     let report = Report::new(error);
                     return Err(report.change_context(StoreError::Read));
                 }
-                Err(ReadFault::Gone | ReadFault::Damaged) => {}
+                Err(ReadError::Gone | ReadError::Damaged) => {}
             }
         }
-        Err(Report::new(StoreError::Read).attach("the blob keeps moving"))
+        Err(Report::new(StoreError::Read)
+            .attach("the blob was moved during each attempt"))
     }
 
     fn quarantine(
@@ -261,8 +267,8 @@
         self.core().apply(&mut writer, &[change], false)
     }
 
-    /// Lists at most `limit` blobs whose ids begin with a prefix and come
-    /// after an id, in order. Quarantined blobs are not among them.
+    /// Lists at most `limit` blobs whose ids start with `prefix` and sort
+    /// after `after`, in order, excluding quarantined blobs.
     ///
     /// # Errors
     ///
@@ -296,7 +302,8 @@
         Ok(page.into_iter().map(info).collect())
     }
 
-    /// Lists at most `limit` quarantined ids that come after an id.
+    /// Lists at most `limit` quarantined ids that sort after `after`, in
+    /// order.
     ///
     /// # Errors
     ///
@@ -325,7 +332,7 @@
         Ok(page.into_iter().map(|(id, _)| id).collect())
     }
 
-    /// Returns sums over the store.
+    /// Returns totals over the store.
     ///
     /// # Errors
     ///
@@ -355,15 +362,17 @@
         })
     }
 
-    /// Verifies blobs of at least `budget_bytes`, from where the last call
-    /// stopped. The index is verified with them.
+    /// Verifies at least `budget_bytes` of blobs, continuing where the last
+    /// call stopped.
+    ///
+    /// Reading the index for this verifies the index as well.
     ///
-    /// Damaged blobs are quarantined; fetch their other copies and put them
-    /// again. The place is kept over a restart.
+    /// Damaged blobs are quarantined; fetch their replicas from another data
+    /// VM and put them again. The position is kept across restarts.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Read`] if the disk fails otherwise.
+    /// [`StoreError::Read`] if reading fails for another reason than damage.
     ///
     /// # Example
     ///
@@ -386,14 +395,15 @@
         crate::scrub::scrub(self, self.core(), budget_bytes)
     }
 
-    /// Reclaims space of removed blobs until about `budget_bytes` of others
-    /// are copied.
+    /// Reclaims the space of removed blobs until about `budget_bytes` of live
+    /// records have been copied.
     ///
-    /// Files without any blob are deleted without this call.
+    /// Segments that contain no record that must be kept are deleted without
+    /// this call.
     ///
     /// # Errors
     ///
-    /// The blobs stay readable whatever the error is.
+    /// All blobs stay readable after any error.
     ///
     /// # Example
     ///
@@ -412,12 +422,13 @@
         budget_bytes: u64,
     ) -> Result<Reclaimed, Report<StoreError>> {
         let mut writer = self.core().writer();
-        self.core().reclaim(&mut writer, budget_bytes, Worth::Half)
+        self.core()
+            .reclaim(&mut writer, budget_bytes, ReclaimThreshold::Half)
     }
 }
 
-/// Checks what arrived.
-fn check(
+/// Validates the size and checksum of a blob.
+fn validate(
     id: &BlobId,
     bytes: Bytes,
     crc32: u32,
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,4 +1,4 @@
-//! The one writer of the log, and the index that follows it.
+//! The single writer of the log, which also updates the index.
 
 use std::{
     collections::BTreeSet,
@@ -17,41 +17,41 @@
     index::{Index, IndexError},
     layer::LockGuard,
     options::Limits,
-    reclaim::Copying,
+    reclaim::CopyState,
     record::{Kind, Record},
     replay::rebuild_index,
     rows::Entry,
-    segment::{ActiveSegment, AppendFault, SegmentNumber, Segments},
+    segment::{ActiveSegment, AppendError, SegmentNumber, Segments},
 };
 
-/// Records after which the index is made durable, so that a start reads few
-/// of them again also when all are small.
+/// Number of records after which the index is made durable, so that opening a
+/// store of many small blobs replays few of them.
 const CHECKPOINT_RECORDS: usize = 16 << 10;
 
-/// What all clones of a store share.
+/// State shared by all clones of a store.
 pub(crate) struct Core {
     pub(crate) segments: Segments,
     pub(crate) limits: Limits,
     pub(crate) clock: Arc<dyn Clock>,
     index: RwLock<Option<Arc<Index>>>,
     writer: Mutex<Writer>,
-    /// Frees the folder after everything above is closed.
+    /// Unlocks the folder after all fields above are dropped.
     _lock: LockGuard,
 }
 
-/// State of the log's end. Whoever has its lock is the only one who writes.
+/// State of the end of the log. Only the holder of its lock writes to the log.
 pub(crate) struct Writer {
     pub(crate) active: Option<ActiveSegment>,
     pub(crate) next_segment: SegmentNumber,
     pub(crate) next_seq: u64,
-    /// Bytes of all segments.
+    /// Total length of all segments.
     pub(crate) disk_bytes: u64,
     /// Segment that is being copied to reclaim its space.
-    pub(crate) copying: Option<Copying>,
-    /// Segments that could not be read when their space was reclaimed.
+    pub(crate) copying: Option<CopyState>,
+    /// Segments that could not be read when reclaiming their space.
     pub(crate) unreadable: BTreeSet<SegmentNumber>,
-    pub(crate) unsaved_bytes: u64,
-    pub(crate) unsaved_records: usize,
+    pub(crate) nondurable_bytes: u64,
+    pub(crate) nondurable_records: usize,
 }
 
 impl Core {
@@ -89,48 +89,51 @@
         self.index_read().clone()
     }
 
-    /// Uses the index; if it turns out damaged it is built again, once.
+    /// Calls `work` on the index; if the index is damaged, rebuilds it and
+    /// retries once.
     ///
-    /// The caller must not have the writer's lock.
+    /// The caller must not hold the lock of the writer.
     pub(crate) fn with_index<T>(
         &self,
         work: impl Fn(&Index) -> Result<T, Report<IndexError>>,
     ) -> Result<T, Report<StoreError>> {
-        let tried = self.current_index();
-        if let Some(index) = &tried {
+        let attempted = self.current_index();
+        if let Some(index) = &attempted {
             match work(index) {
                 Ok(value) => return Ok(value),
-                Err(error) => log::warn!("index: {error:#}"),
+                Err(error) => log::warn!("the index failed: {error:#}"),
             }
         }
-        let index = self.usable_index(&mut self.writer(), tried)?;
+        let index = self.replace_index(&mut self.writer(), attempted)?;
         work(&index).change_context(StoreError::Read)
     }
 
-    /// Does the same for a caller that has the writer's lock.
+    /// Same as [`Core::with_index`] for a caller that holds the lock of the
+    /// writer.
     pub(crate) fn with_index_locked<T>(
         &self,
         writer: &mut Writer,
         work: impl Fn(&Index) -> Result<T, Report<IndexError>>,
     ) -> Result<T, Report<StoreError>> {
-        let tried = self.current_index();
-        if let Some(index) = &tried {
+        let attempted = self.current_index();
+        if let Some(index) = &attempted {
             match work(index) {
                 Ok(value) => return Ok(value),
-                Err(error) => log::warn!("index: {error:#}"),
+                Err(error) => log::warn!("the index failed: {error:#}"),
             }
         }
-        let index = self.usable_index(writer, tried)?;
+        let index = self.replace_index(writer, attempted)?;
         work(&index).change_context(StoreError::Read)
     }
 
-    /// Returns an index other than the one that failed.
-    fn usable_index(
+    /// Returns an index other than the one that failed, rebuilding it if
+    /// necessary.
+    fn replace_index(
         &self,
         writer: &mut Writer,
         failed: Option<Arc<Index>>,
     ) -> Result<Arc<Index>, Report<StoreError>> {
-        // Another caller may have built it while this one waited.
+        // Another caller may have rebuilt the index while this one waited.
         let current = self.current_index();
         let other = |index: &Arc<Index>| {
             failed
@@ -145,15 +148,15 @@
         let cache_bytes = self.limits.index_cache_bytes;
         let index = rebuild_index(&self.segments, cache_bytes)
             .change_context(StoreError::Read)
-            .attach("building the index again")?;
-        log::warn!("the index was built again from the log");
-        writer.saved();
+            .attach("rebuilding the index")?;
+        log::warn!("the index was rebuilt from the log");
+        writer.mark_durable();
         let index = Arc::new(index);
         *self.index_write() = Some(index.clone());
         Ok(index)
     }
 
-    /// Applies changes that the log need not have.
+    /// Applies changes to the index that are not derived from new log records.
     pub(crate) fn apply(
         &self,
         writer: &mut Writer,
@@ -162,37 +165,37 @@
     ) -> Result<(), Report<StoreError>> {
         self.with_index_locked(writer, |index| index.apply(changes, durable))?;
         if durable {
-            writer.saved();
+            writer.mark_durable();
         }
         Ok(())
     }
 
-    /// Makes the index durable, so that the next start has little to read.
+    /// Makes the index durable, so that the next start has little to replay.
     pub(crate) fn close(&self) {
         let mut writer = self.writer();
-        if writer.unsaved_records == 0 {
+        if writer.nondurable_records == 0 {
             return;
         }
-        // Nothing is lost if this fails: the log has it all.
+        // Nothing is lost if this fails, because the log is complete.
         let Some(index) = self.current_index() else {
             return;
         };
         match index.apply(&[], true) {
-            Ok(()) => writer.saved(),
-            Err(error) => log::warn!("closing the index: {error:#}"),
+            Ok(()) => writer.mark_durable(),
+            Err(error) => log::warn!("cannot sync the index: {error:#}"),
         }
     }
 }
 
 impl Writer {
-    pub(crate) fn saved(&mut self) {
-        self.unsaved_bytes = 0;
-        self.unsaved_records = 0;
+    pub(crate) fn mark_durable(&mut self) {
+        self.nondurable_bytes = 0;
+        self.nondurable_records = 0;
     }
 
-    /// Appends records as one batch, syncs them and tells the index.
+    /// Appends and syncs records as one batch and updates the index.
     ///
-    /// A record whose seq is 0 gets the next one.
+    /// A record with sequence number 0 is assigned the next one.
     pub(crate) fn commit(
         &mut self,
         core: &Core,
@@ -201,8 +204,8 @@
         if records.is_empty() {
             return Ok(());
         }
-        self.number(&mut records);
-        let segment_start = self.ready_segment(core)?;
+        self.assign_sequences(&mut records);
+        let segment_start = self.prepare_segment(core)?;
         let Some(active) = &mut self.active else {
             return Err(Report::new(StoreError::NotDone));
         };
@@ -213,7 +216,7 @@
         let (segment, end) = (active.number, active.end);
         let mut changes = Vec::with_capacity(records.len() + 2);
         for (record, offset) in records.iter().zip(offsets) {
-            changes.push(change_of(record, segment, offset));
+            changes.push(record_change(record, segment, offset));
         }
         changes.push(Change::SegmentBytes {
             segment,
@@ -224,27 +227,28 @@
             offset: end,
             next_seq: self.next_seq,
         });
-        self.tell_index(core, &changes, records.len(), segment_start)
+        self.update_index(core, &changes, records.len(), segment_start)
     }
 
-    fn number(&mut self, records: &mut [Record]) {
-        let batch = self.take_seq();
+    fn assign_sequences(&mut self, records: &mut [Record]) {
+        let batch = self.allocate_seq();
         for record in records {
             record.header.batch = batch;
             if record.header.seq == 0 {
-                record.header.seq = self.take_seq();
+                record.header.seq = self.allocate_seq();
             }
         }
     }
 
-    fn take_seq(&mut self) -> u64 {
+    fn allocate_seq(&mut self) -> u64 {
         let seq = self.next_seq;
         self.next_seq += 1;
         seq
     }
 
-    /// Sees to a segment with room and returns where its next batch starts.
-    fn ready_segment(
+    /// Ensures that the active segment is below its size limit and returns the
+    /// offset of the next batch.
+    fn prepare_segment(
         &mut self,
         core: &Core,
     ) -> Result<u64, Report<StoreError>> {
@@ -260,23 +264,23 @@
                 let context = StoreError::of_write(&error);
                 Report::new(error).change_context(context)
             })
-            .attach("beginning a segment")?;
+            .attach("creating a segment")?;
         self.active = Some(active);
         Ok(0)
     }
 
-    fn append_failed(&mut self, fault: AppendFault) -> Report<StoreError> {
+    fn append_failed(&mut self, fault: AppendError) -> Report<StoreError> {
         let (error, context) = match fault {
-            AppendFault::Undone(error) => {
+            AppendError::RolledBack(error) => {
                 let context = StoreError::of_write(&error);
                 (error, context)
             }
-            AppendFault::UndoneAndFailed(error) => {
+            AppendError::RolledBackUnusable(error) => {
                 self.active = None;
                 let context = StoreError::of_write(&error);
                 (error, context)
             }
-            AppendFault::Unknown(error) => {
+            AppendError::Unknown(error) => {
                 self.active = None;
                 (error, StoreError::Unknown)
             }
@@ -284,7 +288,7 @@
         Report::new(error).change_context(context)
     }
 
-    fn tell_index(
+    fn update_index(
         &mut self,
         core: &Core,
         changes: &[Change],
@@ -297,37 +301,37 @@
             return Ok(());
         };
         let batch_bytes = end - segment_start;
-        self.unsaved_bytes += batch_bytes;
-        self.unsaved_records += records;
-        let durable = self.unsaved_bytes >= core.limits.checkpoint_bytes
-            || self.unsaved_records >= CHECKPOINT_RECORDS;
-        let tried = core.current_index();
-        let told = match &tried {
+        self.nondurable_bytes += batch_bytes;
+        self.nondurable_records += records;
+        let durable = self.nondurable_bytes >= core.limits.checkpoint_bytes
+            || self.nondurable_records >= CHECKPOINT_RECORDS;
+        let attempted = core.current_index();
+        let updated = match &attempted {
             Some(index) => index.apply(changes, durable),
-            None => Err(Report::new(IndexError::Broken)),
+            None => Err(Report::new(IndexError::Damaged)),
         };
-        let Err(error) = told else {
+        let Err(error) = updated else {
             self.disk_bytes += batch_bytes;
             if durable {
-                self.saved();
+                self.mark_durable();
             }
             return Ok(());
         };
-        log::warn!("index: {error:#}");
-        // The batch is in the log, and a new index will have it. Without an
-        // index nobody could read it, so the batch is taken back.
-        match core.usable_index(self, tried) {
+        log::warn!("the index failed: {error:#}");
+        // The batch is in the log, so a rebuilt index will contain it. Without
+        // an index nobody could read it, so the batch is rolled back then.
+        match core.replace_index(self, attempted) {
             Ok(_) => {
                 self.disk_bytes += batch_bytes;
                 Ok(())
             }
             Err(failure) => {
-                Err(self.take_back(failure, number, segment_start))
+                Err(self.roll_back(failure, number, segment_start))
             }
         }
     }
 
-    fn take_back(
+    fn roll_back(
         &mut self,
         failure: Report<StoreError>,
         number: SegmentNumber,
@@ -336,14 +340,14 @@
         let full = failure
             .downcast_ref::<IndexError>()
             .is_some_and(|error| *error == IndexError::Full);
-        let undone = self.active.as_mut().map(|a| a.undo_to(start));
-        match undone {
+        let rolled_back = self.active.as_mut().map(|a| a.truncate_to(start));
+        match rolled_back {
             Some(Ok(())) if full => {
                 failure.change_context(StoreError::DiskFull)
             }
             Some(Ok(())) => failure.change_context(StoreError::NotDone),
             _ => {
-                log::error!("segment {number}: undo failed");
+                log::error!("segment {number}: rollback failed");
                 self.active = None;
                 failure.change_context(StoreError::Unknown)
             }
@@ -351,8 +355,8 @@
     }
 }
 
-/// Returns what a record at a place means for the index.
-pub(crate) fn change_of(
+/// Returns the index update for a record at a position.
+pub(crate) fn record_change(
     record: &Record,
     segment: SegmentNumber,
     offset: u64,
@@ -360,7 +364,7 @@
     header_change(&record.header, segment, offset)
 }
 
-/// Returns what a header at a place means for the index.
+/// Returns the index update for a record with this header at a position.
 pub(crate) fn header_change(
     header: &crate::record::Header,
     segment: SegmentNumber,
@@ -372,7 +376,7 @@
             entry: Entry {
                 seq: header.seq,
                 segment,
-                // Segments are under 4 GiB.
+                // Segments are smaller than 4 GiB.
                 offset: offset as u32,
                 payload_bytes: header.payload_bytes,
                 payload_crc: header.payload_crc,
