--- a/crates/store/tests/basics.rs
+++ b/crates/store/tests/basics.rs
@@ -1,4 +1,4 @@
-//! What a store promises when nothing goes wrong.
+//! Behavior of a store without faults.
 
 mod common;
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn arrivals_are_checked() {
+fn puts_are_validated() {
     let store = open(&SimDisk::new(1));
     let wrong = store.put(&id("a"), "abc".into(), 1).unwrap_err();
     assert_eq!(*wrong.current_context(), StoreError::WrongCrc);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn space_is_reclaimed_and_the_rest_stays() {
+fn space_is_reclaimed_and_other_blobs_are_kept() {
     let disk = SimDisk::new(1);
     let store = open(&disk);
     let body = vec![b'x'; 500];
@@ -142,7 +142,7 @@
     assert!(stat.disk_bytes * 2 < before, "{before} -> {stat:?}");
     assert_eq!(stat.blobs, 25);
     drop(store);
-    // Without the index the removed blobs must not come back either.
+    // The removed blobs must not reappear when the index is rebuilt.
     for kept_index in [true, false] {
         if !kept_index {
             disk.set_content("index.redb", Vec::new());
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn concurrent_puts_of_a_real_folder_are_all_kept() {
+fn concurrent_puts_to_a_real_folder_are_all_stored() {
     let dir = tempfile::tempdir().unwrap();
     let options = StoreOptions::new(dir.path()).segment_bytes(1 << 20);
     let (store, _) = Store::open(options.clone()).unwrap();
@@ -172,7 +172,7 @@
             let store = store.clone();
             scope.spawn(move || {
                 for n in 0..20 {
-                    // Every blob is put by two of the writers.
+                    // Two writers put each blob.
                     let name = format!("{}/{n}", writer / 2);
                     let body = name.repeat(1 + n * 700);
                     put(&store, &name, body.as_bytes()).unwrap();
@@ -194,9 +194,9 @@
     }
 }
 
-/// Symptom: a read fails or finds nothing while space is reclaimed. Sequence:
-/// the reader looks a blob up; its segment is copied and deleted; the reader
-/// opens the file. Cause, if it fails: the reader does not look again.
+/// Guards against reads that fail or find nothing while space is reclaimed. A
+/// reader looks up a blob; its segment is then copied and deleted before the
+/// reader opens the file. The reader must look up the blob again.
 #[test]
 fn blobs_stay_readable_while_they_are_moved() {
     let store = open(&SimDisk::new(1));
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the store's tests.
+//! Helpers for the tests of the store.
 
 // Not every test file uses every helper.
 #![allow(dead_code)]
@@ -8,7 +8,7 @@
     BlobId, OpenReport, Put, Store, StoreError, StoreOptions, sim::SimDisk,
 };
 
-/// Small, so that tests have many segments.
+/// Small, so that tests create many segments.
 pub(crate) const SEGMENT_BYTES: u64 = 4096;
 
 pub(crate) fn id(text: &str) -> BlobId {
@@ -50,19 +50,19 @@
     }
 }
 
-/// Content that follows from the name, so that any mix-up shows.
+/// Content derived from the name, so that mixed-up blobs are detected.
 pub(crate) fn body(name: &str, bytes: usize) -> Vec<u8> {
     let lines = format!("{{\"id\":\"{name}\"}}\n");
     lines.bytes().cycle().take(bytes).collect()
 }
 
-/// Names of the log's files, oldest first.
+/// Returns the names of the segment files, oldest first.
 pub(crate) fn segments(disk: &SimDisk) -> Vec<String> {
     let is_segment = |name: &String| name.ends_with(".log");
     disk.names().into_iter().filter(is_segment).collect()
 }
 
-/// A random sequence that follows from its seed (SplitMix64).
+/// Deterministic pseudorandom sequence (SplitMix64).
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,13 +1,13 @@
 //! Power failures between any two steps.
 //!
-//! Symptom: after a restart an acknowledged blob is missing or wrong, a
-//! removed one is back, or a half-written one is served. Sequence: calls in
-//! random order; the disk dies after a random number of changes, also during
-//! recovery; unsynced writes are lost, torn or kept; sometimes the index is
-//! lost too. Cause, if it fails: something was acknowledged before it was
-//! synced, or recovery took a torn batch for whole.
+//! Guards against missing or wrong acknowledged blobs, removed blobs that
+//! reappear and half-written blobs that are returned after a restart. The
+//! calls are random; the disk fails after a random number of changes, also
+//! during recovery; unsynced writes are lost, torn or kept, and sometimes the
+//! index is lost too. A failure means that something was acknowledged before
+//! it was synced, or that recovery accepted a torn batch.
 //!
-//! `STORE_SEED=n` replays one seed.
+//! `STORE_SEED=n` runs a single seed.
 
 mod common;
 
@@ -19,9 +19,9 @@
 use crate::common::{Random, body, get, id, put, reopen};
 
 const SEEDS: u64 = 400;
-const LIVES: u64 = 5;
+const INCARNATIONS: u64 = 5;
 
-/// What may be stored under one name.
+/// Contents that may be stored under one id; `None` means no blob.
 type Possible = Vec<Option<Vec<u8>>>;
 
 struct Run {
@@ -59,8 +59,8 @@
         possible.or_insert_with(|| vec![None])
     }
 
-    /// Notes what a put may have done, and checks its answer.
-    fn note_put(
+    /// Records the possible effects of a put and checks its result.
+    fn record_put(
         &mut self,
         name: &str,
         content: Vec<u8>,
@@ -101,7 +101,7 @@
         if blobs.len() == 1 {
             for (name, content) in blobs {
                 let result = put(store, &name, &content);
-                self.note_put(&name, content, result);
+                self.record_put(&name, content, result);
             }
             return;
         }
@@ -110,14 +110,14 @@
         }));
         for ((name, content), result) in blobs.into_iter().zip(results) {
             let result = result.map_err(|e| *e.current_context());
-            self.note_put(&name, content, result);
+            self.record_put(&name, content, result);
         }
     }
 
     fn remove_some(&mut self, store: &Store) {
         let name = self.name();
-        let whole = self.random.below(4) > 0;
-        let (names, result) = if !whole {
+        let is_single = self.random.below(4) > 0;
+        let (names, result) = if !is_single {
             let prefix = format!("{}/", &name[..1]);
             let names = self.expected.keys();
             let names = names.filter(|n| n.starts_with(&prefix)).cloned();
@@ -130,19 +130,19 @@
             let possible = self.possible(&name);
             match &result {
                 Ok(()) => *possible = vec![None],
-                Err(error) if whole => {
+                Err(error) if is_single => {
                     if !error.current_context().certainly_not_done() {
                         possible.push(None);
                     }
                 }
-                // A part of the prefix may be removed.
+                // Some of the blobs with the prefix may have been removed.
                 Err(_) => possible.push(None),
             }
         }
     }
 
-    /// Calls the store until the disk dies or enough was done.
-    fn live(&mut self, store: &Store) {
+    /// Calls the store until the disk fails or 40 calls are done.
+    fn call_randomly(&mut self, store: &Store) {
         for _ in 0..40 {
             match self.random.below(20) {
                 0..10 => self.put_some(store),
@@ -162,20 +162,20 @@
         }
     }
 
-    /// Lets a sync fail, fills the disk or makes room again.
+    /// Makes a sync fail, fills the disk or lifts its limit.
     fn disturb(&mut self) {
         match self.random.below(3) {
             0 => self.disk.fail_syncs(1),
             1 => {
-                let room = self.random.below(3_000);
-                let capacity = self.disk.used_bytes() + room;
+                let free_bytes = self.random.below(3_000);
+                let capacity = self.disk.used_bytes() + free_bytes;
                 self.disk.set_capacity_bytes(Some(capacity));
             }
             _ => self.disk.set_capacity_bytes(None),
         }
     }
 
-    /// Starts after a crash; the disk may die again meanwhile.
+    /// Opens the store after a crash; the disk may fail again meanwhile.
     fn recover(&mut self) -> Store {
         while self.random.below(2) == 0 {
             self.disk.die_after(self.random.below(30));
@@ -221,16 +221,16 @@
 
 fn run(seed: u64) {
     let mut run = Run::new(seed);
-    for _ in 0..LIVES {
+    for _ in 0..INCARNATIONS {
         let store = run.recover();
         run.check(&store);
         let changes = run.random.below(150);
         run.disk.die_after(changes);
-        run.live(&store);
+        run.call_randomly(&store);
         if run.random.below(4) == 0 && !run.disk.is_dead() {
             run.check(&store);
         }
-        // The process may end before the power does, or with it.
+        // The process may end before the power failure or with it.
         if run.random.below(2) == 0 {
             drop(store);
             run.disk.crash();
@@ -243,7 +243,7 @@
     run.check(&store);
 }
 
-/// Four parts run side by side.
+/// The seeds are split into four tests that run in parallel.
 #[parameterized(
     first = { 0 },
     second = { 1 },
@@ -260,10 +260,10 @@
     }
 }
 
-/// Symptom: removed blobs come back. Sequence: a segment is deleted; the
-/// crash loses the deletion; the index is lost later. Cause, if it fails:
-/// the start kept a file that the index had dropped, though the removal
-/// records of its blobs may be gone.
+/// Guards against removed blobs that reappear. A segment is deleted, a crash
+/// undoes the deletion, and the index is lost later. Opening the store must
+/// delete a file that the index has dropped, because the removal records of
+/// its blobs may already be gone.
 #[test]
 fn a_deleted_segment_that_a_crash_brings_back_is_deleted_again() {
     let disk = SimDisk::new(1);
@@ -283,10 +283,10 @@
     assert_eq!(get(&store, "b/0"), Ok(Some(body("b/0", 100))));
 }
 
-/// Symptom: one bad blob of the last batch costs the whole batch. Sequence:
-/// a batch is acknowledged; a bit of its first blob flips; the power fails
-/// before the index is durable. Cause, if it fails: what looks like a torn
-/// batch is cut off with the blobs of it that are whole.
+/// Guards against losing a whole batch because of one damaged blob. A batch is
+/// acknowledged, a bit of its first blob flips, and the power fails before the
+/// index is durable. Truncating what looks like a torn batch must keep its
+/// intact blobs.
 #[test]
 fn whole_blobs_of_a_damaged_last_batch_are_kept() {
     let disk = SimDisk::new(1);
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,10 +1,9 @@
-//! Rot: bits that flip and files that lose their ends.
+//! Bit rot: flipped bits and truncated files.
 //!
-//! Symptom: a store serves other bytes than were put, does not start, or
-//! starts without a word although blobs are gone. Sequence: blobs are stored;
-//! a file is altered behind the store's back, while it runs or between two
-//! runs; the blobs are read. Cause, if it fails: something was taken from
-//! the disk without its checksum.
+//! Guards against a store that returns wrong content, does not open, or opens
+//! without reporting that blobs are gone. Blobs are stored, a file is altered
+//! while the store runs or between two runs, and the blobs are read. A failure
+//! means that something was read from disk without verifying its checksum.
 
 mod common;
 
@@ -46,7 +45,7 @@
     disk.set_content(name, content);
 }
 
-/// Returns where a blob's bytes stand in the log.
+/// Returns the segment and offset of a blob's content.
 fn find(disk: &SimDisk, bytes: &[u8]) -> (String, usize) {
     for name in segments(disk) {
         let content = disk.content(&name).expect("a file");
@@ -58,9 +57,9 @@
     panic!("the blob is in no segment");
 }
 
-/// Checks that every blob is right, missing or said to be corrupt, puts the
-/// last two kinds again as the holder of the other copy would, and returns
-/// how many these were.
+/// Checks that every blob is correct, missing or reported as corrupt. Puts
+/// missing and corrupt blobs again, as the owner of the other replica would,
+/// and returns their number.
 fn repair(store: &Store, contents: &Contents) -> usize {
     let mut repaired = 0;
     for (name, content) in contents {
@@ -111,7 +110,7 @@
     assert_eq!(repair(&store, &contents), 0);
 }
 
-/// Every byte of a small log is flipped, one after the other.
+/// Flips a bit in every third byte of a small log, one at a time.
 #[parameterized(
     with_index = { true, false },
     without_index = { false, false },
@@ -143,7 +142,7 @@
         let repaired = repair(&store, &contents);
         assert_eq!(repaired, 1, "byte {at}: {report:?}");
         if !keep_index && !running {
-            // Payloads are verified when they are read.
+            // Payloads are verified only when they are read.
             let whole = report.blobs == 6;
             assert!(whole || report.needs_repair(), "byte {at}: {report:?}");
         }
@@ -158,13 +157,13 @@
     let bad = ["job-0/003", "job-1/022", "job-2/059"];
     for (n, name) in bad.into_iter().enumerate() {
         let (segment, at) = find(&disk, &contents[name]);
-        // Payload, id and header.
+        // Damages the payload, the id and the header, respectively.
         flip(&disk, &segment, at - n * 10, 4);
     }
     let mut found = Vec::new();
     let mut store = Some(store);
     for step in 0.. {
-        // The place is kept over restarts.
+        // The scrub position is kept across restarts.
         if step % 5 == 0 {
             drop(store.take());
         }
@@ -177,11 +176,11 @@
         }
     }
     assert_eq!(found, bad.map(id));
-    let store = open_rest(store);
+    let store = unwrap_open(store);
     assert_eq!(repair(&store, &contents), 3);
 }
 
-fn open_rest(store: Option<Store>) -> Store {
+fn unwrap_open(store: Option<Store>) -> Store {
     store.expect("the store is open")
 }
 
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn a_damaged_index_costs_nothing() {
+fn a_damaged_index_loses_nothing() {
     let disk = SimDisk::new(1);
     let store = open(&disk);
     let contents = fill(&store, 200);
@@ -273,9 +272,9 @@
     assert!(rebuilt > 50, "only {rebuilt} of 150 were noticed");
 }
 
-/// The index rots under a running store, whose cache holds none of it.
+/// The index file is corrupted while the store runs without a page cache.
 #[test]
-fn an_index_that_rots_while_in_use_costs_nothing() {
+fn an_index_damaged_while_in_use_loses_nothing() {
     let mut random = Random(4);
     for round in 0..25 {
         let disk = SimDisk::new(round);
@@ -302,7 +301,7 @@
     noise = { (0..70_000_u32).map(|n| (n.wrapping_mul(n) >> 7) as u8).collect() },
     text = { b"pBr1".repeat(9_000) },
 )]
-fn a_wholly_broken_folder_starts_empty_and_says_so(noise: Vec<u8>) {
+fn a_folder_of_damaged_files_opens_empty_and_is_reported(noise: Vec<u8>) {
     let disk = SimDisk::new(1);
     let store = open(&disk);
     let contents = fill(&store, 60);
@@ -314,7 +313,7 @@
     let (store, report) = reopen(&disk);
     assert_eq!(report.blobs, 0);
     assert!(matches!(report.index, IndexOrigin::Rebuilt { .. }));
-    // The last one may be what a crash left of a first batch.
+    // The last segment may be the torn remainder of a first batch.
     assert_eq!(report.set_aside.len(), count - 1, "{report:?}");
     assert_eq!(report.torn_bytes, noise.len() as u64);
     assert!(report.needs_repair());
@@ -335,9 +334,9 @@
     assert_eq!((report.torn_bytes, report.set_aside), (0, vec![segment]));
 }
 
-/// A blob that looks like the log must not become part of it.
+/// A blob whose content looks like records must not become part of the log.
 #[test]
-fn records_inside_a_blob_are_not_taken_for_the_stores_own() {
+fn records_inside_a_blob_are_not_parsed_as_the_log() {
     let disk = SimDisk::new(1);
     let store = open(&disk);
     put(&store, "victim", b"right").expect("stored");
@@ -357,7 +356,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_refused() {
+fn a_folder_that_cannot_be_created_is_rejected() {
     let dir = tempfile::tempdir().expect("a folder");
     let file = dir.path().join("file");
     std::fs::write(&file, "in the way").expect("written");
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -1,10 +1,10 @@
 //! Quotas, full disks and failing syncs.
 //!
-//! Symptom: a put is refused with "nothing was stored", but the blob is
-//! there later; or an acknowledged blob is gone because another put found
-//! the disk full. Sequence: the disk fills up or a sync fails at some point
-//! of a put. Cause, if it fails: a batch that failed was not undone, or the
-//! index was lost for want of space.
+//! Guards against a rejected put whose blob exists later although the error
+//! said that nothing was stored, and against acknowledged blobs that are lost
+//! because another put found the disk full. The disk fills up or a sync fails
+//! at some point of a put. A failure means that a failed batch was not rolled
+//! back, or that the index was lost for lack of space.
 
 mod common;
 
@@ -32,7 +32,7 @@
     let again = put(&store, &refused, &content);
     assert_eq!(again, Err(StoreError::QuotaExceeded));
     assert!(store.stat().expect("a sum").disk_bytes <= 20_000);
-    // What is there already needs no space.
+    // Blobs that are already stored need no space.
     assert_eq!(put(&store, "a/00", &content), Ok(Put::AlreadySame));
     assert_eq!(get(&store, &refused), Ok(None));
     disk.crash();
@@ -65,8 +65,8 @@
     let quota_bytes = 40_000;
     let store = quota_store(&disk, quota_bytes);
     let content = body("x", 900);
-    // Far more than the quota goes through, while every fourth blob stays
-    // for a while and lies between the others.
+    // Far more bytes than the quota are written in total, while every fourth
+    // blob is kept for a while between the others.
     for n in 0..400 {
         let name = format!("{}/{n:03}", n % 4);
         assert_eq!(put(&store, &name, &content), Ok(Put::Stored), "{name}");
@@ -87,24 +87,24 @@
     assert_eq!(store.list("0/", None, 99).expect("a list").len(), 10);
 }
 
-/// The disk is full after a number of further bytes, one after the other.
+/// Runs with a range of remaining disk capacities.
 #[parameterized(
     small = { 100, 4_400, 61 },
     large = { 9_000, 40_000, 997 },
 )]
 fn a_full_disk_loses_and_doubles_nothing(
     bytes: usize,
-    most_room: usize,
+    max_free_bytes: usize,
     step: usize,
 ) {
-    for room in (0..most_room).step_by(step) {
-        let disk = SimDisk::new(room as u64);
+    for free_bytes in (0..max_free_bytes).step_by(step) {
+        let disk = SimDisk::new(free_bytes as u64);
         let store = open(&disk);
         for n in 0..40 {
             let name = format!("old/{n:02}");
             put(&store, &name, &body(&name, 300)).expect("stored");
         }
-        let capacity = disk.used_bytes() + room as u64;
+        let capacity = disk.used_bytes() + free_bytes as u64;
         disk.set_capacity_bytes(Some(capacity));
         let mut stored = Vec::new();
         let mut refused = Vec::new();
@@ -119,10 +119,14 @@
                 }
             }
         }
-        assert!(!refused.is_empty(), "{room}: the disk never filled up");
-        // With room again the same store goes on, or one after a crash.
+        assert!(
+            !refused.is_empty(),
+            "{free_bytes}: the disk never filled up"
+        );
+        // With free space again, either the same store continues or it is
+        // reopened after a crash.
         disk.set_capacity_bytes(None);
-        let store = if room % 2 == 0 {
+        let store = if free_bytes % 2 == 0 {
             store
         } else {
             disk.crash();
@@ -130,16 +134,20 @@
         };
         for name in &stored {
             let content = Some(body(name, bytes));
-            assert_eq!(get(&store, name), Ok(content), "{room}: {name}");
+            assert_eq!(get(&store, name), Ok(content), "{free_bytes}: {name}");
         }
         for name in &refused {
-            assert_eq!(get(&store, name), Ok(None), "{room}: {name}");
+            assert_eq!(get(&store, name), Ok(None), "{free_bytes}: {name}");
             put(&store, name, &body(name, bytes)).expect("stored");
         }
         for n in 0..40 {
             let name = format!("old/{n:02}");
             let content = Some(body(&name, 300));
-            assert_eq!(get(&store, &name), Ok(content), "{room}: {name}");
+            assert_eq!(
+                get(&store, &name),
+                Ok(content),
+                "{free_bytes}: {name}"
+            );
         }
     }
 }
@@ -151,7 +159,7 @@
     for n in 0..100 {
         put(&store, &format!("a/{n}"), b"x").expect("stored");
     }
-    // Without a clean end the index lags behind and has to grow.
+    // Without a clean shutdown the index is behind the log and has to grow.
     disk.crash();
     drop(store);
     disk.set_capacity_bytes(Some(disk.used_bytes()));
--- a/crates/store/tests/panic.rs
+++ b/crates/store/tests/panic.rs
@@ -1,7 +1,7 @@
-//! A panic while one writer commits for others.
+//! A panic while one writer commits the batch of others.
 //!
-//! Symptom: all later puts hang. Sequence: a writer leads a batch and
-//! panics in it. Cause, if it fails: nobody is told to lead next.
+//! Guards against all later puts hanging after a group commit leader panics,
+//! which happens if no other writer becomes the leader.
 
 mod common;
 
@@ -20,7 +20,7 @@
 
 use crate::common::{get, put};
 
-/// A disk whose next sync panics when told so.
+/// A disk whose next sync panics on request.
 #[derive(Clone, Debug)]
 struct PanickingDisk {
     disk: SimDisk,
--- a/crates/store/tests/property.rs
+++ b/crates/store/tests/property.rs
@@ -1,9 +1,9 @@
-//! Rot anywhere: any flipped byte or shortened file, then one opening.
+//! Property test of bit rot: any altered or truncated file, then one opening.
 //!
-//! Symptom: a store serves other bytes than were put, or does not say that
-//! some are gone. Sequence: blobs are stored, one file is altered while the
-//! store is down, and it opens again. Cause, if it fails: something was
-//! taken from the disk without its checksum.
+//! Guards against a store that returns wrong content or does not report that
+//! blobs are gone. Blobs are stored, one file is altered while the store is
+//! closed, and the store is opened again. A failure means that something was
+//! read from disk without verifying its checksum.
 
 mod common;
 
@@ -12,7 +12,8 @@
 
 use crate::common::{body, get, open, options, put, segments};
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Cases are generated from a fixed seed; `PROPERTY_FACTOR` multiplies their
+/// number.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -24,7 +25,7 @@
     }
 }
 
-/// What happens to a file.
+/// A kind of damage to a file.
 #[derive(Clone, Debug)]
 enum Rot {
     Flip(Index, u8),
@@ -40,7 +41,7 @@
     ]
 }
 
-fn spoil(content: &mut Vec<u8>, rot: &Rot) {
+fn damage(content: &mut Vec<u8>, rot: &Rot) {
     let len = content.len();
     if len == 0 {
         return;
@@ -64,7 +65,7 @@
     (0..24).map(content).collect()
 }
 
-/// Returns a disk with all blobs.
+/// Returns a disk on which all blobs are stored.
 fn filled() -> SimDisk {
     let disk = SimDisk::new(1);
     let store = open(&disk);
@@ -78,7 +79,7 @@
     #![proptest_config(config(400))]
 
     #[test]
-    fn what_is_served_is_right_and_what_is_not_is_said(
+    fn wrong_content_is_never_served_and_loss_is_reported(
         file: Index,
         rots in prop::collection::vec(rot(), 1..3),
         without_index: bool,
@@ -91,13 +92,13 @@
         let name = &names[file.index(names.len())];
         let before = disk.content(name).expect("a file");
         let mut content = before.clone();
-        rots.iter().for_each(|rot| spoil(&mut content, rot));
+        rots.iter().for_each(|rot| damage(&mut content, rot));
         disk.set_content(name, content);
 
         let (store, report) = match Store::open(options(&disk)) {
             Ok(opened) => opened,
             Err(error) => {
-                // It says which of its two reasons it is.
+                // `Folder` is the only error that damage may cause.
                 prop_assert_eq!(*error.current_context(), StoreError::Folder);
                 return Ok(());
             }
@@ -112,11 +113,16 @@
                 Err(error) => prop_assert!(false, "{name}: {error}"),
             }
         }
-        // Without an index, a cut between two records at the end of the
-        // last file looks like a log that was never longer.
-        let unseen = is_last && without_index;
-        let said = report.needs_repair() || report.torn_bytes > 0 || unseen;
-        prop_assert!(lost == 0 || said, "{lost} lost of {name}: {report:?}");
+        // Without an index, a truncation between two records at the end of the
+        // last file is indistinguishable from a log that ended there.
+        let undetectable = is_last && without_index;
+        let reported = report.needs_repair()
+            || report.torn_bytes > 0
+            || undetectable;
+        prop_assert!(
+            lost == 0 || reported,
+            "{lost} lost of {name}: {report:?}"
+        );
         for (name, bytes) in contents() {
             prop_assert!(put(&store, &name, &bytes).is_ok());
             prop_assert_eq!(get(&store, &name), Ok(Some(bytes)));
--- a/crates/store/tests/spool.rs
+++ b/crates/store/tests/spool.rs
@@ -1,14 +1,14 @@
-//! Records that wait on disk, through power failures and faulty disks.
+//! Spooled records under power failures and disk faults.
 
 use pomeloslip_store::{Spool, SpoolError, sim::SimDisk};
 use yare::parameterized;
 
-/// Symptom: work that was acknowledged is gone, or half of it is handed on,
-/// after a power failure. Events: the disk dies between any two steps of
-/// keeping and removing records. Cause: something was acknowledged before
-/// it was synced, or a torn file was taken for whole.
+/// Guards against acknowledged records that are lost or partially returned
+/// after a power failure. The disk fails between any two steps of storing and
+/// removing records. A failure means that something was acknowledged before it
+/// was synced, or that a torn file was accepted.
 #[test]
-fn what_was_kept_is_whole_after_a_power_failure_at_any_step() {
+fn stored_records_survive_a_power_failure_at_any_step() {
     for steps in 0..40 {
         for seed in 0..20 {
             let disk = SimDisk::new(seed);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_damaged_record_is_never_handed_on() {
+fn a_damaged_record_is_never_returned() {
     let disk = SimDisk::new(1);
     let spool = Spool::with_layer(disk.clone(), 1_000);
     spool.keep("a", b"content").expect("kept");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_disk_that_does_not_sync_has_kept_nothing() {
+fn a_failed_sync_is_an_io_error() {
     let disk = SimDisk::new(1);
     let spool = Spool::with_layer(disk.clone(), 500);
     disk.fail_syncs(1);
@@ -75,7 +75,7 @@
     hidden = { ".a" },
     space = { "a b" },
 )]
-fn a_name_that_is_no_file_is_refused(name: &str) {
+fn invalid_names_are_rejected(name: &str) {
     let spool = Spool::with_layer(SimDisk::new(1), 500);
     let error = spool.keep(name, b"x").expect_err("refused");
     assert_eq!(*error.current_context(), SpoolError::Name);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_folder_is_made_and_read_again() {
+fn a_created_folder_can_be_reopened() {
     let dir = tempfile::tempdir().expect("folder");
     let path = dir.path().join("spool");
     Spool::open(&path, 1_000)
