--- a/crates/data/src/error.rs
+++ b/crates/data/src/error.rs
@@ -1,9 +1,9 @@
 use std::fmt;
 
-/// Says why the data role cannot run.
+/// Why the data role or one of its operations failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DataError {
-    /// The settings lack something that this role needs.
+    /// The settings are incomplete or invalid for this role.
     Settings,
     /// The data folder cannot be used.
     Folder,
@@ -11,18 +11,18 @@
     Start,
     /// The store failed.
     Store,
-    /// Another data VM did not do what was asked.
+    /// A request to another data VM failed.
     Peer,
 }
 
 impl fmt::Display for DataError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            DataError::Settings => "the settings do not fit a data VM",
+            DataError::Settings => "the settings are not valid for a data VM",
             DataError::Folder => "the data folder cannot be used",
             DataError::Start => "the data role cannot start",
             DataError::Store => "the store failed",
-            DataError::Peer => "another data VM did not do it",
+            DataError::Peer => "a request to another data VM failed",
         })
     }
 }
--- a/crates/data/src/node.rs
+++ b/crates/data/src/node.rs
@@ -9,10 +9,10 @@
 use wire::{Handlers, LinkOptions, Links, Secrets, Server, message::Identity};
 
 use crate::{
-    DataError,
+    DataError, maintenance,
     repair::Repair,
     role::{DataRole, handler},
-    status, upkeep,
+    status,
 };
 
 /// A running process of the data role.
@@ -24,12 +24,13 @@
 }
 
 impl DataNode {
-    /// Starts the process and returns once it listens.
+    /// Starts the role and returns once it listens.
     ///
     /// # Errors
     ///
-    /// [`DataError::Settings`] without a `data` section, and see
-    /// [`DataRole::open`].
+    /// [`DataError::Settings`] if the settings have no `data` section or their
+    /// peer secrets are invalid, [`DataError::Start`] if a listener cannot be
+    /// started, and the errors of [`DataRole::open`].
     pub async fn start(
         settings: &Settings,
         metrics: Metrics,
@@ -91,11 +92,11 @@
         let tasks = vec![
             tokio::spawn(timer.clone().drive()),
             tokio::spawn(repair.work(timer.clone())),
-            tokio::spawn(upkeep::work(store, timer, days)),
+            tokio::spawn(maintenance::run(store, timer, days)),
         ];
         log::info!(
             peer = peer.address().to_string().as_str();
-            "the data role is up"
+            "the data role has started"
         );
         Ok(Self {
             state,
@@ -105,7 +106,7 @@
         })
     }
 
-    /// Returns the address for other processes.
+    /// Returns the address for requests of other processes.
     #[inline]
     pub fn peer_address(&self) -> SocketAddr {
         self.peer.address()
@@ -117,7 +118,7 @@
         self.http.address()
     }
 
-    /// Stops as planned. What was acknowledged is on disk already.
+    /// Shuts down gracefully. All acknowledged blobs are already on disk.
     pub async fn drain(self) {
         self.state.set(Phase::Draining);
         for task in &self.tasks {
--- a/crates/data/src/repair.rs
+++ b/crates/data/src/repair.rs
@@ -1,12 +1,13 @@
-//! Keeps a second copy of each blob in another failure domain.
+//! Keeps a second replica of each blob in another failure domain.
 //!
-//! When a data VM is lost, the blobs that it held have one copy left. The
-//! holder of that copy notices, because it compares its list page by page
-//! with the data VM that should hold the other one, and copies what is
-//! missing. A damaged blob is fetched back in the same way.
+//! When a data VM is lost, one replica remains of each blob that it held. The
+//! data VM with that replica detects this by comparing its list of blobs page
+//! by page with the data VM that should hold the other replica, and copies the
+//! missing blobs. Damaged blobs are restored from the other replica in the
+//! same cycle.
 //!
-//! Rejected: a registry of copies in the key-value service, which would cost
-//! a write for each blob and could itself be wrong about a disk.
+//! Rejected: a registry of replicas in the key-value service. It would cost a
+//! write per blob and could itself disagree with the content of a disk.
 
 use base::{FailureDomain, VmId, stable_hash, timer::Timer};
 use conf::settings::DataVm;
@@ -17,52 +18,52 @@
 
 use crate::DataError;
 
-/// Ids compared in one step.
+/// Number of ids compared in one step.
 const PAGE_IDS: usize = 256;
 
-/// Pause between steps while nothing is missing, in milliseconds. With pages
-/// of 256 ids of about 40 bytes this is 10 KB a second.
-const PAUSE_MS: u64 = 1_000;
+/// Pause between steps that copy nothing, in milliseconds. With pages of 256
+/// ids of about 40 bytes this is 10 KB per second.
+const IDLE_PAUSE_MS: u64 = 1_000;
 
-/// Pause after a step that failed, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 5_000;
+/// Pause after a failed step, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 5_000;
 
-/// What one step did.
+/// Result of one repair step.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Step {
-    /// Blobs that were compared.
+    /// Number of blobs that were compared.
     pub compared: usize,
-    /// Blobs that were copied to another data VM.
+    /// Number of blobs that were copied to other data VMs.
     pub copied: usize,
-    /// Damaged blobs that were fetched back.
+    /// Number of damaged blobs that were restored from another data VM.
     pub restored: usize,
-    /// Set when the last blob was reached; the next step starts over.
+    /// Whether the last blob was reached; the next step starts over.
     pub complete: bool,
 }
 
-/// Compares and copies.
+/// Repairs the replicas of the blobs in one store.
 pub struct Repair {
     store: Store,
     links: Links,
-    here: FailureDomain,
+    failure_domain: FailureDomain,
     vm: VmId,
     peers: Vec<DataVm>,
     after: Option<BlobId>,
 }
 
 impl Repair {
-    /// Makes the repair of the store on `vm`, which lies in `here`.
+    /// Creates the repair of the store on `vm`, which is in `failure_domain`.
     pub fn new(
         store: Store,
         links: Links,
         vm: VmId,
-        here: FailureDomain,
+        failure_domain: FailureDomain,
         peers: Vec<DataVm>,
     ) -> Self {
         Self {
             store,
             links,
-            here,
+            failure_domain,
             vm,
             peers,
             after: None,
@@ -83,32 +84,33 @@
                     log::info!(copied, restored; "blobs repaired");
                     0
                 }
-                Ok(_) => PAUSE_MS,
+                Ok(_) => IDLE_PAUSE_MS,
                 Err(report) => {
-                    log::warn!(error:? = report; "cannot repair");
-                    FAILED_PAUSE_MS
+                    log::warn!(error:? = report; "repair step failed");
+                    RETRY_PAUSE_MS
                 }
             };
             timer.subscribe_in_ms(pause_ms).await;
         }
     }
 
-    /// Compares one page and repairs what it finds.
+    /// Restores damaged blobs, then compares one page of blobs and copies the
+    /// missing replicas.
     ///
     /// # Errors
     ///
-    /// [`DataError::Store`] if the own disk fails, [`DataError::Peer`] if a
-    /// data VM does not answer; the next step tries the same page again.
+    /// [`DataError::Store`] if the local store fails, [`DataError::Peer`] if a
+    /// request to a data VM fails; the next step retries the same page.
     pub async fn step(&mut self) -> Result<Step, Report<DataError>> {
         let restored = self.restore_damaged().await?;
-        let page = self.own_page().await?;
+        let page = self.local_page().await?;
         let mut copied = 0;
         for peer in self.peers.clone() {
-            let due: Vec<&BlobId> = page
+            let local_ids: Vec<&BlobId> = page
                 .iter()
-                .filter(|id| self.second_home(id) == Some(&peer.vm))
+                .filter(|id| self.replica_target(id) == Some(&peer.vm))
                 .collect();
-            copied += self.copy_missing(&peer, &due).await?;
+            copied += self.copy_missing(&peer, &local_ids).await?;
         }
         let complete = page.len() < PAGE_IDS;
         self.after = if complete { None } else { page.last().cloned() };
@@ -120,38 +122,41 @@
         })
     }
 
-    /// Returns the data VM that should hold the other copy of an own blob:
-    /// the first of another failure domain in the order in which entries
+    /// Returns the data VM that should hold the other replica of a local blob:
+    /// the first one in another failure domain, in the order in which entries
     /// place blobs.
-    fn second_home(&self, id: &BlobId) -> Option<&VmId> {
+    fn replica_target(&self, id: &BlobId) -> Option<&VmId> {
         let others = self.peers.iter().filter(|peer| {
-            peer.failure_domain != self.here && peer.vm != self.vm
+            peer.failure_domain != self.failure_domain && peer.vm != self.vm
         });
         others
             .min_by_key(|peer| stable_hash(&[id.as_str(), peer.vm.as_str()]))
             .map(|peer| &peer.vm)
     }
 
-    async fn own_page(&self) -> Result<Vec<BlobId>, Report<DataError>> {
+    async fn local_page(&self) -> Result<Vec<BlobId>, Report<DataError>> {
         let store = self.store.clone();
         let after = self.after.clone();
         let list = move || store.list("", after.as_ref(), PAGE_IDS);
-        let page = on_disk(list).await?;
+        let page = run_blocking(list).await?;
         Ok(page.into_iter().map(|blob| blob.id).collect())
     }
 
     async fn copy_missing(
         &self,
         peer: &DataVm,
-        due: &[&BlobId],
+        local_ids: &[&BlobId],
     ) -> Result<usize, Report<DataError>> {
-        let (Some(first), Some(last)) = (due.first(), due.last()) else {
+        let (Some(first), Some(last)) = (local_ids.first(), local_ids.last())
+        else {
             return Ok(0);
         };
-        let theirs = self.listed(peer, first, last).await?;
-        let missing = due.iter().filter(|id| {
-            theirs
-                .binary_search_by(|their| their.as_str().cmp(id.as_str()))
+        let remote_ids = self.list_remote(peer, first, last).await?;
+        let missing = local_ids.iter().filter(|id| {
+            remote_ids
+                .binary_search_by(|remote_id| {
+                    remote_id.as_str().cmp(id.as_str())
+                })
                 .is_err()
         });
         let mut copied = 0;
@@ -162,14 +167,14 @@
     }
 
     /// Lists a peer's ids from `first` to `last`, both included.
-    async fn listed(
+    async fn list_remote(
         &self,
         peer: &DataVm,
         first: &BlobId,
         last: &BlobId,
     ) -> Result<Vec<String>, Report<DataError>> {
         let mut all: Vec<String> = Vec::new();
-        let mut after = before(first);
+        let mut after = listing_start(first);
         loop {
             let limit = PAGE_IDS as u32;
             let page = self
@@ -194,9 +199,11 @@
         id: &BlobId,
     ) -> Result<bool, Report<DataError>> {
         let store = self.store.clone();
-        let own = id.clone();
-        // Removed or found damaged since it was listed: nothing to copy.
-        let Some(blob) = on_disk(move || store.get(&own)).await? else {
+        let blob_id = id.clone();
+        // The blob was removed since it was listed, so there is nothing to
+        // copy.
+        let Some(blob) = run_blocking(move || store.get(&blob_id)).await?
+        else {
             return Ok(false);
         };
         let blob = StoredBlob {
@@ -211,11 +218,11 @@
         Ok(true)
     }
 
-    /// Fetches damaged blobs back from whoever has them whole.
+    /// Restores damaged blobs from peers that have an intact replica.
     async fn restore_damaged(&self) -> Result<usize, Report<DataError>> {
         let store = self.store.clone();
         let damaged =
-            on_disk(move || store.quarantined(None, PAGE_IDS)).await?;
+            run_blocking(move || store.quarantined(None, PAGE_IDS)).await?;
         let mut restored = 0;
         for id in damaged {
             restored += usize::from(self.restore(&id).await?);
@@ -226,27 +233,28 @@
     async fn restore(&self, id: &BlobId) -> Result<bool, Report<DataError>> {
         for peer in &self.peers {
             let read = self.links.get_blob(peer.address, id.to_string());
-            // A peer that is down or whose copy is damaged too is no reason
-            // to give up; the next may have it.
+            // If a peer is down or its replica is damaged too, the next peer
+            // may still have an intact one.
             let Ok(Some(blob)) = read.await else { continue };
             let store = self.store.clone();
-            let own = id.clone();
-            on_disk(move || store.put(&own, blob.bytes, blob.crc)).await?;
+            let blob_id = id.clone();
+            run_blocking(move || store.put(&blob_id, blob.bytes, blob.crc))
+                .await?;
             return Ok(true);
         }
-        log::error!(blob = id.as_str(); "no whole copy is left");
+        log::error!(blob = id.as_str(); "no intact replica is left");
         Ok(false)
     }
 }
 
-/// Returns a text that sorts before an id and after all shorter ones that
-/// matter: listing is exclusive, and the id itself must be in the list.
-fn before(id: &BlobId) -> String {
+/// Returns a string that sorts before an id, for a listing that starts after
+/// this string and must include the id.
+fn listing_start(id: &BlobId) -> String {
     let text = id.as_str();
     text[..text.len() - 1].trim_end_matches('/').to_owned()
 }
 
-async fn on_disk<T: Send + 'static>(
+async fn run_blocking<T: Send + 'static>(
     work: impl FnOnce() -> Result<T, Report<store::StoreError>> + Send + 'static,
 ) -> Result<T, Report<DataError>> {
     spawn_blocking(work)
--- a/crates/data/src/role.rs
+++ b/crates/data/src/role.rs
@@ -12,25 +12,26 @@
 
 use crate::DataError;
 
-/// Answers other processes from a store on disk.
+/// Serves data requests of other processes from a store on disk.
 #[derive(Clone)]
 pub struct DataRole {
     store: Store,
 }
 
 impl DataRole {
-    /// Opens the data folder and says in the log what was found damaged.
+    /// Opens the data folder and logs any damage that is found.
     ///
     /// # Errors
     ///
-    /// [`DataError::Folder`] if another process has it or it is no folder.
+    /// [`DataError::Folder`] if another process uses the folder or it cannot
+    /// be read or written.
     pub fn open(settings: &DataSettings) -> Result<Self, Report<DataError>> {
         let options = StoreOptions::new(&settings.folder)
             .quota_bytes(settings.quota_bytes);
         let (store, report) =
             Store::open(options).change_context(DataError::Folder)?;
         if report.needs_repair() {
-            log::warn!(report:?; "parts of the data folder are damaged");
+            log::warn!(report:?; "the data folder is damaged");
         }
         Ok(Self { store })
     }
@@ -42,8 +43,8 @@
     }
 }
 
-/// Disk work blocks, so it has threads of its own.
-async fn on_disk<T: Send + 'static>(
+/// Runs blocking disk I/O on a separate thread.
+async fn run_blocking<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, Refusal> {
     spawn_blocking(work)
@@ -51,13 +52,13 @@
         .map_err(|error| Refusal::new(RefusalKind::Failed, error.to_string()))
 }
 
-fn parse(id: &str) -> Result<BlobId, Refusal> {
+fn parse_id(id: &str) -> Result<BlobId, Refusal> {
     id.parse().map_err(|error: store::BlobIdError| {
         Refusal::new(RefusalKind::Invalid, error.to_string())
     })
 }
 
-fn refuse(report: Report<StoreError>) -> Refusal {
+fn to_refusal(report: Report<StoreError>) -> Refusal {
     let kind = match report.current_context() {
         StoreError::QuotaExceeded | StoreError::DiskFull => {
             RefusalKind::NoSpace
@@ -68,7 +69,7 @@
         StoreError::TooLarge | StoreError::WrongCrc => RefusalKind::Invalid,
         _ => RefusalKind::Failed,
     };
-    log::warn!(error:? = report; "the store refuses");
+    log::warn!(error:? = report; "the store rejects a request");
     Refusal::new(kind, report.to_string())
 }
 
@@ -80,9 +81,9 @@
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let store = self.store.clone();
         async move {
-            let id = parse(&id)?;
+            let id = parse_id(&id)?;
             let put = move || store.put(&id, blob.bytes, blob.crc);
-            on_disk(put).await?.map(|_| ()).map_err(refuse)
+            run_blocking(put).await?.map(|_| ()).map_err(to_refusal)
         }
         .boxed()
     }
@@ -93,9 +94,10 @@
     ) -> BoxFuture<'static, Result<Option<StoredBlob>, Refusal>> {
         let store = self.store.clone();
         async move {
-            let id = parse(&id)?;
-            let found =
-                on_disk(move || store.get(&id)).await?.map_err(refuse)?;
+            let id = parse_id(&id)?;
+            let found = run_blocking(move || store.get(&id))
+                .await?
+                .map_err(to_refusal)?;
             Ok(found.map(|blob| StoredBlob {
                 crc: blob.crc32,
                 bytes: blob.bytes,
@@ -107,8 +109,10 @@
     fn remove(&self, id: String) -> BoxFuture<'static, ()> {
         let store = self.store.clone();
         async move {
-            let Ok(id) = parse(&id) else { return };
-            if let Ok(Err(report)) = on_disk(move || store.remove(&id)).await {
+            let Ok(id) = parse_id(&id) else { return };
+            if let Ok(Err(report)) =
+                run_blocking(move || store.remove(&id)).await
+            {
                 log::warn!(error:? = report; "cannot remove a blob");
             }
         }
@@ -118,7 +122,7 @@
     fn stat(&self) -> BoxFuture<'static, StoreStat> {
         let store = self.store.clone();
         async move {
-            let stat = on_disk(move || store.stat()).await;
+            let stat = run_blocking(move || store.stat()).await;
             let Ok(Ok(stat)) = stat else {
                 return StoreStat::default();
             };
@@ -138,8 +142,8 @@
     ) -> BoxFuture<'static, Vec<String>> {
         let store = self.store.clone();
         async move {
-            let after = parse(&after).ok();
-            let listed = on_disk(move || {
+            let after = parse_id(&after).ok();
+            let listed = run_blocking(move || {
                 store.list("", after.as_ref(), limit as usize)
             });
             let Ok(Ok(blobs)) = listed.await else {
@@ -151,7 +155,7 @@
     }
 }
 
-/// Wraps a role for a server.
+/// Wraps a role as a handler for a server.
 pub(crate) fn handler(role: &DataRole) -> Arc<dyn DataHandler> {
     Arc::new(role.clone())
 }
--- a/crates/data/tests/repair.rs
+++ b/crates/data/tests/repair.rs
@@ -1,4 +1,4 @@
-//! A lost or damaged copy is made again from the other one.
+//! Lost and damaged replicas are restored from the other one.
 
 #![allow(clippy::unwrap_used)]
 
@@ -16,7 +16,7 @@
     role: DataRole,
     server: Server,
     vm: DataVm,
-    _folder: tempfile::TempDir,
+    folder: tempfile::TempDir,
 }
 
 fn identity(vm: &str) -> Identity {
@@ -48,7 +48,7 @@
         role,
         server,
         vm,
-        _folder: folder,
+        folder,
     }
 }
 
@@ -77,9 +77,9 @@
     found.map(|blob| blob.bytes)
 }
 
-/// Symptom: a result cannot be read though it was acknowledged. Sequence: a
-/// data VM is lost and comes back empty; later the other one is lost too.
-/// Cause: nobody made the first copy again.
+/// Guards against acknowledged results that become unreadable: a data VM is
+/// lost and replaced by an empty one, and later the other one is lost too. The
+/// missing replicas must be copied in between.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_data_vm_that_comes_back_empty_is_filled_again() {
     let whole = node("data-1", "tallinn-a").await;
@@ -103,25 +103,27 @@
     assert_eq!(again.copied, 0);
 }
 
-/// Symptom: two data VMs in one failure domain hold both copies. Sequence:
-/// one of three is lost; the copy goes to the neighbour in the same domain.
-/// Cause: the domain was not looked at.
+/// Guards against both replicas in one failure domain: one of three data VMs
+/// is lost, and the new replica must not go to the peer in the same domain.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_second_copy_goes_to_another_failure_domain() {
     let here = node("data-1", "tallinn-a").await;
-    let neighbour = node("data-2", "tallinn-a").await;
+    let same_domain_peer = node("data-2", "tallinn-a").await;
     let other = node("data-3", "saue").await;
     for at in 0..40 {
         put(&here, &format!("in/{at}"), "an input");
     }
-    let step = repair(&here, &[&neighbour, &other]).step().await.unwrap();
+    let step = repair(&here, &[&same_domain_peer, &other])
+        .step()
+        .await
+        .unwrap();
     assert_eq!(step.copied, 40);
-    assert_eq!(neighbour.role.store().stat().unwrap().blobs, 0);
+    assert_eq!(same_domain_peer.role.store().stat().unwrap().blobs, 0);
     assert_eq!(other.role.store().stat().unwrap().blobs, 40);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_peer_that_is_down_is_told_and_tried_again() {
+async fn an_unreachable_peer_is_reported_and_retried() {
     let here = node("data-1", "tallinn-a").await;
     let other = node("data-2", "maardu").await;
     put(&here, "in/0", "an input");
@@ -130,10 +132,9 @@
     assert!(repair.step().await.is_err());
 }
 
-/// Symptom: a result reads back with other bytes. Sequence: a bit flips on
-/// the disk of one data VM; a reader asks that VM. Cause: the damage would
-/// go unnoticed without a checksum at each read, and stay without a fetch
-/// of the other copy.
+/// Guards against results that are read with wrong content after a bit flip on
+/// one data VM. Each read must detect the damage by its checksum, and the
+/// repair must fetch the other replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_damaged_copy_is_fetched_back() {
     const TEXT: &str = "a result that is easy to find on a disk";
@@ -141,7 +142,7 @@
     let other = node("data-2", "maardu").await;
     put(&here, "out/0", TEXT);
     put(&other, "out/0", TEXT);
-    assert!(flip(here._folder.path(), TEXT.as_bytes()) > 0);
+    assert!(flip(here.folder.path(), TEXT.as_bytes()) > 0);
     let read = here.role.store().get(&"out/0".parse().unwrap());
     assert!(read.is_err());
     let step = repair(&here, &[&other]).step().await.unwrap();
@@ -149,7 +150,8 @@
     assert_eq!(text(&here, "out/0").unwrap(), TEXT);
 }
 
-/// Flips a bit wherever the text stands in a file below the folder.
+/// Flips a bit of the first occurrence of the text in each file below the
+/// folder.
 fn flip(folder: &std::path::Path, text: &[u8]) -> usize {
     let mut flipped = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
