--- a/crates/data/src/role.rs
+++ b/crates/data/src/role.rs
@@ -63,10 +63,10 @@
         StoreError::QuotaExceeded | StoreError::DiskFull => {
             RefusalKind::NoSpace
         }
-        StoreError::OtherContent | StoreError::Corrupt => {
+        StoreError::ContentMismatch | StoreError::Corrupt => {
             RefusalKind::Conflict
         }
-        StoreError::TooLarge | StoreError::WrongCrc => RefusalKind::Invalid,
+        StoreError::TooLarge | StoreError::CrcMismatch => RefusalKind::Invalid,
         _ => RefusalKind::Failed,
     };
     log::warn!(error:? = report; "the store rejects a request");
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -11,28 +11,28 @@
     /// The blob exceeds the maximum size of a blob; nothing was stored.
     TooLarge,
     /// The bytes do not match the given checksum; nothing was stored.
-    WrongCrc,
+    CrcMismatch,
     /// A blob with this id and different content exists and is kept; nothing
     /// was stored.
-    OtherContent,
+    ContentMismatch,
     /// The put would exceed the quota of the store; nothing was stored.
     QuotaExceeded,
     /// The disk is full; nothing was stored.
     DiskFull,
     /// An I/O error occurred; nothing was stored or removed.
-    NotDone,
+    NotApplied,
     /// An I/O error occurred and the call may have taken effect. Retrying it
     /// is safe: a put of the same content is idempotent.
-    Unknown,
+    OutcomeUnknown,
     /// The copy on this disk is damaged. It is never returned; fetch the
     /// replica from another data VM and put it again.
     Corrupt,
     /// Reading failed for a reason that does not indicate damage; the blob may
     /// be intact.
-    Read,
+    ReadFailed,
     /// The prefix does not end with `/`, so it would also match ids that only
     /// start with the same text, such as `job-10` for `job-1`.
-    BadPrefix,
+    InvalidPrefix,
 }
 
 impl StoreError {
@@ -44,20 +44,20 @@
     /// ```
     /// use pomeloslip_store::StoreError;
     ///
-    /// assert!(StoreError::QuotaExceeded.certainly_not_done());
-    /// assert!(!StoreError::Unknown.certainly_not_done());
+    /// assert!(StoreError::QuotaExceeded.is_not_applied());
+    /// assert!(!StoreError::OutcomeUnknown.is_not_applied());
     /// ```
     #[inline]
-    pub fn certainly_not_done(self) -> bool {
-        self != StoreError::Unknown
+    pub fn is_not_applied(self) -> bool {
+        self != StoreError::OutcomeUnknown
     }
 
     /// Classifies the error of a write that was rolled back.
-    pub(crate) fn of_write(error: &io::Error) -> Self {
+    pub(crate) fn from_write_error(error: &io::Error) -> Self {
         if is_full(error) {
             StoreError::DiskFull
         } else {
-            StoreError::NotDone
+            StoreError::NotApplied
         }
     }
 }
@@ -76,17 +76,19 @@
             StoreError::Locked => "the data folder is locked by another store",
             StoreError::Folder => "the data folder cannot be used",
             StoreError::TooLarge => "the blob is too large",
-            StoreError::WrongCrc => "the bytes do not match their checksum",
-            StoreError::OtherContent => {
+            StoreError::CrcMismatch => "the bytes do not match their checksum",
+            StoreError::ContentMismatch => {
                 "a blob with this id and other content exists"
             }
             StoreError::QuotaExceeded => "the store has reached its quota",
             StoreError::DiskFull => "the disk is full",
-            StoreError::NotDone => "I/O error; the call had no effect",
-            StoreError::Unknown => "I/O error; the call may have taken effect",
+            StoreError::NotApplied => "I/O error; the call had no effect",
+            StoreError::OutcomeUnknown => {
+                "I/O error; the call may have taken effect"
+            }
             StoreError::Corrupt => "the copy on this disk is damaged",
-            StoreError::Read => "the blob could not be read",
-            StoreError::BadPrefix => "the prefix does not end with '/'",
+            StoreError::ReadFailed => "the blob could not be read",
+            StoreError::InvalidPrefix => "the prefix does not end with '/'",
         })
     }
 }
--- a/crates/store/src/put.rs
+++ b/crates/store/src/put.rs
@@ -86,7 +86,7 @@
         let ids: Vec<&BlobId> = requests.iter().map(|r| &r.id).collect();
         let found = self
             .with_index_locked(writer, |index| index.lookup(&ids))
-            .change_context(StoreError::NotDone)?;
+            .change_context(StoreError::NotApplied)?;
         let mut plans: Vec<PutPlan> = Vec::with_capacity(requests.len());
         let mut planned: BTreeMap<&BlobId, &PutRequest> = BTreeMap::new();
         let mut batch_bytes = 0;
@@ -141,7 +141,7 @@
             }
             Ok(_) => Some(Err(content_conflict(request))),
             Err(ReadError::Failed(error)) => Some(Err(
-                Report::new(error).change_context(StoreError::NotDone)
+                Report::new(error).change_context(StoreError::NotApplied)
             )),
             Err(_) => {
                 log::error!("blob {} is damaged", request.id);
@@ -184,7 +184,7 @@
 }
 
 fn content_conflict(request: &PutRequest) -> Report<StoreError> {
-    Report::new(StoreError::OtherContent).attach(request.id.to_string())
+    Report::new(StoreError::ContentMismatch).attach(request.id.to_string())
 }
 
 fn fail_all(error: &Report<StoreError>, count: usize) -> Vec<PutResult> {
--- a/crates/store/src/reclaim.rs
+++ b/crates/store/src/reclaim.rs
@@ -220,17 +220,18 @@
             Ok(opened) => opened,
             Err(ReadError::Failed(error)) => {
                 return Err(
-                    Report::new(error).change_context(StoreError::NotDone)
+                    Report::new(error).change_context(StoreError::NotApplied)
                 );
             }
             Err(_) => return Ok(true),
         };
-        let len = file.len().change_context(StoreError::NotDone)?;
+        let len = file.len().change_context(StoreError::NotApplied)?;
         let mut scanner =
             Scanner::new(file.as_ref(), salt, copying.offset, len);
         let mut bytes = 0;
         while bytes < COPY_BATCH_BYTES {
-            let next = scanner.next().change_context(StoreError::NotDone)?;
+            let next =
+                scanner.next().change_context(StoreError::NotApplied)?;
             let Some(item) = next else {
                 return Ok(true);
             };
@@ -274,7 +275,7 @@
         match self.segments.read(&id, &entry) {
             Ok(record) => Ok(Some(record)),
             Err(ReadError::Failed(error)) => {
-                Err(Report::new(error).change_context(StoreError::NotDone))
+                Err(Report::new(error).change_context(StoreError::NotApplied))
             }
             Err(_) => {
                 log::error!("blob {id} is damaged");
@@ -307,7 +308,7 @@
         writer.disk_bytes = writer.disk_bytes.saturating_sub(stat.file_bytes);
         self.segments
             .delete(segment)
-            .change_context(StoreError::NotDone)?;
+            .change_context(StoreError::NotApplied)?;
         Ok(stat.file_bytes)
     }
 
--- a/crates/store/src/remove.rs
+++ b/crates/store/src/remove.rs
@@ -17,7 +17,7 @@
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Unknown`] the blob may or may not be removed.
+    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be removed.
     ///
     /// # Example
     ///
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::BadPrefix`] if the prefix does not end with `/`: `job-1`
+    /// [`StoreError::InvalidPrefix`] if the prefix does not end with `/`: `job-1`
     /// would also remove `job-10`.
     ///
     /// # Example
@@ -65,7 +65,7 @@
         prefix: &str,
     ) -> Result<Removed, Report<StoreError>> {
         if !prefix.ends_with('/') {
-            return Err(Report::new(StoreError::BadPrefix));
+            return Err(Report::new(StoreError::InvalidPrefix));
         }
         self.remove_where(prefix, |_| true)
     }
@@ -168,7 +168,7 @@
         let wanted: Vec<&BlobId> = ids.iter().collect();
         let found = core
             .with_index_locked(writer, |index| index.lookup(&wanted))
-            .change_context(StoreError::NotDone)?;
+            .change_context(StoreError::NotApplied)?;
         let stored_at = core.clock.unix();
         let mut records = Vec::new();
         for (id, found) in ids.iter().zip(found) {
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -186,7 +186,7 @@
     /// The batch was rolled back, but the segment must not be used any more.
     RolledBackUnusable(io::Error),
     /// The rollback failed: parts of the batch may reappear after a restart.
-    Unknown(io::Error),
+    OutcomeUnknown(io::Error),
 }
 
 /// The segment to which batches are appended.
@@ -226,7 +226,7 @@
     /// # Errors
     ///
     /// The batch is rolled back unless the rollback fails too
-    /// ([`AppendError::Unknown`]).
+    /// ([`AppendError::OutcomeUnknown`]).
     pub(crate) fn append(
         &mut self,
         records: &[Record],
@@ -247,7 +247,7 @@
                 "segment {}: rollback failed: {rollback_error}",
                 self.number
             );
-            return Err(AppendError::Unknown(error));
+            return Err(AppendError::OutcomeUnknown(error));
         }
         // After a failed sync the operating system may mark pages as clean
         // that never reached the disk, so nothing more is written to this
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Unknown`] the blob may or may not be stored; retry
+    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be stored; retry
     /// the put. After any other error this put stored nothing.
     ///
     /// # Example
@@ -127,7 +127,7 @@
     /// # let (store, _) = Store::open(options)?;
     /// let id = "job-1/in/0".parse()?;
     /// let error = store.put(&id, "abc".into(), 7).unwrap_err();
-    /// assert_eq!(*error.current_context(), StoreError::WrongCrc);
+    /// assert_eq!(*error.current_context(), StoreError::CrcMismatch);
     /// # Ok(())
     /// # }
     /// ```
@@ -143,7 +143,7 @@
         self.0
             .puts
             .run(request, size, |batch| core.put_batch(batch))
-            .unwrap_or_else(|| Err(Report::new(StoreError::Unknown)))
+            .unwrap_or_else(|| Err(Report::new(StoreError::OutcomeUnknown)))
     }
 
     /// Stores several blobs with as few syncs as their sizes permit.
@@ -244,12 +244,12 @@
                 Ok(record) => return Ok(Some(blob(record))),
                 Err(ReadError::Failed(error)) => {
                     let report = Report::new(error);
-                    return Err(report.change_context(StoreError::Read));
+                    return Err(report.change_context(StoreError::ReadFailed));
                 }
                 Err(ReadError::Gone | ReadError::Damaged) => {}
             }
         }
-        Err(Report::new(StoreError::Read)
+        Err(Report::new(StoreError::ReadFailed)
             .attach("the blob was moved during each attempt"))
     }
 
@@ -272,7 +272,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Read`] if the index cannot be read.
+    /// [`StoreError::ReadFailed`] if the index cannot be read.
     ///
     /// # Example
     ///
@@ -307,7 +307,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Read`] if the index cannot be read.
+    /// [`StoreError::ReadFailed`] if the index cannot be read.
     ///
     /// # Example
     ///
@@ -336,7 +336,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Read`] if the index cannot be read.
+    /// [`StoreError::ReadFailed`] if the index cannot be read.
     ///
     /// # Example
     ///
@@ -372,7 +372,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Read`] if reading fails for another reason than damage.
+    /// [`StoreError::ReadFailed`] if reading fails for another reason than damage.
     ///
     /// # Example
     ///
@@ -438,7 +438,7 @@
         return Err(Report::new(StoreError::TooLarge).attach(size));
     }
     if crc32fast::hash(&bytes) != crc32 {
-        return Err(Report::new(StoreError::WrongCrc));
+        return Err(Report::new(StoreError::CrcMismatch));
     }
     Ok(PutRequest {
         id: id.clone(),
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -105,7 +105,7 @@
             }
         }
         let index = self.replace_index(&mut self.writer(), attempted)?;
-        work(&index).change_context(StoreError::Read)
+        work(&index).change_context(StoreError::ReadFailed)
     }
 
     /// Same as [`Core::with_index`] for a caller that holds the lock of the
@@ -123,7 +123,7 @@
             }
         }
         let index = self.replace_index(writer, attempted)?;
-        work(&index).change_context(StoreError::Read)
+        work(&index).change_context(StoreError::ReadFailed)
     }
 
     /// Returns an index other than the one that failed, rebuilding it if
@@ -147,7 +147,7 @@
         *self.index_write() = None;
         let cache_bytes = self.limits.index_cache_bytes;
         let index = rebuild_index(&self.segments, cache_bytes)
-            .change_context(StoreError::Read)
+            .change_context(StoreError::ReadFailed)
             .attach("rebuilding the index")?;
         log::warn!("the index was rebuilt from the log");
         writer.mark_durable();
@@ -207,7 +207,7 @@
         self.assign_sequences(&mut records);
         let segment_start = self.prepare_segment(core)?;
         let Some(active) = &mut self.active else {
-            return Err(Report::new(StoreError::NotDone));
+            return Err(Report::new(StoreError::NotApplied));
         };
         let offsets = match active.append(&records) {
             Ok(offsets) => offsets,
@@ -261,7 +261,7 @@
         self.next_segment += 1;
         let active = ActiveSegment::create(&core.segments, number)
             .map_err(|error| {
-                let context = StoreError::of_write(&error);
+                let context = StoreError::from_write_error(&error);
                 Report::new(error).change_context(context)
             })
             .attach("creating a segment")?;
@@ -272,17 +272,17 @@
     fn append_failed(&mut self, fault: AppendError) -> Report<StoreError> {
         let (error, context) = match fault {
             AppendError::RolledBack(error) => {
-                let context = StoreError::of_write(&error);
+                let context = StoreError::from_write_error(&error);
                 (error, context)
             }
             AppendError::RolledBackUnusable(error) => {
                 self.active = None;
-                let context = StoreError::of_write(&error);
+                let context = StoreError::from_write_error(&error);
                 (error, context)
             }
-            AppendError::Unknown(error) => {
+            AppendError::OutcomeUnknown(error) => {
                 self.active = None;
-                (error, StoreError::Unknown)
+                (error, StoreError::OutcomeUnknown)
             }
         };
         Report::new(error).change_context(context)
@@ -345,11 +345,11 @@
             Some(Ok(())) if full => {
                 failure.change_context(StoreError::DiskFull)
             }
-            Some(Ok(())) => failure.change_context(StoreError::NotDone),
+            Some(Ok(())) => failure.change_context(StoreError::NotApplied),
             _ => {
                 log::error!("segment {number}: rollback failed");
                 self.active = None;
-                failure.change_context(StoreError::Unknown)
+                failure.change_context(StoreError::OutcomeUnknown)
             }
         }
     }
--- a/crates/store/tests/basics.rs
+++ b/crates/store/tests/basics.rs
@@ -45,7 +45,7 @@
     assert_eq!(put(&store, "a", b"one"), Ok(Put::Stored));
     assert_eq!(put(&store, "a", b"one"), Ok(Put::AlreadySame));
     let other = put(&store, "a", b"two");
-    assert_eq!(other, Err(StoreError::OtherContent));
+    assert_eq!(other, Err(StoreError::ContentMismatch));
     assert_eq!(get(&store, "a").unwrap().unwrap(), b"one");
     assert_eq!(get(&store, "b"), Ok(None));
 }
@@ -54,7 +54,7 @@
 fn puts_are_validated() {
     let store = open(&SimDisk::new(1));
     let wrong = store.put(&id("a"), "abc".into(), 1).unwrap_err();
-    assert_eq!(*wrong.current_context(), StoreError::WrongCrc);
+    assert_eq!(*wrong.current_context(), StoreError::CrcMismatch);
     let large = vec![7; BLOB_MAX_BYTES + 1];
     assert_eq!(put(&store, "a", &large), Err(StoreError::TooLarge));
     assert_eq!(store.stat().unwrap().blobs, 0);
@@ -105,7 +105,7 @@
     assert_eq!((removed.blobs, removed.bytes), (3, 9));
     assert_eq!(names("", None, 9), ["a-/1", "b/1"]);
     let bad = store.remove_prefix("a").unwrap_err();
-    assert_eq!(*bad.current_context(), StoreError::BadPrefix);
+    assert_eq!(*bad.current_context(), StoreError::InvalidPrefix);
 }
 
 #[test]
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -77,16 +77,16 @@
                 assert!(possible.contains(&new), "{name} is not the same");
                 *possible = vec![new];
             }
-            Err(StoreError::OtherContent) => {
+            Err(StoreError::ContentMismatch) => {
                 possible.retain(|old| old.is_some() && *old != new);
                 assert!(!possible.is_empty(), "{name} has no other content");
             }
-            Err(StoreError::Unknown) => {
+            Err(StoreError::OutcomeUnknown) => {
                 if possible.contains(&None) && !possible.contains(&new) {
                     possible.push(new);
                 }
             }
-            Err(error) => assert!(error.certainly_not_done()),
+            Err(error) => assert!(error.is_not_applied()),
         }
     }
 
@@ -131,7 +131,7 @@
             match &result {
                 Ok(()) => *possible = vec![None],
                 Err(error) if is_single => {
-                    if !error.current_context().certainly_not_done() {
+                    if !error.current_context().is_not_applied() {
                         possible.push(None);
                     }
                 }
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -114,7 +114,10 @@
                 Ok(_) => stored.push(name),
                 Err(error) => {
                     let full = error == StoreError::DiskFull;
-                    assert!(full || error == StoreError::NotDone, "{error}");
+                    assert!(
+                        full || error == StoreError::NotApplied,
+                        "{error}"
+                    );
                     refused.push(name);
                 }
             }
@@ -175,11 +178,11 @@
     put(&store, "first", b"1").expect("stored");
     disk.fail_syncs(1);
     let failed = put(&store, "second", b"2");
-    assert_eq!(failed, Err(StoreError::NotDone));
+    assert_eq!(failed, Err(StoreError::NotApplied));
     assert_eq!(get(&store, "second"), Ok(None));
     disk.fail_syncs(2);
     let unknown = put(&store, "second", b"2");
-    assert_eq!(unknown, Err(StoreError::Unknown));
+    assert_eq!(unknown, Err(StoreError::OutcomeUnknown));
     assert_eq!(put(&store, "second", b"2"), Ok(Put::Stored));
     disk.crash();
     let store = open(&disk);
