--- a/crates/store/src/id.rs
+++ b/crates/store/src/id.rs
@@ -13,7 +13,7 @@
     /// The string has this many bytes, which exceeds the limit.
     TooLong(usize),
     /// The string has a character that is not allowed in ids.
-    Character(char),
+    InvalidCharacter(char),
     /// The string has two consecutive dots.
     DoubleDot,
 }
@@ -29,7 +29,7 @@
                 "a blob id of {bytes} bytes exceeds the limit of \
                  {MAX_ID_BYTES}"
             ),
-            BlobIdError::Character(found) => write!(
+            BlobIdError::InvalidCharacter(found) => write!(
                 f,
                 "a blob id may contain only letters, digits and . _ - /, not \
                  {found:?}"
@@ -80,7 +80,7 @@
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || "._-/".contains(c);
     if let Some(found) = text.chars().find(|c| !allowed(*c)) {
-        return Err(BlobIdError::Character(found));
+        return Err(BlobIdError::InvalidCharacter(found));
     }
     if text.split('/').any(str::is_empty) {
         return Err(BlobIdError::EmptySegment);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -47,5 +47,5 @@
         Removed, ScrubReport, StoreStat,
     },
     spool::{Spool, SpoolError},
-    store::{BLOB_MAX_BYTES, Store},
+    store::{MAX_BLOB_BYTES, Store},
 };
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use crc32fast::Hasher;
 
-use crate::{BlobId, id::MAX_ID_BYTES, store::BLOB_MAX_BYTES};
+use crate::{BlobId, id::MAX_ID_BYTES, store::MAX_BLOB_BYTES};
 
 /// Magic number at the start of each record.
 pub(crate) const MAGIC: [u8; 4] = *b"pBr1";
@@ -119,7 +119,7 @@
             batch: u64_at(fields, 24)?,
             stored_at: UnixMillis::new(u64_at(fields, 32)?),
         };
-        let is_valid = header.payload_bytes as usize <= BLOB_MAX_BYTES;
+        let is_valid = header.payload_bytes as usize <= MAX_BLOB_BYTES;
         is_valid.then_some(header)
     }
 }
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -17,7 +17,7 @@
     record::{Header, Kind, MAX_HEADER_BYTES, Record},
     scan::{Item, Scanner},
     segment::{SegmentNumber, Segments},
-    store::BLOB_MAX_BYTES,
+    store::MAX_BLOB_BYTES,
     writer::header_change,
 };
 
@@ -27,7 +27,7 @@
 /// Maximum length of a torn batch, since a crash can tear only one; a longer
 /// invalid region is damage.
 const MAX_TORN_BYTES: u64 =
-    (MAX_BATCH_BYTES + BLOB_MAX_BYTES + MAX_HEADER_BYTES) as u64;
+    (MAX_BATCH_BYTES + MAX_BLOB_BYTES + MAX_HEADER_BYTES) as u64;
 
 /// Why the log is replayed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -20,7 +20,7 @@
 };
 
 /// Maximum size of a blob, in bytes.
-pub const BLOB_MAX_BYTES: usize = 4 << 20;
+pub const MAX_BLOB_BYTES: usize = 4 << 20;
 
 /// Lookups per read, since a blob may be moved between the lookup and the
 /// read.
@@ -433,7 +433,7 @@
     bytes: Bytes,
     crc32: u32,
 ) -> Result<PutRequest, Report<StoreError>> {
-    if bytes.len() > BLOB_MAX_BYTES {
+    if bytes.len() > MAX_BLOB_BYTES {
         let size = format!("{} bytes", bytes.len());
         return Err(Report::new(StoreError::TooLarge).attach(size));
     }
--- a/crates/store/tests/basics.rs
+++ b/crates/store/tests/basics.rs
@@ -12,7 +12,7 @@
 
 use base::{SteppedClock, UnixMillis};
 use pomeloslip_store::{
-    BLOB_MAX_BYTES, BlobId, BlobIdError, IndexOrigin, Put, Store, StoreError,
+    BlobId, BlobIdError, IndexOrigin, MAX_BLOB_BYTES, Put, Store, StoreError,
     StoreOptions, sim::SimDisk,
 };
 use yare::parameterized;
@@ -24,9 +24,9 @@
     leading = { "/a", BlobIdError::EmptySegment },
     trailing = { "a/", BlobIdError::EmptySegment },
     parent = { "a/../b", BlobIdError::DoubleDot },
-    space = { "a b", BlobIdError::Character(' ') },
-    nul = { "a\0", BlobIdError::Character('\0') },
-    letter = { "ä", BlobIdError::Character('ä') },
+    space = { "a b", BlobIdError::InvalidCharacter(' ') },
+    nul = { "a\0", BlobIdError::InvalidCharacter('\0') },
+    letter = { "ä", BlobIdError::InvalidCharacter('ä') },
 )]
 fn bad_ids_are_refused(text: &str, error: BlobIdError) {
     assert_eq!(text.parse::<BlobId>(), Err(error));
@@ -55,7 +55,7 @@
     let store = open(&SimDisk::new(1));
     let wrong = store.put(&id("a"), "abc".into(), 1).unwrap_err();
     assert_eq!(*wrong.current_context(), StoreError::CrcMismatch);
-    let large = vec![7; BLOB_MAX_BYTES + 1];
+    let large = vec![7; MAX_BLOB_BYTES + 1];
     assert_eq!(put(&store, "a", &large), Err(StoreError::TooLarge));
     assert_eq!(store.stat().unwrap().blobs, 0);
     assert_eq!(put(&store, "a", &large[1..]), Ok(Put::Stored));
