--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -43,8 +43,8 @@
     layer::{FileLayer, LayerFile, LockGuard},
     options::StoreOptions,
     report::{
-        Blob, BlobInfo, Damage, IndexOrigin, OpenReport, Put, Reclaimed,
-        Removed, ScrubReport, StoreStat,
+        Blob, BlobInfo, Damage, IndexOrigin, OpenReport, PutOutcome,
+        Reclaimed, Removed, ScrubReport, StoreStat,
     },
     spool::{Spool, SpoolError},
     store::{MAX_BLOB_BYTES, Store},
--- a/crates/store/src/put.rs
+++ b/crates/store/src/put.rs
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 
 use crate::{
-    BlobId, Put, StoreError,
+    BlobId, PutOutcome, StoreError,
     index::Lookup,
     record::{Header, Kind, Record},
     rows::Entry,
@@ -27,7 +27,7 @@
     pub(crate) crc32: u32,
 }
 
-pub(crate) type PutResult = Result<Put, Report<StoreError>>;
+pub(crate) type PutResult = Result<PutOutcome, Report<StoreError>>;
 
 /// How a request of the batch is handled.
 enum PutPlan {
@@ -66,8 +66,8 @@
             .map(|(plan, request)| match (plan, &outcome) {
                 (PutPlan::Resolved(result), _) => result,
                 (_, Err(error)) => Err(duplicate_report(error)),
-                (PutPlan::Write, Ok(())) => Ok(Put::Stored),
-                (PutPlan::Duplicate, Ok(())) => Ok(Put::AlreadySame),
+                (PutPlan::Write, Ok(())) => Ok(PutOutcome::Stored),
+                (PutPlan::Duplicate, Ok(())) => Ok(PutOutcome::AlreadySame),
                 (PutPlan::Conflict, Ok(())) => Err(content_conflict(request)),
             })
             .collect()
@@ -137,7 +137,7 @@
     ) -> Option<PutResult> {
         match self.segments.read(&request.id, &entry) {
             Ok(record) if record.payload == request.bytes => {
-                Some(Ok(Put::AlreadySame))
+                Some(Ok(PutOutcome::AlreadySame))
             }
             Ok(_) => Some(Err(content_conflict(request))),
             Err(ReadError::Failed(error)) => Some(Err(
--- a/crates/store/src/report.rs
+++ b/crates/store/src/report.rs
@@ -9,7 +9,7 @@
 /// Result of a successful put.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Put {
+pub enum PutOutcome {
     /// The blob was written: it is new or replaces a damaged copy.
     Stored,
     /// The same content was already stored; it was read back and compared.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -5,7 +5,7 @@
 use error_stack::Report;
 
 use crate::{
-    Blob, BlobId, BlobInfo, OpenReport, Put, Reclaimed, ScrubReport,
+    Blob, BlobId, BlobInfo, OpenReport, PutOutcome, Reclaimed, ScrubReport,
     StoreError, StoreOptions, StoreStat,
     apply::Change,
     group::Group,
@@ -35,7 +35,7 @@
 ///
 /// ```
 /// use bytes::Bytes;
-/// use pomeloslip_store::{Put, Store, StoreOptions, sim::SimDisk};
+/// use pomeloslip_store::{PutOutcome, Store, StoreOptions, sim::SimDisk};
 ///
 /// # fn main() -> Result<(), Box<dyn std::error::Error>> {
 /// let options = StoreOptions::with_layer(SimDisk::new(1));
@@ -45,8 +45,8 @@
 /// let id = "job-1/in/0".parse()?;
 /// let lines = Bytes::from_static(b"{}\n");
 /// let crc32 = crc32fast::hash(&lines);
-/// assert_eq!(store.put(&id, lines.clone(), crc32)?, Put::Stored);
-/// assert_eq!(store.put(&id, lines.clone(), crc32)?, Put::AlreadySame);
+/// assert_eq!(store.put(&id, lines.clone(), crc32)?, PutOutcome::Stored);
+/// assert_eq!(store.put(&id, lines.clone(), crc32)?, PutOutcome::AlreadySame);
 /// assert_eq!(store.get(&id)?.map(|blob| blob.bytes), Some(lines));
 /// # Ok(())
 /// # }
@@ -121,7 +121,9 @@
     /// # Example
     ///
     /// ```
-    /// # use pomeloslip_store::{Store, StoreError, StoreOptions, sim::SimDisk};
+    /// # use pomeloslip_store::{
+    /// #     Store, StoreError, StoreOptions, sim::SimDisk,
+    /// # };
     /// # fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let options = StoreOptions::with_layer(SimDisk::new(1));
     /// # let (store, _) = Store::open(options)?;
@@ -136,7 +138,7 @@
         id: &BlobId,
         bytes: Bytes,
         crc32: u32,
-    ) -> Result<Put, Report<StoreError>> {
+    ) -> Result<PutOutcome, Report<StoreError>> {
         let request = validate(id, bytes, crc32)?;
         let size = request.bytes.len();
         let core = self.core();
@@ -153,7 +155,9 @@
     /// # Example
     ///
     /// ```
-    /// # use pomeloslip_store::{Put, Store, StoreOptions, sim::SimDisk};
+    /// # use pomeloslip_store::{
+    /// #     PutOutcome, Store, StoreOptions, sim::SimDisk,
+    /// # };
     /// # fn main() -> Result<(), Box<dyn std::error::Error>> {
     /// # let options = StoreOptions::with_layer(SimDisk::new(1));
     /// # let (store, _) = Store::open(options)?;
@@ -162,7 +166,7 @@
     ///     ("job-1/in/1".parse()?, "wrong crc".into(), 0),
     /// ];
     /// let results = store.put_all(blobs);
-    /// assert!(matches!(results[0], Ok(Put::Stored)));
+    /// assert!(matches!(results[0], Ok(PutOutcome::Stored)));
     /// assert!(results[1].is_err());
     /// # Ok(())
     /// # }
@@ -170,7 +174,7 @@
     pub fn put_all(
         &self,
         blobs: impl IntoIterator<Item = (BlobId, Bytes, u32)>,
-    ) -> Vec<Result<Put, Report<StoreError>>> {
+    ) -> Vec<Result<PutOutcome, Report<StoreError>>> {
         let mut results = Vec::new();
         let mut batch = Vec::new();
         let mut batch_bytes = 0;
--- a/crates/store/tests/basics.rs
+++ b/crates/store/tests/basics.rs
@@ -12,8 +12,8 @@
 
 use base::{SteppedClock, UnixMillis};
 use pomeloslip_store::{
-    BlobId, BlobIdError, IndexOrigin, MAX_BLOB_BYTES, Put, Store, StoreError,
-    StoreOptions, sim::SimDisk,
+    BlobId, BlobIdError, IndexOrigin, MAX_BLOB_BYTES, PutOutcome, Store,
+    StoreError, StoreOptions, sim::SimDisk,
 };
 use yare::parameterized;
 
@@ -42,8 +42,8 @@
 #[test]
 fn puts_are_idempotent_and_write_once() {
     let store = open(&SimDisk::new(1));
-    assert_eq!(put(&store, "a", b"one"), Ok(Put::Stored));
-    assert_eq!(put(&store, "a", b"one"), Ok(Put::AlreadySame));
+    assert_eq!(put(&store, "a", b"one"), Ok(PutOutcome::Stored));
+    assert_eq!(put(&store, "a", b"one"), Ok(PutOutcome::AlreadySame));
     let other = put(&store, "a", b"two");
     assert_eq!(other, Err(StoreError::ContentMismatch));
     assert_eq!(get(&store, "a").unwrap().unwrap(), b"one");
@@ -58,7 +58,7 @@
     let large = vec![7; MAX_BLOB_BYTES + 1];
     assert_eq!(put(&store, "a", &large), Err(StoreError::TooLarge));
     assert_eq!(store.stat().unwrap().blobs, 0);
-    assert_eq!(put(&store, "a", &large[1..]), Ok(Put::Stored));
+    assert_eq!(put(&store, "a", &large[1..]), Ok(PutOutcome::Stored));
     assert_eq!(get(&store, "a").unwrap().unwrap(), &large[1..]);
 }
 
@@ -121,7 +121,7 @@
     assert_eq!(store.remove_older_than(now, 500).unwrap().blobs, 1);
     assert_eq!(get(&store, "old"), Ok(None));
     assert_eq!(get(&store, "new").unwrap().unwrap(), b"2");
-    assert_eq!(put(&store, "old", b"other"), Ok(Put::Stored));
+    assert_eq!(put(&store, "old", b"other"), Ok(PutOutcome::Stored));
     assert_eq!(get(&store, "old").unwrap().unwrap(), b"other");
 }
 
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -5,7 +5,8 @@
 
 use bytes::Bytes;
 use pomeloslip_store::{
-    BlobId, OpenReport, Put, Store, StoreError, StoreOptions, sim::SimDisk,
+    BlobId, OpenReport, PutOutcome, Store, StoreError, StoreOptions,
+    sim::SimDisk,
 };
 
 /// Small, so that tests create many segments.
@@ -33,7 +34,7 @@
     store: &Store,
     name: &str,
     bytes: &[u8],
-) -> Result<Put, StoreError> {
+) -> Result<PutOutcome, StoreError> {
     let crc32 = crc32fast::hash(bytes);
     store
         .put(&id(name), Bytes::copy_from_slice(bytes), crc32)
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -13,7 +13,9 @@
 
 use std::collections::BTreeMap;
 
-use pomeloslip_store::{FileLayer, Put, Store, StoreError, sim::SimDisk};
+use pomeloslip_store::{
+    FileLayer, PutOutcome, Store, StoreError, sim::SimDisk,
+};
 use yare::parameterized;
 
 use crate::common::{Random, body, get, id, put, reopen};
@@ -64,16 +66,16 @@
         &mut self,
         name: &str,
         content: Vec<u8>,
-        result: Result<Put, StoreError>,
+        result: Result<PutOutcome, StoreError>,
     ) {
         let possible = self.possible(name);
         let new = Some(content);
         match result {
-            Ok(Put::Stored) => {
+            Ok(PutOutcome::Stored) => {
                 assert!(possible.contains(&None), "{name} stored twice");
                 *possible = vec![new];
             }
-            Ok(Put::AlreadySame) => {
+            Ok(PutOutcome::AlreadySame) => {
                 assert!(possible.contains(&new), "{name} is not the same");
                 *possible = vec![new];
             }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use pomeloslip_store::{
-    IndexOrigin, Put, Store, StoreError, StoreOptions, sim::SimDisk,
+    IndexOrigin, PutOutcome, Store, StoreError, StoreOptions, sim::SimDisk,
 };
 use yare::parameterized;
 
@@ -67,7 +67,7 @@
             Ok(Some(found)) => assert_eq!(found, *content, "{name}"),
             Ok(None) | Err(StoreError::Corrupt) => {
                 repaired += 1;
-                assert_eq!(put(store, name, content), Ok(Put::Stored));
+                assert_eq!(put(store, name, content), Ok(PutOutcome::Stored));
             }
             Err(error) => panic!("{name}: {error}"),
         }
@@ -106,7 +106,7 @@
     let (segment, at) = find(&disk, &contents["job-1/001"]);
     flip(&disk, &segment, at, 0x80);
     let again = put(&store, "job-1/001", &contents["job-1/001"]);
-    assert_eq!(again, Ok(Put::Stored));
+    assert_eq!(again, Ok(PutOutcome::Stored));
     assert_eq!(repair(&store, &contents), 0);
 }
 
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -8,7 +8,7 @@
 
 mod common;
 
-use pomeloslip_store::{Put, Store, StoreError, sim::SimDisk};
+use pomeloslip_store::{PutOutcome, Store, StoreError, sim::SimDisk};
 use yare::parameterized;
 
 use crate::common::{body, get, id, open, options, put, reopen};
@@ -33,7 +33,7 @@
     assert_eq!(again, Err(StoreError::QuotaExceeded));
     assert!(store.stat().expect("a sum").disk_bytes <= 20_000);
     // Blobs that are already stored need no space.
-    assert_eq!(put(&store, "a/00", &content), Ok(Put::AlreadySame));
+    assert_eq!(put(&store, "a/00", &content), Ok(PutOutcome::AlreadySame));
     assert_eq!(get(&store, &refused), Ok(None));
     disk.crash();
     let (store, report) = reopen(&disk);
@@ -54,9 +54,9 @@
         .map(|result| result.map_err(|e| *e.current_context()))
         .collect();
     let full = Err(StoreError::QuotaExceeded);
-    let expected = [Ok(Put::Stored), Ok(Put::Stored), full];
+    let expected = [Ok(PutOutcome::Stored), Ok(PutOutcome::Stored), full];
     assert_eq!(results[..3], expected);
-    assert_eq!(results[3], Ok(Put::AlreadySame));
+    assert_eq!(results[3], Ok(PutOutcome::AlreadySame));
 }
 
 #[test]
@@ -69,7 +69,11 @@
     // blob is kept for a while between the others.
     for n in 0..400 {
         let name = format!("{}/{n:03}", n % 4);
-        assert_eq!(put(&store, &name, &content), Ok(Put::Stored), "{name}");
+        assert_eq!(
+            put(&store, &name, &content),
+            Ok(PutOutcome::Stored),
+            "{name}"
+        );
         if n >= 4 {
             let old = n - if n % 4 == 0 { 40 } else { 4 };
             if old >= 0 {
@@ -183,7 +187,7 @@
     disk.fail_syncs(2);
     let unknown = put(&store, "second", b"2");
     assert_eq!(unknown, Err(StoreError::OutcomeUnknown));
-    assert_eq!(put(&store, "second", b"2"), Ok(Put::Stored));
+    assert_eq!(put(&store, "second", b"2"), Ok(PutOutcome::Stored));
     disk.crash();
     let store = open(&disk);
     assert_eq!(get(&store, "first"), Ok(Some(b"1".to_vec())));
--- a/crates/store/tests/panic.rs
+++ b/crates/store/tests/panic.rs
@@ -15,7 +15,8 @@
 };
 
 use pomeloslip_store::{
-    FileLayer, LayerFile, LockGuard, Put, Store, StoreOptions, sim::SimDisk,
+    FileLayer, LayerFile, LockGuard, PutOutcome, Store, StoreOptions,
+    sim::SimDisk,
 };
 
 use crate::common::{get, put};
@@ -101,12 +102,12 @@
     };
     let options = StoreOptions::with_layer(disk.clone());
     let (store, _) = Store::open(options.clone()).expect("opens");
-    assert_eq!(put(&store, "a", b"1"), Ok(Put::Stored));
+    assert_eq!(put(&store, "a", b"1"), Ok(PutOutcome::Stored));
     disk.panics.store(true, Ordering::Relaxed);
     let panicked = catch_unwind(AssertUnwindSafe(|| put(&store, "b", b"2")));
     assert!(panicked.is_err());
     assert_eq!(get(&store, "b"), Ok(None));
-    assert_eq!(put(&store, "b", b"2"), Ok(Put::Stored));
+    assert_eq!(put(&store, "b", b"2"), Ok(PutOutcome::Stored));
     drop(store);
     disk.disk.crash();
     let (store, report) = Store::open(options).expect("opens");
--- a/crates/store/tests/property.rs
+++ b/crates/store/tests/property.rs
@@ -7,7 +7,7 @@
 
 mod common;
 
-use pomeloslip_store::{Put, Store, StoreError, sim::SimDisk};
+use pomeloslip_store::{PutOutcome, Store, StoreError, sim::SimDisk};
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 
 use crate::common::{body, get, open, options, put, segments};
@@ -70,7 +70,7 @@
     let disk = SimDisk::new(1);
     let store = open(&disk);
     for (name, bytes) in contents() {
-        assert_eq!(put(&store, &name, &bytes), Ok(Put::Stored));
+        assert_eq!(put(&store, &name, &bytes), Ok(PutOutcome::Stored));
     }
     disk
 }
