--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -329,19 +329,19 @@
         }
         let (spool, key) = (self.spool.clone(), job.key.clone());
         let kept =
-            task::spawn_blocking(move || spool.keep(key.as_str(), &bytes));
+            task::spawn_blocking(move || spool.put(key.as_str(), &bytes));
         let error = match kept.await {
             Ok(Ok(())) => {
                 self.note_kept(&job);
                 return StatusCode::OK;
             }
             Ok(Err(report)) => *report.current_context(),
-            Err(_) => SpoolError::Disk,
+            Err(_) => SpoolError::Io,
         };
         log::warn!(request_id = job.key.as_str(), error:%;
             "a job is not kept on disk");
         match error {
-            SpoolError::Full | SpoolError::Name => {
+            SpoolError::Full | SpoolError::InvalidName => {
                 StatusCode::PAYLOAD_TOO_LARGE
             }
             _ => StatusCode::INTERNAL_SERVER_ERROR,
--- a/crates/node/tests/spool.rs
+++ b/crates/node/tests/spool.rs
@@ -278,7 +278,7 @@
     let disk = tempfile::tempdir().expect("a folder");
     Spool::open(disk.path(), 1_000_000)
         .and_then(|spool| {
-            spool.keep("job-1", &encode_new_job(&job).expect("encoded"))
+            spool.put("job-1", &encode_new_job(&job).expect("encoded"))
         })
         .expect("kept");
     let path = disk.path();
@@ -329,7 +329,7 @@
     furnish(&kv, &engine).await;
     let disk = tempfile::tempdir().expect("a folder");
     let spool = Spool::open(disk.path(), 1_000_000).expect("opened");
-    spool.keep("job-0", b"of another version").expect("kept");
+    spool.put("job-0", b"of another version").expect("kept");
     fs::write(disk.path().join("job-1.rec"), b"torn").expect("written");
     let front = start(&kv, "front-1", false).await;
     let path = disk.path();
--- a/crates/store/src/spool.rs
+++ b/crates/store/src/spool.rs
@@ -13,12 +13,12 @@
     /// The folder cannot be created.
     Folder,
     /// The name is not a valid file name.
-    Name,
+    InvalidName,
     /// The record would exceed the size limit of the spool.
     Full,
     /// An I/O error occurred. A record whose write failed may still exist
     /// after a restart.
-    Disk,
+    Io,
     /// The record is truncated or its checksum does not match.
     Damaged,
 }
@@ -27,9 +27,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             SpoolError::Folder => "the folder cannot be used",
-            SpoolError::Name => "the name is not a valid file name",
+            SpoolError::InvalidName => "the name is not a valid file name",
             SpoolError::Full => "the spool is full",
-            SpoolError::Disk => "an I/O error occurred",
+            SpoolError::Io => "an I/O error occurred",
             SpoolError::Damaged => "the record is damaged",
         })
     }
@@ -52,7 +52,7 @@
 ///
 /// let disk = SimDisk::new(1);
 /// let spool = Spool::with_layer(disk.clone(), 1_000);
-/// spool.keep("a", b"first")?;
+/// spool.put("a", b"first")?;
 /// disk.crash();
 /// assert_eq!(spool.names()?, ["a"]);
 /// assert_eq!(spool.read("a")?, b"first");
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct Spool {
     layer: Arc<dyn FileLayer>,
-    bytes_most: u64,
+    max_bytes: u64,
 }
 
 /// File name suffix of complete records.
@@ -85,18 +85,18 @@
     /// [`SpoolError::Folder`].
     pub fn open(
         dir: impl Into<PathBuf>,
-        bytes_most: u64,
+        max_bytes: u64,
     ) -> Result<Self, Report<SpoolError>> {
         let layer = DirLayer::new(dir.into());
         let layer = layer.change_context(SpoolError::Folder)?;
-        Ok(Self::with_layer(layer, bytes_most))
+        Ok(Self::with_layer(layer, max_bytes))
     }
 
     /// Creates a spool on a caller-supplied file layer.
-    pub fn with_layer(layer: impl FileLayer, bytes_most: u64) -> Self {
+    pub fn with_layer(layer: impl FileLayer, max_bytes: u64) -> Self {
         Self {
             layer: Arc::new(layer),
-            bytes_most,
+            max_bytes,
         }
     }
 
@@ -106,19 +106,19 @@
     ///
     /// # Errors
     ///
-    /// [`SpoolError::Name`], [`SpoolError::Full`], [`SpoolError::Disk`].
-    pub fn keep(
+    /// [`SpoolError::InvalidName`], [`SpoolError::Full`], [`SpoolError::Io`].
+    pub fn put(
         &self,
         name: &str,
         bytes: &[u8],
     ) -> Result<(), Report<SpoolError>> {
         let name = validate_name(name)?;
         let used = self.used_bytes()?;
-        if used + bytes.len() as u64 > self.bytes_most {
+        if used + bytes.len() as u64 > self.max_bytes {
             return Err(Report::new(SpoolError::Full));
         }
         let written = self.write(name, bytes);
-        written.change_context(SpoolError::Disk)
+        written.change_context(SpoolError::Io)
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -137,9 +137,9 @@
     ///
     /// # Errors
     ///
-    /// [`SpoolError::Disk`].
+    /// [`SpoolError::Io`].
     pub fn names(&self) -> Result<Vec<String>, Report<SpoolError>> {
-        let files = self.layer.list().change_context(SpoolError::Disk)?;
+        let files = self.layer.list().change_context(SpoolError::Io)?;
         let names = files
             .iter()
             .filter_map(|name| name.strip_suffix(RECORD_SUFFIX));
@@ -150,12 +150,12 @@
     ///
     /// # Errors
     ///
-    /// [`SpoolError::Disk`], [`SpoolError::Damaged`].
+    /// [`SpoolError::Io`], [`SpoolError::Damaged`].
     pub fn read(&self, name: &str) -> Result<Vec<u8>, Report<SpoolError>> {
         let file = format!("{}{RECORD_SUFFIX}", validate_name(name)?);
         let file = self.layer.open(&file);
-        let file = file.change_context(SpoolError::Disk)?;
-        let all = read_all(&*file).change_context(SpoolError::Disk)?;
+        let file = file.change_context(SpoolError::Io)?;
+        let all = read_all(&*file).change_context(SpoolError::Io)?;
         let parts = all.split_at_checked(CHECKSUM_BYTES);
         let (checksum, bytes) =
             parts.ok_or_else(|| Report::new(SpoolError::Damaged))?;
@@ -169,14 +169,14 @@
     ///
     /// # Errors
     ///
-    /// [`SpoolError::Disk`], after which the record may reappear on restart.
+    /// [`SpoolError::Io`], after which the record may reappear on restart.
     pub fn remove(&self, name: &str) -> Result<(), Report<SpoolError>> {
         let file = format!("{}{RECORD_SUFFIX}", validate_name(name)?);
         match self.layer.remove(&file) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                Err(error).change_context(SpoolError::Disk)
+                Err(error).change_context(SpoolError::Io)
             }
-            _ => self.layer.sync_folder().change_context(SpoolError::Disk),
+            _ => self.layer.sync_folder().change_context(SpoolError::Io),
         }
     }
 
@@ -185,7 +185,7 @@
         for name in self.names()? {
             let file = self.layer.open(&format!("{name}{RECORD_SUFFIX}"));
             let length = file.and_then(|file| file.len());
-            used += length.change_context(SpoolError::Disk)?;
+            used += length.change_context(SpoolError::Io)?;
         }
         Ok(used)
     }
@@ -205,6 +205,6 @@
         (1..=128).contains(&name.len()) && !name.starts_with('.');
     match is_length_valid && name.bytes().all(is_allowed) {
         true => Ok(name),
-        false => Err(Report::new(SpoolError::Name)),
+        false => Err(Report::new(SpoolError::InvalidName)),
     }
 }
--- a/crates/store/tests/spool.rs
+++ b/crates/store/tests/spool.rs
@@ -17,7 +17,7 @@
             disk.die_after(steps);
             let mut kept = Vec::new();
             for at in 0..5 {
-                if spool.keep(&format!("r{at}"), &body(at)).is_ok() {
+                if spool.put(&format!("r{at}"), &body(at)).is_ok() {
                     kept.push(at);
                 }
             }
@@ -41,7 +41,7 @@
 fn a_damaged_record_is_never_returned() {
     let disk = SimDisk::new(1);
     let spool = Spool::with_layer(disk.clone(), 1_000);
-    spool.keep("a", b"content").expect("kept");
+    spool.put("a", b"content").expect("kept");
     for content in [&b""[..], b"abc", b"\0\0\0\0content"] {
         disk.set_content("a.rec", content.to_vec());
         let error = spool.read("a").expect_err("damaged");
@@ -52,8 +52,8 @@
 #[test]
 fn a_full_spool_keeps_what_it_has() {
     let spool = Spool::with_layer(SimDisk::new(1), 500);
-    spool.keep("a", &[1; 300]).expect("kept");
-    let error = spool.keep("b", &[2; 300]).expect_err("full");
+    spool.put("a", &[1; 300]).expect("kept");
+    let error = spool.put("b", &[2; 300]).expect_err("full");
     assert_eq!(*error.current_context(), SpoolError::Full);
     assert_eq!(spool.names().expect("listed"), ["a"]);
     assert_eq!(spool.read("a").expect("whole"), [1; 300]);
@@ -64,8 +64,8 @@
     let disk = SimDisk::new(1);
     let spool = Spool::with_layer(disk.clone(), 500);
     disk.fail_syncs(1);
-    let error = spool.keep("a", b"x").expect_err("not kept");
-    assert_eq!(*error.current_context(), SpoolError::Disk);
+    let error = spool.put("a", b"x").expect_err("not kept");
+    assert_eq!(*error.current_context(), SpoolError::Io);
 }
 
 #[parameterized(
@@ -77,8 +77,8 @@
 )]
 fn invalid_names_are_rejected(name: &str) {
     let spool = Spool::with_layer(SimDisk::new(1), 500);
-    let error = spool.keep(name, b"x").expect_err("refused");
-    assert_eq!(*error.current_context(), SpoolError::Name);
+    let error = spool.put(name, b"x").expect_err("refused");
+    assert_eq!(*error.current_context(), SpoolError::InvalidName);
     assert!(spool.read(name).is_err() && spool.remove(name).is_err());
 }
 
@@ -88,7 +88,7 @@
     let path = dir.path().join("spool");
     Spool::open(&path, 1_000)
         .expect("opened")
-        .keep("a", b"x")
+        .put("a", b"x")
         .expect("kept");
     let again = Spool::open(&path, 1_000).expect("opened");
     assert_eq!(again.read("a").expect("whole"), b"x");
