--- a/crates/store/src/remove.rs
+++ b/crates/store/src/remove.rs
@@ -17,7 +17,8 @@
     ///
     /// # Errors
     ///
-    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be removed.
+    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be
+    /// removed.
     ///
     /// # Example
     ///
@@ -43,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::InvalidPrefix`] if the prefix does not end with `/`: `job-1`
-    /// would also remove `job-10`.
+    /// [`StoreError::InvalidPrefix`] if the prefix does not end with `/`:
+    /// `job-1` would also remove `job-10`.
     ///
     /// # Example
     ///
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -115,8 +115,8 @@
     ///
     /// # Errors
     ///
-    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be stored; retry
-    /// the put. After any other error this put stored nothing.
+    /// After [`StoreError::OutcomeUnknown`] the blob may or may not be stored;
+    /// retry the put. After any other error this put stored nothing.
     ///
     /// # Example
     ///
@@ -376,7 +376,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::ReadFailed`] if reading fails for another reason than damage.
+    /// [`StoreError::ReadFailed`] if reading fails for another reason than
+    /// damage.
     ///
     /// # Example
     ///
