--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -219,13 +219,13 @@
 
     /// Lets `count` more changes succeed, after which every call fails until
     /// the next crash.
-    pub fn die_after(&self, count: u64) {
+    pub fn fail_after(&self, count: u64) {
         let mut disk = self.disk();
         disk.fails_after = Some(disk.changes + count);
     }
 
     /// Reports whether the disk has failed.
-    pub fn is_dead(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.disk().check_alive().is_err()
     }
 
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -158,7 +158,7 @@
                 }
                 _ => self.disturb(),
             }
-            if self.disk.is_dead() {
+            if self.disk.has_failed() {
                 return;
             }
         }
@@ -180,7 +180,7 @@
     /// Opens the store after a crash; the disk may fail again meanwhile.
     fn recover(&mut self) -> Store {
         while self.random.below(2) == 0 {
-            self.disk.die_after(self.random.below(30));
+            self.disk.fail_after(self.random.below(30));
             let opened = Store::open(common::options(&self.disk));
             drop(opened);
             self.disk.crash();
@@ -227,9 +227,9 @@
         let store = run.recover();
         run.check(&store);
         let changes = run.random.below(150);
-        run.disk.die_after(changes);
+        run.disk.fail_after(changes);
         run.call_randomly(&store);
-        if run.random.below(4) == 0 && !run.disk.is_dead() {
+        if run.random.below(4) == 0 && !run.disk.has_failed() {
             run.check(&store);
         }
         // The process may end before the power failure or with it.
--- a/crates/store/tests/spool.rs
+++ b/crates/store/tests/spool.rs
@@ -14,7 +14,7 @@
             let disk = SimDisk::new(seed);
             let spool = Spool::with_layer(disk.clone(), 10_000);
             let body = |at: u8| vec![at; 300 + usize::from(at)];
-            disk.die_after(steps);
+            disk.fail_after(steps);
             let mut kept = Vec::new();
             for at in 0..5 {
                 if spool.put(&format!("r{at}"), &body(at)).is_ok() {
