--- a/crates/data/src/lib.rs
+++ b/crates/data/src/lib.rs
@@ -14,6 +14,6 @@
 pub use crate::{
     error::DataError,
     node::DataNode,
-    repair::{Repair, Step},
+    repair::{Repair, RepairStep},
     role::DataRole,
 };
--- a/crates/data/src/node.rs
+++ b/crates/data/src/node.rs
@@ -91,7 +91,7 @@
         let days = data.retention_days;
         let tasks = vec![
             tokio::spawn(timer.clone().drive()),
-            tokio::spawn(repair.work(timer.clone())),
+            tokio::spawn(repair.run(timer.clone())),
             tokio::spawn(maintenance::run(store, timer, days)),
         ];
         log::info!(
--- a/crates/data/src/repair.rs
+++ b/crates/data/src/repair.rs
@@ -30,7 +30,7 @@
 
 /// Result of one repair step.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Step {
+pub struct RepairStep {
     /// Number of blobs that were compared.
     pub compared: usize,
     /// Number of blobs that were copied to other data VMs.
@@ -71,14 +71,14 @@
     }
 
     /// Repairs until the returned future is dropped; spawned once.
-    pub async fn work(mut self, timer: Timer) {
+    pub async fn run(mut self, timer: Timer) {
         if self.peers.is_empty() {
             return;
         }
         loop {
             let pause_ms = match self.step().await {
                 Ok(step) if step.copied + step.restored > 0 => {
-                    let Step {
+                    let RepairStep {
                         copied, restored, ..
                     } = step;
                     log::info!(copied, restored; "blobs repaired");
@@ -101,7 +101,7 @@
     ///
     /// [`DataError::Store`] if the local store fails, [`DataError::Peer`] if a
     /// request to a data VM fails; the next step retries the same page.
-    pub async fn step(&mut self) -> Result<Step, Report<DataError>> {
+    pub async fn step(&mut self) -> Result<RepairStep, Report<DataError>> {
         let restored = self.restore_damaged().await?;
         let page = self.local_page().await?;
         let mut copied = 0;
@@ -114,7 +114,7 @@
         }
         let complete = page.len() < PAGE_IDS;
         self.after = if complete { None } else { page.last().cloned() };
-        Ok(Step {
+        Ok(RepairStep {
             compared: page.len(),
             copied,
             restored,
