--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/neighbours.rs
@@ -11,7 +11,7 @@
 use error_stack::{Report, ResultExt};
 use quarantine::{CrashRecordUpdate, Quarantine};
 use serde::{Deserialize, Serialize};
-use spread::{Event, Message, Options, Spread};
+use spread::{Event, Message, Options, Propagator};
 use tokio::task::JoinSet;
 use wire::{Links, message::ConfigText};
 
@@ -58,7 +58,7 @@
     /// Talks to neighbours until the process ends.
     pub(crate) async fn work(self, store: Arc<ConfigStore>, timer: Timer) {
         let me = self.links.identity();
-        let spread = Spread::new(
+        let spread = Propagator::new(
             me.vm.clone(),
             me.failure_domain.clone(),
             self.addresses,
@@ -72,7 +72,7 @@
             tokio::select! {
                 Some((peer, message)) = outgoing.recv() => {
                     if waiting.len() >= WAITING_MAX {
-                        store.handle(Event::Failed { peer });
+                        store.handle(Event::PeerFailed { peer });
                         continue;
                     }
                     let asker = Asker {
@@ -101,10 +101,10 @@
 async fn converse(asker: Asker, to: Outgoing, store: Arc<ConfigStore>) {
     let peer = to.0;
     let event = match asker.ask(to).await {
-        Ok(message) => Event::Answer { peer, message },
+        Ok(message) => Event::Response { peer, message },
         Err(report) => {
             log::debug!(error:? = report; "a neighbour does not answer");
-            Event::Failed { peer }
+            Event::PeerFailed { peer }
         }
     };
     store.handle(event);
@@ -147,7 +147,7 @@
         };
         quarantine.apply_updates(question.held_requests);
         let reply = Envelope {
-            message: self.handle(Event::Question(question.message))?,
+            message: self.handle(Event::Request(question.message))?,
             held_requests: quarantine.updates(),
         };
         serde_json::to_vec(&reply).ok().map(Bytes::from)
--- a/crates/jobs/src/online.rs
+++ b/crates/jobs/src/online.rs
@@ -1,7 +1,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use base::{Millis, UnixMillis, stable_hash};
-use fleet::LifeKey;
+use fleet::IncarnationKey;
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
@@ -42,7 +42,7 @@
     /// update.
     pub is_full: bool,
     /// Requests in flight by endpoint.
-    pub counts: &'a [(LifeKey, u32)],
+    pub counts: &'a [(IncarnationKey, u32)],
 }
 
 /// Online requests in flight at the endpoints of one worker, from the load
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct OnlineLoad {
     inner: Mutex<Inner>,
-    increases: mpsc::UnboundedSender<LifeKey>,
+    increases: mpsc::UnboundedSender<IncarnationKey>,
 }
 
 /// Identifies a front among those that report to a worker.
@@ -77,9 +77,9 @@
 #[derive(Debug, Default)]
 struct Inner {
     fronts: IndexMap<FrontKey, Front>,
-    endpoints: IndexMap<LifeKey, Vec<FrontUse>>,
+    endpoints: IndexMap<IncarnationKey, Vec<FrontUse>>,
     /// Endpoints whose load has changed for some front.
-    dirty: IndexSet<LifeKey>,
+    dirty: IndexSet<IncarnationKey>,
     steps: u64,
 }
 
@@ -88,7 +88,7 @@
     name: String,
     version: ReportVersion,
     updated_at: Millis,
-    endpoints: Vec<LifeKey>,
+    endpoints: Vec<IncarnationKey>,
 }
 
 /// The use of one endpoint by one front.
@@ -107,7 +107,7 @@
     /// Name of the front.
     pub front: String,
     /// Requests of all other fronts by endpoint.
-    pub counts: Vec<(LifeKey, u32)>,
+    pub counts: Vec<(IncarnationKey, u32)>,
 }
 
 /// Age from which a front's load update is ignored, in milliseconds. A front
@@ -118,7 +118,7 @@
 impl OnlineLoad {
     /// Creates a tracker without updates. The receiver gets the endpoints at
     /// which the number of requests increases.
-    pub fn new() -> (Self, mpsc::UnboundedReceiver<LifeKey>) {
+    pub fn new() -> (Self, mpsc::UnboundedReceiver<IncarnationKey>) {
         let (increases, changes) = mpsc::unbounded_channel();
         let load = Self {
             inner: Mutex::default(),
@@ -175,7 +175,7 @@
     /// endpoint with a change; the size of the fleet does not matter.
     pub fn changes(&self, now: Millis) -> Vec<OtherFrontsLoad> {
         let mut inner = self.lock();
-        let mut updates: IndexMap<FrontKey, Vec<(LifeKey, u32)>> =
+        let mut updates: IndexMap<FrontKey, Vec<(IncarnationKey, u32)>> =
             IndexMap::new();
         for endpoint in std::mem::take(&mut inner.dirty) {
             let uses = inner.endpoints.get(&endpoint);
@@ -203,7 +203,7 @@
     /// reported the endpoint.
     pub fn requests_at(
         &self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         assigned_front: &str,
         now: Millis,
     ) -> Option<u32> {
@@ -283,15 +283,19 @@
     }
 
     /// Ends a front's use of all endpoints except these.
-    fn retain_endpoints(&mut self, key: FrontKey, counts: &[(LifeKey, u32)]) {
+    fn retain_endpoints(
+        &mut self,
+        key: FrontKey,
+        counts: &[(IncarnationKey, u32)],
+    ) {
         let Some(front) = self.fronts.get_mut(&key) else {
             return;
         };
-        let kept: IndexSet<LifeKey> =
+        let kept: IndexSet<IncarnationKey> =
             counts.iter().map(|(endpoint, _)| *endpoint).collect();
         let before = std::mem::take(&mut front.endpoints);
         self.steps += before.len() as u64;
-        let (retained, removed): (Vec<LifeKey>, Vec<LifeKey>) =
+        let (retained, removed): (Vec<IncarnationKey>, Vec<IncarnationKey>) =
             before.into_iter().partition(|e| kept.contains(e));
         front.endpoints = retained;
         for endpoint in removed {
@@ -299,7 +303,7 @@
         }
     }
 
-    fn end_use(&mut self, endpoint: LifeKey, key: FrontKey) {
+    fn end_use(&mut self, endpoint: IncarnationKey, key: FrontKey) {
         let Some(uses) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
@@ -315,7 +319,7 @@
     fn set_count(
         &mut self,
         key: FrontKey,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         count: u32,
     ) -> bool {
         let uses = self.endpoints.entry(endpoint).or_default();
@@ -345,7 +349,7 @@
     /// silent fronts are not counted, since they have usually ended.
     fn requests_of_others(
         &mut self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         key: FrontKey,
         now: Millis,
     ) -> u32 {
@@ -363,7 +367,7 @@
     /// from the last one.
     fn mark_sent(
         &mut self,
-        endpoint: LifeKey,
+        endpoint: IncarnationKey,
         key: FrontKey,
         requests_of_others: u32,
     ) -> bool {
--- a/crates/jobs/src/runner.rs
+++ b/crates/jobs/src/runner.rs
@@ -13,7 +13,8 @@
 use base::{Clock, Millis, Snapshot};
 use error_stack::Report;
 use fleet::{
-    Config, Endpoint, EndpointRecord, LifeKey, LoadReport, Route, RouteKind,
+    Config, Endpoint, EndpointRecord, IncarnationKey, LoadReport, Route,
+    RouteKind,
 };
 use indexmap::IndexMap;
 use pass::{Counters, DirectoryView};
@@ -149,7 +150,7 @@
     pub async fn run(
         self,
         stop: ShutdownSignal,
-        mut online_changes: mpsc::UnboundedReceiver<LifeKey>,
+        mut online_changes: mpsc::UnboundedReceiver<IncarnationKey>,
     ) {
         let ShutdownSignal {
             requested: mut stop,
@@ -201,7 +202,7 @@
         JobKey,
         Result<Result<StoredManifest, StoredManifest>, Report<JobError>>,
     ),
-    Probed(LifeKey, Option<LoadReport>),
+    Probed(IncarnationKey, Option<LoadReport>),
     Moved(JobKey, Result<StoredManifest, Report<JobError>>),
 }
 
@@ -229,7 +230,7 @@
     sender: mpsc::UnboundedSender<Event>,
     jobs: IndexMap<JobKey, ActiveJob>,
     runs: IndexMap<RunId, Run>,
-    endpoint_probes: IndexMap<LifeKey, EndpointProbe>,
+    endpoint_probes: IndexMap<IncarnationKey, EndpointProbe>,
     /// The assignment of endpoints to fronts.
     front_assignment: Arc<Assignment>,
     /// The inputs of the last sync of the jobs: the assignment and the change
--- a/crates/jobs/tests/online.rs
+++ b/crates/jobs/tests/online.rs
@@ -1,14 +1,14 @@
 //! Requests in flight as reported by fronts.
 
 use base::{Millis, UnixMillis};
-use fleet::{Endpoint, EndpointRecord, EndpointState, LifeKey};
+use fleet::{Endpoint, EndpointRecord, EndpointState, IncarnationKey};
 use pomeloslip_jobs::{
     FRONT_LOAD_TTL_MS, FrontUpdate, OnlineLoad, ReportVersion,
 };
 
 const NOW: Millis = Millis::new(5_000);
 
-fn incarnation(id: &str) -> LifeKey {
+fn incarnation(id: &str) -> IncarnationKey {
     let endpoint = Endpoint::new(EndpointRecord {
         id: id.to_owned(),
         started_at: None,
@@ -18,7 +18,7 @@
         slots: 8,
         state: EndpointState::Ready,
     });
-    endpoint.life()
+    endpoint.incarnation_key()
 }
 
 /// A front with the number of its last update.
@@ -28,7 +28,7 @@
     fn sends(
         &mut self,
         load: &OnlineLoad,
-        counts: &[(LifeKey, u32)],
+        counts: &[(IncarnationKey, u32)],
         is_full: bool,
         now: Millis,
     ) -> bool {
@@ -196,7 +196,7 @@
 fn steps_of_a_request_do_not_grow_with_the_fleet() {
     let steps_at = |fronts: usize| {
         let (load, _heard) = OnlineLoad::new();
-        let incarnations: Vec<LifeKey> =
+        let incarnations: Vec<IncarnationKey> =
             (0..30).map(|at| incarnation(&at.to_string())).collect();
         let names: Vec<String> =
             (0..fronts).map(|at| format!("front-{at}")).collect();
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -6,43 +6,46 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::{
-    endpoint::{Endpoint, EndpointKey, EndpointView, Listed, Report},
-    health::{Failure, Refused},
+    endpoint::{
+        Endpoint, EndpointKey, EndpointReport, EndpointView, ListedEndpoint,
+    },
+    health::{Failure, Refusal},
     options::{Policy, RouterOptions},
     select::{Choice, Draw, Query, Selection},
     subset,
 };
 
 new_key_type! {
-    /// Names a pool of a router.
+    /// Identifies a pool of a router.
     pub struct PoolKey;
 }
 
-/// Lives that are remembered as leaving. A life that is older than so many
-/// later ones has long ended.
-const LEAVING_KEPT: usize = 1_024;
+/// Maximum number of incarnations that are remembered as leaving. The oldest
+/// ones have ended long before.
+const MAX_LEAVING_REMEMBERED: usize = 1_024;
 
-/// Probes that one tick asks for at most, so that a long outage ends in no
-/// burst.
-const PROBES_PER_TICK: usize = 32;
+/// Maximum number of probes per tick, so that the end of a long outage causes
+/// no burst.
+const MAX_PROBES_PER_TICK: usize = 32;
 
 #[derive(Clone, Debug)]
 struct Pool {
     members: Vec<EndpointKey>,
-    turn: usize,
+    selection_count: usize,
     budget: RetryBudget,
 }
 
-/// How a new list changed what a router knows.
+/// How a new list changed the endpoints in use.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Listing {
-    /// New endpoints, with their places in the list.
+pub struct ListChanges {
+    /// New endpoints with their indices in the list.
     pub added: Vec<(EndpointKey, usize)>,
-    /// Endpoints that are not used any more.
+    /// Endpoints that are no longer used.
     pub removed: Vec<EndpointKey>,
 }
 
-/// What one entry knows of the endpoints of its pools, and its choices.
+/// Knowledge of one entry about the endpoints of its pools, and the choice
+/// among them.
 #[derive(Clone, Debug)]
 pub struct Router {
     entry: String,
@@ -54,8 +57,8 @@
 }
 
 impl Router {
-    /// Makes a router that knows no endpoint; `entry` is the name of the
-    /// entry, by which entries use different parts of large pools.
+    /// Creates a router without endpoints. `entry` is the name of the entry,
+    /// which determines its subset of large pools.
     pub fn new(entry: &str, options: RouterOptions) -> Self {
         Self {
             entry: entry.to_owned(),
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Returns the key of a pool, which is made if it is new.
+    /// Returns the key of a pool, which is created if it does not exist.
     pub fn pool(&mut self, name: &str) -> PoolKey {
         if let Some(key) = self.names.get(name) {
             return *key;
@@ -75,7 +78,7 @@
         let options = &self.options;
         let key = self.pools.insert(Pool {
             members: Vec::new(),
-            turn: 0,
+            selection_count: 0,
             budget: RetryBudget::new(
                 options.retry_ratio,
                 options.retry_minimum,
@@ -86,35 +89,40 @@
         key
     }
 
-    /// Returns the key of a pool that is known.
+    /// Returns the key of a pool, if it exists.
     pub fn find_pool(&self, name: &str) -> Option<PoolKey> {
         self.names.get(name).copied()
     }
 
-    /// Replaces the list of a pool; endpoints that stay keep what is known
-    /// of them. Those that leave and are still listed stay known without
-    /// counting, so that the lagging list cannot bring them back.
+    /// Replaces the list of a pool; endpoints that stay keep their state.
+    /// Leaving endpoints that are still listed stay known but do not count
+    /// towards the subset, so that an outdated list cannot bring them back.
     ///
     /// # Example
     ///
     /// ```
-    /// use pomeloslip_router::{Listed, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let first = router.list(pool, std::slice::from_ref(&one));
     /// assert_eq!(first.added.len(), 1);
     /// assert_eq!(router.list(pool, &[one]).added, []);
     /// assert_eq!(router.list(pool, &[]).removed, [first.added[0].0]);
     /// # Ok::<(), base::IdError>(())
     /// ```
-    pub fn list(&mut self, pool: PoolKey, listed: &[Listed]) -> Listing {
+    pub fn list(
+        &mut self,
+        pool: PoolKey,
+        listed: &[ListedEndpoint],
+    ) -> ListChanges {
         let Some(known) = self.pools.get(pool) else {
-            return Listing::default();
+            return ListChanges::default();
         };
         let old = known.members.clone();
-        let find = |one: &Listed| {
+        let find = |one: &ListedEndpoint| {
             old.iter()
                 .copied()
                 .find(|key| self.endpoints[*key].listed == *one)
@@ -126,41 +134,43 @@
         };
         let (leaving, staying): (Vec<usize>, Vec<usize>) =
             (0..listed.len()).partition(|at| is_leaving(*at));
-        let offered: Vec<Listed> =
+        let offered: Vec<ListedEndpoint> =
             staying.iter().map(|at| listed[*at].clone()).collect();
         let size = self.options.subset;
         let chosen = subset::choose(&self.entry, &offered, size);
-        let places = chosen.into_iter().map(|at| staying[at]).chain(leaving);
-        let mut listing = Listing::default();
+        let indices = chosen.into_iter().map(|at| staying[at]).chain(leaving);
+        let mut changes = ListChanges::default();
         let mut members = Vec::new();
-        for at in places {
+        for at in indices {
             let key = known[at].unwrap_or_else(|| {
                 let endpoint = Endpoint::new(listed[at].clone(), pool);
                 let key = self.endpoints.insert(endpoint);
-                listing.added.push((key, at));
+                changes.added.push((key, at));
                 key
             });
             members.push(key);
         }
         for key in old.into_iter().filter(|key| !members.contains(key)) {
             self.endpoints.remove(key);
-            listing.removed.push(key);
+            changes.removed.push(key);
         }
         self.pools[pool].members = members;
-        listing
+        changes
     }
 
-    /// Chooses where a request goes; `None` if all were tried or leave.
+    /// Chooses the endpoint of a request; `None` if all were tried or are
+    /// leaving.
     ///
     /// # Example
     ///
     /// ```
     /// use base::Millis;
-    /// use pomeloslip_router::{Listed, Query, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Query, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// let choice = router.choose(pool, &Query::default(), now, 7);
@@ -178,18 +188,18 @@
         random: u64,
     ) -> Option<Choice> {
         let known = self.pools.get_mut(pool)?;
-        known.turn = known.turn.wrapping_add(1);
+        known.selection_count = known.selection_count.wrapping_add(1);
         let known = &self.pools[pool];
         let mut draw = Draw::new(random);
         let selection = Selection {
             options: &self.options,
             endpoints: &self.endpoints,
             now,
-            turn: known.turn,
+            selection_count: known.selection_count,
         };
         let endpoint = selection.choose(&known.members, query, &mut draw)?;
-        if let Some(seen) = &mut self.endpoints[endpoint].seen {
-            seen.uses += 1;
+        if let Some(last_report) = &mut self.endpoints[endpoint].last_report {
+            last_report.uses += 1;
         }
         let probes = self.probes(pool, &mut draw);
         Some(Choice { endpoint, probes })
@@ -203,14 +213,14 @@
         let mut probes = Vec::new();
         for _ in 0..probing.probes.min(members.len() as u32) {
             let key = members[draw.below(members.len())];
-            if self.endpoints[key].is_open() && !probes.contains(&key) {
+            if self.endpoints[key].is_selectable() && !probes.contains(&key) {
                 probes.push(key);
             }
         }
         probes
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn sent(&mut self, key: EndpointKey, now: Millis) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -219,62 +229,69 @@
         self.pools[endpoint.pool].budget.record_request(now);
     }
 
-    /// Notes that a request is no longer at an endpoint, however it ended.
+    /// Records that a request has ended at an endpoint, whatever the outcome.
     pub fn ended(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes what a companion says and returns the key under which its
-    /// endpoint is known now: a new life of the companion is a new endpoint.
+    /// Records a companion's report and returns the current key of its
+    /// endpoint: a new incarnation of the companion is a new endpoint.
     ///
-    /// A load that describes the old life, calls in flight there and its
-    /// failures say nothing of the new one; one would notice the mixture by
-    /// a restarted endpoint that nobody chooses, or by in-flight counts
-    /// below zero. The keys keep the two apart.
+    /// Load, in-flight calls and failures of the old incarnation do not apply
+    /// to the new one. Mixing them would show as a restarted endpoint that is
+    /// never chosen, or as negative in-flight counts. Separate keys keep them
+    /// apart.
     ///
     /// # Example
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{Listed, Report, Router, RouterOptions};
+    /// use pomeloslip_router::{
+    ///     EndpointReport, ListedEndpoint, Router, RouterOptions,
+    /// };
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
-    /// let life = |number| Report {
+    /// let report = |number| EndpointReport {
     ///     incarnation: Incarnation::new(number),
-    ///     ..Report::default()
+    ///     ..EndpointReport::default()
     /// };
-    /// assert_eq!(router.reported(key, &life(1), now), key);
-    /// assert_ne!(router.reported(key, &life(2), now), key);
+    /// assert_eq!(router.reported(key, &report(1), now), key);
+    /// assert_ne!(router.reported(key, &report(2), now), key);
     /// # Ok::<(), base::IdError>(())
     /// ```
     pub fn reported(
         &mut self,
         key: EndpointKey,
-        report: &Report,
+        report: &EndpointReport,
         now: Millis,
     ) -> EndpointKey {
         let Some(endpoint) = self.endpoints.get(key) else {
             return key;
         };
-        let is_other = endpoint
+        let is_restarted = endpoint
             .incarnation
             .is_some_and(|known| known != report.incarnation);
-        let key = if is_other { self.renew(key) } else { key };
-        let left = self.leaving.contains(&report.incarnation);
+        let key = if is_restarted {
+            self.replace_incarnation(key)
+        } else {
+            key
+        };
+        let has_left = self.leaving.contains(&report.incarnation);
         let endpoint = &mut self.endpoints[key];
         endpoint.incarnation = Some(report.incarnation);
-        endpoint.leaving |= report.leaving || left;
-        endpoint.note(report, now);
+        endpoint.leaving |= report.leaving || has_left;
+        endpoint.record(report, now);
         key
     }
 
-    fn renew(&mut self, old: EndpointKey) -> EndpointKey {
+    fn replace_incarnation(&mut self, old: EndpointKey) -> EndpointKey {
         let Some(before) = self.endpoints.remove(old) else {
             return old;
         };
@@ -289,8 +306,8 @@
         key
     }
 
-    /// Notes that an answer has come and, if known, its time to the first
-    /// token. It is told before [`Router::ended`].
+    /// Records a response and, if known, its time to the first token. This
+    /// must be called before [`Router::ended`].
     pub fn answered(
         &mut self,
         key: EndpointKey,
@@ -302,76 +319,81 @@
             endpoint.health.answered();
             if let Some(ms) = first_token_ms {
                 let load = endpoint.load(now, max_age_ms);
-                endpoint.note_latency(ms, load);
+                endpoint.record_latency(ms, load);
             }
         }
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call.
     pub fn failed(&mut self, key: EndpointKey, failure: Failure, now: Millis) {
-        let may_eject = self.may_eject(key);
+        let is_ejection_allowed = self.is_ejection_allowed(key);
         let policy = self.options.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.health.failed(&policy, failure, may_eject, now);
+            endpoint
+                .health
+                .failed(&policy, failure, is_ejection_allowed, now);
         }
     }
 
-    /// At most half of a pool is taken out for calls that were lost: when
-    /// all fail, the cause is not the endpoint, and the rest would be
-    /// overloaded by what is left.
-    fn may_eject(&self, key: EndpointKey) -> bool {
+    /// Reports whether one more endpoint of the pool may be ejected for lost
+    /// calls. At most half of a pool is ejected: if all endpoints fail, the
+    /// cause is elsewhere, and the remaining ones would be overloaded.
+    fn is_ejection_allowed(&self, key: EndpointKey) -> bool {
         let Some(endpoint) = self.endpoints.get(key) else {
             return false;
         };
         let members = &self.pools[endpoint.pool].members;
-        let is_out =
-            |key: &&EndpointKey| self.endpoints[**key].health.is_out();
-        (members.iter().filter(is_out).count() + 1) * 2 <= members.len()
+        let is_ejected =
+            |key: &&EndpointKey| self.endpoints[**key].health.is_ejected();
+        (members.iter().filter(is_ejected).count() + 1) * 2 <= members.len()
     }
 
-    /// Notes that an endpoint did not take a call.
-    pub fn refused(&mut self, key: EndpointKey, why: Refused, now: Millis) {
+    /// Records that an endpoint did not accept a call.
+    pub fn refused(&mut self, key: EndpointKey, reason: Refusal, now: Millis) {
         let policy = self.options.health;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
-        match why {
-            Refused::Leaving => endpoint.leaving = true,
-            Refused::Down | Refused::WrongTarget => {
+        match reason {
+            Refusal::Leaving => endpoint.leaving = true,
+            Refusal::Down | Refusal::WrongTarget => {
                 let failure = Failure::Unreachable;
                 endpoint.health.failed(&policy, failure, true, now);
             }
-            Refused::Full | Refused::Other => {}
+            Refusal::Full | Refusal::Other => {}
         }
     }
 
-    /// Notes that a life takes no new work, also if it is not known yet
-    /// which endpoint it is.
+    /// Records that an incarnation accepts no new work, even if it is not
+    /// known yet which endpoint it belongs to.
     ///
     /// # Example
     ///
     /// ```
     /// use base::{Incarnation, Millis};
-    /// use pomeloslip_router::{Listed, Query, Report, Router, RouterOptions};
+    /// use pomeloslip_router::{
+    ///     EndpointReport, ListedEndpoint, Query, Router, RouterOptions,
+    /// };
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
-    /// let life = Incarnation::new(1);
-    /// router.leaving(life);
-    /// let report = Report {
-    ///     incarnation: life,
-    ///     ..Report::default()
+    /// let incarnation = Incarnation::new(1);
+    /// router.mark_leaving(incarnation);
+    /// let report = EndpointReport {
+    ///     incarnation,
+    ///     ..EndpointReport::default()
     /// };
     /// router.reported(key, &report, now);
     /// assert_eq!(router.choose(pool, &Query::default(), now, 7), None);
     /// # Ok::<(), base::IdError>(())
     /// ```
-    pub fn leaving(&mut self, incarnation: Incarnation) {
+    pub fn mark_leaving(&mut self, incarnation: Incarnation) {
         if !self.leaving.contains(&incarnation) {
-            if self.leaving.len() >= LEAVING_KEPT {
+            if self.leaving.len() >= MAX_LEAVING_REMEMBERED {
                 self.leaving.pop_front();
             }
             self.leaving.push_back(incarnation);
@@ -383,11 +405,12 @@
         }
     }
 
-    /// Notes the answer to a probe, as [`Router::reported`] does.
+    /// Records the response to a probe and returns the endpoint's key as
+    /// [`Router::reported`] does.
     pub fn probed(
         &mut self,
         key: EndpointKey,
-        report: &Report,
+        report: &EndpointReport,
         now: Millis,
     ) -> EndpointKey {
         let policy = self.options.health;
@@ -401,7 +424,7 @@
         key
     }
 
-    /// Notes a probe without an answer.
+    /// Records a probe without a response.
     pub fn probe_failed(&mut self, key: EndpointKey) {
         let policy = self.options.health;
         if let Some(endpoint) = self.endpoints.get_mut(key) {
@@ -409,25 +432,28 @@
         }
     }
 
-    /// Brings an endpoint that cannot be probed back for one call.
-    pub fn try_again(&mut self, key: EndpointKey, now: Millis) {
+    /// Makes an ejected endpoint that cannot be probed selectable for one
+    /// call.
+    pub fn readmit(&mut self, key: EndpointKey, now: Millis) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.health.probed(now);
         }
     }
 
-    /// Returns the endpoints to probe now: those that are out and could come
-    /// back, and those that leave, where a new process may live.
+    /// Returns the endpoints to probe now: those that are ejected and could
+    /// recover, and those that are leaving, whose address may belong to a new
+    /// process.
     ///
     /// # Example
     ///
     /// ```
     /// use base::Millis;
-    /// use pomeloslip_router::{Listed, Router, RouterOptions};
+    /// use pomeloslip_router::{ListedEndpoint, Router, RouterOptions};
     ///
     /// let mut router = Router::new("entry-1", RouterOptions::default());
     /// let pool = router.pool("korv-lm");
-    /// let one = Listed::new("korv-lm-1".parse()?, true, "10.0.0.1:7000");
+    /// let name = "korv-lm-1".parse()?;
+    /// let one = ListedEndpoint::new(name, true, "10.0.0.1:7000");
     /// let key = router.list(pool, &[one]).added[0].0;
     /// let now = Millis::new(0);
     /// // Nothing is known of it yet.
@@ -439,25 +465,26 @@
         let options = &self.options;
         let mut probes = Vec::new();
         for (key, endpoint) in &mut self.endpoints {
-            let pause_ms = match endpoint.leaving {
+            let interval_ms = match endpoint.leaving {
                 true => options.leaving_probe_ms,
                 false => options.recovery_probe_ms,
             };
-            let last = endpoint.probed;
-            let is_due = last
-                .is_none_or(|last| now.saturating_ms_since(last) >= pause_ms);
+            let last = endpoint.last_probed_at;
+            let is_due = last.is_none_or(|last| {
+                now.saturating_ms_since(last) >= interval_ms
+            });
             let wanted = endpoint.leaving
                 || endpoint.incarnation.is_none()
-                || endpoint.health.wants_probe(now);
-            if is_due && wanted && probes.len() < PROBES_PER_TICK {
-                endpoint.probed = Some(now);
+                || endpoint.health.needs_probe(now);
+            if is_due && wanted && probes.len() < MAX_PROBES_PER_TICK {
+                endpoint.last_probed_at = Some(now);
                 probes.push(key);
             }
         }
         probes
     }
 
-    /// Takes a retry out of a pool's budget and tells whether there was one.
+    /// Takes a retry from a pool's budget and reports whether one was left.
     /// Refusals that cost the endpoint nothing need none.
     ///
     /// # Example
@@ -477,13 +504,13 @@
         pool.is_some_and(|pool| pool.budget.try_retry(now))
     }
 
-    /// Returns what is known of all endpoints in use.
+    /// Returns the state of all endpoints in use.
     pub fn endpoints(&self) -> impl Iterator<Item = EndpointView> + '_ {
         self.endpoints.iter().map(|(key, endpoint)| EndpointView {
             key,
             name: endpoint.listed.name.clone(),
             in_flight: endpoint.in_flight,
-            open: endpoint.is_open(),
+            selectable: endpoint.is_selectable(),
             leaving: endpoint.leaving,
         })
     }
