--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -58,9 +58,9 @@
 
 /// Calls redb and converts errors and panics into [`IndexError`].
 fn catch_panic<T>(
-    work: impl FnOnce() -> Result<T, redb::Error>,
+    operation: impl FnOnce() -> Result<T, redb::Error>,
 ) -> Result<T, Report<IndexError>> {
-    match catch_unwind(AssertUnwindSafe(work)) {
+    match catch_unwind(AssertUnwindSafe(operation)) {
         Ok(Ok(value)) => Ok(value),
         Ok(Err(redb::Error::Io(error))) if is_full(&error) => {
             Err(Report::new(error).change_context(IndexError::Full))
@@ -164,12 +164,12 @@
 
     fn read<T>(
         &self,
-        work: impl FnOnce(&ReadTransaction) -> Result<T, redb::Error>,
+        operation: impl FnOnce(&ReadTransaction) -> Result<T, redb::Error>,
         default: T,
     ) -> Result<T, Report<IndexError>> {
         catch_panic(|| {
             let txn = self.db()?.begin_read()?;
-            match work(&txn) {
+            match operation(&txn) {
                 // Nothing has been written yet.
                 Err(redb::Error::TableDoesNotExist(_)) => Ok(default),
                 other => other,
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -89,23 +89,23 @@
         self.index_read().clone()
     }
 
-    /// Calls `work` on the index; if the index is damaged, rebuilds it and
+    /// Calls `operation` on the index; if the index is damaged, rebuilds it and
     /// retries once.
     ///
     /// The caller must not hold the lock of the writer.
     pub(crate) fn with_index<T>(
         &self,
-        work: impl Fn(&Index) -> Result<T, Report<IndexError>>,
+        operation: impl Fn(&Index) -> Result<T, Report<IndexError>>,
     ) -> Result<T, Report<StoreError>> {
         let attempted = self.current_index();
         if let Some(index) = &attempted {
-            match work(index) {
+            match operation(index) {
                 Ok(value) => return Ok(value),
                 Err(error) => log::warn!("the index failed: {error:#}"),
             }
         }
         let index = self.replace_index(&mut self.writer(), attempted)?;
-        work(&index).change_context(StoreError::ReadFailed)
+        operation(&index).change_context(StoreError::ReadFailed)
     }
 
     /// Same as [`Core::with_index`] for a caller that holds the lock of the
@@ -113,17 +113,17 @@
     pub(crate) fn with_index_locked<T>(
         &self,
         writer: &mut Writer,
-        work: impl Fn(&Index) -> Result<T, Report<IndexError>>,
+        operation: impl Fn(&Index) -> Result<T, Report<IndexError>>,
     ) -> Result<T, Report<StoreError>> {
         let attempted = self.current_index();
         if let Some(index) = &attempted {
-            match work(index) {
+            match operation(index) {
                 Ok(value) => return Ok(value),
                 Err(error) => log::warn!("the index failed: {error:#}"),
             }
         }
         let index = self.replace_index(writer, attempted)?;
-        work(&index).change_context(StoreError::ReadFailed)
+        operation(&index).change_context(StoreError::ReadFailed)
     }
 
     /// Returns an index other than the one that failed, rebuilding it if
--- a/crates/store/tests/panic.rs
+++ b/crates/store/tests/panic.rs
@@ -89,7 +89,10 @@
     }
 
     fn sync(&self) -> io::Result<()> {
-        assert!(!self.panics.swap(false, Ordering::Relaxed), "told to");
+        assert!(
+            !self.panics.swap(false, Ordering::Relaxed),
+            "injected sync panic"
+        );
         self.file.sync()
     }
 }
--- a/crates/store/tests/spool.rs
+++ b/crates/store/tests/spool.rs
@@ -27,7 +27,10 @@
             for at in kept {
                 let name = format!("r{at}");
                 if at == 0 {
-                    assert!(!removed || !names.contains(&name), "is back");
+                    assert!(
+                        !removed || !names.contains(&name),
+                        "{name} reappeared"
+                    );
                     continue;
                 }
                 assert!(names.contains(&name), "{name} lost at {steps}");
