--- a/crates/companion/src/admission.rs
+++ b/crates/companion/src/admission.rs
@@ -1,4 +1,4 @@
-//! Drives the gate: hands its decisions to the calls that wait for them.
+//! Runs the gate and delivers its decisions to the waiting calls.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -12,15 +12,15 @@
 };
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, mpsc};
-use upstream::ResponseProgress;
+use upstream::ResponseProgress as Progress;
 
-/// Time between two looks of the gate at what has not moved.
+/// Interval at which the gate checks for calls without progress.
 const TICK_MS: u64 = 50;
 
-/// Weight of every customer; the rules give none yet.
+/// Weight of every customer; the rules do not define weights.
 const WEIGHT: u32 = 1;
 
-/// A decision on one call.
+/// A decision about one call.
 #[derive(Clone, Copy, Debug)]
 enum Signal {
     Start,
@@ -36,15 +36,15 @@
 }
 
 impl State {
-    /// Hands the decisions out. The receivers may be gone: their calls end
-    /// at the same moment.
-    fn tell(&mut self) {
+    /// Delivers the pending decisions. A receiver may already be closed if its
+    /// call is ending.
+    fn dispatch(&mut self) {
         for action in self.actions.drain(..) {
             let (key, signal) = match action {
                 Action::Start(key) => (key, Signal::Start),
-                Action::Reject(key, why) => (key, Signal::GiveUp(why)),
+                Action::Reject(key, reason) => (key, Signal::GiveUp(reason)),
                 Action::Return(key) => (key, Signal::Return),
-                Action::Stop(key, why) => (key, Signal::Stop(why)),
+                Action::Stop(key, reason) => (key, Signal::Stop(reason)),
             };
             if let Some(sender) = self.signals.get(key) {
                 let _ = sender.send(signal);
@@ -74,14 +74,15 @@
         })
     }
 
-    /// Takes an online call or refuses it at once.
+    /// Admits an online call to the gate, or refuses it immediately.
     ///
-    /// A long queue only moves the wait here, where the entry cannot send
-    /// the call elsewhere any more; a refusal costs it a millisecond.
-    pub(crate) fn arrive(
+    /// A long queue would only move the wait to the companion, where the entry
+    /// can no longer send the call to another endpoint; a refusal costs the
+    /// entry a millisecond.
+    pub(crate) fn admit_online(
         self: &Arc<Self>,
         customer: &Customer,
-    ) -> Result<Place, Rejection> {
+    ) -> Result<GateCall, Rejection> {
         let arrival = Arrival {
             customer: customer.clone(),
             weight: WEIGHT,
@@ -91,12 +92,12 @@
         })
     }
 
-    /// Takes a batch item in hand.
-    pub(crate) fn offer(
+    /// Admits a batch item to the gate.
+    pub(crate) fn admit_batch(
         self: &Arc<Self>,
         customer: &Customer,
         due: UnixMillis,
-    ) -> Place {
+    ) -> GateCall {
         let unix = self.timer.clock().unix();
         let due_in_ms = due.saturating_ms_since(unix);
         let item = BatchArrival {
@@ -110,7 +111,7 @@
             )
         });
         match entered {
-            Ok(place) => place,
+            Ok(call) => call,
             Err(never) => match never {},
         }
     }
@@ -122,18 +123,18 @@
             Millis,
             &mut Vec<Action>,
         ) -> Result<CallKey, E>,
-    ) -> Result<Place, E> {
+    ) -> Result<GateCall, E> {
         let (sender, signals) = mpsc::unbounded_channel();
         let now = self.timer.now();
         let mut state = self.lock();
         let State { gate, actions, .. } = &mut *state;
         let key = take(gate, now, actions)?;
         state.signals.insert(key, sender);
-        state.tell();
+        state.dispatch();
         drop(state);
         self.changed.notify_one();
-        Ok(Place {
-            admission: self.clone(),
+        Ok(GateCall {
+            gate: self.clone(),
             key,
             signals,
             started: false,
@@ -142,13 +143,13 @@
         })
     }
 
-    /// Tells the gate what has happened.
+    /// Reports an event to the gate.
     pub(crate) fn handle(&self, event: Event) {
         let now = self.timer.now();
         let mut state = self.lock();
         let State { gate, actions, .. } = &mut *state;
         gate.handle(now, event, actions);
-        state.tell();
+        state.dispatch();
         match event {
             Event::Ended { key, .. } | Event::CallerLeft(key) => {
                 state.signals.remove(key);
@@ -160,7 +161,7 @@
         self.changed.notify_one();
     }
 
-    /// Lets the gate see the time pass until the process ends.
+    /// Sends ticks to the gate until the process ends.
     pub(crate) async fn tick(self: Arc<Self>) {
         loop {
             self.timer.subscribe_in_ms(TICK_MS).await;
@@ -168,13 +169,13 @@
         }
     }
 
-    /// Returns how many batch items should be pulled now.
+    /// Returns the number of batch items to pull now.
     pub(crate) fn batch_wanted(&self) -> u32 {
         self.lock().gate.batch_wanted(self.timer.now())
     }
 
-    /// Resolves when something has changed at the gate.
-    pub(crate) async fn changed(&self) {
+    /// Resolves when the state of the gate has changed.
+    pub(crate) async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
@@ -182,7 +183,7 @@
         self.lock().gate.load(self.timer.now())
     }
 
-    /// Tells whether nothing runs or waits.
+    /// Returns whether no call runs or waits.
     pub(crate) fn is_idle(&self) -> bool {
         self.lock().gate.is_empty()
     }
@@ -192,18 +193,18 @@
     }
 }
 
-/// Why a batch item in hand does not start.
+/// Why a call at the gate does not start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NotStarted {
-    /// An online call that waited too long.
+    /// An online call waited too long.
     Refused(Rejection),
-    /// An item that another companion may run.
+    /// A batch item is returned so that another companion may run it.
     Returned,
 }
 
-/// A call at the gate; dropping it ends it.
-pub(crate) struct Place {
-    admission: Arc<Admission>,
+/// A call at the gate; dropping it ends the call.
+pub(crate) struct GateCall {
+    gate: Arc<Admission>,
     key: CallKey,
     signals: mpsc::UnboundedReceiver<Signal>,
     started: bool,
@@ -211,15 +212,15 @@
     last_event: Option<Instant>,
 }
 
-impl Place {
-    /// Waits for its turn.
-    pub(crate) async fn start(&mut self) -> Result<(), NotStarted> {
+impl GateCall {
+    /// Waits until the gate starts the call.
+    pub(crate) async fn wait_for_start(&mut self) -> Result<(), NotStarted> {
         match self.signals.recv().await {
             Some(Signal::Start) => {
                 self.started = true;
                 Ok(())
             }
-            Some(Signal::GiveUp(why)) => Err(NotStarted::Refused(why)),
+            Some(Signal::GiveUp(reason)) => Err(NotStarted::Refused(reason)),
             Some(Signal::Return | Signal::Stop(_)) | None => {
                 Err(NotStarted::Returned)
             }
@@ -227,35 +228,34 @@
     }
 
     /// Resolves when the gate stops the started call, if it ever does.
-    pub(crate) async fn stopped(&mut self) -> StopReason {
+    pub(crate) async fn wait_for_stop(&mut self) -> StopReason {
         loop {
             match self.signals.recv().await {
-                Some(Signal::Stop(why)) => return why,
+                Some(Signal::Stop(reason)) => return reason,
                 Some(_) => {}
                 None => std::future::pending().await,
             }
         }
     }
 
-    /// Tells the progress of the call and returns the time since the token
-    /// before, if there was one.
-    pub(crate) fn seen(&mut self, seen: ResponseProgress) -> Option<u32> {
+    /// Records progress of the call and returns the time since the previous
+    /// token, if there was one.
+    pub(crate) fn record(&mut self, progress: Progress) -> Option<u32> {
         let key = self.key;
-        match seen {
-            ResponseProgress::Stream => {
-                self.admission.handle(Event::StreamStarted(key))
-            }
-            // Blanks keep an answer alive while its engine stands still.
-            ResponseProgress::Bytes => {}
-            ResponseProgress::Event => {
+        match progress {
+            Progress::Stream => self.gate.handle(Event::StreamStarted(key)),
+            // Keep-alive bytes do not count as progress: they keep a response
+            // open while its engine is stalled.
+            Progress::Bytes => {}
+            Progress::Event => {
                 let now = Instant::now();
                 let Some(last) = self.last_event.replace(now) else {
-                    self.admission.handle(Event::FirstToken(key));
+                    self.gate.handle(Event::FirstToken(key));
                     return None;
                 };
                 let gap = now.saturating_duration_since(last).as_micros();
                 let gap_us = u32::try_from(gap).unwrap_or(u32::MAX);
-                self.admission.handle(Event::Token { key, gap_us });
+                self.gate.handle(Event::Token { key, gap_us });
                 return Some(gap_us);
             }
         }
@@ -266,17 +266,17 @@
     pub(crate) fn end(mut self, end: End) {
         self.ended = true;
         let key = self.key;
-        self.admission.handle(Event::Ended { key, end });
+        self.gate.handle(Event::Ended { key, end });
     }
 }
 
-impl Drop for Place {
+impl Drop for GateCall {
     fn drop(&mut self) {
         if self.ended {
             return;
         }
         let key = self.key;
-        self.admission.handle(if self.started {
+        self.gate.handle(if self.started {
             let end = End::Failed;
             Event::Ended { key, end }
         } else {
--- a/crates/pass/src/attempt.rs
+++ b/crates/pass/src/attempt.rs
@@ -9,45 +9,47 @@
 use crate::{
     Counters, Exchange, HeaderNames, Inbound, LoadObserver, Pool, Run,
     RunObserver,
-    channel::{Channel, says_close},
+    channel::{Channel, closes_connection},
 };
 
-/// Why one offer of a request to an endpoint came to nothing.
+/// The reason why an offer of a request to an endpoint failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// No connection could be made.
+    /// The connection could not be established.
     Connect,
     /// The connection closed before the request was written.
     NotSent,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     NotExecuted(StatusCode),
     /// The connection broke after the request was written.
     Broken,
-    /// No answer in the time of the attempt.
+    /// No response arrived within the timeout of the offer.
     Silent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     WrongId,
-    /// The answer is not the endpoint's own: no seal, or encoded.
+    /// The response does not come from the endpoint itself: it has no seal
+    /// or is encoded.
     NotSealed(StatusCode),
-    /// The request was not sent, as it crashes endpoints.
+    /// The request was not sent because it is quarantined as a poison
+    /// request.
     Held {
-        /// When it may be tried again, in milliseconds from now.
+        /// Time until it may be retried, in milliseconds.
         for_ms: u64,
     },
 }
 
 impl Failure {
-    /// Tells whether the request surely did not run.
+    /// Returns whether the request is known not to have run.
     ///
     /// # Example
     ///
     /// ```
     /// use pomeloslip_pass::Failure;
     ///
-    /// assert!(Failure::Connect.surely_not_run());
-    /// assert!(!Failure::Broken.surely_not_run());
+    /// assert!(Failure::Connect.is_known_not_run());
+    /// assert!(!Failure::Broken.is_known_not_run());
     /// ```
-    pub fn surely_not_run(self) -> bool {
+    pub fn is_known_not_run(self) -> bool {
         match self {
             Failure::Connect | Failure::NotSent => true,
             Failure::NotExecuted(_) | Failure::Held { .. } => true,
@@ -65,21 +67,21 @@
     }
 }
 
-/// One offer of a request to one endpoint.
+/// An offer of a request to one endpoint, which may decline to run it.
 pub struct Offer<'a> {
     /// The request.
     pub request: &'a Arc<Inbound>,
     /// The endpoint.
     pub endpoint: &'a Endpoint,
-    /// Last event that the caller has.
+    /// Id of the last event that the client has received.
     pub resume_after: Option<u64>,
-    /// Longest wait for the head of the answer.
+    /// Maximum time until the response head arrives.
     pub wait: Duration,
-    /// Says that the request may be sent.
-    pub cleared: SendPermit,
+    /// Permit of the quarantine to send the request.
+    pub permit: SendPermit,
 }
 
-/// What an offer needs besides the request.
+/// The dependencies of an offer besides the request.
 pub(crate) struct Dispatcher<'a> {
     pub(crate) names: &'a HeaderNames,
     pub(crate) pool: &'a Arc<Pool>,
@@ -90,31 +92,30 @@
 }
 
 impl Dispatcher<'_> {
-    /// Sends the request and returns the answer once its head is there.
-    pub(crate) async fn make(
+    /// Sends the request and returns once the response head has arrived.
+    pub(crate) async fn dispatch(
         &self,
         offer: Offer<'_>,
     ) -> Result<Exchange, Failure> {
         let endpoint = offer.endpoint.clone();
         endpoint.begin_request();
-        self.observer.began(&endpoint);
+        self.observer.request_started(&endpoint);
         let mut run = Run::begin(
             offer.request.clone(),
             endpoint.clone(),
             offer.resume_after,
             self.runs.clone(),
         );
-        let begun = Begun(Some(endpoint));
+        let in_flight = InFlightGuard(Some(endpoint));
         let result = time::timeout(offer.wait, self.send(&offer)).await;
         let result = result.unwrap_or(Err(Failure::Silent));
         match result {
-            Ok((channel, response)) => {
-                self.judge(&offer, begun, run, channel, response)
-            }
+            Ok((channel, response)) => self
+                .evaluate_response(&offer, in_flight, run, channel, response),
             Err(failure) => {
-                self.note(&offer, failure);
+                self.record_failure(&offer, failure);
                 if failure == Failure::Broken {
-                    run.cut_off();
+                    run.mark_interrupted();
                 }
                 Err(failure)
             }
@@ -126,8 +127,8 @@
         offer: &Offer<'_>,
     ) -> Result<(Channel, http::Response<hyper::body::Incoming>), Failure>
     {
-        // A kept connection may close just as it is used. The request was
-        // not written then, and a new connection is tried at once.
+        // An idle connection may close just as it is reused. The request was
+        // not written then, and a new connection is opened immediately.
         if let Some(channel) = self.pool.take(offer.endpoint) {
             match self.send_on(channel, offer).await {
                 Err(Failure::NotSent) => {}
@@ -149,7 +150,7 @@
         let id = &offer.endpoint.record().id;
         let outbound =
             offer.request.outbound(self.names, id, offer.resume_after);
-        let mut channel = Unfinished(Some(channel));
+        let mut channel = AbortOnDrop(Some(channel));
         let sender = match channel.0.as_mut() {
             Some(channel) => channel.sender(),
             None => return Err(Failure::NotSent),
@@ -166,10 +167,10 @@
         }
     }
 
-    fn judge(
+    fn evaluate_response(
         &self,
         offer: &Offer<'_>,
-        mut begun: Begun,
+        mut in_flight: InFlightGuard,
         run: Run,
         mut channel: Channel,
         response: http::Response<hyper::body::Incoming>,
@@ -177,14 +178,14 @@
         let (head, body) = response.into_parts();
         let headers = &head.headers;
         let now = self.clock.now();
-        if let Some(report) = load_report(headers, self.names) {
+        if let Some(report) = parse_load_report(headers, self.names) {
             offer.endpoint.record_load(report, now);
         }
         channel.note_keep_alive(headers, self.pool.options());
-        let reusable = !says_close(headers);
-        let failure = check(&head.status, headers, self.names, offer);
-        // The exchange counts the request as over from here on.
-        if begun.0.take().is_none() {
+        let reusable = !closes_connection(headers);
+        let failure = check_response(&head.status, headers, self.names, offer);
+        // From here on, the exchange decrements the in-flight count.
+        if in_flight.0.take().is_none() {
             return Err(Failure::Broken);
         }
         let mut exchange = Exchange::new(
@@ -198,23 +199,23 @@
         match failure {
             None => {
                 offer.endpoint.record_success();
-                exchange.note_if_whole();
+                exchange.report_if_complete();
                 Ok(exchange)
             }
             Some(failure) => {
-                self.note(offer, failure);
+                self.record_failure(offer, failure);
                 Err(failure)
             }
         }
     }
 
-    /// Remembers a failure against the endpoint.
-    fn note(&self, offer: &Offer<'_>, failure: Failure) {
+    /// Records a failure of the endpoint.
+    fn record_failure(&self, offer: &Offer<'_>, failure: Failure) {
         let now: Millis = self.clock.now();
         offer.endpoint.record_failure(failure.failure_kind(), now);
         let record = offer.endpoint.record();
         if matches!(failure, Failure::Connect | Failure::Silent) {
-            self.pool.forget(offer.endpoint);
+            self.pool.clear_idle(offer.endpoint);
         }
         log::info!(
             request_id = offer.request.id(),
@@ -227,10 +228,10 @@
     }
 }
 
-/// Counts a request as over unless an exchange takes that on.
-struct Begun(Option<Endpoint>);
+/// Decrements the in-flight count on drop unless an exchange takes over.
+struct InFlightGuard(Option<Endpoint>);
 
-impl Drop for Begun {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         if let Some(endpoint) = &self.0 {
             endpoint.end_request();
@@ -238,11 +239,11 @@
     }
 }
 
-/// Closes a connection whose answer is not waited for any more, so that the
+/// Closes a connection whose response is no longer awaited, so that the
 /// endpoint stops its work.
-struct Unfinished(Option<Channel>);
+struct AbortOnDrop(Option<Channel>);
 
-impl Drop for Unfinished {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         if let Some(channel) = &self.0 {
             channel.abort();
@@ -250,7 +251,7 @@
     }
 }
 
-fn check(
+fn check_response(
     status: &StatusCode,
     headers: &HeaderMap,
     names: &HeaderNames,
@@ -262,20 +263,20 @@
     {
         return Some(Failure::NotExecuted(status));
     }
-    // A late second answer to an earlier request may stand where this one's
-    // is expected; only the echoed id tells.
+    // A late duplicate response to an earlier request may arrive in place of
+    // the expected one; only the echoed id shows the difference.
     let echoed = headers.get(&names.request_id);
-    let same = echoed.is_some_and(|id| id == offer.request.id());
-    if !same {
+    let id_matches = echoed.is_some_and(|id| id == offer.request.id());
+    if !id_matches {
         return Some(Failure::WrongId);
     }
     let sealed = headers.contains_key(&names.seal);
     let encoded = headers.contains_key(header::CONTENT_ENCODING);
-    let good = (sealed || !status.is_success()) && !encoded;
-    (!good).then_some(Failure::NotSealed(status))
+    let is_valid = (sealed || !status.is_success()) && !encoded;
+    (!is_valid).then_some(Failure::NotSealed(status))
 }
 
-fn load_report(
+fn parse_load_report(
     headers: &HeaderMap,
     names: &HeaderNames,
 ) -> Option<LoadReport> {
--- a/crates/pass/src/own.rs
+++ b/crates/pass/src/refusal.rs
@@ -3,18 +3,18 @@
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::AnswerBody;
+use crate::ResponseBody;
 
-/// What is known of whether a request ran.
+/// Whether a request ran, as far as the node knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ran {
-    /// It did not and never will.
+    /// The request did not run and never will.
     No,
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
-/// An answer of the node itself in place of an endpoint's.
+/// A response of the node itself in place of one of an endpoint.
 ///
 /// # Example
 ///
@@ -26,8 +26,8 @@
 ///     .with_retry_after_ms(250);
 /// assert_eq!(refusal.status(), StatusCode::SERVICE_UNAVAILABLE);
 /// assert_eq!(refusal.ran(), Ran::No);
-/// let answer = refusal.into_response();
-/// assert_eq!(answer.headers()["retry-after"], "0.25");
+/// let response = refusal.into_response();
+/// assert_eq!(response.headers()["retry-after"], "0.25");
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
@@ -43,18 +43,18 @@
         Self::new(StatusCode::SERVICE_UNAVAILABLE, reason, Ran::No)
     }
 
-    /// Ends a request that may have run and was not answered.
+    /// Ends a request that may have run and has no response.
     pub fn unknown(reason: &'static str) -> Self {
         Self::new(StatusCode::BAD_GATEWAY, reason, Ran::Unknown)
     }
 
-    /// Ends a request that may have run when its time is up.
+    /// Ends a request that may have run when its deadline passes.
     pub fn timed_out(reason: &'static str) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason, Ran::Unknown)
     }
 
-    /// Refuses a request that no route allows or that breaks a limit.
-    pub fn improper(status: StatusCode, reason: &'static str) -> Self {
+    /// Rejects a request that no route allows or that exceeds a limit.
+    pub fn rejected(status: StatusCode, reason: &'static str) -> Self {
         Self::new(status, reason, Ran::No)
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the client should retry.
     #[must_use]
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = Some(retry_after_ms);
@@ -100,15 +100,16 @@
         self.reason
     }
 
-    /// Makes the answer.
-    pub fn into_response(self) -> Response<AnswerBody> {
+    /// Builds the response.
+    pub fn into_response(self) -> Response<ResponseBody> {
         let text = format!(
             "{{\"title\":\"{}\",\"status\":{},\"ran\":\"{}\"}}",
             self.reason,
             self.status.as_u16(),
             self.ran,
         );
-        let mut response = Response::new(AnswerBody::own(Bytes::from(text)));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(Bytes::from(text)));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(
