--- a/crates/conf/src/de.rs
+++ b/crates/conf/src/de.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    PROBLEMS_MAX, Problem,
+    MAX_PROBLEMS, Problem,
     fault::Fault,
     nearest::nearest,
     node::{Entry, Kind, Node, Value},
@@ -65,7 +65,7 @@
 
 impl Sink<'_> {
     fn is_full(&self) -> bool {
-        self.outcome.borrow().problems.len() >= PROBLEMS_MAX
+        self.outcome.borrow().problems.len() >= MAX_PROBLEMS
     }
 
     fn is_dropped(&self, node: &Node) -> bool {
@@ -79,7 +79,7 @@
 
     fn add(&self, problem: Problem) {
         let problems = &mut self.outcome.borrow_mut().problems;
-        if problems.len() < PROBLEMS_MAX && !problems.contains(&problem) {
+        if problems.len() < MAX_PROBLEMS && !problems.contains(&problem) {
             problems.push(problem);
         }
     }
--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -8,11 +8,11 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    Check, ConfError, Findings, Location, PROBLEMS_MAX, Problem, de, load,
+    Check, ConfError, Findings, Location, MAX_PROBLEMS, Problem, de, load,
 };
 
 /// Longest document, in bytes: what the key-value service holds in a value.
-pub const DOCUMENT_MAX_BYTES: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Parses a document.
 ///
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// As of [`parse`], and if the file cannot be read, is not UTF-8 or is
-/// longer than [`DOCUMENT_MAX_BYTES`].
+/// longer than [`MAX_DOCUMENT_BYTES`].
 pub fn read<T: DeserializeOwned>(
     path: impl AsRef<Path>,
 ) -> Result<T, Report<ConfError>> {
@@ -99,7 +99,7 @@
     // One byte more than is allowed was read; `parse` reports the length.
     match String::from_utf8(bytes) {
         Ok(text) => Ok((name, text)),
-        Err(error) if error.as_bytes().len() > DOCUMENT_MAX_BYTES => {
+        Err(error) if error.as_bytes().len() > MAX_DOCUMENT_BYTES => {
             let text = String::from_utf8_lossy(error.as_bytes()).into_owned();
             Ok((name, text))
         }
@@ -113,7 +113,7 @@
 
 fn read_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    let limit = DOCUMENT_MAX_BYTES as u64 + 1;
+    let limit = MAX_DOCUMENT_BYTES as u64 + 1;
     File::open(path)?.take(limit).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
@@ -135,7 +135,7 @@
         check(value, &mut findings);
         problems.extend(findings.into_problems());
     }
-    problems.truncate(PROBLEMS_MAX);
+    problems.truncate(MAX_PROBLEMS);
     match (ConfError::from_problems(problems), value) {
         (None, Some(value)) => Ok(value),
         (Some(error), _) => Err(Report::new(error)),
@@ -148,11 +148,11 @@
 }
 
 fn check_length(file: &str, text: &str) -> Result<(), Problem> {
-    if text.len() <= DOCUMENT_MAX_BYTES {
+    if text.len() <= MAX_DOCUMENT_BYTES {
         return Ok(());
     }
-    let bytes = &text.as_bytes()[..DOCUMENT_MAX_BYTES];
+    let bytes = &text.as_bytes()[..MAX_DOCUMENT_BYTES];
     let location = Location::after(&String::from_utf8_lossy(bytes));
-    let message = format!("is longer than {DOCUMENT_MAX_BYTES} bytes");
+    let message = format!("is longer than {MAX_DOCUMENT_BYTES} bytes");
     Err(Problem::new(file, location, "", message))
 }
--- a/crates/conf/src/findings.rs
+++ b/crates/conf/src/findings.rs
@@ -23,7 +23,7 @@
 ///
 /// A check also runs if some values could not be read, so that an operator
 /// sees all problems at once. Those values are missing then: a list may be
-/// shorter than in the text ([`Findings::item`] numbers its items right),
+/// shorter than in the text ([`Findings::item_path`] numbers its items right),
 /// and a name may lack its definition ([`Findings::is_partial`]).
 #[derive(Debug)]
 pub struct Findings<'a> {
@@ -77,19 +77,19 @@
     }
 
     /// Reports a number outside of a range, both ends included.
-    pub fn range<N>(&mut self, path: &str, value: N, least: N, most: N)
+    pub fn check_range<N>(&mut self, path: &str, value: N, min: N, max: N)
     where
         N: PartialOrd + Display,
     {
-        if value < least || value > most {
-            let message = format!("{value} is not in {least} to {most}");
+        if value < min || value > max {
+            let message = format!("{value} is not in {min} to {max}");
             self.report(path, message);
         }
     }
 
     /// Reports a name that holds other than letters, digits, `-`, `_` and
     /// `.`, or nothing.
-    pub fn name(&mut self, path: &str, name: &str) {
+    pub fn check_name(&mut self, path: &str, name: &str) {
         let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name.is_empty() || !name.chars().all(allowed) {
             let message = "takes letters, digits and - _ . only";
@@ -101,8 +101,8 @@
     ///
     /// It is the path of the list itself if one value stands in its place
     /// ([`OneOrMany`](crate::OneOrMany)).
-    pub fn item(&self, list: &str, index: usize) -> String {
-        let path = self.written_item(list, index);
+    pub fn item_path(&self, list: &str, index: usize) -> String {
+        let path = self.written_item_path(list, index);
         let is_written = |path: &str| self.locations.contains_key(path);
         if is_written(list) && !is_written(&path) {
             return list.to_owned();
@@ -110,7 +110,7 @@
         path
     }
 
-    fn written_item(&self, list: &str, index: usize) -> String {
+    fn written_item_path(&self, list: &str, index: usize) -> String {
         // Counting from the start for each item of a long list takes a
         // time that grows with its square.
         if self.dropped.is_empty() {
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -43,11 +43,11 @@
 pub mod settings;
 
 /// Most problems that are reported of one document.
-pub const PROBLEMS_MAX: usize = 20;
+pub const MAX_PROBLEMS: usize = 20;
 
 pub use crate::{
     address::{AddressError, HttpAddress, parse_socket},
-    document::{DOCUMENT_MAX_BYTES, parse, parse_checked, read, read_checked},
+    document::{MAX_DOCUMENT_BYTES, parse, parse_checked, read, read_checked},
     error::{ConfError, Location, Problem},
     findings::{Check, Findings, UniqueNames},
     nearest::nearest,
--- a/crates/conf/src/settings/check.rs
+++ b/crates/conf/src/settings/check.rs
@@ -103,7 +103,7 @@
             findings.report("peer_listen", "is the same as `listen`");
         }
         for (index, entry) in self.entries.iter().enumerate() {
-            let path = findings.item("entries", index);
+            let path = findings.item_path("entries", index);
             check_target(&path, *entry, findings);
         }
         if let Some(statsd) = self.metrics.statsd {
@@ -114,7 +114,7 @@
     fn check_data_vms(&self, findings: &mut Findings<'_>) {
         let mut names = UniqueNames::default();
         for (index, data_vm) in self.data_vms.iter().enumerate() {
-            let path = findings.item("data_vms", index);
+            let path = findings.item_path("data_vms", index);
             let address = format!("{path}.address");
             check_target(&address, data_vm.address, findings);
             let vm = format!("{path}.vm");
@@ -125,11 +125,11 @@
     fn check_endpoints(&self, findings: &mut Findings<'_>) {
         let mut names = UniqueNames::default();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let path = findings.item("endpoints", index);
+            let path = findings.item_path("endpoints", index);
             if endpoint.peer.is_some() == endpoint.http.is_some() {
                 findings.report(&path, "takes one of `peer` and `http`");
             }
-            findings.name(&format!("{path}.pool"), &endpoint.pool);
+            findings.check_name(&format!("{path}.pool"), &endpoint.pool);
             let name = format!("{path}.endpoint");
             names.add(&name, endpoint.endpoint.as_str(), findings);
         }
@@ -138,7 +138,7 @@
     fn check_secrets(&self, findings: &mut Findings<'_>) {
         for (index, secret) in self.peer_secrets.iter().enumerate() {
             if secret.expose().len() < SECRET_MIN_BYTES {
-                let path = findings.item("peer_secrets", index);
+                let path = findings.item_path("peer_secrets", index);
                 let message =
                     format!("has fewer than {SECRET_MIN_BYTES} bytes");
                 findings.report(&path, message);
@@ -159,7 +159,7 @@
         }
         if let Some(vm_list) = &self.vm_list {
             let poll_ms = vm_list.poll_ms;
-            findings.range("vm_list.poll_ms", poll_ms, 100, MINUTE_MS);
+            findings.check_range("vm_list.poll_ms", poll_ms, 100, MINUTE_MS);
         }
         if let Some(endpoint) = &self.endpoint {
             endpoint.check(findings);
@@ -170,7 +170,7 @@
         self.limits.check(findings);
         self.batch.check(findings);
         self.timeouts.check(findings);
-        findings.name("metrics.prefix", &self.metrics.prefix);
+        findings.check_name("metrics.prefix", &self.metrics.prefix);
     }
 }
 
@@ -180,7 +180,12 @@
             findings.report("key_value.addresses", "is empty");
         }
         let timeout_ms = self.timeout_ms;
-        findings.range("key_value.timeout_ms", timeout_ms, 10, MINUTE_MS);
+        findings.check_range(
+            "key_value.timeout_ms",
+            timeout_ms,
+            10,
+            MINUTE_MS,
+        );
         if self.prefix.is_empty() {
             findings.report("key_value.prefix", "is empty");
         }
@@ -189,15 +194,25 @@
 
 impl Check for EndpointSettings {
     fn check(&self, findings: &mut Findings<'_>) {
-        findings.name("endpoint.pool", &self.pool);
+        findings.check_name("endpoint.pool", &self.pool);
         let most = self.max_running;
-        findings.range("endpoint.max_running", most, 1, 4_096);
+        findings.check_range("endpoint.max_running", most, 1, 4_096);
         let batch = self.batch_max_running;
-        findings.range("endpoint.batch_max_running", batch, 0, most);
+        findings.check_range("endpoint.batch_max_running", batch, 0, most);
         let path = "endpoint.first_token_target_ms";
-        findings.range(path, self.first_token_target_ms, 1, 10 * MINUTE_MS);
+        findings.check_range(
+            path,
+            self.first_token_target_ms,
+            1,
+            10 * MINUTE_MS,
+        );
         let path = "endpoint.between_tokens_target_ms";
-        findings.range(path, self.between_tokens_target_ms, 1, MINUTE_MS);
+        findings.check_range(
+            path,
+            self.between_tokens_target_ms,
+            1,
+            MINUTE_MS,
+        );
     }
 }
 
@@ -207,57 +222,72 @@
             findings.report("data.folder", "is empty");
         }
         let quota = self.quota_bytes;
-        findings.range("data.quota_bytes", quota, MIB, 1_024 * TIB);
+        findings.check_range("data.quota_bytes", quota, MIB, 1_024 * TIB);
         let days = self.retention_days;
-        findings.range("data.retention_days", days, 1, 3_650);
+        findings.check_range("data.retention_days", days, 1, 3_650);
     }
 }
 
 impl Check for LimitSettings {
     fn check(&self, findings: &mut Findings<'_>) {
         let body = self.body_max_bytes;
-        findings.range("limits.body_max_bytes", body, 1_024, 1_024 * MIB);
+        findings.check_range(
+            "limits.body_max_bytes",
+            body,
+            1_024,
+            1_024 * MIB,
+        );
         let file = self.file_max_bytes;
-        findings.range("limits.file_max_bytes", file, 1_024, TIB);
+        findings.check_range("limits.file_max_bytes", file, 1_024, TIB);
         let header = self.header_max_bytes;
-        findings.range("limits.header_max_bytes", header, 256, MIB);
-        findings.range("limits.headers_max", self.headers_max, 8, 1_024);
-        findings.range("limits.items_max", self.items_max, 1, 10_000_000);
+        findings.check_range("limits.header_max_bytes", header, 256, MIB);
+        findings.check_range("limits.headers_max", self.headers_max, 8, 1_024);
+        findings.check_range(
+            "limits.items_max",
+            self.items_max,
+            1,
+            10_000_000,
+        );
         let item = self.item_max_bytes;
-        findings.range("limits.item_max_bytes", item, 64, file.max(64));
+        findings.check_range("limits.item_max_bytes", item, 64, file.max(64));
         let jobs = self.open_jobs_max;
-        findings.range("limits.open_jobs_max", jobs, 1, 100_000);
+        findings.check_range("limits.open_jobs_max", jobs, 1, 100_000);
         let streams = self.streams_max;
-        findings.range("limits.streams_max", streams, 1, 100_000);
+        findings.check_range("limits.streams_max", streams, 1, 100_000);
     }
 }
 
 impl Check for BatchSettings {
     fn check(&self, findings: &mut Findings<'_>) {
-        findings.range("batch.partitions", self.partitions, 1, 4_096);
-        findings.range("batch.lease_ttl_s", self.lease_ttl_s, 2, 300);
+        findings.check_range("batch.partitions", self.partitions, 1, 4_096);
+        findings.check_range("batch.lease_ttl_s", self.lease_ttl_s, 2, 300);
         let interval = self.commit_interval_ms;
-        findings.range("batch.commit_interval_ms", interval, 1, MINUTE_MS);
+        findings.check_range(
+            "batch.commit_interval_ms",
+            interval,
+            1,
+            MINUTE_MS,
+        );
         let items = self.commit_items_max;
         let path = "batch.commit_items_max";
-        findings.range(path, items, 1, COMMIT_ITEMS_MAX);
+        findings.check_range(path, items, 1, COMMIT_ITEMS_MAX);
         let grant = self.grant_items_max;
-        findings.range("batch.grant_items_max", grant, 1, 1_024);
+        findings.check_range("batch.grant_items_max", grant, 1, 1_024);
         let ttl = self.grant_ttl_ms;
-        findings.range("batch.grant_ttl_ms", ttl, 100, DAY_MS);
-        findings.range("batch.attempts_max", self.attempts_max, 1, 100);
+        findings.check_range("batch.grant_ttl_ms", ttl, 100, DAY_MS);
+        findings.check_range("batch.attempts_max", self.attempts_max, 1, 100);
     }
 }
 
 impl Check for TimeoutSettings {
     fn check(&self, findings: &mut Findings<'_>) {
         let connect = self.connect_ms;
-        findings.range("timeouts.connect_ms", connect, 1, MINUTE_MS);
+        findings.check_range("timeouts.connect_ms", connect, 1, MINUTE_MS);
         let first = self.first_byte_ms;
-        findings.range("timeouts.first_byte_ms", first, 1, DAY_MS);
+        findings.check_range("timeouts.first_byte_ms", first, 1, DAY_MS);
         let between = self.between_bytes_ms;
-        findings.range("timeouts.between_bytes_ms", between, 1, DAY_MS);
-        findings.range("timeouts.drain_ms", self.drain_ms, 0, DAY_MS);
+        findings.check_range("timeouts.between_bytes_ms", between, 1, DAY_MS);
+        findings.check_range("timeouts.drain_ms", self.drain_ms, 0, DAY_MS);
     }
 }
 
--- a/crates/conf/tests/parse.rs
+++ b/crates/conf/tests/parse.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, io::Write};
 
 use pomeloslip_conf::{
-    Check, ConfError, DOCUMENT_MAX_BYTES, Findings, OneOrMany, PROBLEMS_MAX,
+    Check, ConfError, Findings, MAX_DOCUMENT_BYTES, MAX_PROBLEMS, OneOrMany,
     UniqueNames, parse, parse_checked, read,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -48,10 +48,10 @@
 
 impl Check for Doc {
     fn check(&self, findings: &mut Findings<'_>) {
-        findings.range("timeout_ms", self.timeout_ms, 0, 1_000);
+        findings.check_range("timeout_ms", self.timeout_ms, 0, 1_000);
         let mut names = UniqueNames::default();
         for (index, pool) in self.pools.iter().enumerate() {
-            let path = findings.item("pools", index);
+            let path = findings.item_path("pools", index);
             names.add(&format!("{path}.name"), &pool.name, findings);
         }
         let known = self.pools.iter().map(|pool| pool.name.as_str());
@@ -171,7 +171,7 @@
 #[test]
 fn problems_are_bounded() {
     let text: String = (0..50).map(|n| format!("key{n}: 1\n")).collect();
-    assert_eq!(errors(&text).problems().count(), PROBLEMS_MAX);
+    assert_eq!(errors(&text).problems().count(), MAX_PROBLEMS);
 }
 
 #[test]
@@ -218,7 +218,7 @@
 #[test]
 fn file_that_is_too_long() {
     let mut bytes = b"on: true\n".to_vec();
-    bytes.resize(DOCUMENT_MAX_BYTES, b'#');
+    bytes.resize(MAX_DOCUMENT_BYTES, b'#');
     assert!(read::<Doc>(file(&bytes).path()).is_ok());
     bytes.push(b'#');
     let error = read_error(&bytes);
--- a/crates/conf/tests/property.rs
+++ b/crates/conf/tests/property.rs
@@ -6,7 +6,7 @@
 
 use std::{fs, path::Path};
 
-use pomeloslip_conf::{PROBLEMS_MAX, settings::Settings};
+use pomeloslip_conf::{MAX_PROBLEMS, settings::Settings};
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 
 /// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
@@ -123,7 +123,7 @@
         let text = edits.iter().fold(first, |text, one| apply(&text, one));
         if let Err(report) = Settings::parse("a.yaml", &text) {
             let error = report.current_context();
-            prop_assert!(error.problems().count() <= PROBLEMS_MAX);
+            prop_assert!(error.problems().count() <= MAX_PROBLEMS);
             for problem in error.problems() {
                 let (line, column) = (problem.line(), problem.column());
                 prop_assert!(
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -34,12 +34,12 @@
         let mut names = UniqueNames::default();
         let mut digests = UniqueNames::default();
         for (index, customer) in self.config.customers.iter().enumerate() {
-            let path = self.findings.item("tenants", index);
+            let path = self.findings.item_path("tenants", index);
             let name = format!("{path}.tenant");
             names.add(&name, customer.customer.as_str(), self.findings);
             let keys = format!("{path}.key_sha256");
             for (index, digest) in customer.key_sha256.iter().enumerate() {
-                let path = self.findings.item(&keys, index);
+                let path = self.findings.item_path(&keys, index);
                 let digest = digest.to_string();
                 digests.add(&path, &digest, self.findings);
             }
@@ -49,7 +49,8 @@
 
     fn check_customer(&mut self, path: &str, customer: &CustomerConfig) {
         let weight = format!("{path}.weight");
-        self.findings.range(&weight, customer.weight, 1, MAX_WEIGHT);
+        self.findings
+            .check_range(&weight, customer.weight, 1, MAX_WEIGHT);
         let CustomerLimits {
             requests_per_s,
             burst,
@@ -69,10 +70,10 @@
     fn check_pools(&mut self) {
         let mut names = UniqueNames::default();
         for (index, pool) in self.config.pools.iter().enumerate() {
-            let path = self.findings.item("pools", index);
+            let path = self.findings.item_path("pools", index);
             let name = format!("{path}.pool");
             names.add(&name, &pool.pool, self.findings);
-            self.findings.name(&name, &pool.pool);
+            self.findings.check_name(&name, &pool.pool);
             self.check_pool(&path, pool);
         }
     }
@@ -114,7 +115,7 @@
     fn check_rules(&mut self) {
         let mut names = UniqueNames::default();
         for (index, rule) in self.config.rules.iter().enumerate() {
-            let path = self.findings.item("rules", index);
+            let path = self.findings.item_path("rules", index);
             if let Some(name) = &rule.name {
                 let path = format!("{path}.name");
                 names.add(&path, name, self.findings);
@@ -189,7 +190,7 @@
         {
             self.check_pool_name(&format!("{path}.pool"), &load.pool);
             let above = format!("{path}.above");
-            self.findings.range(&above, load.above, 0.0, 1_000.0);
+            self.findings.check_range(&above, load.above, 0.0, 1_000.0);
         }
         for (path, header) in
             self.items_with_paths(path, "header", &when.header)
@@ -236,8 +237,12 @@
             self.findings.report(&key("first_token_ms"), message);
         }
         if let Some(retries) = then.retries {
-            self.findings
-                .range(&key("retries"), retries, 0, MAX_RETRIES);
+            self.findings.check_range(
+                &key("retries"),
+                retries,
+                0,
+                MAX_RETRIES,
+            );
         }
         if then.hedge_ms.is_some() && then.repeatable == Some(false) {
             let message = "runs a request twice, which `repeatable` forbids";
@@ -276,8 +281,8 @@
         let floor = then.batch_floor.unwrap_or(0.0);
         let floor_path = format!("{path}.batch_floor");
         let share_path = format!("{path}.batch_share");
-        self.findings.range(&share_path, share, 0.0, 1.0);
-        self.findings.range(&floor_path, floor, 0.0, 1.0);
+        self.findings.check_range(&share_path, share, 0.0, 1.0);
+        self.findings.check_range(&floor_path, floor, 0.0, 1.0);
         if floor > share {
             let message =
                 format!("{floor} is greater than batch_share {share}");
@@ -287,13 +292,13 @@
 
     fn check_refuse(&mut self, path: &str, refuse: &Refuse) {
         let status = format!("{path}.status");
-        self.findings.range(&status, refuse.status, 400, 599);
+        self.findings.check_range(&status, refuse.status, 400, 599);
         if refuse.detail.is_empty() {
             self.findings.report(&format!("{path}.detail"), "is empty");
         }
         if let Some(seconds) = refuse.retry_after_s {
             let path = format!("{path}.retry_after_s");
-            self.findings.range(&path, seconds, 1, 86_400);
+            self.findings.check_range(&path, seconds, 1, 86_400);
         }
     }
 
@@ -337,7 +342,7 @@
         self.check_not_empty(path, wanted);
         let Some(wanted) = wanted else { return };
         for (index, one) in wanted.iter().enumerate() {
-            let item = self.findings.item(path, index);
+            let item = self.findings.item_path(path, index);
             self.check_known(&item, kind, one.as_ref(), names);
         }
     }
@@ -369,7 +374,7 @@
         let path = format!("{path}.{key}");
         let items = list.iter().flat_map(|list| list.iter()).enumerate();
         items
-            .map(|(index, item)| (self.findings.item(&path, index), item))
+            .map(|(index, item)| (self.findings.item_path(&path, index), item))
             .collect()
     }
 
@@ -382,13 +387,13 @@
 
     fn check_at_least_one(&mut self, path: &str, number: Option<u32>) {
         if let Some(number) = number {
-            self.findings.range(path, number, 1, u32::MAX);
+            self.findings.check_range(path, number, 1, u32::MAX);
         }
     }
 
     fn check_duration_ms(&mut self, path: &str, ms: Option<u64>) {
         if let Some(ms) = ms {
-            self.findings.range(path, ms, 1, MAX_DURATION_MS);
+            self.findings.check_range(path, ms, 1, MAX_DURATION_MS);
         }
     }
 
