--- a/crates/conf/src/address.rs
+++ b/crates/conf/src/address.rs
@@ -4,12 +4,12 @@
 
 const SCHEME: &str = "http://";
 
-/// Names a plain-HTTP server by the number of its IP address.
+/// Base URL of a plain-HTTP server, with a numeric IP address.
 ///
-/// It is written `http://IP:PORT`, optionally with a path. Host names are
-/// refused: a process must be able to start and to reconnect while no name
-/// service answers, and a name that changes its meaning would go unnoticed
-/// in a pool of open connections.
+/// The format is `http://IP:PORT`, optionally with a path. Host names are
+/// rejected: a process must be able to start and to reconnect while DNS is
+/// down, and a pool of open connections would not notice that a name now
+/// resolves to another address.
 ///
 /// # Example
 ///
@@ -31,7 +31,7 @@
 }
 
 impl HttpAddress {
-    /// Returns the address as text, without a slash at its end.
+    /// Returns the address as text, without a trailing slash.
     #[inline]
     pub fn as_str(&self) -> &str {
         &self.text
@@ -60,14 +60,14 @@
     type Err = AddressError;
 
     fn from_str(text: &str) -> Result<Self, AddressError> {
-        let rest = text
+        let remainder = text
             .strip_prefix(SCHEME)
             .ok_or_else(|| AddressError::new(Cause::Scheme, text))?;
-        let end = rest.find('/').unwrap_or(rest.len());
-        let socket = parse_socket(&rest[..end])?;
-        let path = &rest[end..];
-        let bad = |c: char| c.is_whitespace() || "?#".contains(c);
-        if path.contains(bad) {
+        let path_start = remainder.find('/').unwrap_or(remainder.len());
+        let socket = parse_socket(&remainder[..path_start])?;
+        let path = &remainder[path_start..];
+        let is_forbidden = |c: char| c.is_whitespace() || "?#".contains(c);
+        if path.contains(is_forbidden) {
             return Err(AddressError::new(Cause::Path, text));
         }
         let text = text.trim_end_matches('/').to_owned();
@@ -95,7 +95,7 @@
     }
 }
 
-/// Says why a text is no address.
+/// Reason why a text is not a valid address.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AddressError {
     cause: Cause,
@@ -122,7 +122,10 @@
         let text = &self.text;
         match self.cause {
             Cause::Scheme => {
-                write!(f, "{text:?} is no address of the form http://IP:PORT")
+                write!(
+                    f,
+                    "{text:?} is not an address of the form http://IP:PORT"
+                )
             }
             Cause::NoPort => write!(
                 f,
@@ -143,11 +146,11 @@
 
 impl std::error::Error for AddressError {}
 
-/// Parses `IP:PORT` and says clearly when a host name stands there.
+/// Parses `IP:PORT`, with an explicit error for a host name.
 ///
 /// # Errors
 ///
-/// If the text has no port or no IP address by number.
+/// If the text has no port or no numeric IP address.
 ///
 /// # Example
 ///
@@ -163,8 +166,8 @@
     if let Ok(socket) = text.parse() {
         return Ok(socket);
     }
-    let only_ip = text.parse::<std::net::IpAddr>().is_ok();
-    let cause = if only_ip {
+    let is_ip_only = text.parse::<std::net::IpAddr>().is_ok();
+    let cause = if is_ip_only {
         Cause::NoPort
     } else {
         Cause::HostName
@@ -172,7 +175,7 @@
     Err(AddressError::new(cause, text))
 }
 
-/// Deserializes one `IP:PORT`, for `#[serde(deserialize_with)]`.
+/// Deserializes an `IP:PORT`, for `#[serde(deserialize_with)]`.
 pub(crate) fn socket<'de, D>(deserializer: D) -> Result<SocketAddr, D::Error>
 where
     D: Deserializer<'de>,
@@ -181,15 +184,15 @@
     parse_socket(&text).map_err(D::Error::custom)
 }
 
-/// Deserializes one `IP:PORT` that may be left out.
+/// Deserializes an optional `IP:PORT`.
 pub(crate) fn optional_socket<'de, D>(
     deserializer: D,
 ) -> Result<Option<SocketAddr>, D::Error>
 where
     D: Deserializer<'de>,
 {
-    let one = Option::<Socket>::deserialize(deserializer)?;
-    Ok(one.map(|one| one.0))
+    let socket = Option::<Socket>::deserialize(deserializer)?;
+    Ok(socket.map(|socket| socket.0))
 }
 
 /// Deserializes a list of `IP:PORT`.
@@ -200,9 +203,10 @@
     D: Deserializer<'de>,
 {
     let list = Vec::<Socket>::deserialize(deserializer)?;
-    Ok(list.into_iter().map(|one| one.0).collect())
+    Ok(list.into_iter().map(|socket| socket.0).collect())
 }
 
+/// An `IP:PORT` that is deserialized by [`parse_socket`].
 struct Socket(SocketAddr);
 
 impl<'de> Deserialize<'de> for Socket {
--- a/crates/conf/src/de.rs
+++ b/crates/conf/src/de.rs
@@ -1,10 +1,10 @@
-//! Deserializes a tree by serde and finds every problem, not only the first.
+//! Deserializes a syntax tree with serde and reports all problems.
 //!
-//! Serde's visitors stop at their first error. So a value that fails is
-//! recorded, the pass is run again without it, and so on until a pass gets
-//! through or the document itself fails. Unknown keys are found here, from
-//! the list of fields that serde hands over, so that a type that forgets
-//! `deny_unknown_fields` is checked as well.
+//! Serde's visitors stop at their first error. When a value fails, its problem
+//! is recorded and the pass is repeated without the value, until a pass
+//! succeeds or the document itself fails. Unknown keys are detected here, from
+//! the list of fields that serde passes, so that they are also rejected for
+//! types without `deny_unknown_fields`.
 
 use std::{cell::RefCell, collections::HashSet, marker::PhantomData};
 
@@ -22,48 +22,51 @@
     one_or_many,
 };
 
-/// What deserializing found, and what it had to leave out.
+/// Problems found by deserialization and the values that it dropped.
 #[derive(Default)]
 pub(crate) struct Outcome {
     pub(crate) problems: Vec<Problem>,
-    /// Paths of the values that were left out.
+    /// Paths of the values that could not be deserialized.
     pub(crate) dropped: HashSet<String>,
 }
 
-/// Deserializes a tree; without a value if the document itself fails.
+/// Deserializes a tree. Returns no value if the document itself fails.
 pub(crate) fn deserialize<T: DeserializeOwned>(
     file: &str,
     root: &Node,
 ) -> (Option<T>, Outcome) {
-    let sink = Sink {
+    let collector = Collector {
         file,
         outcome: RefCell::default(),
     };
     let mut value = None;
-    // Each pass but the last drops one value more, and a problem may take
-    // the values around it along, up to the root.
-    while value.is_none() && !sink.is_full() && !sink.is_dropped(root) {
-        let before = sink.outcome.borrow().dropped.len();
-        let reader = Reader {
+    // Each pass but the last drops one more value. A problem can also drop
+    // the enclosing values, up to the root.
+    while value.is_none()
+        && !collector.is_full()
+        && !collector.is_dropped(root)
+    {
+        let before = collector.outcome.borrow().dropped.len();
+        let deserializer = NodeDeserializer {
             node: root,
-            sink: &sink,
+            collector: &collector,
         };
-        value = reader.fill(PhantomData::<T>).ok();
-        let after = sink.outcome.borrow().dropped.len();
+        value = deserializer.deserialize_seed(PhantomData::<T>).ok();
+        let after = collector.outcome.borrow().dropped.len();
         if value.is_none() && before == after {
             break;
         }
     }
-    (value, sink.outcome.into_inner())
+    (value, collector.outcome.into_inner())
 }
 
-/// Collects problems during a pass.
-struct Sink<'a> {
+/// Collects problems and dropped values over all passes.
+struct Collector<'a> {
     file: &'a str,
     outcome: RefCell<Outcome>,
 }
 
-impl Sink<'_> {
+impl Collector<'_> {
     fn is_full(&self) -> bool {
         self.outcome.borrow().problems.len() >= MAX_PROBLEMS
     }
@@ -84,40 +87,43 @@
         }
     }
 
-    fn unknown_key(&self, entry: &Entry, fields: &[&str]) {
-        let near = nearest(&entry.key, fields.iter().copied());
+    fn add_unknown_key(&self, entry: &Entry, fields: &[&str]) {
+        let suggestion = nearest(&entry.key, fields.iter().copied());
         let mut message = "unknown key".to_owned();
-        if near.is_none() {
+        if suggestion.is_none() {
             message = format!("{message}; one of {}", fields.join(", "));
         }
         let path = &entry.value.path;
         let problem =
             Problem::new(self.file, entry.key_location, path, message);
-        self.add(problem.with_nearest(near.map(str::to_owned)));
+        self.add(problem.with_nearest(suggestion.map(str::to_owned)));
     }
 }
 
-/// Deserializer of one value.
+/// Deserializer of a value.
 #[derive(Clone, Copy)]
-struct Reader<'a> {
+struct NodeDeserializer<'a> {
     node: &'a Node,
-    sink: &'a Sink<'a>,
+    collector: &'a Collector<'a>,
 }
 
-impl<'a> Reader<'a> {
-    fn with(self, node: &'a Node) -> Self {
-        Reader { node, ..self }
+impl<'a> NodeDeserializer<'a> {
+    fn at(self, node: &'a Node) -> Self {
+        NodeDeserializer { node, ..self }
     }
 
-    /// Deserializes a value inside another.
+    /// Deserializes a nested value.
     ///
-    /// A type that is made from a string fails after the string was read;
-    /// only here is it still known which value that was.
-    fn fill<T: DeserializeSeed<'a>>(self, seed: T) -> Result<T::Value, Fault> {
+    /// A type that is parsed from a string fails after the string was read.
+    /// The error is recorded here, where the value is still known.
+    fn deserialize_seed<T: DeserializeSeed<'a>>(
+        self,
+        seed: T,
+    ) -> Result<T::Value, Fault> {
         self.record(seed.deserialize(self))
     }
 
-    /// Records an error at this value and leaves the value out from now on.
+    /// Records an error of this value and drops the value from later passes.
     fn record<T>(self, result: Result<T, Fault>) -> Result<T, Fault> {
         let fault = match result {
             Ok(value) => return Ok(value),
@@ -127,31 +133,36 @@
             Fault::Recorded => {}
             Fault::Missing(field) => self.record_missing(field),
             Fault::Value { message, nearest } => {
-                self.sink.drop_value(self.node);
+                self.collector.drop_value(self.node);
                 let Node { location, path, .. } = self.node;
-                let problem =
-                    Problem::new(self.sink.file, *location, path, message);
-                self.sink.add(problem.with_nearest(nearest));
+                let problem = Problem::new(
+                    self.collector.file,
+                    *location,
+                    path,
+                    message,
+                );
+                self.collector.add(problem.with_nearest(nearest));
             }
         }
         Err(Fault::Recorded)
     }
 
-    /// A key that stands there but was left out is no problem of its own.
+    /// Records a missing key, unless the key is present and its value was
+    /// dropped.
     fn record_missing(self, field: &str) {
-        self.sink.drop_value(self.node);
-        let left_out = match &self.node.kind {
+        self.collector.drop_value(self.node);
+        let was_dropped = match &self.node.kind {
             Kind::Mapping(entries) => entries.iter().any(|entry| {
-                entry.key == field && self.sink.is_dropped(&entry.value)
+                entry.key == field && self.collector.is_dropped(&entry.value)
             }),
             _ => false,
         };
-        if !left_out {
+        if !was_dropped {
             let Node { location, path, .. } = self.node;
             let message = format!("missing key `{field}`");
             let problem =
-                Problem::new(self.sink.file, *location, path, message);
-            self.sink.add(problem);
+                Problem::new(self.collector.file, *location, path, message);
+            self.collector.add(problem);
         }
     }
 
@@ -172,8 +183,8 @@
         }
     }
 
-    /// Numbers count as text where text is wanted, so that a name such as
-    /// `7b` or `3` needs no quotes; null and booleans do not.
+    /// Visits a number as text, so that a name such as `7b` or `3` needs no
+    /// quotes. Null and booleans are not accepted as text.
     fn visit_text<V: Visitor<'a>>(
         self,
         visitor: V,
@@ -194,8 +205,8 @@
         let Kind::Sequence(nodes) = &self.node.kind else {
             return self.visit_mismatch(visitor);
         };
-        visitor.visit_seq(Items {
-            reader: self,
+        visitor.visit_seq(ItemAccess {
+            deserializer: self,
             nodes,
         })
     }
@@ -208,8 +219,8 @@
         let Kind::Mapping(entries) = &self.node.kind else {
             return self.visit_mismatch(visitor);
         };
-        visitor.visit_map(Entries {
-            reader: self,
+        visitor.visit_map(EntryAccess {
+            deserializer: self,
             entries,
             fields,
             value: None,
@@ -247,7 +258,7 @@
     };
 }
 
-impl<'de> Deserializer<'de> for Reader<'de> {
+impl<'de> Deserializer<'de> for NodeDeserializer<'de> {
     type Error = Fault;
 
     forward! { visit_scalar:
@@ -305,15 +316,15 @@
         name: &'static str,
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        if name != one_or_many::MARK {
+        if name != one_or_many::NEWTYPE_NAME {
             return self.record(visitor.visit_newtype_struct(self));
         }
         let nodes = match &self.node.kind {
             Kind::Sequence(nodes) => nodes.as_slice(),
             _ => std::slice::from_ref(self.node),
         };
-        self.record(visitor.visit_seq(Items {
-            reader: self,
+        self.record(visitor.visit_seq(ItemAccess {
+            deserializer: self,
             nodes,
         }))
     }
@@ -357,14 +368,14 @@
         _variants: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Fault> {
-        let expected = "a word or a mapping with one key";
+        let expected = "a string or a mapping with one key";
         self.record(match &self.node.kind {
             Kind::Scalar(scalar) if !self.node.is_null() => {
                 visitor.visit_enum(scalar.text.as_str().into_deserializer())
             }
             Kind::Mapping(entries) if entries.len() == 1 => visitor
-                .visit_enum(Variant {
-                    reader: self,
+                .visit_enum(KeyedVariant {
+                    deserializer: self,
                     entry: &entries[0],
                 }),
             _ => Err(self.mismatch(&expected)),
@@ -372,23 +383,24 @@
     }
 }
 
-/// The items of a sequence that were not left out.
-struct Items<'a> {
-    reader: Reader<'a>,
+/// Iterates over the items of a sequence that were not dropped.
+struct ItemAccess<'a> {
+    deserializer: NodeDeserializer<'a>,
     nodes: &'a [Node],
 }
 
-impl<'de> SeqAccess<'de> for Items<'de> {
+impl<'de> SeqAccess<'de> for ItemAccess<'de> {
     type Error = Fault;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
         &mut self,
         seed: T,
     ) -> Result<Option<T::Value>, Fault> {
-        while let Some((node, rest)) = self.nodes.split_first() {
-            self.nodes = rest;
-            if !self.reader.sink.is_dropped(node) {
-                let value = self.reader.with(node).fill(seed)?;
+        while let Some((node, remainder)) = self.nodes.split_first() {
+            self.nodes = remainder;
+            if !self.deserializer.collector.is_dropped(node) {
+                let value =
+                    self.deserializer.at(node).deserialize_seed(seed)?;
                 return Ok(Some(value));
             }
         }
@@ -400,37 +412,41 @@
     }
 }
 
-/// The known keys of a mapping whose values were not left out.
-struct Entries<'a> {
-    reader: Reader<'a>,
+/// Iterates over the known keys of a mapping whose values were not dropped.
+struct EntryAccess<'a> {
+    deserializer: NodeDeserializer<'a>,
     entries: &'a [Entry],
     fields: Option<&'static [&'static str]>,
     value: Option<&'a Node>,
 }
 
-impl<'de> MapAccess<'de> for Entries<'de> {
+impl<'de> MapAccess<'de> for EntryAccess<'de> {
     type Error = Fault;
 
     fn next_key_seed<K: DeserializeSeed<'de>>(
         &mut self,
         seed: K,
     ) -> Result<Option<K::Value>, Fault> {
-        let sink = self.reader.sink;
-        while let Some((entry, rest)) = self.entries.split_first() {
-            self.entries = rest;
+        let collector = self.deserializer.collector;
+        while let Some((entry, remainder)) = self.entries.split_first() {
+            self.entries = remainder;
             let key = entry.key.as_str();
             if let Some(fields) = self.fields
                 && !fields.contains(&key)
             {
-                sink.unknown_key(entry, fields);
+                collector.add_unknown_key(entry, fields);
                 continue;
             }
-            if sink.is_dropped(&entry.value) {
+            if collector.is_dropped(&entry.value) {
                 continue;
             }
             self.value = Some(&entry.value);
             let result = seed.deserialize(key.into_deserializer());
-            return self.reader.with(&entry.value).record(result).map(Some);
+            return self
+                .deserializer
+                .at(&entry.value)
+                .record(result)
+                .map(Some);
         }
         Ok(None)
     }
@@ -440,33 +456,33 @@
         seed: V,
     ) -> Result<V::Value, Fault> {
         match self.value.take() {
-            Some(node) => self.reader.with(node).fill(seed),
+            Some(node) => self.deserializer.at(node).deserialize_seed(seed),
             None => Err(de::Error::custom("a value without a key")),
         }
     }
 }
 
-/// An enum variant written as a mapping with one key.
-struct Variant<'a> {
-    reader: Reader<'a>,
+/// Accesses an enum variant that is written as a mapping with one key.
+struct KeyedVariant<'a> {
+    deserializer: NodeDeserializer<'a>,
     entry: &'a Entry,
 }
 
-impl<'de> EnumAccess<'de> for Variant<'de> {
+impl<'de> EnumAccess<'de> for KeyedVariant<'de> {
     type Error = Fault;
-    type Variant = Reader<'de>;
+    type Variant = NodeDeserializer<'de>;
 
     fn variant_seed<V: DeserializeSeed<'de>>(
         self,
         seed: V,
-    ) -> Result<(V::Value, Reader<'de>), Fault> {
+    ) -> Result<(V::Value, NodeDeserializer<'de>), Fault> {
         let key = self.entry.key.as_str();
         let value = seed.deserialize(key.into_deserializer())?;
-        Ok((value, self.reader.with(&self.entry.value)))
+        Ok((value, self.deserializer.at(&self.entry.value)))
     }
 }
 
-impl<'de> VariantAccess<'de> for Reader<'de> {
+impl<'de> VariantAccess<'de> for NodeDeserializer<'de> {
     type Error = Fault;
 
     fn unit_variant(self) -> Result<(), Fault> {
@@ -477,7 +493,7 @@
         self,
         seed: T,
     ) -> Result<T::Value, Fault> {
-        self.fill(seed)
+        self.deserialize_seed(seed)
     }
 
     fn tuple_variant<V: Visitor<'de>>(
--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -11,15 +11,16 @@
     Check, ConfError, Findings, Location, MAX_PROBLEMS, Problem, de, load,
 };
 
-/// Longest document, in bytes: what the key-value service holds in a value.
+/// Maximum length of a document in bytes, which is the largest value that
+/// the key-value service stores.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Parses a document.
 ///
 /// # Errors
 ///
-/// Syntax, a second document, duplicate or unknown keys, missing keys and
-/// values of a wrong type, each with its place; up to 20 problems.
+/// Syntax errors, a second document, duplicate, unknown or missing keys and
+/// values of a wrong type, each with its location; up to [`MAX_PROBLEMS`].
 ///
 /// # Example
 ///
@@ -49,11 +50,11 @@
     parse_with(source_name, text, |_, _| ())
 }
 
-/// Parses a document and checks what it means.
+/// Parses a document and runs its semantic checks.
 ///
 /// # Errors
 ///
-/// As of [`parse`], and what [`Check::check`] reports.
+/// As for [`parse`], and every problem that [`Check::check`] reports.
 pub fn parse_checked<T: DeserializeOwned + Check>(
     source_name: &str,
     text: &str,
@@ -65,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// As of [`parse`], and if the file cannot be read, is not UTF-8 or is
+/// As for [`parse`], and if the file cannot be read, is not UTF-8 or is
 /// longer than [`MAX_DOCUMENT_BYTES`].
 pub fn read<T: DeserializeOwned>(
     path: impl AsRef<Path>,
@@ -74,11 +75,11 @@
     parse(&name, &text)
 }
 
-/// Reads a document from a file and checks what it means.
+/// Reads a document from a file and runs its semantic checks.
 ///
 /// # Errors
 ///
-/// As of [`read`], and what [`Check::check`] reports.
+/// As for [`read`], and every problem that [`Check::check`] reports.
 pub fn read_checked<T: DeserializeOwned + Check>(
     path: impl AsRef<Path>,
 ) -> Result<T, Report<ConfError>> {
@@ -96,7 +97,8 @@
         let message = format!("cannot be read: {error}");
         fail(Location::default(), message)
     })?;
-    // One byte more than is allowed was read; `parse` reports the length.
+    // `read_bytes` reads one byte beyond the limit, so that `parse` reports
+    // a document that is too long.
     match String::from_utf8(bytes) {
         Ok(text) => Ok((name, text)),
         Err(error) if error.as_bytes().len() > MAX_DOCUMENT_BYTES => {
@@ -104,8 +106,8 @@
             Ok((name, text))
         }
         Err(error) => {
-            let good = error.utf8_error().valid_up_to();
-            let text = String::from_utf8_lossy(&error.as_bytes()[..good]);
+            let valid_len = error.utf8_error().valid_up_to();
+            let text = String::from_utf8_lossy(&error.as_bytes()[..valid_len]);
             Err(fail(Location::after(&text), "is not UTF-8".to_owned()))
         }
     }
@@ -140,7 +142,8 @@
         (None, Some(value)) => Ok(value),
         (Some(error), _) => Err(Report::new(error)),
         (None, None) => {
-            let message = "is wrong in a way that could not be located";
+            let message =
+                "is invalid, but the location of the problem is unknown";
             let problem = Problem::new(file, root.location, "", message);
             Err(Report::new(problem.into()))
         }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Key shown for a problem of the document as a whole.
+/// Key of a problem that concerns the whole document.
 const WHOLE_DOCUMENT: &str = "(document)";
 
-/// Place in a text, both counted from 1; 0 if there is none.
+/// Position in a text, counted from 1; both fields are 0 if unknown.
 #[derive(
     Clone,
     Copy,
@@ -20,23 +20,24 @@
     Deserialize,
 )]
 pub struct Location {
-    /// Line.
+    /// Line number.
     pub line: u32,
-    /// Column in characters, not bytes.
+    /// Column number, in characters, not bytes.
     pub column: u32,
 }
 
 impl Location {
-    /// The first character.
+    /// Position of the first character.
     pub(crate) const START: Location = Location { line: 1, column: 1 };
 
-    /// Returns the place just behind `text`.
+    /// Returns the position immediately after `text`.
     pub(crate) fn after(text: &str) -> Self {
         let line = 1 + text.matches('\n').count();
-        let tail = text.rsplit('\n').next().unwrap_or_default();
-        Self::clamped(line, 1 + tail.chars().count())
+        let last_line = text.rsplit('\n').next().unwrap_or_default();
+        Self::clamped(line, 1 + last_line.chars().count())
     }
 
+    /// Creates a location, saturating both numbers at `u32::MAX`.
     pub(crate) fn clamped(line: usize, column: usize) -> Self {
         Self {
             line: u32::try_from(line).unwrap_or(u32::MAX),
@@ -45,7 +46,7 @@
     }
 }
 
-/// One thing that is wrong in a document.
+/// A problem in a document.
 ///
 /// Displays as `FILE:LINE:COLUMN: KEY: message; did you mean "x"?`.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -106,13 +107,13 @@
         &self.key
     }
 
-    /// Returns what is wrong.
+    /// Returns the description of the problem.
     #[inline]
     pub fn message(&self) -> &str {
         &self.message
     }
 
-    /// Returns the nearest right word, if one is near.
+    /// Returns the most similar valid word, if one is similar enough.
     #[inline]
     pub fn nearest(&self) -> Option<&str> {
         self.nearest.as_deref()
@@ -134,12 +135,11 @@
     }
 }
 
-/// Says what is wrong in a document: at least one [`Problem`], in the order
-/// of the text.
+/// The problems of a document: at least one [`Problem`], in text order.
 ///
-/// Displays one line for each. Serializes as a list of problems, each with
-/// `file`, `line`, `column`, `key`, `message` and perhaps `nearest`. The
-/// getters other than [`ConfError::problems`] are those of the first one.
+/// Displays one line for each problem. Serializes as a list of problems, each
+/// with `file`, `line`, `column`, `key`, `message` and optionally `nearest`.
+/// Getters other than [`ConfError::problems`] refer to the first problem.
 ///
 /// # Example
 ///
@@ -163,17 +163,17 @@
 }
 
 impl ConfError {
-    /// Makes an error of problems found elsewhere, in the order of the text,
-    /// or nothing if there is none.
+    /// Creates an error from problems, sorted by location. Returns `None` if
+    /// there are no problems.
     pub fn from_problems(mut problems: Vec<Problem>) -> Option<Self> {
         problems.sort_by_key(|problem| problem.location);
-        let mut rest = problems.into_iter();
-        let first = rest.next()?;
-        let others = rest.collect();
+        let mut problems = problems.into_iter();
+        let first = problems.next()?;
+        let others = problems.collect();
         Some(Self { first, others })
     }
 
-    /// Returns all problems in the order of the text.
+    /// Returns all problems in text order.
     pub fn problems(&self) -> impl Iterator<Item = &Problem> {
         std::iter::once(&self.first).chain(&self.others)
     }
@@ -202,13 +202,13 @@
         self.first.key()
     }
 
-    /// Returns what is wrong.
+    /// Returns the description of the problem.
     #[inline]
     pub fn message(&self) -> &str {
         self.first.message()
     }
 
-    /// Returns the nearest right word, if one is near.
+    /// Returns the most similar valid word, if one is similar enough.
     #[inline]
     pub fn nearest(&self) -> Option<&str> {
         self.first.nearest()
--- a/crates/conf/src/fault.rs
+++ b/crates/conf/src/fault.rs
@@ -4,17 +4,17 @@
 
 use crate::nearest::nearest;
 
-/// What stands before the nearest word in a message.
-const HINT: &str = "; did you mean \"";
+/// Text that precedes the suggested word in a message.
+const SUGGESTION_PREFIX: &str = "; did you mean \"";
 
-/// An error on its way from a visitor to the value that it is about.
+/// An error that a visitor returns, before it is attributed to a value.
 #[derive(Debug)]
 pub(crate) enum Fault {
-    /// It is in the sink already.
+    /// The problem has already been added to the collector.
     Recorded,
-    /// A key is missing in a mapping.
+    /// A mapping lacks a required key.
     Missing(&'static str),
-    /// Something else is wrong with a value.
+    /// A value is invalid for any other reason.
     Value {
         message: String,
         nearest: Option<String>,
@@ -27,13 +27,13 @@
         Fault::Value { message, nearest }
     }
 
-    /// Takes the nearest word out of a message that ends in one; a type that
-    /// is made from a string has no other way to tell it.
-    fn with_hint(message: String) -> Self {
-        let hint = message
+    /// Extracts the suggestion from a message that ends in one. A type that is
+    /// parsed from a string can pass a suggestion only through the message.
+    fn from_message(message: String) -> Self {
+        let parts = message
             .strip_suffix("\"?")
-            .and_then(|rest| rest.rsplit_once(HINT));
-        match hint {
+            .and_then(|message| message.rsplit_once(SUGGESTION_PREFIX));
+        match parts {
             Some((message, near)) => Fault::Value {
                 message: message.to_owned(),
                 nearest: Some(near.to_owned()),
@@ -42,9 +42,13 @@
         }
     }
 
-    pub(crate) fn word(kind: &str, wrong: &str, right: &[&str]) -> Self {
-        let near = nearest(wrong, right.iter().copied());
-        let list = right.join(", ");
+    pub(crate) fn unknown_word(
+        kind: &str,
+        wrong: &str,
+        known: &[&str],
+    ) -> Self {
+        let near = nearest(wrong, known.iter().copied());
+        let list = known.join(", ");
         Fault::Value {
             message: format!("unknown {kind} {wrong:?}; one of {list}"),
             nearest: near.map(str::to_owned),
@@ -55,7 +59,7 @@
 impl Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Recorded => f.write_str("wrong value"),
+            Fault::Recorded => f.write_str("invalid value"),
             Fault::Missing(field) => write!(f, "missing key `{field}`"),
             Fault::Value { message, .. } => f.write_str(message),
         }
@@ -66,7 +70,7 @@
 
 impl de::Error for Fault {
     fn custom<T: Display>(message: T) -> Self {
-        Fault::with_hint(message.to_string())
+        Fault::from_message(message.to_string())
     }
 
     fn invalid_type(found: Unexpected<'_>, expected: &dyn Expected) -> Self {
@@ -77,12 +81,12 @@
         Fault::value(format!("expected {expected}, found {found}"))
     }
 
-    fn unknown_variant(wrong: &str, right: &'static [&'static str]) -> Self {
-        Fault::word("value", wrong, right)
+    fn unknown_variant(wrong: &str, known: &'static [&'static str]) -> Self {
+        Fault::unknown_word("value", wrong, known)
     }
 
-    fn unknown_field(wrong: &str, right: &'static [&'static str]) -> Self {
-        Fault::word("key", wrong, right)
+    fn unknown_field(wrong: &str, known: &'static [&'static str]) -> Self {
+        Fault::unknown_word("key", wrong, known)
     }
 
     fn missing_field(field: &'static str) -> Self {
--- a/crates/conf/src/findings.rs
+++ b/crates/conf/src/findings.rs
@@ -9,22 +9,22 @@
     node::{Node, join_index},
 };
 
-/// A type whose values can be wrong in ways that its fields cannot say, such
-/// as a range or a name that nothing defines.
+/// Semantic checks that field types cannot express, such as ranges or
+/// references to names that must be defined.
 pub trait Check {
-    /// Reports what is wrong.
+    /// Reports all problems of this value.
     fn check(&self, findings: &mut Findings<'_>);
 }
 
-/// Takes what a [`Check`] finds and gives it a place in the text.
+/// Collects the problems that a [`Check`] finds and locates them in the text.
 ///
-/// Values are named by their path, such as `pools[1].models`. For a value
-/// that was left out, the place is that of the nearest one around it.
+/// Values are identified by their path, such as `pools[1].models`. A value
+/// that is not in the text has the location of its nearest ancestor.
 ///
-/// A check also runs if some values could not be read, so that an operator
-/// sees all problems at once. Those values are missing then: a list may be
-/// shorter than in the text ([`Findings::item_path`] numbers its items right),
-/// and a name may lack its definition ([`Findings::is_partial`]).
+/// A check also runs if some values could not be deserialized, so that an
+/// operator sees all problems at once. Those values are absent: a list may be
+/// shorter than in the text ([`Findings::item_path`] accounts for this), and
+/// the definition of a name may be missing ([`Findings::is_partial`]).
 #[derive(Debug)]
 pub struct Findings<'a> {
     file: &'a str,
@@ -58,25 +58,25 @@
 
     /// Reports a problem of a value.
     ///
-    /// It is passed over if something inside the value could not be read,
-    /// since it may follow from that.
+    /// The report is ignored if something inside the value could not be
+    /// deserialized, since the problem may be a consequence of that.
     pub fn report(&mut self, path: &str, message: impl Into<String>) {
         self.add(path, message.into(), None);
     }
 
-    /// Reports a name that is not defined, with the nearest that is.
+    /// Reports an undefined name and suggests the most similar defined one.
     pub fn report_unknown<'c>(
         &mut self,
         path: &str,
         kind: &str,
         wrong: &str,
-        right: impl IntoIterator<Item = &'c str>,
+        known: impl IntoIterator<Item = &'c str>,
     ) {
-        let near = nearest(wrong, right).map(str::to_owned);
+        let near = nearest(wrong, known).map(str::to_owned);
         self.add(path, format!("unknown {kind} {wrong:?}"), near);
     }
 
-    /// Reports a number outside of a range, both ends included.
+    /// Reports a number outside of an inclusive range.
     pub fn check_range<N>(&mut self, path: &str, value: N, min: N, max: N)
     where
         N: PartialOrd + Display,
@@ -87,32 +87,34 @@
         }
     }
 
-    /// Reports a name that holds other than letters, digits, `-`, `_` and
-    /// `.`, or nothing.
+    /// Reports a name that is empty or has characters other than ASCII
+    /// letters, digits, `-`, `_` and `.`.
     pub fn check_name(&mut self, path: &str, name: &str) {
-        let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if name.is_empty() || !name.chars().all(allowed) {
-            let message = "takes letters, digits and - _ . only";
+        let is_allowed =
+            |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        if name.is_empty() || !name.chars().all(is_allowed) {
+            let message = "must consist of letters, digits and - _ . only";
             self.report(path, message);
         }
     }
 
-    /// Returns the path of the item that is now number `index` of a list.
+    /// Returns the path in the text of the item at `index` of a deserialized
+    /// list.
     ///
-    /// It is the path of the list itself if one value stands in its place
-    /// ([`OneOrMany`](crate::OneOrMany)).
+    /// Returns the path of the list itself if the text has a single value in
+    /// place of a list ([`OneOrMany`](crate::OneOrMany)).
     pub fn item_path(&self, list: &str, index: usize) -> String {
-        let path = self.written_item_path(list, index);
-        let is_written = |path: &str| self.locations.contains_key(path);
-        if is_written(list) && !is_written(&path) {
+        let path = self.text_item_path(list, index);
+        let is_in_text = |path: &str| self.locations.contains_key(path);
+        if is_in_text(list) && !is_in_text(&path) {
             return list.to_owned();
         }
         path
     }
 
-    fn written_item_path(&self, list: &str, index: usize) -> String {
-        // Counting from the start for each item of a long list takes a
-        // time that grows with its square.
+    fn text_item_path(&self, list: &str, index: usize) -> String {
+        // Scanning from the start for each item takes quadratic time, so it
+        // is avoided for lists without dropped items.
         if self.dropped.is_empty() {
             return join_index(list, index);
         }
@@ -121,7 +123,7 @@
         kept.nth(index).unwrap_or_default()
     }
 
-    /// Tells whether something in a value could not be read.
+    /// Reports whether something in a value could not be deserialized.
     pub fn is_partial(&self, path: &str) -> bool {
         self.dropped.iter().any(|dropped| is_within(dropped, path))
     }
@@ -160,15 +162,15 @@
     }
 }
 
-/// Finds names that stand twice.
+/// Detects duplicate names.
 ///
-/// Its use is in [`Check::check`]: one for each list whose names must be
-/// unique.
+/// An implementation of [`Check::check`] uses one instance for each list
+/// whose names must be unique.
 #[derive(Clone, Debug, Default)]
 pub struct UniqueNames(HashMap<String, String>);
 
 impl UniqueNames {
-    /// Takes one name with its path and reports it if it stood before.
+    /// Adds a name with its path and reports the name if it is a duplicate.
     pub fn add(
         &mut self,
         path: &str,
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,8 +1,9 @@
-//! Checked YAML: errors that name file, line, column, key and nearest word.
+//! Validated YAML: errors that name the file, line, column, key and nearest
+//! valid word.
 //!
-//! [`parse`] and [`read`] take any serde type and refuse unknown, missing
+//! [`parse`] and [`read`] take any serde type and reject unknown, missing
 //! and duplicate keys, wrong types, a second document, aliases and tags.
-//! They report every problem at once (up to 20), each as one line
+//! They report all problems at once (up to [`MAX_PROBLEMS`]), each on a line
 //! `FILE:LINE:COLUMN: KEY: message; did you mean "x"?`:
 //!
 //! ```
@@ -26,9 +27,9 @@
 //! );
 //! ```
 //!
-//! [`parse_checked`] and [`read_checked`] go on with what a type knows of
-//! its meaning ([`Check`]): ranges, names that must be defined, names that
-//! must be unique. Their problems carry places as well.
+//! [`parse_checked`] and [`read_checked`] also run the semantic checks of a
+//! type ([`Check`]): ranges, names that must be defined, names that must be
+//! unique. The problems that they report have locations as well.
 
 mod address;
 mod de;
@@ -42,7 +43,7 @@
 mod one_or_many;
 pub mod settings;
 
-/// Most problems that are reported of one document.
+/// Maximum number of problems reported for one document.
 pub const MAX_PROBLEMS: usize = 20;
 
 pub use crate::{
--- a/crates/conf/src/load.rs
+++ b/crates/conf/src/load.rs
@@ -1,12 +1,12 @@
-//! Builds the tree of a document from the parser's events.
+//! Builds the syntax tree of a document from parser events.
 //!
-//! The parser is `saphyr-parser`, used by its events, because only a tree of
-//! our own gives what the checks need: a place for every value long after it
-//! was deserialized, and every problem instead of the first. Tried and
-//! rejected: `serde_yaml_ng` (no place for later checks, a flow list left
-//! open is read as text), `serde-saphyr` (places need a wrapper type around
-//! each field, one error at a time) and `marked-yaml` (takes the last of
-//! two equal keys and the first of two documents without a word).
+//! The event API of `saphyr-parser` feeds a custom tree because the checks
+//! need the location of every value after deserialization, and all problems
+//! instead of the first one. Rejected alternatives: `serde_yaml_ng` (no
+//! locations for later checks, reads an unclosed flow list as text),
+//! `serde-saphyr` (locations need a wrapper type around each field, reports
+//! one error at a time) and `marked-yaml` (silently takes the last of two
+//! equal keys and the first of two documents).
 
 use std::collections::HashMap;
 
@@ -17,13 +17,14 @@
     node::{Entry, Kind, Node, Scalar, join_index, join_key},
 };
 
-/// Deepest nesting of a document; a deeper one could exhaust the stack of
-/// the recursive walks over the tree.
-const DEPTH_MAX: usize = 32;
+/// Maximum nesting depth of a document; deeper nesting could overflow the
+/// stack in the recursive walks over the tree.
+const MAX_DEPTH: usize = 32;
 
 /// Parses one document into a tree.
 ///
-/// Equal keys in one mapping do not stop it; they are added to `problems`.
+/// Duplicate keys in a mapping do not abort parsing; they are added to
+/// `problems`.
 pub(crate) fn load(
     file: &str,
     text: &str,
@@ -37,26 +38,28 @@
         documents: 0,
     };
     for event in Parser::new_from_str(text) {
-        // The parser repeats its error for ever; the loop ends at the first.
+        // The parser returns the same error forever, so the loop has to end
+        // at the first one.
         let (event, span) = event.map_err(|error| {
             let message = format!("not valid YAML: {}", error.info());
-            // At the end of a text, the parser's place can be a line behind.
-            let at = place(error.marker()).min(Location::after(text));
+            // At the end of the text, the parser's location can be one line
+            // past the end.
+            let at = location_of(error.marker()).min(Location::after(text));
             loader.problem(at, message)
         })?;
-        loader.event(event, span)?;
+        loader.handle_event(event, span)?;
     }
     let empty = Problem::new(file, Location::START, "", "is empty");
     let root = loader.root.ok_or(empty.clone())?;
     if root.is_null() { Err(empty) } else { Ok(root) }
 }
 
-fn place(marker: &Marker) -> Location {
+fn location_of(marker: &Marker) -> Location {
     Location::clamped(marker.line(), marker.col() + 1)
 }
 
-/// A sequence or mapping that has not ended yet.
-struct Open {
+/// A sequence or mapping whose end event has not been read yet.
+struct OpenNode {
     location: Location,
     path: String,
     content: Content,
@@ -66,7 +69,9 @@
     Sequence(Vec<Node>),
     Mapping {
         entries: Vec<Entry>,
+        /// Key that has been read but whose value has not.
         key: Option<(String, Location)>,
+        /// Line of the first occurrence of each key.
         lines: HashMap<String, u32>,
     },
 }
@@ -74,41 +79,43 @@
 struct Loader<'a> {
     file: &'a str,
     problems: &'a mut Vec<Problem>,
-    open: Vec<Open>,
+    open: Vec<OpenNode>,
     root: Option<Node>,
     documents: usize,
 }
 
 impl Loader<'_> {
-    fn event(&mut self, event: Event<'_>, span: Span) -> Result<(), Problem> {
-        let at = place(&span.start);
+    fn handle_event(
+        &mut self,
+        event: Event<'_>,
+        span: Span,
+    ) -> Result<(), Problem> {
+        let at = location_of(&span.start);
         match event {
             Event::DocumentStart(_) => self.start_document(at),
-            Event::Alias(_) => Err(self.problem(
-                at,
-                "aliases are not supported; write the value again",
-            )),
+            Event::Alias(_) => Err(self
+                .problem(at, "aliases are not supported; repeat the value")),
             Event::Scalar(text, style, anchor, tag) => {
-                self.refuse_properties(at, anchor, tag.as_deref())?;
-                let plain = style == ScalarStyle::Plain;
+                self.reject_properties(at, anchor, tag.as_deref())?;
+                let is_plain = style == ScalarStyle::Plain;
                 let text = text.into_owned();
-                self.scalar(at, Scalar { text, plain })
+                self.add_scalar(at, Scalar { text, is_plain })
             }
             Event::SequenceStart(anchor, tag) => {
-                self.refuse_properties(at, anchor, tag.as_deref())?;
-                self.start(at, Content::Sequence(Vec::new()))
+                self.reject_properties(at, anchor, tag.as_deref())?;
+                self.start_node(at, Content::Sequence(Vec::new()))
             }
             Event::MappingStart(anchor, tag) => {
-                self.refuse_properties(at, anchor, tag.as_deref())?;
+                self.reject_properties(at, anchor, tag.as_deref())?;
                 let content = Content::Mapping {
                     entries: Vec::new(),
                     key: None,
                     lines: HashMap::new(),
                 };
-                self.start(at, content)
+                self.start_node(at, content)
             }
             Event::SequenceEnd | Event::MappingEnd => {
-                self.end();
+                self.end_node();
                 Ok(())
             }
             Event::Nothing
@@ -123,10 +130,10 @@
         if self.documents == 1 {
             return Ok(());
         }
-        Err(self.problem(at, "a second document begins; one is taken"))
+        Err(self.problem(at, "a second document begins; only one is allowed"))
     }
 
-    fn refuse_properties(
+    fn reject_properties(
         &self,
         at: Location,
         anchor: usize,
@@ -144,17 +151,21 @@
         }
     }
 
-    fn scalar(&mut self, at: Location, scalar: Scalar) -> Result<(), Problem> {
+    fn add_scalar(
+        &mut self,
+        at: Location,
+        scalar: Scalar,
+    ) -> Result<(), Problem> {
         if self.expects_key() {
-            return self.key(at, scalar);
+            return self.add_key(at, scalar);
         }
-        let empty = scalar.plain && scalar.text.is_empty();
-        // A value left out has no place of its own; its key has.
-        let at = self.key_location().filter(|_| empty).unwrap_or(at);
+        let is_empty = scalar.is_plain && scalar.text.is_empty();
+        // An omitted value has no location of its own; use that of its key.
+        let at = self.key_location().filter(|_| is_empty).unwrap_or(at);
         let path = self.next_path();
         let kind = Kind::Scalar(scalar);
         let location = at;
-        self.add(Node {
+        self.add_node(Node {
             location,
             path,
             kind,
@@ -162,10 +173,14 @@
         Ok(())
     }
 
-    fn key(&mut self, at: Location, scalar: Scalar) -> Result<(), Problem> {
+    fn add_key(
+        &mut self,
+        at: Location,
+        scalar: Scalar,
+    ) -> Result<(), Problem> {
         let name = scalar.text;
-        if scalar.plain && name.is_empty() {
-            return Err(self.problem(at, "a key cannot be empty"));
+        if scalar.is_plain && name.is_empty() {
+            return Err(self.problem(at, "a key must not be empty"));
         }
         let Some(open) = self.open.last_mut() else {
             return Ok(());
@@ -189,20 +204,20 @@
         Ok(())
     }
 
-    fn start(
+    fn start_node(
         &mut self,
         location: Location,
         content: Content,
     ) -> Result<(), Problem> {
         if self.expects_key() {
-            return Err(self.problem(location, "a key must be a word"));
+            return Err(self.problem(location, "a key must be a scalar"));
         }
-        if self.open.len() == DEPTH_MAX {
-            let message = format!("nested more than {DEPTH_MAX} deep");
+        if self.open.len() == MAX_DEPTH {
+            let message = format!("nested more than {MAX_DEPTH} levels deep");
             return Err(self.problem(location, message));
         }
         let path = self.next_path();
-        self.open.push(Open {
+        self.open.push(OpenNode {
             location,
             path,
             content,
@@ -210,20 +225,20 @@
         Ok(())
     }
 
-    fn end(&mut self) {
+    fn end_node(&mut self) {
         let Some(open) = self.open.pop() else { return };
         let kind = match open.content {
             Content::Sequence(nodes) => Kind::Sequence(nodes),
             Content::Mapping { entries, .. } => Kind::Mapping(entries),
         };
-        self.add(Node {
+        self.add_node(Node {
             location: open.location,
             path: open.path,
             kind,
         });
     }
 
-    fn add(&mut self, node: Node) {
+    fn add_node(&mut self, node: Node) {
         match self.open.last_mut().map(|open| &mut open.content) {
             None => self.root = Some(node),
             Some(Content::Sequence(nodes)) => nodes.push(node),
@@ -257,7 +272,7 @@
         }
     }
 
-    /// Returns the path of the value that comes next.
+    /// Returns the path of the next value.
     fn next_path(&self) -> String {
         let Some(open) = self.open.last() else {
             return String::new();
--- a/crates/conf/src/nearest.rs
+++ b/crates/conf/src/nearest.rs
@@ -1,13 +1,13 @@
-/// Least similarity of a word that is offered instead of a wrong one.
+/// Minimum Jaro-Winkler similarity of a suggestion.
 ///
-/// Below it, offers such as "rules" for "pools" would send a reader the
-/// wrong way.
-const SIMILARITY_MIN: f64 = 0.8;
+/// A lower threshold yields misleading suggestions such as "rules" for
+/// "pools".
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// Returns the candidate that a wrong word was most likely meant to be.
+/// Returns the candidate that is most similar to a misspelled word.
 ///
-/// Letter case and `-` for `_` do not count. Nothing is returned if no
-/// candidate is similar.
+/// The comparison ignores letter case and treats `-` as `_`. Returns `None`
+/// if no candidate is similar enough.
 ///
 /// # Example
 ///
@@ -22,18 +22,18 @@
     wrong: &str,
     candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    let wrong = plain(wrong);
+    let wrong = normalize(wrong);
     let mut best = None;
     for candidate in candidates {
-        let similarity = strsim::jaro_winkler(&wrong, &plain(candidate));
-        let least = best.map_or(SIMILARITY_MIN, |(found, _)| found);
-        if similarity > least {
+        let similarity = strsim::jaro_winkler(&wrong, &normalize(candidate));
+        let threshold = best.map_or(MIN_SIMILARITY, |(found, _)| found);
+        if similarity > threshold {
             best = Some((similarity, candidate));
         }
     }
     best.map(|(_, candidate)| candidate)
 }
 
-fn plain(word: &str) -> String {
+fn normalize(word: &str) -> String {
     word.to_lowercase().replace('-', "_")
 }
--- a/crates/conf/src/node.rs
+++ b/crates/conf/src/node.rs
@@ -1,8 +1,8 @@
-//! The tree of a document, each node with its place and key path.
+//! Syntax tree of a document. Each node has its location and key path.
 
 use crate::Location;
 
-/// One value of a document.
+/// A value of a document.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub(crate) location: Location,
@@ -10,7 +10,7 @@
     pub(crate) kind: Kind,
 }
 
-/// What a value is.
+/// Content of a [`Node`].
 #[derive(Clone, Debug)]
 pub(crate) enum Kind {
     Scalar(Scalar),
@@ -18,15 +18,16 @@
     Mapping(Vec<Entry>),
 }
 
-/// A scalar as it is written.
+/// A scalar as written in the document.
 #[derive(Clone, Debug)]
 pub(crate) struct Scalar {
     pub(crate) text: String,
-    /// Not quoted, so that it may be null, a boolean or a number.
-    pub(crate) plain: bool,
+    /// Whether the scalar is unquoted, so that it may be null, a boolean or
+    /// a number.
+    pub(crate) is_plain: bool,
 }
 
-/// One key of a mapping with its value.
+/// A key of a mapping with its value.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) key: String,
@@ -34,7 +35,7 @@
     pub(crate) value: Node,
 }
 
-/// What a scalar means in YAML 1.2's core schema.
+/// Value of a scalar according to the core schema of YAML 1.2.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Value<'a> {
     Null,
@@ -48,22 +49,22 @@
 impl Scalar {
     pub(crate) fn value(&self) -> Value<'_> {
         let text = self.text.as_str();
-        if !self.plain {
+        if !self.is_plain {
             return Value::Text(text);
         }
         match text {
             "" | "~" | "null" | "Null" | "NULL" => Value::Null,
             "true" | "True" | "TRUE" => Value::Bool(true),
             "false" | "False" | "FALSE" => Value::Bool(false),
-            _ => number(text).unwrap_or(Value::Text(text)),
+            _ => parse_number(text).unwrap_or(Value::Text(text)),
         }
     }
 }
 
-fn number(text: &str) -> Option<Value<'_>> {
+fn parse_number(text: &str) -> Option<Value<'_>> {
     let first = text.trim_start_matches(['-', '+', '.']).chars().next()?;
     if !first.is_ascii_digit() {
-        // Rust also parses "inf" and "nan", which are words here.
+        // Rust also parses "inf" and "nan", which are plain text here.
         return None;
     }
     if let Some(digits) = text.strip_prefix("0x") {
@@ -89,7 +90,7 @@
         scalar.value() == Value::Null
     }
 
-    /// Visits this node and all below it, parents first.
+    /// Visits this node and all its descendants in pre-order.
     pub(crate) fn walk<'a>(&'a self, visit: &mut impl FnMut(&'a Node)) {
         visit(self);
         match &self.kind {
@@ -110,8 +111,8 @@
 
 /// Returns the path of a key in a mapping.
 pub(crate) fn join_key(path: &str, key: &str) -> String {
-    let simple = |c: char| c.is_ascii_alphanumeric() || "_-".contains(c);
-    if key.is_empty() || !key.chars().all(simple) {
+    let is_simple = |c: char| c.is_ascii_alphanumeric() || "_-".contains(c);
+    if key.is_empty() || !key.chars().all(is_simple) {
         return format!("{path}[{key:?}]");
     }
     if path.is_empty() {
--- a/crates/conf/src/one_or_many.rs
+++ b/crates/conf/src/one_or_many.rs
@@ -5,15 +5,15 @@
     de::{SeqAccess, Visitor},
 };
 
-/// Name by which the reader of documents knows this type and hands over a
-/// single value as a list of one. An untagged enum was rejected: its errors
-/// lose the place and the reason inside the value.
-pub(crate) const MARK: &str = "$pomeloslip::OneOrMany";
+/// Newtype name by which the document deserializer recognizes this type, so
+/// that it presents a single value as a list of one. An untagged enum would
+/// lose the location and cause of errors inside the value.
+pub(crate) const NEWTYPE_NAME: &str = "$pomeloslip::OneOrMany";
 
-/// One value or a list of values, written as either.
+/// A list of values that may be written as a single value.
 ///
-/// Serializes as a list. An empty list is kept as such; a check has to say
-/// what it means.
+/// Serializes as a list. An empty list is accepted; a type whose lists must
+/// not be empty has to check that itself.
 ///
 /// # Example
 ///
@@ -65,7 +65,7 @@
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for OneOrMany<T> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_newtype_struct(MARK, ListVisitor(PhantomData))
+        d.deserialize_newtype_struct(NEWTYPE_NAME, ListVisitor(PhantomData))
     }
 }
 
--- a/crates/conf/src/settings/check.rs
+++ b/crates/conf/src/settings/check.rs
@@ -15,28 +15,28 @@
 const MIB: u64 = 1 << 20;
 const TIB: u64 = 1 << 40;
 
-/// Shortest secret, in bytes; a shorter one can be guessed.
-const SECRET_MIN_BYTES: usize = 16;
+/// Minimum length of a secret; shorter ones are too easy to guess.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Largest value of the key-value service leaves room for this many items'
-/// records in one commit.
-const COMMIT_ITEMS_MAX: u32 = 20_000;
+/// Maximum number of items in a commit, so that their records fit into the
+/// largest value that the key-value service stores.
+const MAX_COMMIT_ITEMS: u32 = 20_000;
 
 impl Settings {
-    /// Reads and checks the settings of a process.
+    /// Reads and validates the settings of a process.
     ///
     /// # Errors
     ///
-    /// Every problem of the file with its place; see [`crate::read`].
+    /// Every problem of the file with its location; see [`crate::read`].
     pub fn read(path: impl AsRef<Path>) -> Result<Self, Report<ConfError>> {
         read_checked(path)
     }
 
-    /// Parses and checks the settings of a process.
+    /// Parses and validates the settings of a process.
     ///
     /// # Errors
     ///
-    /// Every problem of the text with its place; see [`crate::parse`].
+    /// Every problem of the text with its location; see [`crate::parse`].
     ///
     /// # Example
     ///
@@ -64,50 +64,52 @@
     }
 
     fn check_role(&self, findings: &mut Findings<'_>) {
-        let mut needs = |section: &str, found: bool| {
-            if !found {
+        let mut require = |section: &str, is_present: bool| {
+            if !is_present {
                 let role = self.role.as_str();
-                let message = format!("missing; role {role} needs it");
+                let message = format!("missing; required by role {role}");
                 findings.report(section, message);
             }
         };
         match self.role {
             Role::Entry => {
-                needs("key_value", self.key_value.is_some());
+                require("key_value", self.key_value.is_some());
             }
             Role::Companion => {
-                needs("endpoint", self.endpoint.is_some());
+                require("endpoint", self.endpoint.is_some());
                 // Only engines run batch items.
-                let kind = self.endpoint.as_ref().map(|one| one.kind);
-                let pulls = kind == Some(EndpointKind::Engine);
-                needs("entries", !pulls || !self.entries.is_empty());
+                let kind =
+                    self.endpoint.as_ref().map(|endpoint| endpoint.kind);
+                let runs_batch = kind == Some(EndpointKind::Engine);
+                require("entries", !runs_batch || !self.entries.is_empty());
             }
-            Role::Data => needs("data", self.data.is_some()),
+            Role::Data => require("data", self.data.is_some()),
         }
         if self.role != Role::Companion && self.endpoint.is_some() {
-            let message = "only role companion has an endpoint of its own";
+            let message = "is only valid for role companion";
             findings.report("endpoint", message);
         }
         if self.role == Role::Companion && self.data.is_some() {
-            let message = "role companion keeps nothing";
+            let message =
+                "is not valid for role companion, which stores no data";
             findings.report("data", message);
         }
         if self.role != Role::Entry && !self.endpoints.is_empty() {
-            findings.report("endpoints", "only role entry uses it");
+            findings.report("endpoints", "is only valid for role entry");
         }
     }
 
     fn check_addresses(&self, findings: &mut Findings<'_>) {
-        let same = self.listen == self.peer_listen;
-        if same && self.listen.port() != 0 {
+        let is_same = self.listen == self.peer_listen;
+        if is_same && self.listen.port() != 0 {
             findings.report("peer_listen", "is the same as `listen`");
         }
         for (index, entry) in self.entries.iter().enumerate() {
             let path = findings.item_path("entries", index);
-            check_target(&path, *entry, findings);
+            check_remote(&path, *entry, findings);
         }
         if let Some(statsd) = self.metrics.statsd {
-            check_target("metrics.statsd", statsd, findings);
+            check_remote("metrics.statsd", statsd, findings);
         }
     }
 
@@ -116,7 +118,7 @@
         for (index, data_vm) in self.data_vms.iter().enumerate() {
             let path = findings.item_path("data_vms", index);
             let address = format!("{path}.address");
-            check_target(&address, data_vm.address, findings);
+            check_remote(&address, data_vm.address, findings);
             let vm = format!("{path}.vm");
             names.add(&vm, data_vm.vm.as_str(), findings);
         }
@@ -127,7 +129,8 @@
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             let path = findings.item_path("endpoints", index);
             if endpoint.peer.is_some() == endpoint.http.is_some() {
-                findings.report(&path, "takes one of `peer` and `http`");
+                findings
+                    .report(&path, "needs exactly one of `peer` and `http`");
             }
             findings.check_name(&format!("{path}.pool"), &endpoint.pool);
             let name = format!("{path}.endpoint");
@@ -137,10 +140,10 @@
 
     fn check_secrets(&self, findings: &mut Findings<'_>) {
         for (index, secret) in self.peer_secrets.iter().enumerate() {
-            if secret.expose().len() < SECRET_MIN_BYTES {
+            if secret.expose().len() < MIN_SECRET_BYTES {
                 let path = findings.item_path("peer_secrets", index);
                 let message =
-                    format!("has fewer than {SECRET_MIN_BYTES} bytes");
+                    format!("has fewer than {MIN_SECRET_BYTES} bytes");
                 findings.report(&path, message);
             }
         }
@@ -195,10 +198,15 @@
 impl Check for EndpointSettings {
     fn check(&self, findings: &mut Findings<'_>) {
         findings.check_name("endpoint.pool", &self.pool);
-        let most = self.max_running;
-        findings.check_range("endpoint.max_running", most, 1, 4_096);
+        let max_running = self.max_running;
+        findings.check_range("endpoint.max_running", max_running, 1, 4_096);
         let batch = self.batch_max_running;
-        findings.check_range("endpoint.batch_max_running", batch, 0, most);
+        findings.check_range(
+            "endpoint.batch_max_running",
+            batch,
+            0,
+            max_running,
+        );
         let path = "endpoint.first_token_target_ms";
         findings.check_range(
             path,
@@ -270,7 +278,7 @@
         );
         let items = self.commit_items_max;
         let path = "batch.commit_items_max";
-        findings.check_range(path, items, 1, COMMIT_ITEMS_MAX);
+        findings.check_range(path, items, 1, MAX_COMMIT_ITEMS);
         let grant = self.grant_items_max;
         findings.check_range("batch.grant_items_max", grant, 1, 1_024);
         let ttl = self.grant_ttl_ms;
@@ -291,11 +299,11 @@
     }
 }
 
-/// Refuses what cannot be connected to.
-fn check_target(path: &str, to: SocketAddr, findings: &mut Findings<'_>) {
-    if to.port() == 0 {
-        findings.report(path, "port 0 cannot be reached");
-    } else if to.ip().is_unspecified() {
-        findings.report(path, "is no address of one machine");
+/// Reports an address that cannot be connected to.
+fn check_remote(path: &str, address: SocketAddr, findings: &mut Findings<'_>) {
+    if address.port() == 0 {
+        findings.report(path, "cannot be connected to: the port is 0");
+    } else if address.ip().is_unspecified() {
+        findings.report(path, "is not the address of a single machine");
     }
 }
--- a/crates/conf/src/settings/mod.rs
+++ b/crates/conf/src/settings/mod.rs
@@ -1,10 +1,9 @@
-//! Settings of the daemon: one YAML file for each process.
+//! Settings of the daemon: one YAML file per process.
 //!
 //! The types are plain data with public fields: a daemon reads them once at
-//! its start, [`Settings::read`] has checked them as a whole, and tests fill
-//! in what they need over the defaults. Every field that counts something
-//! carries its unit in its name. `docs/SETTINGS.md` lists them with the
-//! reasons for the defaults.
+//! startup, [`Settings::read`] validates them as a whole, and tests override
+//! individual defaults. The name of every quantity includes its unit.
+//! `docs/SETTINGS.md` lists all settings with the reasons for the defaults.
 
 mod check;
 mod parts;
@@ -22,15 +21,15 @@
     PeerSecret, StaticEndpoint, TimeoutSettings, VmListSettings,
 };
 
-/// What a process does.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes calls; with a `data` section it also keeps bulk data.
+    /// Serves client requests; with a `data` section, also stores bulk data.
     Entry,
-    /// Runs beside one endpoint and admits work to it.
+    /// Runs next to one endpoint and controls admission to it.
     Companion,
-    /// Keeps bulk data.
+    /// Stores bulk data.
     Data,
 }
 
@@ -58,13 +57,13 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
     /// Machine that the process runs on.
     pub vm: VmId,
-    /// Group of machines that can be lost together with this one.
+    /// Group of machines that can fail together with this one.
     pub failure_domain: FailureDomain,
-    /// Address of HTTP: callers and status at an entry, status elsewhere.
+    /// HTTP address: client API and status at an entry, status elsewhere.
     #[serde(deserialize_with = "address::socket")]
     pub listen: SocketAddr,
     /// Address for the other processes of the system.
@@ -73,47 +72,47 @@
     /// The platform's key-value service; required by an entry.
     #[serde(default)]
     pub key_value: Option<KeyValueSettings>,
-    /// The platform's list of machines; an entry without it uses
+    /// The platform's list of machines; an entry without this section uses
     /// `endpoints`.
     #[serde(default)]
     pub vm_list: Option<VmListSettings>,
-    /// Peer addresses of entries that a companion pulls work from, and of
-    /// the neighbours that an entry compares configurations with.
+    /// Peer addresses of the entries that a companion pulls work from, or of
+    /// the other entries that an entry compares configurations with.
     #[serde(default, deserialize_with = "address::sockets")]
     pub entries: Vec<SocketAddr>,
-    /// Processes that keep bulk data.
+    /// Processes that store bulk data.
     #[serde(default)]
     pub data_vms: Vec<DataVm>,
     /// Endpoints of an entry that has no machine list.
     #[serde(default)]
     pub endpoints: Vec<StaticEndpoint>,
-    /// The endpoint beside a companion.
+    /// The endpoint that a companion runs next to.
     #[serde(default)]
     pub endpoint: Option<EndpointSettings>,
-    /// Where bulk data is kept; required by the role `data`.
+    /// Storage of bulk data; required by the role `data`.
     #[serde(default)]
     pub data: Option<DataSettings>,
-    /// Limits of what callers may send.
+    /// Limits of client requests.
     #[serde(default)]
     pub limits: LimitSettings,
     /// Batch partitions, commits and grants.
     #[serde(default)]
     pub batch: BatchSettings,
-    /// Longest waits.
+    /// Timeouts.
     #[serde(default)]
     pub timeouts: TimeoutSettings,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
     /// Metrics.
     #[serde(default)]
     pub metrics: MetricsSettings,
-    /// Digests of the keys that operators call an entry with.
+    /// Digests of the keys that authenticate operators at an entry.
     #[serde(default)]
     pub admin_keys_sha256: Vec<KeyDigest>,
-    /// Secrets of the system's own processes: the first is shown to others,
-    /// all are accepted, so that they can be changed one process at a time.
-    /// Left out of what is serialized.
+    /// Shared secrets of the system's processes. The first one is sent and all
+    /// of them are accepted, so that secrets can be rotated one process at a
+    /// time. Excluded from serialization.
     #[serde(default, skip_serializing)]
     pub peer_secrets: Vec<PeerSecret>,
 }
--- a/crates/conf/src/settings/parts.rs
+++ b/crates/conf/src/settings/parts.rs
@@ -9,16 +9,16 @@
 const MIB: u64 = 1 << 20;
 const GIB: u64 = 1 << 30;
 
-/// Where the key-value service is.
+/// Connection to the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyValueSettings {
-    /// Servers of the service, tried in turn.
+    /// Servers of the key-value service, tried in order.
     pub addresses: Vec<HttpAddress>,
-    /// Longest wait for one answer, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     #[serde(default = "KeyValueSettings::default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Start of all keys of this system.
+    /// Prefix of all keys of this system.
     #[serde(default = "KeyValueSettings::default_prefix")]
     pub prefix: String,
 }
@@ -32,7 +32,8 @@
         "/pomeloslip/".to_owned()
     }
 
-    /// Makes settings for servers at these addresses with defaults else.
+    /// Creates settings for servers at these addresses, with defaults
+    /// otherwise.
     ///
     /// # Example
     ///
@@ -53,13 +54,13 @@
     }
 }
 
-/// Where the platform's list of machines is.
+/// Connection to the platform's list of machines.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmListSettings {
-    /// Server of the list.
+    /// Address of the server.
     pub address: HttpAddress,
-    /// Time between two reads, in milliseconds.
+    /// Poll interval, in milliseconds.
     #[serde(default = "VmListSettings::default_poll_ms")]
     pub poll_ms: u64,
 }
@@ -70,78 +71,78 @@
     }
 }
 
-/// A process that keeps bulk data.
+/// A process that stores bulk data.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataVm {
-    /// Its machine.
+    /// Machine that the process runs on.
     pub vm: VmId,
-    /// Its peer address.
+    /// Peer address of the process.
     #[serde(deserialize_with = "address::socket")]
     pub address: SocketAddr,
-    /// Group of machines that can be lost together with it.
+    /// Group of machines that can fail together.
     pub failure_domain: FailureDomain,
 }
 
-/// An endpoint that an entry knows without a machine list.
+/// An endpoint of an entry that has no machine list.
 ///
 /// Exactly one of `peer` and `http` is set.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StaticEndpoint {
-    /// Its name, unique in the list.
+    /// Endpoint name, unique in the list.
     pub endpoint: EndpointName,
-    /// Pool of the rules that it belongs to.
+    /// Pool that the endpoint belongs to, as named in the rules.
     pub pool: String,
-    /// Group of machines that can be lost together with it.
+    /// Group of machines that can fail together.
     pub failure_domain: FailureDomain,
-    /// Peer address of its companion.
+    /// Peer address of the endpoint's companion.
     #[serde(default, deserialize_with = "address::optional_socket")]
     pub peer: Option<SocketAddr>,
-    /// Its own address, if it has no companion.
+    /// Address of the endpoint itself, if it has no companion.
     #[serde(default)]
     pub http: Option<HttpAddress>,
 }
 
-/// What an endpoint is.
+/// Kind of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// A model engine.
+    /// A model inference engine.
     Engine,
-    /// A plain service.
+    /// A plain HTTP service.
     Service,
 }
 
-/// The endpoint beside a companion.
+/// The endpoint that a companion runs next to.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSettings {
-    /// Its name, unique in the fleet.
+    /// Endpoint name, unique in the fleet.
     pub name: EndpointName,
-    /// Pool of the rules that it belongs to.
+    /// Pool that the endpoint belongs to, as named in the rules.
     pub pool: String,
-    /// What it is.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// Its own address.
+    /// Address of the endpoint.
     pub address: HttpAddress,
-    /// Models that it serves; an engine that is asked adds to these.
+    /// Models that the endpoint serves, in addition to those that an engine
+    /// reports when queried.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "EndpointSettings::default_max_running")]
     pub max_running: u32,
-    /// Batch items among them that may run at once.
+    /// Maximum number of concurrent batch items among them.
     #[serde(default = "EndpointSettings::default_batch_max_running")]
     pub batch_max_running: u32,
-    /// Whether it refuses orders with an old fencing number by itself.
+    /// Whether the endpoint itself rejects orders with a stale fencing token.
     #[serde(default)]
     pub checks_fence: bool,
-    /// First token that online requests are promised, in milliseconds.
+    /// Target time to first token of online requests, in milliseconds.
     #[serde(default = "EndpointSettings::default_first_token_target_ms")]
     pub first_token_target_ms: u64,
-    /// Gap between tokens that online requests are promised, in
-    /// milliseconds.
+    /// Target time between tokens of online requests, in milliseconds.
     #[serde(default = "EndpointSettings::default_between_tokens_target_ms")]
     pub between_tokens_target_ms: u64,
 }
@@ -163,7 +164,7 @@
         30
     }
 
-    /// Makes settings for an endpoint with defaults else.
+    /// Creates settings for an endpoint, with defaults otherwise.
     ///
     /// # Example
     ///
@@ -198,16 +199,16 @@
     }
 }
 
-/// Where and how long bulk data is kept.
+/// Storage of bulk data.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataSettings {
-    /// The one folder that the process writes to.
+    /// The only folder that the process writes to.
     pub folder: PathBuf,
-    /// Most bytes in it.
+    /// Maximum size of the folder's content, in bytes.
     #[serde(default = "DataSettings::default_quota_bytes")]
     pub quota_bytes: u64,
-    /// Days that a file is kept after its last use.
+    /// Retention period of a file after its last use, in days.
     #[serde(default = "DataSettings::default_retention_days")]
     pub retention_days: u32,
 }
@@ -221,7 +222,7 @@
         30
     }
 
-    /// Makes settings for a folder with defaults else.
+    /// Creates settings for a folder, with defaults otherwise.
     ///
     /// # Example
     ///
@@ -240,25 +241,25 @@
     }
 }
 
-/// Limits of what callers may send.
+/// Limits of client requests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Largest body of a call other than a file, in bytes.
+    /// Maximum size of a request body other than a file, in bytes.
     pub body_max_bytes: u64,
-    /// Largest uploaded file, in bytes.
+    /// Maximum size of an uploaded file, in bytes.
     pub file_max_bytes: u64,
-    /// Longest single header, name and value, in bytes.
+    /// Maximum size of a single header, name and value, in bytes.
     pub header_max_bytes: u64,
-    /// Most headers of a call.
+    /// Maximum number of headers of a request.
     pub headers_max: u32,
-    /// Most items of a batch job.
+    /// Maximum number of items of a batch job.
     pub items_max: u32,
-    /// Largest item of a batch job, in bytes.
+    /// Maximum size of an item of a batch job, in bytes.
     pub item_max_bytes: u64,
-    /// Most unfinished batch jobs of one customer.
+    /// Maximum number of unfinished batch jobs of a customer.
     pub open_jobs_max: u32,
-    /// Most calls that this process serves at once.
+    /// Maximum number of requests that this process serves concurrently.
     pub streams_max: u32,
 }
 
@@ -281,20 +282,21 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BatchSettings {
-    /// Partitions that jobs hash to; the same at all entries, and fixed
-    /// while jobs are open.
+    /// Number of partitions that jobs hash to. It has to be the same at all
+    /// entries and must not change while jobs are unfinished.
     pub partitions: u32,
-    /// Life of a partition's lease after its last renewal, in seconds.
+    /// Time to live of a partition's lease, in seconds.
     pub lease_ttl_s: u32,
-    /// Shortest time between two commits of a partition, in milliseconds.
+    /// Minimum time between two commits of a partition, in milliseconds.
     pub commit_interval_ms: u64,
-    /// Most items of one commit.
+    /// Maximum number of items in a commit.
     pub commit_items_max: u32,
-    /// Most items that a companion is granted at once.
+    /// Maximum number of items in a grant to a companion.
     pub grant_items_max: u32,
-    /// Life of a grant after its last sign of progress, in milliseconds.
+    /// Time to live of a grant after its last reported progress, in
+    /// milliseconds.
     pub grant_ttl_ms: u64,
-    /// Attempts after which an item is given up.
+    /// Number of attempts after which an item is given up.
     pub attempts_max: u32,
 }
 
@@ -312,17 +314,17 @@
     }
 }
 
-/// Longest waits.
+/// Timeouts.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimeoutSettings {
-    /// For a connection, in milliseconds.
+    /// Timeout for establishing a connection, in milliseconds.
     pub connect_ms: u64,
-    /// For the first byte of an answer, in milliseconds.
+    /// Timeout for the first byte of a response, in milliseconds.
     pub first_byte_ms: u64,
-    /// Between two bytes of an answer, in milliseconds.
+    /// Timeout between two bytes of a response, in milliseconds.
     pub between_bytes_ms: u64,
-    /// For running requests at a planned stop, in milliseconds.
+    /// Time for running requests to finish at a planned stop, in milliseconds.
     pub drain_ms: u64,
 }
 
@@ -337,7 +339,7 @@
     }
 }
 
-/// Least severity of the lines that are written.
+/// Minimum severity of log lines that are written.
 #[derive(
     Clone,
     Copy,
@@ -353,18 +355,18 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Nothing.
+    /// Logging is disabled.
     Off,
-    /// What needs a person.
+    /// Conditions that need an operator.
     Error,
-    /// What may need a person if it goes on.
+    /// Conditions that may need an operator if they persist.
     Warn,
-    /// Starts, stops and changes of state.
+    /// Startup, shutdown and state changes.
     #[default]
     Info,
-    /// Each request.
+    /// Every request.
     Debug,
-    /// Each message.
+    /// Every message.
     Trace,
 }
 
@@ -391,13 +393,13 @@
     }
 }
 
-/// Logs: JSON lines to standard error.
+/// Logging: JSON lines on standard error.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Least severity that is written.
+    /// Minimum severity that is written.
     pub level: LogLevel,
-    /// Other levels for single modules, by module path.
+    /// Levels that override `level` for individual modules, by module path.
     pub modules: IndexMap<String, LogLevel>,
 }
 
@@ -405,10 +407,10 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricsSettings {
-    /// Receiver of statsd datagrams; none are sent without it.
+    /// Receiver of statsd datagrams; without it, none are sent.
     #[serde(deserialize_with = "address::optional_socket")]
     pub statsd: Option<SocketAddr>,
-    /// Start of all metric names.
+    /// Prefix of all metric names.
     pub prefix: String,
 }
 
@@ -421,9 +423,9 @@
     }
 }
 
-/// A secret that the system's own processes show each other.
+/// A shared secret that authenticates the system's processes to each other.
 ///
-/// Its `Debug` form hides the text, so that settings can be logged.
+/// The `Debug` implementation hides the text, so that settings can be logged.
 #[derive(Clone, Eq, PartialEq, Deserialize)]
 #[serde(transparent)]
 pub struct PeerSecret(String);
@@ -434,7 +436,7 @@
         Self(text.into())
     }
 
-    /// Returns the secret itself.
+    /// Returns the text of the secret.
     #[inline]
     pub fn expose(&self) -> &str {
         &self.0
--- a/crates/conf/tests/examples.rs
+++ b/crates/conf/tests/examples.rs
@@ -1,11 +1,11 @@
-//! The first deployments in `examples`: valid, and their files fit together.
+//! The deployments in `examples` are valid, and their files are consistent.
 
 use std::{collections::BTreeSet, fs, path::PathBuf};
 
 use pomeloslip_conf::settings::{EndpointKind, Role, Settings};
 use yare::parameterized;
 
-fn all(user: &str) -> Vec<Settings> {
+fn read_all(user: &str) -> Vec<Settings> {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let folder = root.join("../../examples").join(user).join("settings");
     let files = fs::read_dir(folder).expect("a folder");
@@ -15,14 +15,20 @@
         let settings = Settings::read(path);
         let settings = settings.unwrap_or_else(|error| panic!("{error}"));
         let stem = path.file_stem().expect("a name").to_string_lossy();
-        assert_eq!(settings.vm.as_str(), stem, "named as its machine");
+        assert_eq!(
+            settings.vm.as_str(),
+            stem,
+            "the file is named after its machine"
+        );
         settings
     };
     paths.iter().map(read).collect()
 }
 
-fn of(all: &[Settings], role: Role) -> Vec<&Settings> {
-    all.iter().filter(|one| one.role == role).collect()
+fn with_role(all: &[Settings], role: Role) -> Vec<&Settings> {
+    all.iter()
+        .filter(|settings| settings.role == role)
+        .collect()
 }
 
 #[parameterized(
@@ -35,7 +41,7 @@
     entries: usize,
     pools: &[&str],
 ) {
-    let all = all(user);
+    let all = read_all(user);
     let known: BTreeSet<&str> =
         all.iter().map(|one| one.failure_domain.as_str()).collect();
     assert_eq!(known, domains.iter().copied().collect());
@@ -45,20 +51,22 @@
     let secrets = &all[0].peer_secrets;
     assert!(all.iter().all(|one| one.peer_secrets == *secrets));
 
-    let entry = of(&all, Role::Entry);
-    assert_eq!(entry.len(), entries);
-    let peers: BTreeSet<_> = entry.iter().map(|e| e.peer_listen).collect();
-    let data = of(&all, Role::Data);
-    for one in &entry {
-        let mut met: BTreeSet<_> = one.entries.iter().copied().collect();
-        met.insert(one.peer_listen);
-        assert_eq!(met, peers, "knows the other entries");
+    let entry_settings = with_role(&all, Role::Entry);
+    assert_eq!(entry_settings.len(), entries);
+    let peers: BTreeSet<_> =
+        entry_settings.iter().map(|e| e.peer_listen).collect();
+    let data = with_role(&all, Role::Data);
+    for one in &entry_settings {
+        let mut reachable: BTreeSet<_> = one.entries.iter().copied().collect();
+        reachable.insert(one.peer_listen);
+        assert_eq!(reachable, peers, "knows the other entries");
         assert!(one.vm_list.is_some() && one.endpoints.is_empty());
-        assert_eq!(one.batch, entry[0].batch, "the same partitions");
+        assert_eq!(one.batch, entry_settings[0].batch, "the same partitions");
     }
-    let apart: BTreeSet<_> = data.iter().map(|d| &d.failure_domain).collect();
-    assert_eq!(apart.len(), 3, "two are left if one is lost");
-    for one in entry.iter().chain(&data) {
+    let domains: BTreeSet<_> =
+        data.iter().map(|d| &d.failure_domain).collect();
+    assert_eq!(domains.len(), 3, "two remain if one fails");
+    for one in entry_settings.iter().chain(&data) {
         assert_eq!(one.data_vms.len(), data.len());
         for (listed, real) in one.data_vms.iter().zip(&data) {
             assert_eq!(listed.vm, real.vm);
@@ -67,7 +75,7 @@
         }
     }
 
-    let companions = of(&all, Role::Companion);
+    let companions = with_role(&all, Role::Companion);
     let found: BTreeSet<&str> = companions
         .iter()
         .filter_map(|one| one.endpoint.as_ref())
@@ -77,8 +85,8 @@
     for one in companions {
         let endpoint = one.endpoint.as_ref().expect("an endpoint");
         if endpoint.kind == EndpointKind::Engine {
-            let pulls: BTreeSet<_> = one.entries.iter().copied().collect();
-            assert_eq!(pulls, peers, "pulls from every entry");
+            let sources: BTreeSet<_> = one.entries.iter().copied().collect();
+            assert_eq!(sources, peers, "pulls from every entry");
             assert!(endpoint.batch_max_running < endpoint.max_running);
         } else {
             assert_eq!(endpoint.batch_max_running, 0);
--- a/crates/conf/tests/parse.rs
+++ b/crates/conf/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Every problem of a document has its place and names its key.
+//! Every problem of a document has a location and names its key.
 
 use std::{collections::BTreeMap, io::Write};
 
@@ -18,14 +18,14 @@
     Blue,
 }
 
-// No `deny_unknown_fields`, on purpose: they are refused all the same.
+// Without `deny_unknown_fields`, since unknown keys are rejected regardless.
 #[derive(Debug, Default, Deserialize, PartialEq)]
 struct Pool {
     name: String,
     #[serde(default)]
     models: Vec<String>,
     #[serde(default)]
-    places: Option<u8>,
+    slots: Option<u8>,
     #[serde(default)]
     color: OneOrMany<Color>,
 }
@@ -56,10 +56,10 @@
         }
         let known = self.pools.iter().map(|pool| pool.name.as_str());
         let known: Vec<&str> = known.collect();
-        let wanted = self.default_pool.as_str();
-        if !wanted.is_empty() && !known.contains(&wanted) {
+        let default_pool = self.default_pool.as_str();
+        if !default_pool.is_empty() && !known.contains(&default_pool) {
             let path = "default_pool";
-            findings.report_unknown(path, "pool", wanted, known);
+            findings.report_unknown(path, "pool", default_pool, known);
         }
     }
 }
@@ -72,13 +72,13 @@
 #[parameterized(
     unknown = { "timeot_ms: 1", "f:1:1: timeot_ms: unknown key; did you mean \"timeout_ms\"?" },
     unknown_deep = { "pools:\n- name: a\n  modles: []", "f:3:3: pools[0].modles: unknown key; did you mean \"models\"?" },
-    unknown_far = { "pools:\n- name: a\n  zzz: 1", "f:3:3: pools[0].zzz: unknown key; one of name, models, places, color" },
+    unknown_far = { "pools:\n- name: a\n  zzz: 1", "f:3:3: pools[0].zzz: unknown key; one of name, models, slots, color" },
     missing = { "pools:\n  - models: [x]", "f:2:5: pools[0]: missing key `name`" },
     wrong_type = { "timeout_ms: soon", "f:1:13: timeout_ms: expected u64, found string \"soon\"" },
     quoted_number = { "timeout_ms: \"5\"", "f:1:13: timeout_ms: expected u64, found string \"5\"" },
     negative = { "timeout_ms: -5", "f:1:13: timeout_ms: expected u64, found integer `-5`" },
     fraction = { "timeout_ms: 0.5", "f:1:13: timeout_ms: expected u64, found floating point `0.5`" },
-    too_large_for_type = { "pools: [{name: a, places: 256}]", "f:1:27: pools[0].places: expected u8, found integer `256`" },
+    too_large_for_type = { "pools: [{name: a, slots: 256}]", "f:1:26: pools[0].slots: expected u8, found integer `256`" },
     list_for_number = { "timeout_ms: [1]", "f:1:13: timeout_ms: expected u64, found a list" },
     number_for_list = { "pools: 3", "f:1:8: pools: expected a sequence, found integer `3`" },
     word_for_mapping = { "just words", "f:1:1: (document): expected struct Doc, found string \"just words\"" },
@@ -92,11 +92,11 @@
     empty = { "", "f:1:1: (document): is empty" },
     only_comments = { "# nothing\n\n", "f:1:1: (document): is empty" },
     null_document = { "~", "f:1:1: (document): is empty" },
-    two_documents = { "on: true\n---\non: false\n", "f:2:1: (document): a second document begins; one is taken" },
+    two_documents = { "on: true\n---\non: false\n", "f:2:1: (document): a second document begins; only one is allowed" },
     open_list = { "pools: [a\nb: 3", "f:2:2: pools[0]: not valid YAML: illegal placement of ':' indicator" },
     alias = { "share: &a 1\n", "f:1:8: share: anchors are not supported" },
     tag = { "share: !x 1\n", "f:1:8: share: the tag !x is not supported" },
-    list_as_key = { "? [a]\n: 1\n", "f:1:3: (document): a key must be a word" },
+    list_as_key = { "? [a]\n: 1\n", "f:1:3: (document): a key must be a scalar" },
     after_wide_characters = { "extra: {äö: õ}", "f:1:13: extra[\"äö\"]: expected i32, found string \"õ\"" },
     range = { "on: true\ntimeout_ms: 1001", "f:2:13: timeout_ms: 1001 is not in 0 to 1000" },
     twice = { "pools: [{name: a}, {name: a}]", "f:1:27: pools[1].name: \"a\" is also in pools[0].name" },
@@ -130,18 +130,18 @@
 
 #[test]
 fn left_out_option_is_none() {
-    let doc: Doc = parse("f", "pools: [{name: a, places: }]").unwrap();
-    assert_eq!(doc.pools[0].places, None);
+    let doc: Doc = parse("f", "pools: [{name: a, slots: }]").unwrap();
+    assert_eq!(doc.pools[0].slots, None);
 }
 
-/// Symptom: operators fix one error, send the file again and get the next.
-/// Sequence: serde stops at its first error. Cause: one pass.
+/// Guards against reporting only the first error of serde, so that operators
+/// had to submit the file once per error.
 #[test]
 fn all_problems_at_once_and_in_order() {
     let text = "\
 pools:
   - name: a
-    places: many
+    slots: many
   - models: [x]
   - name: [b]
     zoom: 1
@@ -155,11 +155,11 @@
     assert_eq!(
         lines,
         [
-            "f:3:13: pools[0].places: expected u8, found string \"many\"",
+            "f:3:12: pools[0].slots: expected u8, found string \"many\"",
             "f:4:5: pools[1]: missing key `name`",
             "f:5:11: pools[2].name: expected a string, found a list",
             "f:6:5: pools[2].zoom: unknown key; one of name, models, \
-             places, color",
+             slots, color",
             "f:7:11: pools[3].name: \"a\" is also in pools[0].name",
             "f:8:13: timeout_ms: 5000 is not in 0 to 1000",
             "f:9:15: default_pool: unknown pool \"c\"",
@@ -238,7 +238,7 @@
 }
 
 #[parameterized(
-    block = { "- ", "", "nested more than 32 deep" },
+    block = { "- ", "", "nested more than 32 levels deep" },
     flow = { "[", "]", "not valid YAML: recursion limit exceeded" },
 )]
 fn deep_nesting_is_refused(open: &str, close: &str, message: &str) {
@@ -254,7 +254,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the text, parsing ends, and each problem has a place in it.
+    /// Parsing terminates for any text, and each problem is located inside it.
     #[test]
     fn any_text_is_answered(text in "[ a-z:\\[\\]{},\"'\n#&*!|>~?0-9-]{0,80}") {
         if let Err(report) = parse_checked::<Doc>("f", &text) {
--- a/crates/conf/tests/property.rs
+++ b/crates/conf/tests/property.rs
@@ -1,15 +1,16 @@
-//! Settings as an editor leaves them: answered with places that exist.
+//! Randomly edited settings are accepted or rejected with valid locations.
 //!
-//! Symptom: a daemon does not start and points at a line that is not there,
-//! or does not answer at all. Sequence: a valid file is edited badly. Cause,
-//! if it fails: a place was counted in another text than the file's.
+//! Guards against a daemon that reports a line which does not exist, or that
+//! hangs, after a valid file was edited incorrectly. A failure means that a
+//! location was computed from a text other than that of the file.
 
 use std::{fs, path::Path};
 
 use pomeloslip_conf::{MAX_PROBLEMS, settings::Settings};
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Generates cases from a fixed seed; `PROPERTY_FACTOR` multiplies their
+/// number.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -26,14 +27,14 @@
     Insert(Index, String),
     Remove(Index, usize),
     DropLine(Index),
-    DoubleLine(Index),
-    Swap(Index, Index),
-    Cut(Index),
+    DuplicateLine(Index),
+    SwapLines(Index, Index),
+    Truncate(Index),
 }
 
 fn edit() -> impl Strategy<Value = Edit> {
     let at = any::<Index>;
-    let scrap = prop_oneof![
+    let snippet = prop_oneof![
         3 => "[ :,\\[\\]{}#&*!|>'\"%@`?-]{1,3}",
         1 => "\\PC{1,4}",
         1 => "(\\n|\\r\\n|\\r|\\t|\u{85}|\u{2028}|\u{feff}| {1,4})",
@@ -41,12 +42,12 @@
         1 => "(true|null|~|---\\n|\\.\\.\\.\\n|<<: )",
     ];
     prop_oneof![
-        4 => (at(), scrap).prop_map(|(at, text)| Edit::Insert(at, text)),
+        4 => (at(), snippet).prop_map(|(at, text)| Edit::Insert(at, text)),
         3 => (at(), 1..6_usize).prop_map(|(at, n)| Edit::Remove(at, n)),
         2 => at().prop_map(Edit::DropLine),
-        2 => at().prop_map(Edit::DoubleLine),
-        1 => (at(), at()).prop_map(|(a, b)| Edit::Swap(a, b)),
-        1 => at().prop_map(Edit::Cut),
+        2 => at().prop_map(Edit::DuplicateLine),
+        1 => (at(), at()).prop_map(|(a, b)| Edit::SwapLines(a, b)),
+        1 => at().prop_map(Edit::Truncate),
     ]
 }
 
@@ -57,9 +58,9 @@
         return String::new();
     }
     match edit {
-        Edit::Insert(at, scrap) => {
+        Edit::Insert(at, snippet) => {
             let at = at.index(chars.len());
-            chars.splice(at..at, scrap.chars());
+            chars.splice(at..at, snippet.chars());
         }
         Edit::Remove(at, count) => {
             let at = at.index(chars.len());
@@ -69,23 +70,23 @@
             lines.remove(at.index(lines.len()));
             return lines.concat();
         }
-        Edit::DoubleLine(at) => {
+        Edit::DuplicateLine(at) => {
             let at = at.index(lines.len());
             lines.insert(at, lines[at]);
             return lines.concat();
         }
-        Edit::Swap(a, b) => {
+        Edit::SwapLines(a, b) => {
             let (a, b) = (a.index(lines.len()), b.index(lines.len()));
             lines.swap(a, b);
             return lines.concat();
         }
-        Edit::Cut(at) => chars.truncate(at.index(chars.len())),
+        Edit::Truncate(at) => chars.truncate(at.index(chars.len())),
     }
     chars.into_iter().collect()
 }
 
-/// The repository's own settings.
-fn valid() -> Vec<String> {
+/// Returns the example settings of the repository.
+fn valid_settings() -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folder = folder.join("../../examples/settings");
     let files = fs::read_dir(folder).expect("a folder");
@@ -95,18 +96,19 @@
     texts.collect::<Result<_, _>>().expect("texts")
 }
 
-/// Tells whether a place lies in the text, its end included. Editors differ
-/// in whether a carriage return alone ends a line, and so does the parser.
+/// Reports whether a location lies in the text, its end included. Accepts
+/// both line numberings for a lone carriage return, since editors and the
+/// parser differ in whether it ends a line.
 fn is_inside(text: &str, line: u32, column: u32) -> bool {
     let text = text.replace("\r\n", "\n");
-    let found = |text: &str| {
+    let contains = |text: &str| {
         let mut lines = text.split('\n');
         let line = (line as usize).checked_sub(1).and_then(|n| lines.nth(n));
         line.is_some_and(|line| {
             (1..=line.chars().count() + 1).contains(&(column as usize))
         })
     };
-    found(&text) || found(&text.replace('\r', "\n"))
+    contains(&text) || contains(&text.replace('\r', "\n"))
 }
 
 proptest! {
@@ -117,7 +119,7 @@
         which: Index,
         edits in prop::collection::vec(edit(), 1..6),
     ) {
-        let texts = valid();
+        let texts = valid_settings();
         let first = texts[which.index(texts.len())].clone();
         prop_assert!(Settings::parse("a.yaml", &first).is_ok());
         let text = edits.iter().fold(first, |text, one| apply(&text, one));
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings.
+//! Settings of the daemon.
 
 use std::path::{Path, PathBuf};
 
@@ -80,10 +80,10 @@
     host_name = { "listen: 127.0.0.1:18101", "listen: localhost:80", "f:4:9: listen: \"localhost:80\" is not an IP address by number with a port, such as 10.0.0.1:8080; host names are not looked up" },
     no_port = { "listen: 127.0.0.1:18101", "listen: 127.0.0.1", "f:4:9: listen: \"127.0.0.1\" has no port; write IP:PORT, such as 10.0.0.1:8080" },
     host_in_url = { "http://127.0.0.1:18001", "http://kv:18001", "f:6:25: key_value.addresses[0]: \"kv:18001\" is not an IP address by number with a port, such as 10.0.0.1:8080; host names are not looked up" },
-    https = { "http://127.0.0.1:18001", "https://127.0.0.1:1", "f:6:25: key_value.addresses[0]: \"https://127.0.0.1:1\" is no address of the form http://IP:PORT" },
+    https = { "http://127.0.0.1:18001", "https://127.0.0.1:1", "f:6:25: key_value.addresses[0]: \"https://127.0.0.1:1\" is not an address of the form http://IP:PORT" },
     role = { "role: entry", "role: entyr", "f:1:7: role: unknown value \"entyr\"; one of entry, companion, data; did you mean \"entry\"?" },
     vm = { "vm: entry-1", "vm: entry 1", "f:2:5: vm: a vm takes letters, digits and - _ . only, not ' '" },
-    no_key_value = { "key_value: {addresses: [http://127.0.0.1:18001]}", "", "f:1:1: key_value: missing; role entry needs it" },
+    no_key_value = { "key_value: {addresses: [http://127.0.0.1:18001]}", "", "f:1:1: key_value: missing; required by role entry" },
     no_address = { "[http://127.0.0.1:18001]", "[]", "f:6:24: key_value.addresses: is empty" },
     same_address = { ":18151", ":18101", "f:5:14: peer_listen: is the same as `listen`" },
     unit = { "key_value:", "timeouts: {connect_s: 1}\nkey_value:", "f:6:12: timeouts.connect_s: unknown key; did you mean \"connect_ms\"?" },
@@ -91,8 +91,8 @@
     secret = { "key_value:", "peer_secrets: [short]\nkey_value:", "f:6:16: peer_secrets[0]: has fewer than 16 bytes" },
     secret_is_not_shown = { "key_value:", "peer_secrets: [[hidden-secret]]\nkey_value:", "f:6:16: peer_secrets[0]: expected a string, found a list" },
     data_twice = { "key_value:", "data_vms: [{vm: d, address: 127.0.0.1:1, failure_domain: a}, {vm: d, address: 127.0.0.1:2, failure_domain: b}]\nkey_value:", "f:6:67: data_vms[1].vm: \"d\" is also in data_vms[0].vm" },
-    neither = { "key_value:", "endpoints: [{endpoint: e, pool: p, failure_domain: a}]\nkey_value:", "f:6:13: endpoints[0]: takes one of `peer` and `http`" },
-    unreachable = { "key_value:", "entries: [127.0.0.1:0, 0.0.0.0:5]\nkey_value:", "f:6:11: entries[0]: port 0 cannot be reached\nf:6:24: entries[1]: is no address of one machine" },
+    neither = { "key_value:", "endpoints: [{endpoint: e, pool: p, failure_domain: a}]\nkey_value:", "f:6:13: endpoints[0]: needs exactly one of `peer` and `http`" },
+    unreachable = { "key_value:", "entries: [127.0.0.1:0, 0.0.0.0:5]\nkey_value:", "f:6:11: entries[0]: cannot be connected to: the port is 0\nf:6:24: entries[1]: is not the address of a single machine" },
     level = { "key_value:", "log: {level: inof}\nkey_value:", "f:6:14: log.level: unknown value \"inof\"; one of off, error, warn, info, debug, trace; did you mean \"info\"?" },
 )]
 fn entry_problem(old: &str, new: &str, line: &str) {
@@ -101,10 +101,10 @@
 }
 
 #[parameterized(
-    no_entries = { "entries: [127.0.0.1:18151]\n", "", "f:1:1: entries: missing; role companion needs it" },
+    no_entries = { "entries: [127.0.0.1:18151]\n", "", "f:1:1: entries: missing; required by role companion" },
     more_batch = { "kind: engine", "kind: engine, max_running: 8, batch_max_running: 9", "f:8:79: endpoint.batch_max_running: 9 is not in 0 to 8" },
-    pool = { "pool: korv-lm", "pool: korv lm", "f:8:21: endpoint.pool: takes letters, digits and - _ . only" },
-    data = { "entries:", "data: {folder: x}\nentries:", "f:6:7: data: role companion keeps nothing" },
+    pool = { "pool: korv-lm", "pool: korv lm", "f:8:21: endpoint.pool: must consist of letters, digits and - _ . only" },
+    data = { "entries:", "data: {folder: x}\nentries:", "f:6:7: data: is not valid for role companion, which stores no data" },
 )]
 fn companion_problem(old: &str, new: &str, line: &str) {
     assert!(Settings::parse("f", COMPANION).is_ok());
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn defaults_leave_room_for_batch_to_give_way() {
+fn defaults_reserve_capacity_for_online_requests() {
     let companion = Settings::parse("f", COMPANION).expect("valid");
     let endpoint = companion.endpoint.expect("an endpoint");
     assert!(endpoint.batch_max_running < endpoint.max_running);
     assert!(!endpoint.checks_fence);
 }
 
-/// Symptom: a secret stands in a log. Sequence: settings are logged or shown
-/// at `/status`. Cause: a secret that prints like any text.
+/// Guards against secrets in logs or at `/status`, where settings are shown
+/// through `Debug` or serde.
 #[test]
 fn secrets_are_not_shown() {
     let text = format!("{ENTRY}peer_secrets: [0123456789abcdef]\n");
