--- a/crates/conf/src/de.rs
+++ b/crates/conf/src/de.rs
@@ -51,7 +51,7 @@
             node: root,
             collector: &collector,
         };
-        value = deserializer.deserialize_seed(PhantomData::<T>).ok();
+        value = deserializer.read(PhantomData::<T>).ok();
         let after = collector.outcome.borrow().dropped.len();
         if value.is_none() && before == after {
             break;
@@ -116,10 +116,7 @@
     ///
     /// A type that is parsed from a string fails after the string was read.
     /// The error is recorded here, where the value is still known.
-    fn deserialize_seed<T: DeserializeSeed<'a>>(
-        self,
-        seed: T,
-    ) -> Result<T::Value, Fault> {
+    fn read<T: DeserializeSeed<'a>>(self, seed: T) -> Result<T::Value, Fault> {
         self.record(seed.deserialize(self))
     }
 
@@ -399,8 +396,7 @@
         while let Some((node, remainder)) = self.nodes.split_first() {
             self.nodes = remainder;
             if !self.deserializer.collector.is_dropped(node) {
-                let value =
-                    self.deserializer.at(node).deserialize_seed(seed)?;
+                let value = self.deserializer.at(node).read(seed)?;
                 return Ok(Some(value));
             }
         }
@@ -456,7 +452,7 @@
         seed: V,
     ) -> Result<V::Value, Fault> {
         match self.value.take() {
-            Some(node) => self.deserializer.at(node).deserialize_seed(seed),
+            Some(node) => self.deserializer.at(node).read(seed),
             None => Err(de::Error::custom("a value without a key")),
         }
     }
@@ -493,7 +489,7 @@
         self,
         seed: T,
     ) -> Result<T::Value, Fault> {
-        self.deserialize_seed(seed)
+        self.read(seed)
     }
 
     fn tuple_variant<V: Visitor<'de>>(
--- a/crates/conf/src/load.rs
+++ b/crates/conf/src/load.rs
@@ -47,7 +47,7 @@
             let at = location_of(error.marker()).min(Location::after(text));
             loader.problem(at, message)
         })?;
-        loader.handle_event(event, span)?;
+        loader.event(event, span)?;
     }
     let empty = Problem::new(file, Location::START, "", "is empty");
     let root = loader.root.ok_or(empty.clone())?;
@@ -85,11 +85,7 @@
 }
 
 impl Loader<'_> {
-    fn handle_event(
-        &mut self,
-        event: Event<'_>,
-        span: Span,
-    ) -> Result<(), Problem> {
+    fn event(&mut self, event: Event<'_>, span: Span) -> Result<(), Problem> {
         let at = location_of(&span.start);
         match event {
             Event::DocumentStart(_) => self.start_document(at),
@@ -99,11 +95,11 @@
                 self.reject_properties(at, anchor, tag.as_deref())?;
                 let is_plain = style == ScalarStyle::Plain;
                 let text = text.into_owned();
-                self.add_scalar(at, Scalar { text, is_plain })
+                self.scalar(at, Scalar { text, is_plain })
             }
             Event::SequenceStart(anchor, tag) => {
                 self.reject_properties(at, anchor, tag.as_deref())?;
-                self.start_node(at, Content::Sequence(Vec::new()))
+                self.start(at, Content::Sequence(Vec::new()))
             }
             Event::MappingStart(anchor, tag) => {
                 self.reject_properties(at, anchor, tag.as_deref())?;
@@ -112,10 +108,10 @@
                     key: None,
                     lines: HashMap::new(),
                 };
-                self.start_node(at, content)
+                self.start(at, content)
             }
             Event::SequenceEnd | Event::MappingEnd => {
-                self.end_node();
+                self.end();
                 Ok(())
             }
             Event::Nothing
@@ -151,13 +147,9 @@
         }
     }
 
-    fn add_scalar(
-        &mut self,
-        at: Location,
-        scalar: Scalar,
-    ) -> Result<(), Problem> {
+    fn scalar(&mut self, at: Location, scalar: Scalar) -> Result<(), Problem> {
         if self.expects_key() {
-            return self.add_key(at, scalar);
+            return self.key(at, scalar);
         }
         let is_empty = scalar.is_plain && scalar.text.is_empty();
         // An omitted value has no location of its own; use that of its key.
@@ -173,11 +165,7 @@
         Ok(())
     }
 
-    fn add_key(
-        &mut self,
-        at: Location,
-        scalar: Scalar,
-    ) -> Result<(), Problem> {
+    fn key(&mut self, at: Location, scalar: Scalar) -> Result<(), Problem> {
         let name = scalar.text;
         if scalar.is_plain && name.is_empty() {
             return Err(self.problem(at, "a key must not be empty"));
@@ -204,7 +192,7 @@
         Ok(())
     }
 
-    fn start_node(
+    fn start(
         &mut self,
         location: Location,
         content: Content,
@@ -225,7 +213,7 @@
         Ok(())
     }
 
-    fn end_node(&mut self) {
+    fn end(&mut self) {
         let Some(open) = self.open.pop() else { return };
         let kind = match open.content {
             Content::Sequence(nodes) => Kind::Sequence(nodes),
