--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,18 +1,18 @@
-//! Who may ask: customers, their keys, and the admission of a request.
+//! Access control: customers, their API keys, and the admission of requests.
 //!
-//! [`Customers`] is the table of one configuration. A request goes through
-//! three states, each a type of its own: [`Arrived`] holds what the caller
-//! presents, taken out of the headers; [`Identified`] knows the customer;
-//! [`Admitted`] is also within the customer's limit. What sends requests to
-//! endpoints takes nothing but the last, so that the compiler finds the path
-//! on which a check was forgotten.
+//! [`Customers`] is the table of customers of one configuration. A request
+//! passes through three states, each with a type of its own: [`Arrived`]
+//! holds the credentials that were removed from the headers; [`Identified`]
+//! holds the customer; [`Admitted`] is also within the customer's limit. Code
+//! that sends requests to endpoints accepts only [`Admitted`] requests, so
+//! that a path without a check does not compile.
 //!
-//! Nothing here does I/O or keeps the text of a key.
+//! The crate does no I/O and never stores the text of a key.
 //!
 //! ```
 //! use http::{HeaderMap, HeaderName, HeaderValue};
 //! use pomeloslip_access::{
-//!     ApiKey, Arrived, Confidence, CustomerSpec, Customers, KeyHeaders,
+//!     ApiKey, Arrived, ConfigFreshness, CustomerSpec, Customers, KeyHeaders,
 //! };
 //!
 //! let spec = CustomerSpec {
@@ -27,13 +27,13 @@
 //! let mut headers = HeaderMap::new();
 //! headers.insert("x-key", HeaderValue::from_static("key-1"));
 //!
-//! let arrived = Arrived::take(&mut headers, &names);
+//! let arrived = Arrived::from_headers(&mut headers, &names);
 //! let identified =
-//!     arrived.identify(Some(&customers), false, Confidence::Fresh);
+//!     arrived.identify(Some(&customers), false, ConfigFreshness::Fresh);
 //! let caller = identified.expect("known").caller().cloned();
 //! assert_eq!(caller.expect("a customer").customer().as_str(), "taevakorv");
-//! assert!(headers.is_empty(), "the key goes no further");
-//! # Ok::<(), pomeloslip_access::KeyFault>(())
+//! assert!(headers.is_empty(), "the key is not passed on");
+//! # Ok::<(), pomeloslip_access::ApiKeyError>(())
 //! ```
 
 mod customers;
@@ -44,6 +44,8 @@
     customers::{
         Caller, CustomerKey, CustomerSpec, Customers, CustomersError,
     },
-    key::{ApiKey, KeyFault},
-    request::{Admitted, Arrived, Confidence, Denied, Identified, KeyHeaders},
+    key::{ApiKey, ApiKeyError},
+    request::{
+        Admitted, Arrived, ConfigFreshness, Denied, Identified, KeyHeaders,
+    },
 };
--- a/crates/router/src/subset.rs
+++ b/crates/router/src/subset.rs
@@ -1,22 +1,24 @@
-//! Which endpoints of a large pool an entry uses.
+//! The subset of a large pool that an entry uses.
 //!
 //! With 340 entries and 2,200 endpoints an entry sends six requests a second
-//! and cannot know all. Each takes a few by rendezvous hashing of its own
-//! name with theirs, so that the choice stays when the list changes and
-//! differs between entries.
+//! and cannot have current load data of all endpoints. Each entry takes a few
+//! by rendezvous hashing of its own name with theirs, so that the subset is
+//! stable when the list changes and differs between entries.
 
 use base::stable_hash;
 
-use crate::endpoint::Listed;
+use crate::endpoint::ListedEndpoint;
 
-/// Least share of the subset that is left for other failure domains, so
-/// that an entry whose own domain is lost still knows somebody.
-const FAR_SHARE: usize = 4;
+/// Divisor for the part of the subset that is reserved for other failure
+/// domains: one fourth. An entry whose own domain fails then still knows some
+/// endpoints.
+const OTHER_DOMAIN_DIVISOR: usize = 4;
 
-/// Returns the places in `listed` of those to use, own domain first.
+/// Returns the indices in `listed` of the endpoints to use, own failure domain
+/// first.
 pub(crate) fn choose(
     entry: &str,
-    listed: &[Listed],
+    listed: &[ListedEndpoint],
     size: usize,
 ) -> Vec<usize> {
     if listed.len() <= size {
@@ -25,19 +27,19 @@
     let mut ranked: Vec<(u64, usize)> = listed
         .iter()
         .enumerate()
-        .map(|(at, one)| (stable_hash(&[entry, one.name.as_str()]), at))
+        .map(|(index, one)| (stable_hash(&[entry, one.name.as_str()]), index))
         .collect();
     ranked.sort_unstable();
-    let of = |near: bool| {
+    let of = |same_domain: bool| {
         ranked
             .iter()
-            .map(|(_, at)| *at)
-            .filter(move |at| listed[*at].near == near)
+            .map(|(_, index)| *index)
+            .filter(move |index| listed[*index].same_domain == same_domain)
     };
     let far_count = of(false).count();
-    let far_kept = (size / FAR_SHARE).min(far_count);
-    let mut chosen: Vec<usize> = of(true).take(size - far_kept).collect();
-    let rest = size - chosen.len();
-    chosen.extend(of(false).take(rest));
+    let reserved = (size / OTHER_DOMAIN_DIVISOR).min(far_count);
+    let mut chosen: Vec<usize> = of(true).take(size - reserved).collect();
+    let remaining = size - chosen.len();
+    chosen.extend(of(false).take(remaining));
     chosen
 }
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A handful of processes with an unreliable network and service.
+//! Simulation of a few processes with an unreliable network and key-value
+//! service.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,7 +8,7 @@
 
 use base::{Millis, Revision};
 use pomeloslip_spread::{
-    Action, Event, Message, Options, Spread, Stamp, Step,
+    Action, Event, Message, MessageKind, Options, Propagator, Stamp,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -15,41 +16,42 @@
 const DOMAINS: usize = 3;
 const CUSTOMERS: u32 = 12;
 const TICK_MS: u64 = 200;
-const ROUGH_MS: u64 = 25_000;
+const FAULTS_MS: u64 = 25_000;
 const HEALED_MS: u64 = 15_000;
 
-/// What is on its way, or due.
-enum Due {
+/// A message in transit or a scheduled event.
+enum Scheduled {
     Tick(usize),
-    Ask(usize, usize, Message),
-    Answer(usize, usize, Message),
+    Request(usize, usize, Message),
+    Response(usize, usize, Message),
     Fail(usize, usize),
-    Service(usize, Event),
-    Chaos,
+    KeyValue(usize, Event),
+    InjectFault,
 }
 
 pub(crate) struct Sim {
     random: StdRng,
     now: u64,
     seq: u64,
-    queue: BTreeMap<(u64, u64), (u64, Due)>,
-    processes: Vec<Spread>,
-    /// Life of each process; what was sent to an earlier one is lost.
-    lives: Vec<u64>,
+    queue: BTreeMap<(u64, u64), (u64, Scheduled)>,
+    processes: Vec<Propagator>,
+    /// Incarnation of each process; messages to an earlier one are lost.
+    incarnations: Vec<u64>,
     watching: BTreeSet<usize>,
-    /// Each accepted text, by revision.
+    /// All accepted texts by revision.
     accepted: BTreeMap<u64, String>,
-    /// What the service holds; older than the newest after a restore.
-    held: u64,
-    service_up: bool,
-    parted: bool,
-    rough: bool,
-    /// Applied in this life.
+    /// Revision that the key-value service holds; older than the newest after
+    /// a restore from a backup.
+    kv_revision: u64,
+    kv_is_up: bool,
+    is_partitioned: bool,
+    faults_enabled: bool,
+    /// Latest revision applied by each process in its current incarnation.
     applied: Vec<u64>,
-    /// Process 0 takes whatever the service says.
-    fault: bool,
+    /// Process 0 applies whatever the key-value service returns.
+    planted_fault: bool,
     pub(crate) violations: Vec<String>,
-    /// Everything that was applied, for comparing replays.
+    /// All applied revisions, for comparing replays.
     pub(crate) trace: Vec<(u64, usize, u64)>,
 }
 
@@ -57,38 +59,38 @@
     ([127, 0, 0, 1], 1_000 + at as u16).into()
 }
 
-fn process(at: usize, now: u64) -> Spread {
+fn process(at: usize, now: u64) -> Propagator {
     let others = (0..PROCESSES).filter(|other| *other != at);
     let options = Options {
         fanout: 3,
         relays: 1,
-        live_ms: 5_000,
-        learn_ms: 1_500,
+        member_ttl_ms: 5_000,
+        discovery_ms: 1_500,
         ..Options::default()
     };
     let domain = format!("domain-{}", at % DOMAINS).parse().unwrap();
     let vm = format!("entry-{at}").parse().unwrap();
     let peers = others.map(address).collect();
-    Spread::new(vm, domain, peers, options, Millis::new(now))
+    Propagator::new(vm, domain, peers, options, Millis::new(now))
 }
 
 impl Sim {
-    pub(crate) fn new(seed: u64, fault: bool) -> Self {
+    pub(crate) fn new(seed: u64, planted_fault: bool) -> Self {
         let mut sim = Self {
             random: StdRng::seed_from_u64(seed),
             now: 0,
             seq: 0,
             queue: BTreeMap::new(),
             processes: (0..PROCESSES).map(|at| process(at, 0)).collect(),
-            lives: vec![0; PROCESSES],
+            incarnations: vec![0; PROCESSES],
             watching: BTreeSet::new(),
             accepted: BTreeMap::new(),
-            held: 1,
-            service_up: true,
-            parted: false,
-            rough: true,
+            kv_revision: 1,
+            kv_is_up: true,
+            is_partitioned: false,
+            faults_enabled: true,
             applied: vec![0; PROCESSES],
-            fault,
+            planted_fault,
             violations: Vec::new(),
             trace: Vec::new(),
         };
@@ -97,27 +99,28 @@
         let text = format!("tenants:\n{customers}rules: []\n");
         sim.accepted.insert(1, text);
         for at in 0..PROCESSES {
-            sim.push(TICK_MS, at, Due::Tick(at));
+            sim.push(TICK_MS, at, Scheduled::Tick(at));
             sim.read(at);
         }
-        sim.push(500, 0, Due::Chaos);
+        sim.push(500, 0, Scheduled::InjectFault);
         sim
     }
 
-    /// Runs the rough time, heals everything, and checks that all agree.
-    pub(crate) fn run(&mut self, service_comes_back: bool) {
-        self.until(ROUGH_MS);
-        self.rough = false;
-        self.parted = false;
-        self.service_up = service_comes_back;
+    /// Runs the period of faults, removes all faults, and checks that all
+    /// processes agree.
+    pub(crate) fn run(&mut self, kv_recovers: bool) {
+        self.until(FAULTS_MS);
+        self.faults_enabled = false;
+        self.is_partitioned = false;
+        self.kv_is_up = kv_recovers;
         for at in self.watching.clone() {
             self.read(at);
         }
-        self.until(ROUGH_MS + HEALED_MS);
+        self.until(FAULTS_MS + HEALED_MS);
         let in_force = self.processes.iter().map(|p| p.revision().get());
         let mut newest = in_force.max().unwrap();
-        if service_comes_back {
-            newest = newest.max(self.held);
+        if kv_recovers {
+            newest = newest.max(self.kv_revision);
         }
         for (at, process) in self.processes.iter().enumerate() {
             let text = process.document().map(|found| found.text());
@@ -129,11 +132,11 @@
         }
     }
 
-    fn push(&mut self, after_ms: u64, to: usize, due: Due) {
+    fn push(&mut self, after_ms: u64, to: usize, scheduled: Scheduled) {
         self.seq += 1;
-        let life = self.lives[to];
+        let incarnation = self.incarnations[to];
         self.queue
-            .insert((self.now + after_ms, self.seq), (life, due));
+            .insert((self.now + after_ms, self.seq), (incarnation, scheduled));
     }
 
     fn until(&mut self, end: u64) {
@@ -142,40 +145,48 @@
                 return;
             }
             self.now = entry.key().0;
-            let (life, due) = entry.remove();
-            self.run_due(life, due);
+            let (incarnation, scheduled) = entry.remove();
+            self.run_scheduled(incarnation, scheduled);
         }
     }
 
-    fn run_due(&mut self, life: u64, due: Due) {
-        match due {
-            Due::Tick(at) => {
-                self.push(TICK_MS, at, Due::Tick(at));
-                // A paused process skips some.
+    fn run_scheduled(&mut self, incarnation: u64, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick(at) => {
+                self.push(TICK_MS, at, Scheduled::Tick(at));
+                // A paused process skips some ticks.
                 if !self.chance(0.05) {
                     self.handle(at, Event::Tick, None);
                 }
             }
-            Due::Ask(from, to, message) => {
-                let event = Event::Question(message);
+            Scheduled::Request(from, to, message) => {
+                let event = Event::Request(message);
                 self.handle(to, event, Some(from));
             }
-            Due::Answer(from, to, message) if life == self.lives[to] => {
+            Scheduled::Response(from, to, message)
+                if incarnation == self.incarnations[to] =>
+            {
                 let peer = address(from);
-                self.handle(to, Event::Answer { peer, message }, None);
+                self.handle(to, Event::Response { peer, message }, None);
             }
-            Due::Fail(from, to) if life == self.lives[to] => {
+            Scheduled::Fail(from, to)
+                if incarnation == self.incarnations[to] =>
+            {
                 let peer = address(from);
-                self.handle(to, Event::Failed { peer }, None);
+                self.handle(to, Event::PeerFailed { peer }, None);
             }
-            Due::Service(to, event) if life == self.lives[to] => {
+            Scheduled::KeyValue(to, event)
+                if incarnation == self.incarnations[to] =>
+            {
                 self.handle(to, event, None);
             }
-            Due::Answer(..) | Due::Fail(..) | Due::Service(..) => {}
-            Due::Chaos => {
-                if self.rough {
-                    self.chaos();
-                    self.push(500, 0, Due::Chaos);
+            Scheduled::Response(..)
+            | Scheduled::Fail(..)
+            | Scheduled::KeyValue(..) => {}
+            Scheduled::InjectFault => {
+                if self.faults_enabled {
+                    self.inject_fault();
+                    self.push(500, 0, Scheduled::InjectFault);
                 }
             }
         }
@@ -183,7 +194,7 @@
 
     fn chance(&mut self, share: f64) -> bool {
         let drawn = self.random.random::<f64>();
-        self.rough && drawn < share
+        self.faults_enabled && drawn < share
     }
 
     fn delay(&mut self) -> u64 {
@@ -193,9 +204,9 @@
         }
     }
 
-    fn handle(&mut self, at: usize, event: Event, asker: Option<usize>) {
-        if let (true, 0, Event::Found { revision, .. }) =
-            (self.fault, at, &event)
+    fn handle(&mut self, at: usize, event: Event, requester: Option<usize>) {
+        if let (true, 0, Event::ConfigRead { revision, .. }) =
+            (self.planted_fault, at, &event)
         {
             self.note_applied(0, revision.get());
         }
@@ -215,8 +226,8 @@
                     self.send(at, peer, *message);
                 }
                 Action::Reply(message) => {
-                    let to = asker.unwrap();
-                    self.carry(at, to, Due::Answer, *message);
+                    let to = requester.unwrap();
+                    self.deliver(at, to, Scheduled::Response, *message);
                 }
                 Action::Watch(true) => {
                     self.watching.insert(at);
@@ -242,25 +253,27 @@
 
     fn send(&mut self, from: usize, peer: SocketAddr, message: Message) {
         let to = usize::from(peer.port() - 1_000);
-        assert!(message.step() != Step::Tell || message.delta().is_some());
-        let arrived = self.carry(from, to, Due::Ask, message);
+        assert!(
+            message.kind() != MessageKind::Push || message.delta().is_some()
+        );
+        let arrived = self.deliver(from, to, Scheduled::Request, message);
         if !arrived {
-            self.push(500, from, Due::Fail(to, from));
+            self.push(500, from, Scheduled::Fail(to, from));
         }
     }
 
-    /// Carries a message, late, twice or not at all.
-    fn carry(
+    /// Delivers a message late, twice or not at all.
+    fn deliver(
         &mut self,
         from: usize,
         to: usize,
-        make: impl Fn(usize, usize, Message) -> Due,
+        make: impl Fn(usize, usize, Message) -> Scheduled,
         message: Message,
     ) -> bool {
         // The first third of the processes are a region of their own.
         let region = |at| at < PROCESSES / 3;
-        let parted = self.parted && region(from) != region(to);
-        if parted || self.chance(0.1) {
+        let is_partitioned = self.is_partitioned && region(from) != region(to);
+        if is_partitioned || self.chance(0.1) {
             return false;
         }
         for _ in 0..=u32::from(self.chance(0.1)) {
@@ -271,34 +284,35 @@
     }
 
     fn read(&mut self, at: usize) {
-        if !self.service_up {
+        if !self.kv_is_up {
             return;
         }
-        let event = Event::Found {
-            revision: Revision::new(self.held),
-            text: self.accepted[&self.held].clone(),
+        let event = Event::ConfigRead {
+            revision: Revision::new(self.kv_revision),
+            text: self.accepted[&self.kv_revision].clone(),
             stamp: Stamp::default(),
         };
         let delay = self.delay();
-        self.push(delay, at, Due::Service(at, event));
+        self.push(delay, at, Scheduled::KeyValue(at, event));
     }
 
-    fn chaos(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.random.random_range(0..PROCESSES);
         match self.random.random_range(0..12) {
             0..5 => self.edit(at),
-            5 => self.parted = !self.parted,
-            6 => self.service_up = !self.service_up,
+            5 => self.is_partitioned = !self.is_partitioned,
+            6 => self.kv_is_up = !self.kv_is_up,
             7 => {
-                self.lives[at] += 1;
+                self.incarnations[at] += 1;
                 self.applied[at] = 0;
                 self.watching.remove(&at);
                 self.processes[at] = process(at, self.now);
                 self.read(at);
             }
             8 => {
-                // The service's data comes back from an old copy.
-                self.held = self.random.random_range(1..=self.held);
+                // The key-value service is restored from an old backup.
+                self.kv_revision =
+                    self.random.random_range(1..=self.kv_revision);
                 for at in self.watching.clone() {
                     self.read(at);
                 }
@@ -308,11 +322,11 @@
         }
     }
 
-    /// Accepts an edit through a process, which goes on from the newest.
+    /// Accepts an edit of the newest revision through a process.
     fn edit(&mut self, at: usize) {
         let newest = *self.accepted.last_key_value().unwrap().0;
-        let known = self.processes[at].revision().get().max(self.held);
-        if !self.service_up || known != newest {
+        let known = self.processes[at].revision().get().max(self.kv_revision);
+        if !self.kv_is_up || known != newest {
             return;
         }
         let customer = self.random.random_range(0..CUSTOMERS);
@@ -333,26 +347,27 @@
         let text = self.accepted[&newest].replacen(&from, &to, 1);
         let revision = Revision::new(newest + 1);
         let stamp = Stamp::default();
-        let delta = self.processes[at].change(revision, &text, stamp.clone());
+        let delta =
+            self.processes[at].delta_for_edit(revision, &text, stamp.clone());
         self.accepted.insert(newest + 1, text.clone());
-        self.held = newest + 1;
-        let accepted = Event::Accepted {
+        self.kv_revision = newest + 1;
+        let accepted = Event::EditAccepted {
             revision,
             text,
             stamp,
         };
         self.handle(at, accepted, None);
         for relay in self.watching.clone() {
-            // A watch can hang.
+            // A watch may miss a change.
             if self.chance(0.1) {
                 continue;
             }
             let event = match &delta {
                 Some(delta) => Event::Changed(delta.clone()),
-                None => Event::Noticed(revision),
+                None => Event::RevisionAnnounced(revision),
             };
             let delay = self.delay();
-            self.push(delay, relay, Due::Service(relay, event));
+            self.push(delay, relay, Scheduled::KeyValue(relay, event));
         }
     }
 }
