--- a/crates/conf/src/fault.rs
+++ b/crates/conf/src/fault.rs
@@ -34,9 +34,9 @@
             .strip_suffix("\"?")
             .and_then(|message| message.rsplit_once(SUGGESTION_PREFIX));
         match parts {
-            Some((message, near)) => Fault::Value {
+            Some((message, suggestion)) => Fault::Value {
                 message: message.to_owned(),
-                nearest: Some(near.to_owned()),
+                nearest: Some(suggestion.to_owned()),
             },
             None => Fault::value(message),
         }
@@ -44,14 +44,14 @@
 
     pub(crate) fn unknown_word(
         kind: &str,
-        wrong: &str,
+        word: &str,
         known: &[&str],
     ) -> Self {
-        let near = nearest(wrong, known.iter().copied());
+        let suggestion = nearest(word, known.iter().copied());
         let list = known.join(", ");
         Fault::Value {
-            message: format!("unknown {kind} {wrong:?}; one of {list}"),
-            nearest: near.map(str::to_owned),
+            message: format!("unknown {kind} {word:?}; one of {list}"),
+            nearest: suggestion.map(str::to_owned),
         }
     }
 }
@@ -81,12 +81,12 @@
         Fault::value(format!("expected {expected}, found {found}"))
     }
 
-    fn unknown_variant(wrong: &str, known: &'static [&'static str]) -> Self {
-        Fault::unknown_word("value", wrong, known)
+    fn unknown_variant(word: &str, known: &'static [&'static str]) -> Self {
+        Fault::unknown_word("value", word, known)
     }
 
-    fn unknown_field(wrong: &str, known: &'static [&'static str]) -> Self {
-        Fault::unknown_word("key", wrong, known)
+    fn unknown_field(word: &str, known: &'static [&'static str]) -> Self {
+        Fault::unknown_word("key", word, known)
     }
 
     fn missing_field(field: &'static str) -> Self {
--- a/crates/conf/src/findings.rs
+++ b/crates/conf/src/findings.rs
@@ -69,11 +69,11 @@
         &mut self,
         path: &str,
         kind: &str,
-        wrong: &str,
+        name: &str,
         known: impl IntoIterator<Item = &'c str>,
     ) {
-        let near = nearest(wrong, known).map(str::to_owned);
-        self.add(path, format!("unknown {kind} {wrong:?}"), near);
+        let suggestion = nearest(name, known).map(str::to_owned);
+        self.add(path, format!("unknown {kind} {name:?}"), suggestion);
     }
 
     /// Reports a number outside of an inclusive range.
@@ -119,8 +119,8 @@
             return join_index(list, index);
         }
         let paths = (0..).map(|number| join_index(list, number));
-        let mut kept = paths.filter(|path| !self.dropped.contains(path));
-        kept.nth(index).unwrap_or_default()
+        let mut remaining = paths.filter(|path| !self.dropped.contains(path));
+        remaining.nth(index).unwrap_or_default()
     }
 
     /// Reports whether something in a value could not be deserialized.
@@ -128,13 +128,18 @@
         self.dropped.iter().any(|dropped| is_within(dropped, path))
     }
 
-    fn add(&mut self, path: &str, message: String, near: Option<String>) {
+    fn add(
+        &mut self,
+        path: &str,
+        message: String,
+        suggestion: Option<String>,
+    ) {
         if self.is_partial(path) {
             return;
         }
         let location = self.location(path);
         let problem = Problem::new(self.file, location, path, message);
-        self.problems.push(problem.with_nearest(near));
+        self.problems.push(problem.with_nearest(suggestion));
     }
 
     fn location(&self, path: &str) -> Location {
--- a/crates/conf/src/nearest.rs
+++ b/crates/conf/src/nearest.rs
@@ -19,13 +19,13 @@
 /// assert_eq!(nearest("folder", words), None);
 /// ```
 pub fn nearest<'a>(
-    wrong: &str,
+    word: &str,
     candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    let wrong = normalize(wrong);
+    let word = normalize(word);
     let mut best = None;
     for candidate in candidates {
-        let similarity = strsim::jaro_winkler(&wrong, &normalize(candidate));
+        let similarity = strsim::jaro_winkler(&word, &normalize(candidate));
         let threshold = best.map_or(MIN_SIMILARITY, |(found, _)| found);
         if similarity > threshold {
             best = Some((similarity, candidate));
--- a/crates/conf/tests/parse.rs
+++ b/crates/conf/tests/parse.rs
@@ -112,7 +112,7 @@
     block = { "pools:\n- name: |\n    a\n", &["a\n"] },
     json = { "{\"pools\": [{\"name\": \"a\", \"color\": \"red\"}]}", &["a"] },
 )]
-fn names_are_taken(text: &str, names: &[&str]) {
+fn names_are_accepted(text: &str, names: &[&str]) {
     let doc: Doc = parse("f", text).expect("valid");
     let found = doc.pools.iter().map(|pool| pool.name.as_str());
     assert!(found.eq(names.iter().copied()));
@@ -124,7 +124,7 @@
     negative = { "share: -0.5", -0.5 },
     hexadecimal = { "share: 0x10", 16.0 },
 )]
-fn numbers_are_taken(text: &str, share: f64) {
+fn numbers_are_accepted(text: &str, share: f64) {
     assert_eq!(parse::<Doc>("f", text).expect("valid").share, share);
 }
 
@@ -256,7 +256,7 @@
 
     /// Parsing terminates for any text, and each problem is located inside it.
     #[test]
-    fn any_text_is_answered(text in "[ a-z:\\[\\]{},\"'\n#&*!|>~?0-9-]{0,80}") {
+    fn problems_have_locations(text in "[ a-z:\\[\\]{},\"'\n#&*!|>~?0-9-]{0,80}") {
         if let Err(report) = parse_checked::<Doc>("f", &text) {
             let lines = text.split('\n').count() as u32;
             for problem in report.current_context().problems() {
--- a/crates/conf/tests/property.rs
+++ b/crates/conf/tests/property.rs
@@ -115,7 +115,7 @@
     #![proptest_config(config(1_500))]
 
     #[test]
-    fn edited_settings_are_taken_or_answered_with_places(
+    fn edited_settings_are_accepted_or_rejected_with_locations(
         which: Index,
         edits in prop::collection::vec(edit(), 1..6),
     ) {
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn examples_fit_together() {
+fn examples_are_consistent() {
     let read = |name: &str| Settings::read(example(name)).expect("valid");
     let entries = [read("entry-1.yaml"), read("entry-2.yaml")];
     for entry in &entries {
