--- a/crates/cli/src/bin/pomeloslipd/fleet.rs
+++ b/crates/cli/src/bin/pomeloslipd/fleet.rs
@@ -62,7 +62,7 @@
 pub(crate) fn run(command: FleetCommand) -> Result<(), Report<DaemonError>> {
     let path = MachineSettings::path().change_context(DaemonError)?;
     let machine = MachineSettings::read(&path).change_context(DaemonError)?;
-    let settings = machine.node(command.metrics_port);
+    let settings = machine.node_settings(command.metrics_port);
     let logs = log_settings(&settings, command.role);
     let _logs = obs::logs::start_to(&logs, Box::new(io::stdout()))
         .change_context(DaemonError)?;
