--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -377,15 +377,15 @@
     }
 
     fn track(&self, job: &NewJob) {
-        let is_primary = job.owner == self.node;
+        let first = job.owner == self.node;
         log::info!(request_id = job.key.as_str(), items = job.items.len(),
-            first = is_primary; "a job is kept on disk");
+            first; "a job is kept on disk");
         let since = self.clock.now();
         let mut tracked = self.lock();
         let customer = Some(job.customer.clone());
         let new = SpooledJob {
             since,
-            is_primary,
+            is_primary: first,
             customer,
         };
         tracked.insert(job.key.clone(), new);
@@ -472,14 +472,14 @@
         Ok(())
     }
 
-    async fn remove_from_disk(&self, key: &JobKey, reason: &'static str) {
+    async fn remove_from_disk(&self, key: &JobKey, why: &'static str) {
         let (spool, name) = (self.spool.clone(), key.clone());
         let removed =
             task::spawn_blocking(move || spool.remove(name.as_str()).is_ok());
         // If the removal fails, the next start finds the record again; its
         // job is then in the ledger or expired.
         let removed = removed.await.unwrap_or(false);
-        log::info!(job = key.as_str(), why = reason, removed;
+        log::info!(job = key.as_str(), why, removed;
             "a kept job is not needed on disk any more");
         self.untrack(key);
     }
