--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 use fleet::BatchTerms;
 use kv::{
-    Compare, GetReply, Kv, KvError, Op, Patient, Txn, TxnReply,
+    BatchingKv, Compare, GetReply, Kv, KvError, Op, Txn, TxnReply,
     ops::{Outcome, Verdict, Writer},
 };
 
@@ -104,7 +104,7 @@
     /// `max_value_bytes`.
     pub fn new(kv: Arc<dyn Kv>, timer: Timer, max_value_bytes: usize) -> Self {
         Self {
-            batching_kv: Arc::new(Patient::new(
+            batching_kv: Arc::new(BatchingKv::new(
                 kv.clone(),
                 MAX_BATCHING_DELAY_MS,
             )),
--- a/crates/kv/src/batch.rs
+++ b/crates/kv/src/batch.rs
@@ -28,16 +28,16 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BatchLimits {
     /// Comparisons and steps together.
-    pub rows_most: usize,
+    pub max_ops: usize,
     /// Bytes of all values.
-    pub bytes_most: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for BatchLimits {
     fn default() -> Self {
         Self {
-            rows_most: 32,
-            bytes_most: 2 * 1024 * 1024,
+            max_ops: 32,
+            max_bytes: 2 * 1024 * 1024,
         }
     }
 }
@@ -96,8 +96,8 @@
     pub fn add(&mut self, txn: &Txn) -> bool {
         let (rows, bytes) = (rows_of(txn), bytes_of(txn));
         let keys = keys_of(txn);
-        let fits = self.rows + rows <= self.limits.rows_most
-            && self.bytes + bytes <= self.limits.bytes_most
+        let fits = self.rows + rows <= self.limits.max_ops
+            && self.bytes + bytes <= self.limits.max_bytes
             && !keys.iter().any(|key| self.keys.contains(*key));
         if self.rows > 0 && !fits {
             return false;
@@ -144,7 +144,7 @@
 
 /// Tells whether a transaction may share a call: one that fails for a reason
 /// of its own, such as a lease that is gone, must not fail others.
-pub fn can_share(txn: &Txn) -> bool {
+pub fn is_batchable(txn: &Txn) -> bool {
     let is_plain = |op: &Op| match op {
         Op::Put { lease, .. } => lease.is_none(),
         Op::Delete { .. } => true,
@@ -206,19 +206,19 @@
         Self { kv, queue }
     }
 
-    /// Carries out a transaction that can wait for others for `patience_ms`.
+    /// Carries out a transaction that can wait for others for `max_wait_ms`.
     ///
     /// # Errors
     ///
     /// As [`Kv::txn`].
-    pub async fn commit(&self, txn: Txn, patience_ms: u64) -> TxnResult {
-        if !can_share(&txn) {
+    pub async fn commit(&self, txn: Txn, max_wait_ms: u64) -> TxnResult {
+        if !is_batchable(&txn) {
             return self.kv.txn(txn).await;
         }
         let (reply, answered) = oneshot::channel();
         let waiting = Waiting {
             txn,
-            until: Instant::now() + Duration::from_millis(patience_ms),
+            until: Instant::now() + Duration::from_millis(max_wait_ms),
             reply,
         };
         if self.queue.send(waiting).is_err() {
@@ -264,8 +264,8 @@
 fn fills_a_call(queue: &[Waiting], limits: BatchLimits) -> bool {
     let rows = queue.iter().map(|waiting| rows_of(&waiting.txn));
     let bytes = queue.iter().map(|waiting| bytes_of(&waiting.txn));
-    rows.sum::<usize>() >= limits.rows_most
-        || bytes.sum::<usize>() >= limits.bytes_most
+    rows.sum::<usize>() >= limits.max_ops
+        || bytes.sum::<usize>() >= limits.max_bytes
 }
 
 /// Takes the transactions that go together with the first one out of the
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -28,7 +28,7 @@
     etcd::{EtcdJson, EtcdJsonOptions},
     memory::{Memory, MemoryCounts, WriteFault},
     model::{
-        Compare, Event, GetReply, KeyValue, Kv, KvError, KvFuture, LeaseId,
-        Op, OpReply, Patient, Txn, TxnReply, WatchBatch, Watcher,
+        BatchingKv, Compare, Event, GetReply, KeyValue, Kv, KvError, KvFuture,
+        LeaseId, Op, OpReply, Txn, TxnReply, WatchBatch, Watcher,
     },
 };
--- a/crates/kv/src/model.rs
+++ b/crates/kv/src/model.rs
@@ -214,10 +214,10 @@
     /// # Errors
     ///
     /// As [`txn`](Self::txn).
-    fn txn_within(
+    fn txn_batched(
         &self,
         txn: Txn,
-        _patience_ms: u64,
+        _max_wait_ms: u64,
     ) -> KvFuture<'_, TxnReply> {
         self.txn(txn)
     }
@@ -250,28 +250,28 @@
 /// ```
 /// use std::sync::Arc;
 ///
-/// use pomeloslip_kv::{Kv, Memory, Patient, Txn};
+/// use pomeloslip_kv::{Kv, Memory, BatchingKv, Txn};
 ///
 /// # tokio::runtime::Builder::new_current_thread().build()?.block_on(async {
-/// let kv = Patient::new(Arc::new(Memory::default()), 250);
+/// let kv = BatchingKv::new(Arc::new(Memory::default()), 250);
 /// assert!(kv.txn(Txn::default()).await.is_ok());
 /// # });
 /// # Ok::<(), std::io::Error>(())
 /// ```
 #[derive(Clone)]
-pub struct Patient {
+pub struct BatchingKv {
     kv: Arc<dyn Kv>,
-    patience_ms: u64,
+    max_wait_ms: u64,
 }
 
-impl Patient {
-    /// Lets the transactions of a service wait for `patience_ms` each.
-    pub fn new(kv: Arc<dyn Kv>, patience_ms: u64) -> Self {
-        Self { kv, patience_ms }
+impl BatchingKv {
+    /// Lets the transactions of a service wait for `max_wait_ms` each.
+    pub fn new(kv: Arc<dyn Kv>, max_wait_ms: u64) -> Self {
+        Self { kv, max_wait_ms }
     }
 }
 
-impl Kv for Patient {
+impl Kv for BatchingKv {
     fn get(&self, key: &str) -> KvFuture<'_, GetReply> {
         self.kv.get(key)
     }
@@ -285,7 +285,7 @@
     }
 
     fn txn(&self, txn: Txn) -> KvFuture<'_, TxnReply> {
-        self.kv.txn_within(txn, self.patience_ms)
+        self.kv.txn_batched(txn, self.max_wait_ms)
     }
 
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId> {
--- a/crates/kv/tests/batch.rs
+++ b/crates/kv/tests/batch.rs
@@ -11,7 +11,7 @@
 use yare::parameterized;
 
 /// How long the writers of these tests can wait.
-const PATIENCE_MS: u64 = 50;
+const MAX_WAIT_MS: u64 = 50;
 
 fn put(key: &str, before: u64) -> Txn {
     Txn {
@@ -46,7 +46,7 @@
         let group = group.clone();
         async move {
             let txn = put(&format!("k{number}"), 0);
-            group.commit(txn, PATIENCE_MS).await
+            group.commit(txn, MAX_WAIT_MS).await
         }
     });
     for result in join_all(writes).await {
@@ -63,8 +63,8 @@
     kv.txn(put("taken", 0)).await.expect("written");
     let group = group(&kv);
     let (taken, free) = tokio::join!(
-        group.commit(put("taken", 0), PATIENCE_MS),
-        group.commit(put("free", 0), PATIENCE_MS),
+        group.commit(put("taken", 0), MAX_WAIT_MS),
+        group.commit(put("free", 0), MAX_WAIT_MS),
     );
     assert!(!taken.expect("answered").succeeded);
     assert!(free.expect("answered").succeeded);
@@ -86,8 +86,8 @@
     let group = group(&kv);
     kv.script_writes([fault]);
     let (first, second) = tokio::join!(
-        group.commit(put("a", 0), PATIENCE_MS),
-        group.commit(put("b", 0), PATIENCE_MS),
+        group.commit(put("a", 0), MAX_WAIT_MS),
+        group.commit(put("b", 0), MAX_WAIT_MS),
     );
     for result in [first, second] {
         let report = result.expect_err("not known to be written");
@@ -102,8 +102,8 @@
     let kv = Memory::default();
     let group = group(&kv);
     let (first, second) = tokio::join!(
-        group.commit(put("a", 0), PATIENCE_MS),
-        group.commit(put("a", 0), PATIENCE_MS),
+        group.commit(put("a", 0), MAX_WAIT_MS),
+        group.commit(put("a", 0), MAX_WAIT_MS),
     );
     let done = [first, second].map(|one| one.expect("answered").succeeded);
     assert_eq!(done.iter().filter(|done| **done).count(), 1);
@@ -117,14 +117,14 @@
     let began = Instant::now();
     let (patient, urgent) = tokio::join!(
         group.commit(put("a", 0), 10_000),
-        group.commit(put("b", 0), PATIENCE_MS),
+        group.commit(put("b", 0), MAX_WAIT_MS),
     );
     assert_eq!(
         patient.expect("written").revision,
         urgent.expect("written").revision
     );
     let waited_ms = began.elapsed().as_millis() as u64;
-    assert!(waited_ms < 2 * PATIENCE_MS, "{waited_ms} ms");
+    assert!(waited_ms < 2 * MAX_WAIT_MS, "{waited_ms} ms");
 }
 
 /// Guards against writers whose lease is gone, which fail others.
@@ -141,8 +141,8 @@
         ..Txn::default()
     };
     let (lost, other) = tokio::join!(
-        group.commit(lost, PATIENCE_MS),
-        group.commit(put("b", 0), PATIENCE_MS),
+        group.commit(lost, MAX_WAIT_MS),
+        group.commit(put("b", 0), MAX_WAIT_MS),
     );
     let report = lost.expect_err("no such lease");
     assert_eq!(*report.current_context(), KvError::LeaseGone);
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -135,7 +135,7 @@
         let Some(worker) = self.collecting_worker() else {
             return self.kv.txn(txn).await;
         };
-        if !batch::can_share(&txn) {
+        if !batch::is_batchable(&txn) {
             return self.kv.txn(txn).await;
         }
         if worker.node == self.node {
@@ -223,7 +223,7 @@
         self.kv.txn(txn)
     }
 
-    fn txn_within(
+    fn txn_batched(
         &self,
         txn: Txn,
         patience_ms: u64,
--- a/crates/node/src/start_list.rs
+++ b/crates/node/src/start_list.rs
@@ -63,7 +63,7 @@
         }],
         ..Txn::default()
     };
-    match kv.txn_within(txn, PATIENCE_MS).await {
+    match kv.txn_batched(txn, PATIENCE_MS).await {
         Ok(_) => {
             log::info!(nodes = list.len();
                 "the nodes that starting ones ask are written");
