--- a/crates/kv/src/paths.rs
+++ b/crates/kv/src/paths.rs
@@ -30,7 +30,7 @@
 /// paths.set_peers(vec![peer]);
 /// let now = Millis::new(10);
 /// assert_eq!(paths.pick(now), Some(direct));
-/// paths.note(direct, false, now);
+/// paths.record_result(direct, false, now);
 /// assert_eq!(paths.pick(now), Some(peer));
 /// let later = Millis::new(2_000);
 /// assert_eq!(paths.pick(later), Some(direct));
@@ -96,15 +96,15 @@
     ///
     /// let direct = ([127, 0, 0, 1], 1).into();
     /// let paths = Paths::new(direct);
-    /// paths.set_away_pause_ms(2_000);
+    /// paths.set_outage_interval_ms(2_000);
     /// let now = Millis::new(10);
     /// for _ in 0..3 {
-    ///     paths.note(direct, false, now);
+    ///     paths.record_result(direct, false, now);
     /// }
     /// assert_eq!(paths.pick(Millis::new(1_900)), None);
     /// assert_eq!(paths.pick(Millis::new(2_010)), Some(direct));
     /// ```
-    pub fn set_away_pause_ms(&self, away_pause_ms: u64) {
+    pub fn set_outage_interval_ms(&self, away_pause_ms: u64) {
         self.lock().away_pause_ms = away_pause_ms;
     }
 
@@ -135,13 +135,13 @@
     }
 
     /// Tells whether a failed call may have a better way now.
-    pub fn has_other(&self, than: SocketAddr) -> bool {
+    pub fn has_alternative(&self, than: SocketAddr) -> bool {
         let inner = self.lock();
         than == self.direct && !inner.peers.is_empty()
     }
 
-    /// Takes note of how a call ended.
-    pub fn note(&self, address: SocketAddr, good: bool, now: Millis) {
+    /// Takes record_result of how a call ended.
+    pub fn record_result(&self, address: SocketAddr, good: bool, now: Millis) {
         let mut inner = self.lock();
         match good {
             true => inner.failures = 0,
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -85,7 +85,7 @@
             // is cut off itself sees nobody.
             if !peers.is_empty() {
                 paths.set_peers(peers);
-                paths.set_away_pause_ms(away_pause_ms(roster.len()));
+                paths.set_outage_interval_ms(away_pause_ms(roster.len()));
             }
             known = Some(roster);
         }
