--- a/crates/kv/src/backoff.rs
+++ b/crates/kv/src/backoff.rs
@@ -15,10 +15,10 @@
 /// let mut backoff = Backoff::new(100, 1_000);
 /// let now = Millis::new(0);
 /// assert!(backoff.is_ready(now));
-/// let again = backoff.fail(now, u64::MAX);
+/// let again = backoff.record_failure(now, u64::MAX);
 /// assert!(again > now && again.as_ms() <= 100);
 /// assert!(!backoff.is_ready(now));
-/// backoff.succeed();
+/// backoff.record_success();
 /// assert!(backoff.is_ready(now));
 /// ```
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     }
 
     /// Takes note of a failure and returns when to try again.
-    pub fn fail(&mut self, now: Millis, random: u64) -> Millis {
+    pub fn record_failure(&mut self, now: Millis, random: u64) -> Millis {
         let ceiling_ms = self.ceiling_ms();
         self.failures = self.failures.saturating_add(1);
         self.next_at = now.saturating_add_ms(1 + random % ceiling_ms);
@@ -49,7 +49,7 @@
     }
 
     /// Takes note of a success: the next attempt may follow at once.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.next_at = Millis::new(0);
     }
--- a/crates/kv/src/lease.rs
+++ b/crates/kv/src/lease.rs
@@ -6,7 +6,7 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Share of the time to live after which a lease is renewed: a third leaves
+/// Share of the time to live after which a lease is record_renewal: a third leaves
 /// two more attempts.
 const RENEW_DIVISOR: u64 = 3;
 
@@ -26,10 +26,10 @@
 ///
 /// let mut held = HeldLease::new(LeaseId(7), 9, Millis::new(0));
 /// assert_eq!(held.renew_at(), Millis::new(3_000));
-/// assert!(held.is_safe(Millis::new(8_999), 0));
-/// assert!(!held.is_safe(Millis::new(8_999), 500));
-/// held.renewed(Millis::new(3_000));
-/// assert_eq!(held.ends_at(), Millis::new(12_000));
+/// assert!(held.is_valid_for(Millis::new(8_999), 0));
+/// assert!(!held.is_valid_for(Millis::new(8_999), 500));
+/// held.record_renewal(Millis::new(3_000));
+/// assert_eq!(held.expires_at(), Millis::new(12_000));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
@@ -55,7 +55,7 @@
     }
 
     /// Takes note of a renewal that succeeded and was sent at `sent_at`.
-    pub fn renewed(&mut self, sent_at: Millis) {
+    pub fn record_renewal(&mut self, sent_at: Millis) {
         self.sent_at = self.sent_at.max(sent_at);
     }
 
@@ -67,13 +67,13 @@
 
     /// Returns the earliest moment at which the service may end the lease.
     #[inline]
-    pub fn ends_at(&self) -> Millis {
+    pub fn expires_at(&self) -> Millis {
         self.sent_at.saturating_add_ms(self.ttl_ms)
     }
 
     /// Tells whether the lease surely lasts for `margin_ms` more.
     #[inline]
-    pub fn is_safe(&self, now: Millis, margin_ms: u64) -> bool {
-        now.saturating_add_ms(margin_ms) < self.ends_at()
+    pub fn is_valid_for(&self, now: Millis, margin_ms: u64) -> bool {
+        now.saturating_add_ms(margin_ms) < self.expires_at()
     }
 }
--- a/crates/kv/src/ops.rs
+++ b/crates/kv/src/ops.rs
@@ -203,7 +203,7 @@
         random: &mut (impl FnMut() -> u64 + Send),
     ) -> Result<(), Report<KvError>> {
         let now = self.timer.now();
-        let again_at = attempt.backoff.fail(now, random());
+        let again_at = attempt.backoff.record_failure(now, random());
         if again_at >= attempt.give_up_at {
             return Err(attempt.give_up());
         }
--- a/crates/kv/tests/ops.rs
+++ b/crates/kv/tests/ops.rs
@@ -161,12 +161,12 @@
     let mut ceilings = Vec::new();
     for _ in 0..80 {
         ceilings.push(backoff.ceiling_ms());
-        let again = backoff.fail(now, 99);
+        let again = backoff.record_failure(now, 99);
         assert_eq!(again, now.saturating_add_ms(100));
         assert!(backoff.is_ready(again) && !backoff.is_ready(now));
     }
     assert_eq!(ceilings[..4], [100, 200, 350, 350]);
     assert_eq!(ceilings[79], 350);
-    backoff.succeed();
+    backoff.record_success();
     assert!(backoff.is_ready(Millis::new(0)));
 }
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -228,7 +228,7 @@
     async fn renew(&self, held: &mut Entered) -> Result<(), Report<KvError>> {
         let sent_at = self.clock.now();
         self.kv.lease_keep_alive(held.lease.id()).await?;
-        held.lease.renewed(sent_at);
+        held.lease.record_renewal(sent_at);
         Ok(())
     }
 
