--- a/crates/entry/src/batch/files.rs
+++ b/crates/entry/src/batch/files.rs
@@ -4,7 +4,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, KvError, Op, Txn,
-    ops::{Outcome, Verdict},
+    ops::{Outcome, ReadBack},
 };
 use ledger::Sink;
 use sha2::{Digest, Sha256};
@@ -263,10 +263,10 @@
                 |_| (),
                 |found| match found.kvs.first() {
                     Some(now) if now.mod_revision != mod_revision => {
-                        Verdict::Done(())
+                        ReadBack::Applied(())
                     }
-                    None if mod_revision != 0 => Verdict::Superseded,
-                    _ => Verdict::Open,
+                    None if mod_revision != 0 => ReadBack::Superseded,
+                    _ => ReadBack::Undecided,
                 },
                 rand::random,
             )
@@ -276,7 +276,7 @@
         match outcome {
             // Another upload of the same content came first; its record
             // names the same blobs.
-            Outcome::Done(()) | Outcome::Superseded => Ok(()),
+            Outcome::Applied(()) | Outcome::Superseded => Ok(()),
         }
     }
 }
--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -4,7 +4,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, KeyValue, Op, OpReply, Txn,
-    ops::{Outcome, Verdict},
+    ops::{Outcome, ReadBack},
 };
 use ledger::{JobRecord, JobState, RangeSet};
 use sha2::{Digest, Sha256};
@@ -130,12 +130,12 @@
                 Op::Get { key },
                 |_| (),
                 |found| match found.kvs.first() {
-                    None => Verdict::Open,
+                    None => ReadBack::Undecided,
                     Some(kv) => match parse(kv) {
                         Ok(job) if job.operation == operation => {
-                            Verdict::Done(())
+                            ReadBack::Applied(())
                         }
-                        _ => Verdict::Superseded,
+                        _ => ReadBack::Superseded,
                     },
                 },
                 rand::random,
@@ -143,7 +143,7 @@
             .await
             .map_err(platform)
             .attach("recording a job")?;
-        if outcome == Outcome::Done(()) {
+        if outcome == Outcome::Applied(()) {
             self.owner.poke(&record.id);
             return Ok(record);
         }
@@ -281,7 +281,7 @@
                 .await
                 .map_err(platform)
                 .attach("cancelling a job")?;
-            if outcome == Outcome::Done(()) {
+            if outcome == Outcome::Applied(()) {
                 self.owner.poke(id);
                 return Ok(Some(job));
             }
@@ -295,14 +295,16 @@
     now: Option<&KeyValue>,
     operation: u64,
     before: &KeyValue,
-) -> Verdict<()> {
+) -> ReadBack<()> {
     match now {
-        Some(now) if now.mod_revision == before.mod_revision => Verdict::Open,
+        Some(now) if now.mod_revision == before.mod_revision => {
+            ReadBack::Undecided
+        }
         Some(now) => match parse(now) {
-            Ok(job) if job.operation == operation => Verdict::Done(()),
-            _ => Verdict::Superseded,
+            Ok(job) if job.operation == operation => ReadBack::Applied(()),
+            _ => ReadBack::Superseded,
         },
-        None => Verdict::Superseded,
+        None => ReadBack::Superseded,
     }
 }
 
--- a/crates/entry/src/claim_store.rs
+++ b/crates/entry/src/claim_store.rs
@@ -6,7 +6,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, GetReply, KeyValue, Kv, KvError, LeaseId, Op, Txn,
-    ops::{Outcome, Verdict, Writer},
+    ops::{Outcome, ReadBack, Writer},
 };
 
 use crate::claim_record::{ClaimRecord, ClaimState, key_hash};
@@ -113,7 +113,7 @@
             made = self.put(&key, &record, lease).await;
         }
         match made {
-            Ok(Outcome::Done(mod_revision)) => Ok(Taken::New(Claim {
+            Ok(Outcome::Applied(mod_revision)) => Ok(Taken::New(Claim {
                 key,
                 record,
                 lease,
@@ -202,10 +202,10 @@
                 |reply| reply.revision,
                 |found| match found.kvs.first() {
                     Some(kv) if is_of(kv, &record.operation) => {
-                        Verdict::Done(kv.mod_revision)
+                        ReadBack::Applied(kv.mod_revision)
                     }
-                    Some(_) => Verdict::Superseded,
-                    None => Verdict::Open,
+                    Some(_) => ReadBack::Superseded,
+                    None => ReadBack::Undecided,
                 },
                 rand::random,
             )
@@ -264,8 +264,8 @@
             key: key.to_owned(),
         };
         let decide = |found: &GetReply| match found.kvs.first() {
-            Some(kv) if kv.mod_revision == mod_revision => Verdict::Open,
-            _ => Verdict::Done(()),
+            Some(kv) if kv.mod_revision == mod_revision => ReadBack::Undecided,
+            _ => ReadBack::Applied(()),
         };
         let kv = self.0.kv.as_ref();
         self.0
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -20,7 +20,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, KeyValue, Kv, Op, Txn,
-    ops::{Outcome, Verdict, Writer},
+    ops::{Outcome, ReadBack, Writer},
 };
 use rules::{CompiledConfig, Config};
 use serde::{Deserialize, Serialize};
@@ -376,7 +376,7 @@
             .await
             .map_err(platform)
             .attach("accepting a configuration")?;
-        if outcome == Outcome::Done(()) {
+        if outcome == Outcome::Applied(()) {
             let revision = next.revision;
             self.offer(next.clone())?;
             self.handle(Event::Accepted {
@@ -432,15 +432,15 @@
     now: Option<&KeyValue>,
     mod_revision: u64,
     operation: &str,
-) -> Verdict<()> {
+) -> ReadBack<()> {
     match now {
-        Some(now) if now.mod_revision == mod_revision => Verdict::Open,
+        Some(now) if now.mod_revision == mod_revision => ReadBack::Undecided,
         Some(now) => match parse(now) {
-            Ok(found) if found.operation == operation => Verdict::Done(()),
-            _ => Verdict::Superseded,
+            Ok(found) if found.operation == operation => ReadBack::Applied(()),
+            _ => ReadBack::Superseded,
         },
-        None if mod_revision == 0 => Verdict::Open,
-        None => Verdict::Superseded,
+        None if mod_revision == 0 => ReadBack::Undecided,
+        None => ReadBack::Superseded,
     }
 }
 
--- a/crates/jobs/src/ledger.rs
+++ b/crates/jobs/src/ledger.rs
@@ -7,7 +7,7 @@
 use fleet::BatchTerms;
 use kv::{
     BatchingKv, Compare, GetReply, Kv, KvError, Op, Txn, TxnReply,
-    ops::{Outcome, Verdict, Writer},
+    ops::{Outcome, ReadBack, Writer},
 };
 
 use crate::{
@@ -178,7 +178,7 @@
             })
             .await?;
         match outcome {
-            Outcome::Done((stored, proof)) => {
+            Outcome::Applied((stored, proof)) => {
                 self.cache_written(&bulk, proof);
                 Ok(stored)
             }
@@ -271,7 +271,7 @@
             let row = put(manifest_key(job), encode_manifest(&manifest)?);
             let txn = guarded_txn(manifest_key(job), revision, vec![row]);
             let outcome = self.commit(&self.kv, job, txn, |_| ()).await?;
-            if let Outcome::Done(_) = outcome {
+            if let Outcome::Applied(_) = outcome {
                 return Ok(());
             }
         }
@@ -320,7 +320,7 @@
             })
             .await?;
         match outcome {
-            Outcome::Done((stored, proof)) => {
+            Outcome::Applied((stored, proof)) => {
                 self.cache_written(&bulk, proof);
                 Ok(Ok(stored))
             }
@@ -353,7 +353,7 @@
             })
             .await?;
         match outcome {
-            Outcome::Done((stored, _)) => Ok(stored),
+            Outcome::Applied((stored, _)) => Ok(stored),
             Outcome::Superseded => self.read(job).await,
         }
     }
@@ -457,12 +457,12 @@
                     revision,
                     replies: Vec::new(),
                 });
-                Verdict::Done((value, WriteProof::ReadBack))
+                ReadBack::Applied((value, WriteProof::ReadBack))
             }
-            Some(kv) if kv.mod_revision == before => Verdict::Open,
-            Some(_) => Verdict::Superseded,
-            None if before == 0 => Verdict::Open,
-            None => Verdict::Superseded,
+            Some(kv) if kv.mod_revision == before => ReadBack::Undecided,
+            Some(_) => ReadBack::Superseded,
+            None if before == 0 => ReadBack::Undecided,
+            None => ReadBack::Superseded,
         };
         let answered = move |reply: &TxnReply| {
             (answered(reply), WriteProof::Acknowledged)
--- a/crates/kv/src/ops.rs
+++ b/crates/kv/src/ops.rs
@@ -13,21 +13,21 @@
 
 /// What the caller concludes from reading a write back.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict<T> {
+pub enum ReadBack<T> {
     /// The write took effect: its operation id is there.
-    Done(T),
+    Applied(T),
     /// The write has no effect and cannot have one any more, because what
     /// it compares with has changed.
     Superseded,
     /// What the write compares with still holds; it may yet take effect.
-    Open,
+    Undecided,
 }
 
 /// How a guarded write ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome<T> {
     /// It took effect.
-    Done(T),
+    Applied(T),
     /// It certainly has no effect, because a comparison does not hold.
     Superseded,
 }
@@ -36,7 +36,7 @@
 ///
 /// A write whose answer was lost is neither success nor failure, and a
 /// read that does not show it proves nothing while it may still be on its
-/// way. So the write is read back, and if it is still [`Verdict::Open`]
+/// way. So the write is read back, and if it is still [`ReadBack::Undecided`]
 /// sent once more, unchanged. That is no blind repetition: the transaction
 /// compares revisions that its own effect changes, so that of all copies
 /// only one can take effect.
@@ -71,7 +71,7 @@
     /// use base::timer::Timer;
     /// use pomeloslip_kv::{
     ///     Compare, Memory, Op, Txn, WriteFault,
-    ///     ops::{Outcome, Verdict, Writer},
+    ///     ops::{Outcome, ReadBack, Writer},
     /// };
     ///
     /// # tokio::runtime::Builder::new_current_thread().build()?.block_on(async {
@@ -98,15 +98,15 @@
     ///         |reply| reply.revision,
     ///         |found| match found.kvs.first() {
     ///             Some(kv) if kv.value == b"op-7" => {
-    ///                 Verdict::Done(kv.mod_revision)
+    ///                 ReadBack::Applied(kv.mod_revision)
     ///             }
-    ///             Some(_) => Verdict::Superseded,
-    ///             None => Verdict::Open,
+    ///             Some(_) => ReadBack::Superseded,
+    ///             None => ReadBack::Undecided,
     ///         },
     ///         || 1,
     ///     )
     ///     .await?;
-    /// assert_eq!(outcome, Outcome::Done(2));
+    /// assert_eq!(outcome, Outcome::Applied(2));
     /// # Ok::<(), error_stack::Report<pomeloslip_kv::KvError>>(())
     /// # })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -117,7 +117,7 @@
         txn: Txn,
         read_back: Op,
         answered: impl Fn(&TxnReply) -> T + Send,
-        mut decide: impl FnMut(&GetReply) -> Verdict<T> + Send,
+        mut decide: impl FnMut(&GetReply) -> ReadBack<T> + Send,
         mut random: impl FnMut() -> u64 + Send,
     ) -> Result<Outcome<T>, Report<KvError>> {
         let mut attempt = Attempt {
@@ -130,7 +130,7 @@
             let call = kv.txn(txn.clone());
             match self.limit(&attempt, call, KvError::Unknown).await {
                 Ok(reply) if reply.succeeded => {
-                    return Ok(Outcome::Done(answered(&reply)));
+                    return Ok(Outcome::Applied(answered(&reply)));
                 }
                 Ok(_) if !attempt.may_be_done => {
                     return Ok(Outcome::Superseded);
@@ -144,9 +144,11 @@
                     .read_back(kv, &read_back, &mut attempt, &mut random)
                     .await?;
                 match decide(&found) {
-                    Verdict::Done(value) => return Ok(Outcome::Done(value)),
-                    Verdict::Superseded => return Ok(Outcome::Superseded),
-                    Verdict::Open => {}
+                    ReadBack::Applied(value) => {
+                        return Ok(Outcome::Applied(value));
+                    }
+                    ReadBack::Superseded => return Ok(Outcome::Superseded),
+                    ReadBack::Undecided => {}
                 }
             }
             self.pause(&mut attempt, &mut random).await?;
--- a/crates/kv/tests/ops.rs
+++ b/crates/kv/tests/ops.rs
@@ -8,7 +8,7 @@
     Backoff, Compare, GetReply, Kv, KvError, KvFuture, LeaseId, Memory, Op,
     Txn, TxnReply, Watcher,
     WriteFault::{self, LostAfter, LostBefore, None as Fine, Refused},
-    ops::{Outcome, Verdict, Writer},
+    ops::{Outcome, ReadBack, Writer},
 };
 use yare::parameterized;
 
@@ -29,11 +29,11 @@
     }
 }
 
-fn decide(found: &GetReply) -> Verdict<()> {
+fn decide(found: &GetReply) -> ReadBack<()> {
     match found.kvs.first() {
-        Some(kv) if kv.value == b"mine" => Verdict::Done(()),
-        Some(_) => Verdict::Superseded,
-        None => Verdict::Open,
+        Some(kv) if kv.value == b"mine" => ReadBack::Applied(()),
+        Some(_) => ReadBack::Superseded,
+        None => ReadBack::Undecided,
     }
 }
 
@@ -66,7 +66,7 @@
     let kv = Memory::default();
     kv.script_writes(faults);
     let outcome = write(&kv, 600_000).await.unwrap();
-    assert_eq!(outcome, Outcome::Done(()));
+    assert_eq!(outcome, Outcome::Applied(()));
     assert_eq!(kv.revision(), 2, "one write took effect");
     assert_eq!(kv.counts().writes, attempts);
 }
