--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -223,7 +223,7 @@
             .change_context(EntryError::Platform)
             .attach("reading the records of jobs")?;
         let found = reply.replies.iter().filter_map(|reply| match reply {
-            OpReply::Got(found) => found.first(),
+            OpReply::Read(found) => found.first(),
             _ => None,
         });
         found.map(parse).collect()
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -285,7 +285,7 @@
 
 fn got(reply: TxnReply) -> Vec<Vec<KeyValue>> {
     let got = reply.replies.into_iter().filter_map(|reply| match reply {
-        OpReply::Got(found) => Some(found),
+        OpReply::Read(found) => Some(found),
         _ => None,
     });
     got.collect()
--- a/crates/jobs/tests/ledger.rs
+++ b/crates/jobs/tests/ledger.rs
@@ -86,14 +86,14 @@
 
 /// An accepted job is stored, whatever happens to the write.
 #[parameterized(
-    lost_after = { WriteFault::LostAfter },
-    lost_before = { WriteFault::LostBefore },
+    lost_after = { WriteFault::ResponseLost },
+    lost_before = { WriteFault::RequestLost },
     refused_once = { WriteFault::Refused },
 )]
 #[test_macro(tokio::test)]
 async fn an_accepted_job_is_there(fault: WriteFault) {
     let kv = Memory::default();
-    kv.script_writes([fault]);
+    kv.script_write_faults([fault]);
     let ledger = ledger(&kv);
     ledger.accept(job("j", 3)).await.expect("accepted");
     assert_eq!(
@@ -178,7 +178,7 @@
     let kv = Memory::default();
     let ledger = ledger(&kv);
     let before = ledger.accept(job("j", 2)).await.expect("accepted");
-    kv.script_writes([WriteFault::LostAfter]);
+    kv.script_write_faults([WriteFault::ResponseLost]);
     let none = IndexMap::new();
     let listed = ledger
         .list(&key("j"), &before, &[1], &[result(1)], &none)
@@ -421,7 +421,7 @@
         }]
     };
     let (by_one, by_two) = (by("one"), by("two"));
-    kv.script_writes([WriteFault::LostBefore]);
+    kv.script_write_faults([WriteFault::RequestLost]);
     let lost = two.list(&job, &stored, &[0], &by_two, &none);
     let faster = one.list(&job, &stored, &[0], &by_one, &none);
     let (lost, faster) = tokio::join!(lost, faster);
--- a/crates/jobs/tests/model.rs
+++ b/crates/jobs/tests/model.rs
@@ -25,8 +25,8 @@
 fn fault(random: &mut StdRng) -> WriteFault {
     match random.random_range(0..10) {
         0 => WriteFault::Refused,
-        1 => WriteFault::LostBefore,
-        2 | 3 => WriteFault::LostAfter,
+        1 => WriteFault::RequestLost,
+        2 | 3 => WriteFault::ResponseLost,
         _ => WriteFault::None,
     }
 }
@@ -86,7 +86,7 @@
             ItemResult { output, ..plain }
         };
         let results: Vec<ItemResult> = numbers.iter().map(by_writer).collect();
-        kv.script_writes([fault(&mut random)]);
+        kv.script_write_faults([fault(&mut random)]);
         let listed = writer
             .ledger
             .list(
--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -19,7 +19,7 @@
     json::{
         EmptyResponse, LeaseGrantRequest, LeaseKeepAliveRequest,
         LeaseResponse, LeaseRevokeRequest, RangeRequest, RangeResponse,
-        Streamed, TxnRequest, TxnResponse,
+        StreamMessage, TxnRequest, TxnResponse,
     },
     mvcc::KeyRange,
 };
@@ -91,9 +91,13 @@
         let effect = Effect::Idempotent;
         let reply = self.0.call(LEASE_KEEP_ALIVE, effect, &request).await?;
         match reply {
-            Streamed::Result(LeaseResponse { ttl, .. }) if ttl.0 > 0 => Ok(()),
-            Streamed::Result(_) => Err(Report::new(KvError::LeaseGone)),
-            Streamed::Error(body) => Err(transport::refusal(&body, effect)),
+            StreamMessage::Result(LeaseResponse { ttl, .. }) if ttl.0 > 0 => {
+                Ok(())
+            }
+            StreamMessage::Result(_) => Err(Report::new(KvError::LeaseGone)),
+            StreamMessage::Error(body) => {
+                Err(transport::refusal(&body, effect))
+            }
         }
     }
 
--- a/crates/kv/src/etcd/convert.rs
+++ b/crates/kv/src/etcd/convert.rs
@@ -132,7 +132,7 @@
         return Ok(OpReply::Deleted(deletion.deleted.get_u64()));
     }
     match reply.response_range {
-        Some(found) => Ok(OpReply::Got(key_values(found.kvs))),
+        Some(found) => Ok(OpReply::Read(key_values(found.kvs))),
         None => Err("the answer has a step of an unknown kind"),
     }
 }
--- a/crates/kv/src/etcd/watch.rs
+++ b/crates/kv/src/etcd/watch.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     KvError, KvFuture, WatchBatch, Watcher,
-    json::{Streamed, WatchRequest, WatchResponse},
+    json::{StreamMessage, WatchRequest, WatchResponse},
     mvcc::KeyRange,
 };
 
@@ -199,8 +199,8 @@
 
 fn parse(line: &[u8]) -> Result<WatchResponse, Report<KvError>> {
     match serde_json::from_slice(line) {
-        Ok(Streamed::Result(message)) => Ok(message),
-        Ok(Streamed::Error(body)) => {
+        Ok(StreamMessage::Result(message)) => Ok(message),
+        Ok(StreamMessage::Error(body)) => {
             Err(transport::refusal(&body, Effect::None))
         }
         Err(error) => Err(ended(&error.to_string())),
--- a/crates/kv/src/json.rs
+++ b/crates/kv/src/json.rs
@@ -423,7 +423,7 @@
 /// A message of a streaming call: a result, or the failure that ends it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Streamed<T> {
+pub enum StreamMessage<T> {
     /// One result.
     Result(T),
     /// The failure.
--- a/crates/kv/src/memory.rs
+++ b/crates/kv/src/memory.rs
@@ -23,9 +23,9 @@
     /// The call is refused without effect: [`KvError::NotDone`].
     Refused,
     /// The call is lost on its way, without effect: [`KvError::Unknown`].
-    LostBefore,
+    RequestLost,
     /// The call takes effect and its answer is lost: [`KvError::Unknown`].
-    LostAfter,
+    ResponseLost,
 }
 
 /// Calls that a [`Memory`] has received.
@@ -57,7 +57,7 @@
 ///     value: b"1".to_vec(),
 ///     lease: None,
 /// };
-/// kv.script_writes([WriteFault::LostAfter]);
+/// kv.script_write_faults([WriteFault::ResponseLost]);
 /// let txn = Txn {
 ///     success: vec![put],
 ///     ..Txn::default()
@@ -132,7 +132,10 @@
 
     /// Scripts what happens to the next writing calls, in order; those
     /// beyond the script are done.
-    pub fn script_writes(&self, faults: impl IntoIterator<Item = WriteFault>) {
+    pub fn script_write_faults(
+        &self,
+        faults: impl IntoIterator<Item = WriteFault>,
+    ) {
         self.state().faults.extend(faults);
     }
 
@@ -141,12 +144,12 @@
     pub fn set_down(&self, is_down: bool) {
         self.state().is_down = is_down;
         if is_down {
-            self.break_watches();
+            self.fail_watches();
         }
     }
 
     /// Ends all watches with an error.
-    pub fn break_watches(&self) {
+    pub fn fail_watches(&self) {
         self.0.signal.send_modify(|signal| signal.breaks += 1);
     }
 
@@ -194,14 +197,14 @@
         let fault = state.faults.pop_front().unwrap_or_default();
         match fault {
             WriteFault::Refused => return Err(failed(KvError::NotDone)),
-            WriteFault::LostBefore => return Err(failed(KvError::Unknown)),
-            WriteFault::None | WriteFault::LostAfter => {}
+            WriteFault::RequestLost => return Err(failed(KvError::Unknown)),
+            WriteFault::None | WriteFault::ResponseLost => {}
         }
         state.store.expire(self.0.clock.now());
         let answer = call(&mut state.store);
         self.announce(&state);
         match fault {
-            WriteFault::LostAfter => Err(failed(KvError::Unknown)),
+            WriteFault::ResponseLost => Err(failed(KvError::Unknown)),
             _ => answer.map_err(rejected),
         }
     }
--- a/crates/kv/src/model.rs
+++ b/crates/kv/src/model.rs
@@ -124,7 +124,7 @@
     /// This many keys were deleted.
     Deleted(u64),
     /// The keys that were read.
-    Got(Vec<KeyValue>),
+    Read(Vec<KeyValue>),
 }
 
 /// Answer to a transaction.
--- a/crates/kv/src/mvcc.rs
+++ b/crates/kv/src/mvcc.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreError {
     /// A key is empty.
-    KeyMissing,
+    EmptyKey,
     /// A value is over the limit.
     TooLarge,
     /// A transaction has too many steps or conditions.
@@ -58,7 +58,7 @@
     /// A lease with this number exists.
     LeaseExists,
     /// The time to live of a lease is out of range.
-    LeaseTtl,
+    InvalidLeaseTtl,
     /// The revision is compacted away.
     Compacted,
     /// The revision is yet to come.
@@ -68,13 +68,13 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            StoreError::KeyMissing => "key is not provided",
+            StoreError::EmptyKey => "key is not provided",
             StoreError::TooLarge => "request is too large",
             StoreError::TooManyOps => "too many operations in txn request",
             StoreError::DuplicateKey => "duplicate key given in txn request",
             StoreError::LeaseNotFound => "requested lease not found",
             StoreError::LeaseExists => "lease already exists",
-            StoreError::LeaseTtl => "too large lease TTL",
+            StoreError::InvalidLeaseTtl => "too large lease TTL",
             StoreError::Compacted => {
                 "mvcc: required revision has been compacted"
             }
--- a/crates/kv/src/mvcc/convert.rs
+++ b/crates/kv/src/mvcc/convert.rs
@@ -74,7 +74,7 @@
             StepReply::Deleted(records) => {
                 OpReply::Deleted(records.len() as u64)
             }
-            StepReply::Range(found) => OpReply::Got(
+            StepReply::Range(found) => OpReply::Read(
                 found.records.into_iter().map(Into::into).collect(),
             ),
         }
--- a/crates/kv/src/mvcc/lease.rs
+++ b/crates/kv/src/mvcc/lease.rs
@@ -44,7 +44,7 @@
         ttl_s: u32,
     ) -> Result<LeaseId, StoreError> {
         if ttl_s == 0 || ttl_s > TTL_MAX_S {
-            return Err(StoreError::LeaseTtl);
+            return Err(StoreError::InvalidLeaseTtl);
         }
         let id = id.unwrap_or_else(|| self.next_id());
         if self.by_id.contains_key(&id) {
--- a/crates/kv/src/mvcc/store.rs
+++ b/crates/kv/src/mvcc/store.rs
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::LeaseExists`], [`StoreError::LeaseTtl`].
+    /// [`StoreError::LeaseExists`], [`StoreError::InvalidLeaseTtl`].
     pub fn grant(
         &mut self,
         now: Millis,
@@ -464,7 +464,7 @@
 
 fn check_key(key: &[u8]) -> Result<(), StoreError> {
     match key.is_empty() {
-        true => Err(StoreError::KeyMissing),
+        true => Err(StoreError::EmptyKey),
         false => Ok(()),
     }
 }
--- a/crates/kv/src/ops.rs
+++ b/crates/kv/src/ops.rs
@@ -76,7 +76,7 @@
     ///
     /// # tokio::runtime::Builder::new_current_thread().build()?.block_on(async {
     /// let kv = Memory::default();
-    /// kv.script_writes([WriteFault::LostAfter]);
+    /// kv.script_write_faults([WriteFault::ResponseLost]);
     /// let writer = Writer::new(Timer::new(kv.clock().clone()), 1_000);
     /// let txn = Txn {
     ///     compares: vec![Compare::ModRevision {
--- a/crates/kv/tests/batch.rs
+++ b/crates/kv/tests/batch.rs
@@ -73,8 +73,8 @@
 /// Guards against a write that counts as failed, or as done, though nobody
 /// knows.
 #[parameterized(
-    lost_before = { WriteFault::LostBefore, KvError::Unknown },
-    lost_after = { WriteFault::LostAfter, KvError::Unknown },
+    lost_before = { WriteFault::RequestLost, KvError::Unknown },
+    lost_after = { WriteFault::ResponseLost, KvError::Unknown },
     refused = { WriteFault::Refused, KvError::NotDone },
 )]
 #[test_macro(tokio::test(start_paused = true))]
@@ -84,7 +84,7 @@
 ) {
     let kv = Memory::default();
     let group = group(&kv);
-    kv.script_writes([fault]);
+    kv.script_write_faults([fault]);
     let (first, second) = tokio::join!(
         group.commit(put("a", 0), MAX_WAIT_MS),
         group.commit(put("b", 0), MAX_WAIT_MS),
--- a/crates/kv/tests/memory.rs
+++ b/crates/kv/tests/memory.rs
@@ -20,8 +20,8 @@
 #[parameterized(
     none = { WriteFault::None, None, 1 },
     refused = { WriteFault::Refused, Some(KvError::NotDone), 0 },
-    lost_before = { WriteFault::LostBefore, Some(KvError::Unknown), 0 },
-    lost_after = { WriteFault::LostAfter, Some(KvError::Unknown), 1 },
+    lost_before = { WriteFault::RequestLost, Some(KvError::Unknown), 0 },
+    lost_after = { WriteFault::ResponseLost, Some(KvError::Unknown), 1 },
 )]
 #[test_macro(tokio::test)]
 async fn a_scripted_fault_meets_one_write(
@@ -30,7 +30,7 @@
     written: usize,
 ) {
     let kv = Memory::default();
-    kv.script_writes([fault]);
+    kv.script_write_faults([fault]);
     let result = kv.txn(put("a", None)).await;
     assert_eq!(result.err().map(|e| *e.current_context()), error);
     assert_eq!(kv.get("a").await.unwrap().kvs.len(), written);
--- a/crates/kv/tests/mvcc.rs
+++ b/crates/kv/tests/mvcc.rs
@@ -69,7 +69,7 @@
 }
 
 #[parameterized(
-    empty_key = { vec![put("", "1")], StoreError::KeyMissing },
+    empty_key = { vec![put("", "1")], StoreError::EmptyKey },
     too_large = { vec![put("a", "12345")], StoreError::TooLarge },
     twice = { vec![put("a", "1"), put("a", "2")], StoreError::DuplicateKey },
     too_many = {
--- a/crates/kv/tests/ops.rs
+++ b/crates/kv/tests/ops.rs
@@ -7,7 +7,7 @@
 use pomeloslip_kv::{
     Backoff, Compare, GetReply, Kv, KvError, KvFuture, LeaseId, Memory, Op,
     Txn, TxnReply, Watcher,
-    WriteFault::{self, LostAfter, LostBefore, None as Fine, Refused},
+    WriteFault::{self, None as Fine, Refused, RequestLost, ResponseLost},
     ops::{Outcome, ReadBack, Writer},
 };
 use yare::parameterized;
@@ -57,14 +57,14 @@
 #[parameterized(
     answered = { vec![Fine], 1 },
     refused_first = { vec![Refused, Fine], 2 },
-    lost_after = { vec![LostAfter], 1 },
-    lost_before = { vec![LostBefore, Fine], 2 },
-    lost_before_then_after = { vec![LostBefore, Refused, LostAfter], 3 },
+    lost_after = { vec![ResponseLost], 1 },
+    lost_before = { vec![RequestLost, Fine], 2 },
+    lost_before_then_after = { vec![RequestLost, Refused, ResponseLost], 3 },
 )]
 #[test_macro(tokio::test)]
 async fn a_lost_answer_is_read_back(faults: Vec<WriteFault>, attempts: u64) {
     let kv = Memory::default();
-    kv.script_writes(faults);
+    kv.script_write_faults(faults);
     let outcome = write(&kv, 600_000).await.unwrap();
     assert_eq!(outcome, Outcome::Applied(()));
     assert_eq!(kv.revision(), 2, "one write took effect");
@@ -75,14 +75,14 @@
 async fn a_rival_supersedes_a_write_that_was_lost() {
     let kv = Memory::default();
     kv.txn(guarded("rival")).await.unwrap();
-    kv.script_writes([LostBefore]);
+    kv.script_write_faults([RequestLost]);
     assert_eq!(write(&kv, 600_000).await.unwrap(), Outcome::Superseded);
     assert_eq!(write(&kv, 600_000).await.unwrap(), Outcome::Superseded);
 }
 
 #[parameterized(
     never_sent = { vec![Refused, Refused], KvError::NotDone },
-    perhaps_done = { vec![LostBefore, Refused], KvError::Unknown },
+    perhaps_done = { vec![RequestLost, Refused], KvError::Unknown },
 )]
 #[test_macro(tokio::test)]
 async fn giving_up_tells_what_is_certain(
@@ -90,7 +90,7 @@
     error: KvError,
 ) {
     let kv = Memory::default();
-    kv.script_writes(faults);
+    kv.script_write_faults(faults);
     let report = write(&kv, 0).await.unwrap_err();
     assert_eq!(*report.current_context(), error);
 }
--- a/crates/kv/tests/property.rs
+++ b/crates/kv/tests/property.rs
@@ -11,7 +11,7 @@
 
 use pomeloslip_kv::{
     EtcdJson, EtcdJsonOptions, Event, Kv, KvError, Op, Txn,
-    json::{self, Blob, EventKind, Streamed, WatchResponse},
+    json::{self, Blob, EventKind, StreamMessage, WatchResponse},
 };
 use proptest::{
     collection::vec, prelude::*, sample::Index, test_runner::RngSeed,
@@ -129,7 +129,7 @@
         },
         prev_kv: None,
     };
-    let message = Streamed::Result(WatchResponse {
+    let message = StreamMessage::Result(WatchResponse {
         header: header(revision),
         events: vec![event],
         ..WatchResponse::default()
--- a/crates/ledger/tests/simulation/fake_kv.rs
+++ b/crates/ledger/tests/simulation/fake_kv.rs
@@ -145,7 +145,7 @@
 
 fn found(reply: TxnReply) -> Vec<KeyValue> {
     let got = reply.replies.into_iter().filter_map(|reply| match reply {
-        OpReply::Got(found) => Some(found),
+        OpReply::Read(found) => Some(found),
         _ => None,
     });
     got.flatten().collect()
--- a/crates/quarantine/tests/shared.rs
+++ b/crates/quarantine/tests/shared.rs
@@ -188,10 +188,10 @@
 async fn writes_whose_answers_are_lost_count_once() {
     let fleet = Fleet::start(2);
     // The first write is the grant of the lease.
-    fleet.kv.script_writes([
+    fleet.kv.script_write_faults([
         WriteFault::None,
-        WriteFault::LostAfter,
-        WriteFault::LostBefore,
+        WriteFault::ResponseLost,
+        WriteFault::RequestLost,
         WriteFault::Refused,
     ]);
     for endpoint in 0..2 {
--- a/crates/standin/src/kv/calls.rs
+++ b/crates/standin/src/kv/calls.rs
@@ -7,7 +7,7 @@
         DeleteRangeRequest, DeleteRangeResponse, EmptyResponse, ErrorResponse,
         Header, KeyValue, LeaseGrantRequest, LeaseKeepAliveRequest,
         LeaseResponse, LeaseRevokeRequest, PutRequest, PutResponse,
-        RangeRequest, RangeResponse, RequestOp, ResponseOp, Streamed,
+        RangeRequest, RangeResponse, RequestOp, ResponseOp, StreamMessage,
         TxnRequest, TxnResponse,
     },
     mvcc::{
@@ -101,7 +101,7 @@
         let code = match error {
             StoreError::LeaseNotFound => NOT_FOUND,
             StoreError::LeaseExists => FAILED_PRECONDITION,
-            StoreError::LeaseTtl
+            StoreError::InvalidLeaseTtl
             | StoreError::Compacted
             | StoreError::FutureRevision => OUT_OF_RANGE,
             _ => INVALID_ARGUMENT,
@@ -254,7 +254,7 @@
     ) -> Result<Done<LeaseResponse>, Refusal> {
         let wanted = Some(LeaseId(self.id.0)).filter(|id| id.0 != 0);
         let ttl_s = u32::try_from(self.ttl.0);
-        let ttl_s = ttl_s.map_err(|_| StoreError::LeaseTtl)?;
+        let ttl_s = ttl_s.map_err(|_| StoreError::InvalidLeaseTtl)?;
         let id = store.grant(now, wanted, ttl_s)?;
         Ok(Done {
             is_write: true,
@@ -269,7 +269,7 @@
 
 impl Call for LeaseKeepAliveRequest {
     const KIND: CallKind = CallKind::LeaseKeepAlive;
-    type Answer = Streamed<LeaseResponse>;
+    type Answer = StreamMessage<LeaseResponse>;
 
     /// As in etcd, a lease that has ended is told by a missing time to
     /// live, not by a failure.
@@ -281,7 +281,7 @@
         let ttl_s = store.keep_alive(now, LeaseId(self.id.0)).unwrap_or(0);
         Ok(Done {
             is_write: true,
-            answer: Streamed::Result(LeaseResponse {
+            answer: StreamMessage::Result(LeaseResponse {
                 header: header(store),
                 id: self.id,
                 ttl: i64::from(ttl_s).into(),
--- a/crates/standin/src/kv/watch.rs
+++ b/crates/standin/src/kv/watch.rs
@@ -4,7 +4,7 @@
 
 use ::kv::{
     json::{
-        Blob, Event, EventKind, KeyValue, Streamed, WatchCreateRequest,
+        Blob, Event, EventKind, KeyValue, StreamMessage, WatchCreateRequest,
         WatchResponse,
     },
     mvcc::{Change, KeyRange, StoreError},
@@ -70,7 +70,8 @@
             Stage::Running => self.wait().await?,
         };
         self.core.slow_down().await;
-        let mut line = serde_json::to_vec(&Streamed::Result(message)).ok()?;
+        let mut line =
+            serde_json::to_vec(&StreamMessage::Result(message)).ok()?;
         line.push(b'\n');
         self.core.count_sent(line.len());
         Some(line)
--- a/crates/standin/tests/kv.rs
+++ b/crates/standin/tests/kv.rs
@@ -92,7 +92,7 @@
     assert_eq!(won.replies, [OpReply::Put, OpReply::Put]);
     let lost = kv.txn(claim).await.unwrap();
     assert!(!lost.succeeded);
-    let [OpReply::Got(found)] = &lost.replies[..] else {
+    let [OpReply::Read(found)] = &lost.replies[..] else {
         panic!("{lost:?}");
     };
     assert_eq!(found[0].lease, Some(lease));
