--- a/crates/bench/benches/burst/fleet.rs
+++ b/crates/bench/benches/burst/fleet.rs
@@ -125,7 +125,7 @@
             return 0;
         };
         let table = self.metrics.snapshot();
-        table.count(counter, &Scope::Customer(customer), Class::Batch)
+        table.counter(counter, &Scope::Customer(customer), Class::Batch)
     }
 
     /// Returns the tokens that all engines have generated.
--- a/crates/cli/src/render/status.rs
+++ b/crates/cli/src/render/status.rs
@@ -1,6 +1,6 @@
 use std::fmt::Write;
 
-use obs::{HistogramTable, Scope};
+use obs::{MetricsSnapshot, Scope};
 use serde_json::Value;
 
 use super::Table;
@@ -42,12 +42,12 @@
 }
 
 /// Reads the table, whole or only its rows.
-fn read_metrics(value: &Value) -> Option<HistogramTable> {
+fn read_metrics(value: &Value) -> Option<MetricsSnapshot> {
     if value.is_array() {
         let histograms = serde_json::from_value(value.clone()).ok()?;
-        return Some(HistogramTable {
+        return Some(MetricsSnapshot {
             histograms,
-            ..HistogramTable::default()
+            ..MetricsSnapshot::default()
         });
     }
     // Every member has a default; any object would pass for a table.
@@ -90,7 +90,7 @@
     }
 }
 
-fn histograms(metrics: &HistogramTable) -> String {
+fn histograms(metrics: &MetricsSnapshot) -> String {
     let head = [
         "series", "tenant", "class", "count", "p50", "p95", "p99", "p99.9",
         "max", "total",
@@ -121,7 +121,7 @@
     format!("\n{table}")
 }
 
-fn counters(metrics: &HistogramTable) -> String {
+fn counters(metrics: &MetricsSnapshot) -> String {
     let mut table =
         Table::new(["counter", "tenant", "class", "total"]).right([3]);
     let all = metrics.counters.iter().filter(|r| r.customer == Scope::All);
--- a/crates/companion/src/status.rs
+++ b/crates/companion/src/status.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use obs::HistogramTable;
+use obs::MetricsSnapshot;
 use rocket::{Route, State, get, routes, serde::json::Json};
 use serde::Serialize;
 
@@ -23,7 +23,7 @@
     first_token_ms: u32,
     between_tokens_ms: u32,
     stalled: bool,
-    metrics: HistogramTable,
+    metrics: MetricsSnapshot,
 }
 
 pub(crate) fn routes() -> Vec<Route> {
--- a/crates/data/src/status.rs
+++ b/crates/data/src/status.rs
@@ -1,4 +1,4 @@
-use obs::{HistogramTable, Metrics};
+use obs::{Metrics, MetricsSnapshot};
 use rocket::{Route, State, get, routes, serde::json::Json};
 use serde::Serialize;
 use wire::{DataHandler, message::StoreStat};
@@ -11,7 +11,7 @@
     blobs: u64,
     bytes: u64,
     quota_bytes: u64,
-    metrics: HistogramTable,
+    metrics: MetricsSnapshot,
 }
 
 pub(crate) fn routes() -> Vec<Route> {
--- a/crates/entry/src/api/status.rs
+++ b/crates/entry/src/api/status.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use obs::HistogramTable;
+use obs::MetricsSnapshot;
 use rocket::{Route, State, get, routes, serde::json::Json};
 use serde::Serialize;
 
@@ -30,7 +30,7 @@
     endpoints: Vec<EndpointRow>,
     partitions: Vec<u32>,
     open_jobs: usize,
-    metrics: HistogramTable,
+    metrics: MetricsSnapshot,
 }
 
 #[derive(Serialize)]
--- a/crates/obs/src/lib.rs
+++ b/crates/obs/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`logs`] writes one JSON object per line to stderr from a thread of its
 //! own. [`Metrics`] counts and measures in memory and reports from there:
 //! to a statsd server every few seconds, and to whoever asks for a
-//! [`HistogramTable`].
+//! [`MetricsSnapshot`].
 //!
 //! ```
 //! use base::{Class, Customer};
@@ -14,7 +14,7 @@
 //! metrics.record(Series::FirstTokenMs, &customer, Class::Online, 180);
 //! let table = metrics.snapshot();
 //! let row = table
-//!     .row(Series::FirstTokenMs, &Scope::All, Class::Online)
+//!     .histogram(Series::FirstTokenMs, &Scope::All, Class::Online)
 //!     .expect("one value is recorded");
 //! assert_eq!(row.window.count, 1);
 //! # Ok::<(), base::IdError>(())
@@ -36,7 +36,7 @@
     names::{Counter, Gauge, Series},
     settings::{LogLevel, LogSettings, MetricsSettings},
     table::{
-        CounterRow, GaugeRow, HistogramRow, HistogramTable, Quantiles, Scope,
+        CounterRow, GaugeRow, HistogramRow, MetricsSnapshot, Quantiles, Scope,
         Totals,
     },
 };
--- a/crates/obs/src/logs.rs
+++ b/crates/obs/src/logs.rs
@@ -114,7 +114,7 @@
 
     /// Returns how many lines were dropped because the output did not keep
     /// up.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.lines.dropped.load(Ordering::Relaxed)
     }
 }
--- a/crates/obs/src/metrics.rs
+++ b/crates/obs/src/metrics.rs
@@ -11,7 +11,7 @@
 use error_stack::Report;
 
 use crate::{
-    Counter, Gauge, GaugeRow, HistogramTable, MetricsSettings, ObsError,
+    Counter, Gauge, GaugeRow, MetricsSettings, MetricsSnapshot, ObsError,
     Scope, Series,
     publish::Publisher,
     rows::{Rows, add_rows},
@@ -42,11 +42,11 @@
     customers: Snapshot<HashMap<Customer, Arc<Rows>>>,
     gauges: Vec<AtomicU64>,
     publisher: Publisher,
-    upkeep: Mutex<Upkeep>,
+    last_run: Mutex<LastRun>,
 }
 
 #[derive(Default)]
-struct Upkeep {
+struct LastRun {
     rotated: Millis,
     published: Millis,
 }
@@ -55,7 +55,7 @@
 ///
 /// Clones share one set of values. A request only adds to memory: a
 /// histogram behind a lock that is held for some nanoseconds, or an atomic.
-/// [`Metrics::upkeep`] sends what has changed to the statsd server, every
+/// [`Metrics::maintain`] sends what has changed to the statsd server, every
 /// [`MetricsSettings::publish_interval_ms`]. The alternative, one statsd
 /// line for each value, was rejected: 750,000 tokens a second would be as
 /// many lines.
@@ -71,7 +71,7 @@
 /// metrics.count(Counter::Arrived, &customer, Class::Batch, 3);
 /// let table = metrics.snapshot();
 /// let scope = Scope::Customer(customer);
-/// assert_eq!(table.count(Counter::Arrived, &scope, Class::Batch), 3);
+/// assert_eq!(table.counter(Counter::Arrived, &scope, Class::Batch), 3);
 /// # Ok::<(), base::IdError>(())
 /// ```
 #[derive(Clone)]
@@ -119,7 +119,7 @@
             customers: Snapshot::new(HashMap::new()),
             gauges: Gauge::ALL.iter().map(|_| AtomicU64::new(UNSET)).collect(),
             publisher,
-            upkeep: Mutex::default(),
+            last_run: Mutex::default(),
             settings,
         }))
     }
@@ -200,11 +200,11 @@
     }
 
     /// Returns all that is known, rows without values left out.
-    pub fn snapshot(&self) -> HistogramTable {
-        let mut table = HistogramTable {
+    pub fn snapshot(&self) -> MetricsSnapshot {
+        let mut table = MetricsSnapshot {
             window_ms: self.0.settings.window_ms,
             gauges: self.gauge_rows(),
-            ..HistogramTable::default()
+            ..MetricsSnapshot::default()
         };
         let shards: Vec<&Rows> = self.0.all.iter().collect();
         add_rows(&mut table, &Scope::All, &shards);
@@ -221,23 +221,26 @@
 
     /// Rotates the windows and reports to the statsd server, each when its
     /// time has come.
-    pub fn upkeep(&self, now: Millis) {
+    pub fn maintain(&self, now: Millis) {
         let settings = &self.0.settings;
-        let mut upkeep =
-            self.0.upkeep.lock().unwrap_or_else(PoisonError::into_inner);
-        if now.saturating_ms_since(upkeep.published)
+        let mut last_run = self
+            .0
+            .last_run
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if now.saturating_ms_since(last_run.published)
             >= settings.publish_interval_ms
         {
-            upkeep.published = now;
+            last_run.published = now;
             self.publish();
         }
-        if now.saturating_ms_since(upkeep.rotated) >= settings.window_ms {
-            upkeep.rotated = now;
+        if now.saturating_ms_since(last_run.rotated) >= settings.window_ms {
+            last_run.rotated = now;
             self.rotate();
         }
     }
 
-    /// Does the upkeep until the returned future is dropped; spawned once
+    /// Does the maintenance until the returned future is dropped; spawned once
     /// by a daemon.
     pub async fn drive(self, timer: Timer) {
         let settings = &self.0.settings;
@@ -245,7 +248,7 @@
             settings.publish_interval_ms.min(settings.window_ms).max(1);
         loop {
             timer.subscribe_in_ms(step_ms).await;
-            self.upkeep(timer.now());
+            self.maintain(timer.now());
         }
     }
 
--- a/crates/obs/src/rows.rs
+++ b/crates/obs/src/rows.rs
@@ -3,7 +3,7 @@
 use base::Class;
 
 use crate::{
-    Counter, CounterRow, HistogramRow, HistogramTable, Scope, Series, Totals,
+    Counter, CounterRow, HistogramRow, MetricsSnapshot, Scope, Series, Totals,
     cell::{Cell, quantiles},
 };
 
@@ -83,7 +83,7 @@
 
 /// Adds the rows of a scope that have values to a table.
 pub(crate) fn add_rows(
-    table: &mut HistogramTable,
+    table: &mut MetricsSnapshot,
     scope: &Scope,
     shards: &[&Rows],
 ) {
--- a/crates/obs/src/table.rs
+++ b/crates/obs/src/table.rs
@@ -161,7 +161,7 @@
 /// Rows without values are left out.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct HistogramTable {
+pub struct MetricsSnapshot {
     /// Length of one window; a row shows one to two of them.
     pub window_ms: u64,
     /// Histograms, by scope, class and series.
@@ -172,9 +172,9 @@
     pub gauges: Vec<GaugeRow>,
 }
 
-impl HistogramTable {
+impl MetricsSnapshot {
     /// Finds a histogram.
-    pub fn row(
+    pub fn histogram(
         &self,
         series: Series,
         customer: &Scope,
@@ -188,7 +188,7 @@
     }
 
     /// Returns a counter, 0 if it has no row.
-    pub fn count(
+    pub fn counter(
         &self,
         counter: Counter,
         customer: &Scope,
--- a/crates/obs/tests/logs.rs
+++ b/crates/obs/tests/logs.rs
@@ -141,7 +141,7 @@
         log::info!(n; "more");
     }
     log::debug!("below the level");
-    let dropped = guard.dropped();
+    let dropped = guard.dropped_lines();
     assert!((1..100).contains(&dropped), "{dropped}");
     open.send(()).unwrap();
     assert!(guard.flush());
--- a/crates/obs/tests/metrics.rs
+++ b/crates/obs/tests/metrics.rs
@@ -7,7 +7,7 @@
 use base::{Class, Customer, Millis};
 use indexmap::IndexMap;
 use pomeloslip_obs::{
-    Counter, Gauge, HistogramTable, Metrics, MetricsSettings, Scope, Series,
+    Counter, Gauge, Metrics, MetricsSettings, MetricsSnapshot, Scope, Series,
 };
 use yare::parameterized;
 
@@ -34,7 +34,9 @@
         );
     }
     let table = metrics.snapshot();
-    let row = table.row(Series::TotalMs, &scope, Class::Online).unwrap();
+    let row = table
+        .histogram(Series::TotalMs, &scope, Class::Online)
+        .unwrap();
     assert_eq!(row.window.count, 10_000);
     assert!(close(row.window.p50, 5_000, part), "{row:?}");
     assert!(close(row.window.p95, 9_500, part), "{row:?}");
@@ -59,7 +61,7 @@
     let table = metrics.snapshot();
     let max = |scope: &Scope, class| {
         table
-            .row(Series::QueueWaitUs, scope, class)
+            .histogram(Series::QueueWaitUs, scope, class)
             .map(|row| row.total.max)
     };
     assert_eq!(max(&Scope::Customer(a.clone()), Class::Online), Some(1));
@@ -81,7 +83,7 @@
     let counts = |metrics: &Metrics| {
         let table = metrics.snapshot();
         let row = table
-            .row(
+            .histogram(
                 Series::FirstTokenMs,
                 &Scope::Customer(a.clone()),
                 Class::Online,
@@ -92,15 +94,15 @@
     let record = || metrics.record(Series::FirstTokenMs, &a, Class::Online, 9);
     record();
     assert_eq!(counts(&metrics), (1, 1));
-    metrics.upkeep(Millis::new(59_999));
+    metrics.maintain(Millis::new(59_999));
     record();
     assert_eq!(counts(&metrics), (2, 2));
-    metrics.upkeep(Millis::new(60_000));
+    metrics.maintain(Millis::new(60_000));
     record();
     assert_eq!(counts(&metrics), (3, 3));
-    metrics.upkeep(Millis::new(120_000));
+    metrics.maintain(Millis::new(120_000));
     assert_eq!(counts(&metrics), (1, 3));
-    metrics.upkeep(Millis::new(180_000));
+    metrics.maintain(Millis::new(180_000));
     assert_eq!(counts(&metrics), (0, 3));
     record();
     assert_eq!(counts(&metrics), (1, 4));
@@ -128,7 +130,7 @@
         .map(|row| row.customer.as_str())
         .collect();
     assert_eq!(Vec::from_iter(scopes), ["*", "other", "t-0", "t-1"]);
-    let count = |scope| table.count(Counter::Arrived, &scope, Class::Online);
+    let count = |scope| table.counter(Counter::Arrived, &scope, Class::Online);
     assert_eq!(count(Scope::Other), 998);
     assert_eq!(count(Scope::All), 1_000);
 }
@@ -145,7 +147,7 @@
         text.contains(r#""series":"total_ms","tenant":"*""#),
         "{text}"
     );
-    let back: HistogramTable = serde_json::from_str(&text).unwrap();
+    let back: MetricsSnapshot = serde_json::from_str(&text).unwrap();
     assert_eq!(back, table);
 }
 
@@ -165,11 +167,11 @@
     });
     let table = metrics.snapshot();
     let row = table
-        .row(Series::TotalMs, &Scope::All, Class::Online)
+        .histogram(Series::TotalMs, &Scope::All, Class::Online)
         .unwrap();
     assert_eq!(row.window.count, 40_000);
     assert_eq!(
-        table.count(Counter::Arrived, &Scope::All, Class::Online),
+        table.counter(Counter::Arrived, &Scope::All, Class::Online),
         40_000
     );
 }
