--- a/crates/kv/src/backoff.rs
+++ b/crates/kv/src/backoff.rs
@@ -1,10 +1,10 @@
 use base::Millis;
 
-/// Spaces the attempts of one caller, longer after each failure.
+/// Exponential backoff with full jitter for the attempts of one caller.
 ///
-/// The pause is drawn evenly from 1 ms to a ceiling that doubles (full
-/// jitter). A fixed pause was rejected: after an outage all callers would
-/// come back at the same moment and bring the service down again.
+/// The delay is uniform between 1 ms and a ceiling that doubles after each
+/// failure. A fixed delay was rejected: after an outage all callers would
+/// retry at the same moment and overload the key-value service again.
 ///
 /// # Example
 ///
@@ -15,8 +15,8 @@
 /// let mut backoff = Backoff::new(100, 1_000);
 /// let now = Millis::new(0);
 /// assert!(backoff.is_ready(now));
-/// let again = backoff.record_failure(now, u64::MAX);
-/// assert!(again > now && again.as_ms() <= 100);
+/// let retry_at = backoff.record_failure(now, u64::MAX);
+/// assert!(retry_at > now && retry_at.as_ms() <= 100);
 /// assert!(!backoff.is_ready(now));
 /// backoff.record_success();
 /// assert!(backoff.is_ready(now));
@@ -24,23 +24,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     base_ms: u64,
-    cap_ms: u64,
+    max_ms: u64,
     failures: u32,
     next_at: Millis,
 }
 
 impl Backoff {
-    /// Starts with a ceiling of `base_ms` that grows up to `cap_ms`.
-    pub const fn new(base_ms: u64, cap_ms: u64) -> Self {
+    /// Creates a backoff whose ceiling starts at `base_ms` and grows up to
+    /// `max_ms`.
+    pub const fn new(base_ms: u64, max_ms: u64) -> Self {
         Self {
             base_ms,
-            cap_ms,
+            max_ms,
             failures: 0,
             next_at: Millis::new(0),
         }
     }
 
-    /// Takes note of a failure and returns when to try again.
+    /// Records a failure and returns the time of the next attempt.
     pub fn record_failure(&mut self, now: Millis, random: u64) -> Millis {
         let ceiling_ms = self.ceiling_ms();
         self.failures = self.failures.saturating_add(1);
@@ -48,28 +49,28 @@
         self.next_at
     }
 
-    /// Takes note of a success: the next attempt may follow at once.
+    /// Records a success, so that the next attempt may follow immediately.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.next_at = Millis::new(0);
     }
 
-    /// Tells whether the next attempt may be made.
+    /// Reports whether the next attempt may start.
     #[inline]
     pub fn is_ready(&self, now: Millis) -> bool {
         now >= self.next_at
     }
 
-    /// Returns the failures since the last success.
+    /// Returns the number of failures since the last success.
     #[inline]
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Returns the longest pause that the next failure can cause.
+    /// Returns the maximum delay after the next failure.
     pub fn ceiling_ms(&self) -> u64 {
         let factor = 1_u64.checked_shl(self.failures).unwrap_or(u64::MAX);
         let grown = self.base_ms.saturating_mul(factor);
-        grown.min(self.cap_ms).max(1)
+        grown.min(self.max_ms).max(1)
     }
 }
--- a/crates/kv/src/batch.rs
+++ b/crates/kv/src/batch.rs
@@ -1,14 +1,14 @@
-//! Transactions of several writers in one call.
+//! Group commit: transactions of several writers in one call.
 //!
-//! Most writes of a fleet are small and none of them is urgent: results that
-//! are listed, progress that is saved. Where each writer makes a call of its
-//! own, calls grow with the number of writers, however little each has to
-//! write. A [`GroupCommit`] collects what comes within the time that the
-//! writers can wait and sends it as one transaction.
+//! Most writes of a fleet are small and not urgent, for example lists of
+//! results and checkpoints. If each writer makes its own calls, the number of
+//! calls grows with the number of writers, however little each of them writes.
+//! A [`GroupCommit`] collects the transactions that arrive within the wait
+//! limits of their writers and sends them as one transaction.
 //!
-//! The transactions stay apart for their writers: if one of them compares
-//! with what has changed, the others are sent again by themselves. That costs
-//! the calls that it would have cost without the batch.
+//! The transactions remain independent: if a comparison of one of them fails,
+//! each is sent again on its own. This costs as many calls as without the
+//! batch.
 
 use std::{
     sync::Arc,
@@ -24,12 +24,12 @@
 
 use crate::{Compare, Kv, KvError, Op, Txn, TxnReply};
 
-/// What one call to the service may hold.
+/// Limits of one call to the key-value service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BatchLimits {
-    /// Comparisons and steps together.
+    /// Maximum number of comparisons and operations together.
     pub max_ops: usize,
-    /// Bytes of all values.
+    /// Maximum size of all values together, in bytes.
     pub max_bytes: usize,
 }
 
@@ -42,10 +42,10 @@
     }
 }
 
-/// The result of a transaction as its writer gets it.
+/// The result of a transaction as its writer receives it.
 pub type TxnResult = Result<TxnReply, Report<KvError>>;
 
-/// Transactions that can go together, without I/O.
+/// Set of transactions that can share one call, without I/O.
 ///
 /// # Example
 ///
@@ -74,35 +74,36 @@
 pub struct Batch {
     limits: BatchLimits,
     keys: IndexSet<String>,
-    rows: usize,
+    ops: usize,
     bytes: usize,
     txn: Txn,
 }
 
 impl Batch {
-    /// Starts an empty batch.
+    /// Creates an empty batch.
     pub fn new(limits: BatchLimits) -> Self {
         Self {
             limits,
             keys: IndexSet::new(),
-            rows: 0,
+            ops: 0,
             bytes: 0,
             txn: Txn::default(),
         }
     }
 
-    /// Adds a transaction if there is room for it and it touches no key of
-    /// another one. The first one always fits, so that none waits for ever.
+    /// Adds a transaction if it fits within the limits and touches no key of
+    /// another one, and reports whether it was added. The first one is always
+    /// added, so that an oversized transaction does not wait forever.
     pub fn add(&mut self, txn: &Txn) -> bool {
-        let (rows, bytes) = (rows_of(txn), bytes_of(txn));
-        let keys = keys_of(txn);
-        let fits = self.rows + rows <= self.limits.max_ops
+        let (ops, bytes) = (op_count(txn), value_bytes(txn));
+        let keys = touched_keys(txn);
+        let fits = self.ops + ops <= self.limits.max_ops
             && self.bytes + bytes <= self.limits.max_bytes
             && !keys.iter().any(|key| self.keys.contains(*key));
-        if self.rows > 0 && !fits {
+        if self.ops > 0 && !fits {
             return false;
         }
-        self.rows += rows;
+        self.ops += ops;
         self.bytes += bytes;
         self.keys.extend(keys.into_iter().map(str::to_owned));
         self.txn.compares.extend(txn.compares.iter().cloned());
@@ -110,17 +111,17 @@
         true
     }
 
-    /// Returns all as one transaction.
+    /// Returns the batch as one transaction.
     pub fn into_txn(self) -> Txn {
         self.txn
     }
 }
 
-fn rows_of(txn: &Txn) -> usize {
+fn op_count(txn: &Txn) -> usize {
     txn.compares.len() + txn.success.len()
 }
 
-fn bytes_of(txn: &Txn) -> usize {
+fn value_bytes(txn: &Txn) -> usize {
     let values = txn.success.iter().map(|op| match op {
         Op::Put { value, .. } => value.len(),
         _ => 0,
@@ -128,7 +129,7 @@
     values.sum()
 }
 
-fn keys_of(txn: &Txn) -> IndexSet<&str> {
+fn touched_keys(txn: &Txn) -> IndexSet<&str> {
     let compared = txn.compares.iter().map(|compare| match compare {
         Compare::ModRevision { key, .. }
         | Compare::CreateRevision { key, .. } => key.as_str(),
@@ -142,18 +143,19 @@
     compared.chain(touched).collect()
 }
 
-/// Tells whether a transaction may share a call: one that fails for a reason
-/// of its own, such as a lease that is gone, must not fail others.
+/// Reports whether a transaction may share a call. Reads and transactions that
+/// may fail on their own, for example because a lease has expired, must not
+/// fail others.
 pub fn is_batchable(txn: &Txn) -> bool {
-    let is_plain = |op: &Op| match op {
+    let is_leaseless_write = |op: &Op| match op {
         Op::Put { lease, .. } => lease.is_none(),
         Op::Delete { .. } => true,
         Op::Get { .. } | Op::GetPrefix { .. } => false,
     };
-    txn.failure.is_empty() && txn.success.iter().all(is_plain)
+    txn.failure.is_empty() && txn.success.iter().all(is_leaseless_write)
 }
 
-/// Collects transactions of many writers and sends them together.
+/// Collects the transactions of many writers and sends them in batches.
 ///
 /// # Example
 ///
@@ -188,43 +190,45 @@
 #[derive(Clone)]
 pub struct GroupCommit {
     kv: Arc<dyn Kv>,
-    queue: mpsc::UnboundedSender<Waiting>,
+    queue: mpsc::UnboundedSender<PendingTxn>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingTxn {
     txn: Txn,
-    until: Instant,
+    deadline: Instant,
     reply: oneshot::Sender<TxnResult>,
 }
 
 impl GroupCommit {
-    /// Starts the task that sends the batches; it ends with the last clone.
+    /// Starts the task that sends the batches. It ends when the last clone is
+    /// dropped.
     pub fn start(kv: Arc<dyn Kv>, limits: BatchLimits) -> Self {
         let (queue, received) = mpsc::unbounded_channel();
         tokio::spawn(collect(kv.clone(), limits, received));
         Self { kv, queue }
     }
 
-    /// Carries out a transaction that can wait for others for `max_wait_ms`.
+    /// Commits a transaction that may be delayed by up to `max_wait_ms` to
+    /// share a call.
     ///
     /// # Errors
     ///
-    /// As [`Kv::txn`].
+    /// As for [`Kv::txn`].
     pub async fn commit(&self, txn: Txn, max_wait_ms: u64) -> TxnResult {
         if !is_batchable(&txn) {
             return self.kv.txn(txn).await;
         }
-        let (reply, answered) = oneshot::channel();
-        let waiting = Waiting {
+        let (reply, response) = oneshot::channel();
+        let pending = PendingTxn {
             txn,
-            until: Instant::now() + Duration::from_millis(max_wait_ms),
+            deadline: Instant::now() + Duration::from_millis(max_wait_ms),
             reply,
         };
-        if self.queue.send(waiting).is_err() {
+        if self.queue.send(pending).is_err() {
             return Err(Report::new(KvError::NotDone));
         }
-        match answered.await {
+        match response.await {
             Ok(result) => result,
             Err(_) => Err(Report::new(KvError::Unknown)),
         }
@@ -234,66 +238,67 @@
 async fn collect(
     kv: Arc<dyn Kv>,
     limits: BatchLimits,
-    mut received: mpsc::UnboundedReceiver<Waiting>,
+    mut received: mpsc::UnboundedReceiver<PendingTxn>,
 ) {
-    let mut queue: Vec<Waiting> = Vec::new();
+    let mut queue: Vec<PendingTxn> = Vec::new();
     loop {
-        let Some(until) = queue.iter().map(|waiting| waiting.until).min()
+        let Some(deadline) =
+            queue.iter().map(|pending| pending.deadline).min()
         else {
             match received.recv().await {
-                Some(waiting) => queue.push(waiting),
+                Some(pending) => queue.push(pending),
                 None => return,
             }
             continue;
         };
         let is_due =
-            match time::timeout_at(until.into(), received.recv()).await {
-                Ok(Some(waiting)) => {
-                    queue.push(waiting);
+            match time::timeout_at(deadline.into(), received.recv()).await {
+                Ok(Some(pending)) => {
+                    queue.push(pending);
                     false
                 }
                 Ok(None) | Err(_) => true,
             };
-        if is_due || fills_a_call(&queue, limits) {
-            let (txn, members) = take_batch(&mut queue, limits);
-            tokio::spawn(send(kv.clone(), txn, members));
+        if is_due || is_full(&queue, limits) {
+            let (txn, batched) = take_batch(&mut queue, limits);
+            tokio::spawn(send(kv.clone(), txn, batched));
         }
     }
 }
 
-fn fills_a_call(queue: &[Waiting], limits: BatchLimits) -> bool {
-    let rows = queue.iter().map(|waiting| rows_of(&waiting.txn));
-    let bytes = queue.iter().map(|waiting| bytes_of(&waiting.txn));
-    rows.sum::<usize>() >= limits.max_ops
+fn is_full(queue: &[PendingTxn], limits: BatchLimits) -> bool {
+    let ops = queue.iter().map(|pending| op_count(&pending.txn));
+    let bytes = queue.iter().map(|pending| value_bytes(&pending.txn));
+    ops.sum::<usize>() >= limits.max_ops
         || bytes.sum::<usize>() >= limits.max_bytes
 }
 
-/// Takes the transactions that go together with the first one out of the
+/// Removes the transactions that can share a call with the first one from the
 /// queue.
 fn take_batch(
-    queue: &mut Vec<Waiting>,
+    queue: &mut Vec<PendingTxn>,
     limits: BatchLimits,
-) -> (Txn, Vec<Waiting>) {
+) -> (Txn, Vec<PendingTxn>) {
     let mut batch = Batch::new(limits);
-    let (members, rest) = std::mem::take(queue)
+    let (batched, remaining) = std::mem::take(queue)
         .into_iter()
-        .partition(|waiting| batch.add(&waiting.txn));
-    *queue = rest;
-    (batch.into_txn(), members)
+        .partition(|pending| batch.add(&pending.txn));
+    *queue = remaining;
+    (batch.into_txn(), batched)
 }
 
-async fn send(kv: Arc<dyn Kv>, txn: Txn, members: Vec<Waiting>) {
-    let count = members.len();
+async fn send(kv: Arc<dyn Kv>, txn: Txn, batched: Vec<PendingTxn>) {
+    let count = batched.len();
     let result = kv.txn(txn).await;
     if let Ok(reply) = &result
         && !reply.succeeded
         && count > 1
     {
-        // One of them was overtaken; nothing is done yet.
-        for Waiting { txn, reply, .. } in members {
+        // A comparison of one transaction failed, so none was applied.
+        for PendingTxn { txn, reply, .. } in batched {
             let kv = kv.clone();
             tokio::spawn(async move {
-                // The writer is gone if nobody hears the result.
+                // The send fails only if the writer has stopped waiting.
                 let _ = reply.send(kv.txn(txn).await);
             });
         }
@@ -303,16 +308,16 @@
         Ok(done) => done.replies.clone().into_iter(),
         Err(_) => Vec::new().into_iter(),
     };
-    for Waiting { txn, reply, .. } in members {
-        let own = match &result {
+    for PendingTxn { txn, reply, .. } in batched {
+        let txn_result = match &result {
             Ok(done) => Ok(TxnReply {
                 succeeded: done.succeeded,
                 revision: done.revision,
                 replies: replies.by_ref().take(txn.success.len()).collect(),
             }),
             Err(report) => Err(Report::new(*report.current_context())
-                .attach(format!("in a call with {count} transactions"))),
+                .attach(format!("in a batch of {count} transactions"))),
         };
-        let _ = reply.send(own);
+        let _ = reply.send(txn_result);
     }
 }
--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -1,4 +1,4 @@
-//! Adapter that speaks the etcd v3 JSON gateway.
+//! Client of the etcd v3 JSON gateway.
 
 mod convert;
 mod options;
@@ -30,13 +30,13 @@
 const LEASE_KEEP_ALIVE: &str = "v3/lease/keepalive";
 const LEASE_REVOKE: &str = "v3/lease/revoke";
 
-/// Client of an etcd v3 JSON gateway, made by [`EtcdJsonOptions`].
+/// Client of an etcd v3 JSON gateway, created by [`EtcdJsonOptions`].
 ///
-/// Addresses are tried in turn until one takes the connection. A read goes
-/// on to the next one after any failure; a write does so only while it
-/// certainly was not sent. After a lost answer the open connections are
-/// left and new ones made, because a connection can go silent for good
-/// while new ones work.
+/// Addresses are tried in round robin order until one accepts the connection.
+/// A read is retried at the next address after any failure; a write is retried
+/// only if it was certainly not sent. After a lost response the open
+/// connections are dropped and new ones are made, because a connection can
+/// stop responding for good while new ones work.
 ///
 /// Clones share the connections.
 #[derive(Clone, Debug)]
@@ -53,24 +53,31 @@
             ..convert::range_request(&range)
         };
         let reply: RangeResponse =
-            self.0.call(RANGE, Effect::None, &request).await?;
-        convert::get_reply(reply).map_err(|why| {
-            Effect::None.lost().attach(why).attach("path /v3/kv/range")
+            self.0.call(RANGE, Effect::ReadOnly, &request).await?;
+        convert::get_reply(reply).map_err(|reason| {
+            Effect::ReadOnly
+                .lost_response()
+                .attach(reason)
+                .attach("path /v3/kv/range")
         })
     }
 
     async fn run(&self, txn: Txn) -> Result<TxnReply, Report<KvError>> {
         let mut ops = txn.success.iter().chain(&txn.failure);
         let effect = match ops.any(convert::is_write) {
-            true => Effect::Once,
-            false => Effect::None,
+            true => Effect::NonIdempotent,
+            false => Effect::ReadOnly,
         };
         let lens = [txn.failure.len(), txn.success.len()];
         let request = TxnRequest::from(txn);
         let reply: TxnResponse = self.0.call(TXN, effect, &request).await?;
         let expected = lens[usize::from(reply.succeeded)];
-        convert::txn_reply(reply, expected)
-            .map_err(|why| effect.lost().attach(why).attach("path /v3/kv/txn"))
+        convert::txn_reply(reply, expected).map_err(|reason| {
+            effect
+                .lost_response()
+                .attach(reason)
+                .attach("path /v3/kv/txn")
+        })
     }
 
     async fn grant(&self, ttl_s: u32) -> Result<LeaseId, Report<KvError>> {
@@ -78,10 +85,14 @@
             ttl: i64::from(ttl_s).into(),
             ..LeaseGrantRequest::default()
         };
-        let reply: LeaseResponse =
-            self.0.call(LEASE_GRANT, Effect::Once, &request).await?;
+        let reply: LeaseResponse = self
+            .0
+            .call(LEASE_GRANT, Effect::NonIdempotent, &request)
+            .await?;
         match reply.id.0 {
-            0 => Err(Effect::Once.lost().attach("no lease in the answer")),
+            0 => Err(Effect::NonIdempotent
+                .lost_response()
+                .attach("the response has no lease id")),
             id => Ok(LeaseId(id)),
         }
     }
@@ -103,8 +114,10 @@
 
     async fn revoke(&self, id: LeaseId) -> Result<(), Report<KvError>> {
         let request = LeaseRevokeRequest { id: id.0.into() };
-        let _: EmptyResponse =
-            self.0.call(LEASE_REVOKE, Effect::Once, &request).await?;
+        let _: EmptyResponse = self
+            .0
+            .call(LEASE_REVOKE, Effect::NonIdempotent, &request)
+            .await?;
         Ok(())
     }
 }
--- a/crates/kv/src/etcd/convert.rs
+++ b/crates/kv/src/etcd/convert.rs
@@ -1,4 +1,5 @@
-//! Between the gateway's messages and the types of [`Kv`](crate::Kv).
+//! Conversions between the messages of the gateway and the types of
+//! [`Kv`](crate::Kv).
 
 use crate::{
     Compare, Event, GetReply, KeyValue, LeaseId, Op, OpReply, Txn, TxnReply,
@@ -11,11 +12,11 @@
     mvcc::KeyRange,
 };
 
-/// The service counts revisions from 1. Every field of an answer may be
-/// missing, so any JSON object, also one that tells of an error, reads as an
-/// answer without keys, or as a comparison that did not hold; only the
-/// revision shows that the service said so.
-const NO_REVISION: &str = "the answer has no revision";
+/// Error for a response without a revision. Revisions start at 1. All fields
+/// of a response are optional, so that any JSON object, even an error body,
+/// parses as a response without keys or as a failed comparison. Only the
+/// revision proves that the response comes from the key-value service.
+const NO_REVISION: &str = "the response has no revision";
 
 pub(super) fn is_write(op: &Op) -> bool {
     matches!(op, Op::Put { .. } | Op::Delete { .. })
@@ -105,7 +106,8 @@
     }
 }
 
-/// Reads the answer to a transaction whose branch has `expected` steps.
+/// Converts the response to a transaction whose branch has `expected`
+/// operations.
 pub(super) fn txn_reply(
     reply: TxnResponse,
     expected: usize,
@@ -114,7 +116,7 @@
         return Err(NO_REVISION);
     }
     if reply.responses.len() != expected {
-        return Err("the answer has a wrong number of steps");
+        return Err("the response has the wrong number of results");
     }
     let replies = reply.responses.into_iter().map(op_reply);
     Ok(TxnReply {
@@ -133,11 +135,11 @@
     }
     match reply.response_range {
         Some(found) => Ok(OpReply::Read(key_values(found.kvs))),
-        None => Err("the answer has a step of an unknown kind"),
+        None => Err("the response has a result of an unknown kind"),
     }
 }
 
-/// Reads the answer to a read.
+/// Converts the response to a read.
 pub(super) fn get_reply(
     reply: RangeResponse,
 ) -> Result<GetReply, &'static str> {
@@ -150,8 +152,9 @@
     }
 }
 
-/// The batch reaches as far as its last change; the header's revision can
-/// be ahead of what the stream has delivered.
+/// Converts a message of a watch. The batch reaches only to its last change,
+/// because the revision of the header can be ahead of the changes that the
+/// stream has delivered.
 pub(super) fn watch_batch(message: WatchResponse) -> WatchBatch {
     let reached = message.events.last().map(|e| e.kv.mod_revision);
     let events = message.events.into_iter().map(|event| match event.kind {
--- a/crates/kv/src/etcd/options.rs
+++ b/crates/kv/src/etcd/options.rs
@@ -8,7 +8,7 @@
     etcd::{EtcdJson, transport::Transport},
 };
 
-/// Scheme of the addresses; the platform's network needs no TLS.
+/// Scheme of the addresses; the network of the platform needs no TLS.
 const SCHEME: &str = "http";
 
 /// Settings of an [`EtcdJson`] client.
@@ -31,7 +31,7 @@
 }
 
 impl EtcdJsonOptions {
-    /// Connects to addresses such as `10.0.0.1:2379` or
+    /// Creates the options for addresses such as `10.0.0.1:2379` or
     /// `http://10.0.0.1:2379`.
     pub fn new<A: Into<String>>(
         addresses: impl IntoIterator<Item = A>,
@@ -44,32 +44,33 @@
         }
     }
 
-    /// Sets the time that a call may take over all addresses.
+    /// Sets the timeout of a call over all addresses.
     #[must_use]
     pub fn timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.timeout_ms = timeout_ms;
         self
     }
 
-    /// Sets the time that one connection attempt may take.
+    /// Sets the timeout of one connection attempt.
     #[must_use]
     pub fn connect_timeout_ms(mut self, connect_timeout_ms: u64) -> Self {
         self.connect_timeout_ms = connect_timeout_ms;
         self
     }
 
-    /// Sets the silence after which a watch is opened anew.
+    /// Sets the time without messages after which a watch is reopened.
     ///
-    /// A watch may be silent because nothing changes or because its
-    /// connection is dead; only a new one tells. It goes on from the next
-    /// revision, so nothing is missed. Each renewal costs one call.
+    /// A watch can be silent because nothing changes or because its connection
+    /// is dead; only a new connection tells the two apart. The new watch
+    /// resumes from the next revision, so that no change is missed. Each
+    /// reopening costs one call.
     #[must_use]
     pub fn watch_idle_ms(mut self, watch_idle_ms: u64) -> Self {
         self.watch_idle_ms = watch_idle_ms;
         self
     }
 
-    /// Makes the client; it connects at its first call.
+    /// Builds the client, which connects at its first call.
     ///
     /// # Errors
     ///
@@ -79,7 +80,7 @@
         let urls = urls.collect::<Result<Vec<_>, _>>()?;
         if urls.is_empty() {
             let report = Report::new(KvError::Invalid);
-            return Err(report.attach("no address is given"));
+            return Err(report.attach("no address given"));
         }
         let transport = Transport::new(
             urls,
--- a/crates/kv/src/etcd/transport.rs
+++ b/crates/kv/src/etcd/transport.rs
@@ -10,21 +10,21 @@
 
 use crate::{KvError, json::ErrorResponse};
 
-/// Time without traffic after which the system probes a connection, and
-/// the pause between probes.
+/// Idle time after which the operating system probes a connection, and the
+/// interval between probes.
 const TCP_KEEPALIVE: Duration = Duration::from_secs(10);
 
-/// Unanswered probes after which the system closes a connection.
+/// Unanswered probes after which the operating system closes a connection.
 const TCP_KEEPALIVE_RETRIES: u32 = 3;
 
-/// Idle connections older than this are closed rather than used again.
+/// Idle time after which a pooled connection is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Characters of a foreign error body that are kept for the report.
-const BODY_EXCERPT_CHARS: usize = 200;
+/// Maximum number of characters of an unrecognised error body in a report.
+const MAX_EXCERPT_CHARS: usize = 200;
 
-/// Numbers of the gRPC statuses that are told apart.
-mod code {
+/// gRPC status codes that are handled separately.
+mod grpc_code {
     pub(super) const INVALID_ARGUMENT: u32 = 3;
     pub(super) const NOT_FOUND: u32 = 5;
     pub(super) const RESOURCE_EXHAUSTED: u32 = 8;
@@ -32,36 +32,36 @@
     pub(super) const OUT_OF_RANGE: u32 = 11;
 }
 
-/// What a call changes.
+/// Effect of a call, which decides whether it may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Effect {
-    /// Nothing.
-    None,
-    /// The same however often it is done.
+    /// The call changes nothing.
+    ReadOnly,
+    /// The call may be repeated with the same effect.
     Idempotent,
-    /// Something that must not be done again without a look.
-    Once,
+    /// The call must not be repeated before its outcome is known.
+    NonIdempotent,
 }
 
 impl Effect {
-    /// Reports a call that was sent and not answered.
-    pub(super) fn lost(self) -> Report<KvError> {
+    /// Returns the error of a call that was sent and got no response.
+    pub(super) fn lost_response(self) -> Report<KvError> {
         Report::new(match self {
-            Effect::None => KvError::NotDone,
-            Effect::Idempotent | Effect::Once => KvError::Unknown,
+            Effect::ReadOnly => KvError::NotDone,
+            Effect::Idempotent | Effect::NonIdempotent => KvError::Unknown,
         })
     }
 }
 
-/// Why one attempt at one address failed.
+/// Reason why one attempt at one address failed.
 pub(super) enum Failure {
     /// The call was not sent.
     NotSent(Report<KvError>),
-    /// The call was sent; no answer, or a broken one, came.
+    /// The call was sent, and no response or a malformed one arrived.
     Lost(Report<KvError>),
-    /// The call was sent; the service says that it cannot serve now.
+    /// The call was sent, and the key-value service is unavailable.
     Unavailable(Report<KvError>),
-    /// The service refuses the call.
+    /// The key-value service refused the call.
     Refused(Report<KvError>),
 }
 
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub(super) struct Transport {
     urls: Vec<Url>,
-    /// Position of the address that answered last.
+    /// Index of the address that is tried first.
     preferred: AtomicUsize,
     client: Snapshot<Client>,
     timeout: Duration,
@@ -84,9 +84,11 @@
         connect_timeout: Duration,
         watch_idle: Duration,
     ) -> Result<Self, Report<KvError>> {
-        // Every address gets its turn within the time of the call.
-        let share = timeout / u32::try_from(urls.len()).unwrap_or(u32::MAX);
-        let connect_timeout = connect_timeout.min(share);
+        // Limits the time to connect so that every address gets an attempt
+        // within the timeout of the call.
+        let per_address =
+            timeout / u32::try_from(urls.len()).unwrap_or(u32::MAX);
+        let connect_timeout = connect_timeout.min(per_address);
         Ok(Self {
             client: Snapshot::new(make_client(connect_timeout)?),
             urls,
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Posts a JSON body and reads the JSON answer.
+    /// Posts a JSON body and parses the JSON response.
     pub(super) async fn call<A: DeserializeOwned>(
         &self,
         path: &str,
@@ -105,18 +107,18 @@
         request: &impl Serialize,
     ) -> Result<A, Report<KvError>> {
         let body = encode(request)?;
-        let mut turns = Turns::new(self, path, effect);
-        while let Some((url, within)) = turns.next() {
-            let answer = self.exchange(url, body.clone(), effect);
-            match limit(within, effect, answer).await {
-                Ok(answer) => {
-                    turns.answered();
-                    return Ok(answer);
+        let mut attempts = Attempts::new(self, path, effect);
+        while let Some((url, timeout)) = attempts.next() {
+            let response = self.exchange(url, body.clone(), effect);
+            match with_timeout(timeout, effect, response).await {
+                Ok(response) => {
+                    attempts.succeeded();
+                    return Ok(response);
                 }
-                Err(failure) => turns.failed(failure)?,
+                Err(failure) => attempts.failed(failure)?,
             }
         }
-        Err(turns.into_report())
+        Err(attempts.into_report())
     }
 
     async fn exchange<A: DeserializeOwned>(
@@ -125,15 +127,18 @@
         body: Vec<u8>,
         effect: Effect,
     ) -> Result<A, Failure> {
-        let broken = |why: String| Failure::Lost(effect.lost().attach(why));
+        let broken_response = |reason: String| {
+            Failure::Lost(effect.lost_response().attach(reason))
+        };
         let response = self.post(url, body, effect).await?;
         let bytes = response.bytes().await;
-        let bytes = bytes.map_err(|error| broken(causes(&error)))?;
+        let bytes =
+            bytes.map_err(|error| broken_response(error_chain(&error)))?;
         serde_json::from_slice(&bytes)
-            .map_err(|error| broken(error.to_string()))
+            .map_err(|error| broken_response(error.to_string()))
     }
 
-    /// Posts a body and returns a successful answer with its body unread.
+    /// Posts a body and returns a successful response with its body unread.
     pub(super) async fn post(
         &self,
         url: Url,
@@ -143,12 +148,12 @@
         let address = url.authority().to_owned();
         let request = self.client.load_full().post(url).body(body);
         let response = request.send().await.map_err(|error| {
-            let why = format!("{address}: {}", causes(&error));
+            let reason = format!("{address}: {}", error_chain(&error));
             match error.is_connect() || error.is_builder() {
-                true => {
-                    Failure::NotSent(Report::new(KvError::NotDone).attach(why))
-                }
-                false => Failure::Lost(effect.lost().attach(why)),
+                true => Failure::NotSent(
+                    Report::new(KvError::NotDone).attach(reason),
+                ),
+                false => Failure::Lost(effect.lost_response().attach(reason)),
             }
         })?;
         if response.status().is_success() {
@@ -161,41 +166,43 @@
         self.preferred.store(index, Ordering::Relaxed);
     }
 
-    /// Leaves the open connections and prefers another address.
+    /// Drops the open connections and prefers another address.
     ///
-    /// Whatever made one connection go silent can have lost track of its
-    /// siblings as well; each would cost a timeout to find out.
-    fn leave(&self, preferred: usize) {
+    /// A fault in the network that silences one connection can affect the
+    /// other pooled connections too, and each of them would cost a timeout to
+    /// detect.
+    fn reset_connections(&self, preferred: usize) {
         self.prefer(preferred);
         match make_client(self.connect_timeout) {
             Ok(client) => self.client.publish(client),
-            Err(report) => log::warn!("no new HTTP client: {report}"),
+            Err(report) => log::warn!("cannot create HTTP client: {report}"),
         }
     }
 }
 
-/// Tries the addresses in turn, as far as the call's effect allows.
-pub(super) struct Turns<'a> {
+/// Iterates over the addresses in round robin order, as far as the effect of
+/// the call allows retries.
+pub(super) struct Attempts<'a> {
     transport: &'a Transport,
     path: &'a str,
     effect: Effect,
     start: Instant,
     first: usize,
-    turn: usize,
-    turns: usize,
-    was_lost: bool,
+    attempt: usize,
+    max_attempts: usize,
+    response_lost: bool,
     report: Report<KvError>,
 }
 
-impl<'a> Turns<'a> {
+impl<'a> Attempts<'a> {
     pub(super) fn new(
         transport: &'a Transport,
         path: &'a str,
         effect: Effect,
     ) -> Self {
-        let turns = match effect {
-            Effect::Once => transport.urls.len(),
-            // The only address gets a second turn on a new connection.
+        let max_attempts = match effect {
+            Effect::NonIdempotent => transport.urls.len(),
+            // A single address gets a second attempt on a new connection.
             _ => transport.urls.len().max(2),
         };
         Self {
@@ -204,39 +211,42 @@
             effect,
             start: Instant::now(),
             first: transport.preferred.load(Ordering::Relaxed),
-            turn: 0,
-            turns,
-            was_lost: false,
-            report: Report::new(KvError::NotDone).attach("out of time"),
+            attempt: 0,
+            max_attempts,
+            response_lost: false,
+            report: Report::new(KvError::NotDone)
+                .attach("timed out before the first attempt"),
         }
     }
 
-    /// Returns the next address and how long it may take.
+    /// Returns the next address and the timeout of its attempt.
     pub(super) fn next(&mut self) -> Option<(Url, Duration)> {
-        let left = self.turns.checked_sub(self.turn)?;
-        if left == 0 {
+        let remaining_attempts =
+            self.max_attempts.checked_sub(self.attempt)?;
+        if remaining_attempts == 0 {
             return None;
         }
-        let spent = self.start.elapsed();
-        let remaining = self.transport.timeout.checked_sub(spent)?;
+        let elapsed = self.start.elapsed();
+        let remaining_time = self.transport.timeout.checked_sub(elapsed)?;
         let mut url = self.transport.urls[self.index()].clone();
         url.set_path(self.path);
-        self.turn += 1;
+        self.attempt += 1;
         match self.effect {
-            // It ends at the first loss, whatever time is left.
-            Effect::Once => Some((url, remaining)),
-            // A silent address must leave time for the others.
-            _ => Some((url, remaining / left as u32)),
+            // No attempt follows a lost response, so this one gets all the
+            // remaining time.
+            Effect::NonIdempotent => Some((url, remaining_time)),
+            // An address that does not respond must leave time for the others.
+            _ => Some((url, remaining_time / remaining_attempts as u32)),
         }
     }
 
-    /// Prefers the address of this turn from now on.
-    pub(super) fn answered(&mut self) {
-        self.turn -= 1;
+    /// Prefers the address of this attempt for later calls.
+    pub(super) fn succeeded(&mut self) {
+        self.attempt -= 1;
         self.transport.prefer(self.index());
     }
 
-    /// Takes note of a failure; a refusal is final.
+    /// Records a failure; a refusal is final.
     pub(super) fn failed(
         &mut self,
         failure: Failure,
@@ -245,34 +255,34 @@
             Failure::Refused(report) => return Err(report),
             Failure::NotSent(report) => {
                 self.report = report;
-                self.turns = self.transport.urls.len();
+                self.max_attempts = self.transport.urls.len();
             }
             Failure::Lost(report) => {
-                self.transport.leave(self.index());
-                self.lost(report);
+                self.transport.reset_connections(self.index());
+                self.record_loss(report);
             }
             Failure::Unavailable(report) => {
                 self.transport.prefer(self.index());
-                self.lost(report);
+                self.record_loss(report);
             }
         }
         Ok(())
     }
 
-    fn lost(&mut self, report: Report<KvError>) {
+    fn record_loss(&mut self, report: Report<KvError>) {
         self.report = report;
-        self.was_lost = true;
-        if self.effect == Effect::Once {
-            self.turns = self.turn;
+        self.response_lost = true;
+        if self.effect == Effect::NonIdempotent {
+            self.max_attempts = self.attempt;
         }
     }
 
     pub(super) fn into_report(self) -> Report<KvError> {
         // A later attempt that was not sent does not undo an earlier one.
-        let report = match self.was_lost {
+        let report = match self.response_lost {
             true => {
-                let lost = *self.effect.lost().current_context();
-                self.report.change_context(lost)
+                let error = *self.effect.lost_response().current_context();
+                self.report.change_context(error)
             }
             false => self.report,
         };
@@ -280,20 +290,22 @@
     }
 
     fn index(&self) -> usize {
-        (self.first + self.turn) % self.transport.urls.len()
+        (self.first + self.attempt) % self.transport.urls.len()
     }
 }
 
-/// Ends an attempt whose time is up; the call may have been sent by then.
-pub(super) async fn limit<A>(
-    within: Duration,
+/// Bounds an attempt by a timeout; the call may have been sent by then.
+pub(super) async fn with_timeout<A>(
+    timeout: Duration,
     effect: Effect,
     attempt: impl Future<Output = Result<A, Failure>>,
 ) -> Result<A, Failure> {
-    match tokio::time::timeout(within, attempt).await {
+    match tokio::time::timeout(timeout, attempt).await {
         Ok(result) => result,
         Err(_) => Err(Failure::Lost(
-            effect.lost().attach(format!("no answer within {within:?}")),
+            effect
+                .lost_response()
+                .attach(format!("no response within {timeout:?}")),
         )),
     }
 }
@@ -304,10 +316,10 @@
     serde_json::to_vec(request).change_context(KvError::Invalid)
 }
 
-/// Reports the refusal that an error body tells of.
+/// Converts the error body of a refusal to a report.
 ///
-/// A status that may come after the call was handed to the cluster leaves
-/// its effect open.
+/// For a status that the gateway may return after it has passed the call to
+/// the cluster, the effect of the call is unknown.
 pub(super) fn refusal(
     body: &ErrorResponse,
     effect: Effect,
@@ -317,18 +329,18 @@
         false => &body.message,
     };
     let report = match body.code {
-        code::NOT_FOUND if text.contains("lease") => {
+        grpc_code::NOT_FOUND if text.contains("lease") => {
             Report::new(KvError::LeaseGone)
         }
-        code::OUT_OF_RANGE if text.contains("compacted") => {
+        grpc_code::OUT_OF_RANGE if text.contains("compacted") => {
             Report::new(KvError::Compacted)
         }
-        code::RESOURCE_EXHAUSTED => Report::new(KvError::NotDone),
-        code::INVALID_ARGUMENT
-        | code::NOT_FOUND
-        | code::FAILED_PRECONDITION
-        | code::OUT_OF_RANGE => Report::new(KvError::Invalid),
-        _ => effect.lost(),
+        grpc_code::RESOURCE_EXHAUSTED => Report::new(KvError::NotDone),
+        grpc_code::INVALID_ARGUMENT
+        | grpc_code::NOT_FOUND
+        | grpc_code::FAILED_PRECONDITION
+        | grpc_code::OUT_OF_RANGE => Report::new(KvError::Invalid),
+        _ => effect.lost_response(),
     };
     report.attach(format!("status code {}: {text}", body.code))
 }
@@ -338,20 +350,20 @@
     let body = response.bytes().await.unwrap_or_default();
     let excerpt: String = String::from_utf8_lossy(&body)
         .chars()
-        .take(BODY_EXCERPT_CHARS)
+        .take(MAX_EXCERPT_CHARS)
         .collect();
-    let why = format!("status {status}: {excerpt}");
+    let reason = format!("status {status}: {excerpt}");
     if status.is_server_error() || status == StatusCode::REQUEST_TIMEOUT {
-        return Failure::Unavailable(effect.lost().attach(why));
+        return Failure::Unavailable(effect.lost_response().attach(reason));
     }
     if status == StatusCode::TOO_MANY_REQUESTS {
         let report = Report::new(KvError::NotDone);
-        return Failure::Refused(report.attach(why));
+        return Failure::Refused(report.attach(reason));
     }
     match serde_json::from_slice::<ErrorResponse>(&body) {
         Ok(body) if body.code != 0 => Failure::Refused(refusal(&body, effect)),
-        // Not the gateway's own words, but a refusal all the same.
-        _ => Failure::Refused(Report::new(KvError::Invalid).attach(why)),
+        // The body is not from the gateway, but the call was refused.
+        _ => Failure::Refused(Report::new(KvError::Invalid).attach(reason)),
     }
 }
 
@@ -369,7 +381,7 @@
         .change_context(KvError::Invalid)
 }
 
-fn causes(error: &reqwest::Error) -> String {
+fn error_chain(error: &reqwest::Error) -> String {
     let mut text = error.to_string();
     let mut cause = std::error::Error::source(error);
     while let Some(next) = cause {
--- a/crates/kv/src/etcd/watch.rs
+++ b/crates/kv/src/etcd/watch.rs
@@ -5,7 +5,7 @@
 
 use super::{
     convert,
-    transport::{self, Effect, Failure, Transport, Turns},
+    transport::{self, Attempts, Effect, Failure, Transport},
 };
 use crate::{
     KvError, KvFuture, WatchBatch, Watcher,
@@ -15,10 +15,11 @@
 
 const WATCH: &str = "v3/watch";
 
-/// Largest message of a watch; more is taken for a broken stream.
-const MESSAGE_MAX_BYTES: usize = 256 << 20;
+/// Maximum size of a watch message, in bytes; a larger one counts as a broken
+/// stream.
+const MAX_MESSAGE_BYTES: usize = 256 << 20;
 
-/// A watch over one streaming call at a time.
+/// A watch that uses one streaming call at a time.
 pub(super) struct EtcdWatcher {
     transport: Arc<Transport>,
     range: KeyRange,
@@ -51,26 +52,27 @@
             let idle = self.transport.watch_idle;
             match self.messages.next(idle).await? {
                 Some(message) => {
-                    check(&message)?;
+                    check_not_canceled(&message)?;
                     if message.created {
                         continue;
                     }
                     let batch = convert::watch_batch(message);
-                    // A message without changes tells progress; a renewal
-                    // from there is less likely to be compacted.
+                    // A message without changes reports progress. A watch that
+                    // is reopened from there is less likely to hit a compacted
+                    // revision.
                     let reached = batch.revision + 1;
                     self.next_revision = self.next_revision.max(reached);
                     if !batch.events.is_empty() {
                         return Ok(batch);
                     }
                 }
-                None => self.renew().await?,
+                None => self.reopen().await?,
             }
         }
     }
 
-    /// Opens the watch anew after a silence.
-    async fn renew(&mut self) -> Result<(), Report<KvError>> {
+    /// Reopens the watch after a period without messages.
+    async fn reopen(&mut self) -> Result<(), Report<KvError>> {
         let (messages, _) =
             open_stream(&self.transport, &self.range, self.next_revision)
                 .await?;
@@ -85,7 +87,7 @@
     }
 }
 
-/// Opens a stream and waits for the message that the watch has begun.
+/// Opens a stream and waits for the message that confirms the watch.
 async fn open_stream(
     transport: &Transport,
     range: &KeyRange,
@@ -95,43 +97,46 @@
         create_request: convert::watch_request(range, from_revision),
     };
     let body = transport::encode(&request)?;
-    let mut turns = Turns::new(transport, WATCH, Effect::None);
-    while let Some((url, within)) = turns.next() {
-        let open = begin(transport, url, body.clone(), within);
-        match transport::limit(within, Effect::None, open).await {
-            Ok(begun) => {
-                turns.answered();
-                return Ok(begun);
+    let mut attempts = Attempts::new(transport, WATCH, Effect::ReadOnly);
+    while let Some((url, timeout)) = attempts.next() {
+        let attempt = start_stream(transport, url, body.clone(), timeout);
+        match transport::with_timeout(timeout, Effect::ReadOnly, attempt).await
+        {
+            Ok(stream) => {
+                attempts.succeeded();
+                return Ok(stream);
             }
-            Err(failure) => turns.failed(failure)?,
+            Err(failure) => attempts.failed(failure)?,
         }
     }
-    Err(turns.into_report())
+    Err(attempts.into_report())
 }
 
-async fn begin(
+async fn start_stream(
     transport: &Transport,
     url: Url,
     body: Vec<u8>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(Messages, WatchResponse), Failure> {
-    let response = transport.post(url, body, Effect::None).await?;
+    let response = transport.post(url, body, Effect::ReadOnly).await?;
     let mut messages = Messages::new(response);
-    let first = messages.next(within).await.map_err(sort)?;
-    let first = first.ok_or_else(|| Failure::Lost(Effect::None.lost()))?;
-    check(&first).map_err(sort)?;
+    let first = messages.next(timeout).await.map_err(classify)?;
+    let first = first
+        .ok_or_else(|| Failure::Lost(Effect::ReadOnly.lost_response()))?;
+    check_not_canceled(&first).map_err(classify)?;
     Ok((messages, first))
 }
 
-/// Tells an interrupted stream from one that the service refuses.
-fn sort(report: Report<KvError>) -> Failure {
+/// Distinguishes an interrupted stream from a refusal by the key-value
+/// service.
+fn classify(report: Report<KvError>) -> Failure {
     match report.current_context() {
         KvError::NotDone => Failure::Lost(report),
         _ => Failure::Refused(report),
     }
 }
 
-fn check(message: &WatchResponse) -> Result<(), Report<KvError>> {
+fn check_not_canceled(message: &WatchResponse) -> Result<(), Report<KvError>> {
     if !message.canceled {
         return Ok(());
     }
@@ -142,11 +147,11 @@
     Err(Report::new(error).attach(message.cancel_reason.clone()))
 }
 
-/// Messages of a stream, one JSON object a line.
+/// Messages of a stream, one JSON object per line.
 struct Messages {
     response: Response,
     buffer: Vec<u8>,
-    /// Start of the bytes that were not searched for a line end.
+    /// Offset of the first byte that was not yet searched for a line end.
     searched: usize,
 }
 
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Waits for a message, `None` after a silence of `idle`.
+    /// Waits for a message; returns `None` after `idle` without one.
     async fn next(
         &mut self,
         idle: Duration,
@@ -172,18 +177,22 @@
             match tokio::time::timeout(idle, chunk).await {
                 Err(_) => return Ok(None),
                 Ok(Ok(Some(chunk))) => self.buffer.extend_from_slice(&chunk),
-                Ok(Ok(None)) => return Err(ended("the watch has ended")),
-                Ok(Err(error)) => return Err(ended(&error.to_string())),
+                Ok(Ok(None)) => {
+                    return Err(stream_error("the watch has ended"));
+                }
+                Ok(Err(error)) => {
+                    return Err(stream_error(&error.to_string()));
+                }
             }
-            if self.buffer.len() > MESSAGE_MAX_BYTES {
-                return Err(ended("a message is too large"));
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
+                return Err(stream_error("a message is too large"));
             }
         }
     }
 
     fn take_line(&mut self) -> Option<Vec<u8>> {
-        let fresh = &self.buffer[self.searched..];
-        match fresh.iter().position(|byte| *byte == b'\n') {
+        let unsearched = &self.buffer[self.searched..];
+        match unsearched.iter().position(|byte| *byte == b'\n') {
             Some(at) => {
                 let end = self.searched + at + 1;
                 self.searched = 0;
@@ -201,12 +210,12 @@
     match serde_json::from_slice(line) {
         Ok(StreamMessage::Result(message)) => Ok(message),
         Ok(StreamMessage::Error(body)) => {
-            Err(transport::refusal(&body, Effect::None))
+            Err(transport::refusal(&body, Effect::ReadOnly))
         }
-        Err(error) => Err(ended(&error.to_string())),
+        Err(error) => Err(stream_error(&error.to_string())),
     }
 }
 
-fn ended(why: &str) -> Report<KvError> {
-    Report::new(KvError::NotDone).attach(why.to_owned())
+fn stream_error(reason: &str) -> Report<KvError> {
+    Report::new(KvError::NotDone).attach(reason.to_owned())
 }
--- a/crates/kv/src/json.rs
+++ b/crates/kv/src/json.rs
@@ -1,8 +1,8 @@
-//! Bodies of the etcd v3 JSON gateway.
+//! Messages of the etcd v3 JSON gateway.
 //!
-//! Keys and values are base64 texts and 64-bit numbers are decimal texts,
-//! for JSON numbers lose precision beyond 53 bits. A field with its default
-//! value is left out of an answer, as protobuf's JSON mapping does it.
+//! Keys and values are base64 strings, and 64-bit numbers are decimal strings
+//! because JSON numbers lose precision beyond 53 bits. Responses omit fields
+//! that have their default value, as in protobuf's JSON mapping.
 //!
 //! # Example
 //!
@@ -24,12 +24,12 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A 64-bit number, written as a decimal text.
+/// A 64-bit number, encoded as a decimal string.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Ord, PartialOrd)]
 pub struct Int(pub i64);
 
 impl Int {
-    /// Returns the number, 0 for a negative one.
+    /// Returns the number, or 0 if it is negative.
     #[inline]
     pub fn get_u64(self) -> u64 {
         self.0.try_into().unwrap_or(0)
@@ -62,7 +62,7 @@
             type Value = Int;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                f.write_str("a 64-bit number or its decimal text")
+                f.write_str("a 64-bit number or its decimal string")
             }
 
             fn visit_i64<E: de::Error>(self, n: i64) -> Result<Int, E> {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Bytes, written as a base64 text.
+/// Bytes, encoded as a base64 string.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -110,8 +110,8 @@
     *value == T::default()
 }
 
-/// Defines messages whose fields may be missing and are left out if they
-/// have their default value.
+/// Defines messages whose fields are optional on input and omitted on output
+/// if they have their default value.
 macro_rules! messages {
     ($(
         $(#[$doc:meta])*
@@ -135,16 +135,16 @@
 }
 
 messages! {
-    /// Head of every answer.
+    /// Header of every response.
     #[derive(Copy)]
     Header {
-        /// Names the cluster.
+        /// Id of the cluster.
         cluster_id: Int,
-        /// Names the member that answered.
+        /// Id of the member that responded.
         member_id: Int,
         /// Revision of the store.
         revision: Int,
-        /// Term of the cluster's leader.
+        /// Raft term of the cluster's leader.
         raft_term: Int,
     }
 
@@ -152,15 +152,15 @@
     KeyValue {
         /// The key.
         key: Blob,
-        /// Revision at which it came to be.
+        /// Revision at which the key was created.
         create_revision: Int,
-        /// Revision of its last write.
+        /// Revision of the last write to the key.
         mod_revision: Int,
-        /// Number of writes since it came to be.
+        /// Number of writes since the key was created.
         version: Int,
         /// The value.
         value: Blob,
-        /// Lease that it ends with.
+        /// Lease that the key is attached to; 0 means none.
         lease: Int,
     }
 
@@ -168,14 +168,15 @@
     RangeRequest {
         /// First key.
         key: Blob,
-        /// Key behind the last one; empty for one key, a zero byte for all.
+        /// Exclusive end of the range; empty selects one key, a zero byte all
+        /// keys from `key` on.
         #[serde(alias = "rangeEnd")]
         range_end: Blob,
-        /// Most keys to return; 0 is no limit.
+        /// Maximum number of keys; 0 means no limit.
         limit: Int,
-        /// Revision to read at; 0 is the current one.
+        /// Revision to read at; 0 means the current one.
         revision: Int,
-        /// Leaves out the values.
+        /// Omits the values.
         #[serde(alias = "keysOnly")]
         keys_only: bool,
         /// Returns only the number of keys.
@@ -183,15 +184,15 @@
         count_only: bool,
     }
 
-    /// Answers a [`RangeRequest`].
+    /// Response to a [`RangeRequest`].
     RangeResponse {
-        /// Head.
+        /// Header.
         header: Header,
-        /// The keys in order.
+        /// The keys, in order.
         kvs: Vec<KeyValue>,
-        /// Tells that the limit left some out.
+        /// Whether the limit omitted keys.
         more: bool,
-        /// Number of selected keys, also beyond the limit.
+        /// Number of keys in the range, including those beyond the limit.
         count: Int,
     }
 
@@ -201,18 +202,18 @@
         key: Blob,
         /// New value.
         value: Blob,
-        /// Lease that it ends with; 0 is none.
+        /// Lease that the key is attached to; 0 means none.
         lease: Int,
-        /// Asks for the record before.
+        /// Requests the previous record.
         #[serde(alias = "prevKv")]
         prev_kv: bool,
     }
 
-    /// Answers a [`PutRequest`].
+    /// Response to a [`PutRequest`].
     PutResponse {
-        /// Head.
+        /// Header.
         header: Header,
-        /// Record before, if asked for.
+        /// Previous record, if requested.
         #[serde(alias = "prevKv")]
         prev_kv: Option<KeyValue>,
     }
@@ -224,29 +225,29 @@
         /// As in [`RangeRequest`].
         #[serde(alias = "rangeEnd")]
         range_end: Blob,
-        /// Asks for the deleted records.
+        /// Requests the deleted records.
         #[serde(alias = "prevKv")]
         prev_kv: bool,
     }
 
-    /// Answers a [`DeleteRangeRequest`].
+    /// Response to a [`DeleteRangeRequest`].
     DeleteRangeResponse {
-        /// Head.
+        /// Header.
         header: Header,
         /// Number of deleted keys.
         deleted: Int,
-        /// The deleted records, if asked for.
+        /// The deleted records, if requested.
         #[serde(alias = "prevKvs")]
         prev_kvs: Vec<KeyValue>,
     }
 
     /// A condition of a [`TxnRequest`].
     Compare {
-        /// How to compare.
+        /// Relation that must hold.
         result: CompareResult,
-        /// What to compare.
+        /// Property to compare.
         target: CompareTarget,
-        /// Key to look at.
+        /// Key to compare.
         key: Blob,
         /// For target `VERSION`.
         version: Int,
@@ -262,7 +263,7 @@
         lease: Int,
     }
 
-    /// A step of a [`TxnRequest`]; exactly one field is there.
+    /// An operation of a [`TxnRequest`]; exactly one field is set.
     RequestOp {
         /// Reads keys.
         #[serde(alias = "requestRange")]
@@ -279,41 +280,41 @@
     TxnRequest {
         /// Conditions.
         compare: Vec<Compare>,
-        /// Steps if all hold.
+        /// Operations if all conditions hold.
         success: Vec<RequestOp>,
-        /// Steps otherwise.
+        /// Operations otherwise.
         failure: Vec<RequestOp>,
     }
 
-    /// Answers a [`RequestOp`].
+    /// Response to a [`RequestOp`]; exactly one field is set.
     ResponseOp {
-        /// The keys that were read.
+        /// Result of a read.
         response_range: Option<RangeResponse>,
-        /// The key is written.
+        /// Result of a write.
         response_put: Option<PutResponse>,
-        /// The keys are deleted.
+        /// Result of a deletion.
         response_delete_range: Option<DeleteRangeResponse>,
     }
 
-    /// Answers a [`TxnRequest`].
+    /// Response to a [`TxnRequest`].
     TxnResponse {
-        /// Head.
+        /// Header.
         header: Header,
-        /// Tells which branch ran.
+        /// Whether the `success` branch ran.
         succeeded: bool,
-        /// One answer for each step of it.
+        /// One response for each operation of the branch that ran.
         responses: Vec<ResponseOp>,
     }
 
-    /// Forgets old revisions.
+    /// Compacts old revisions.
     CompactionRequest {
-        /// Newest revision to forget.
+        /// Newest revision to compact.
         revision: Int,
     }
 
-    /// Answers a [`CompactionRequest`] or a [`LeaseRevokeRequest`].
+    /// Response to a [`CompactionRequest`] or a [`LeaseRevokeRequest`].
     EmptyResponse {
-        /// Head.
+        /// Header.
         header: Header,
     }
 
@@ -322,17 +323,17 @@
         /// Time to live in seconds.
         #[serde(rename = "TTL")]
         ttl: Int,
-        /// Wanted number; 0 leaves it to the service.
+        /// Requested id; 0 lets the key-value service choose one.
         #[serde(rename = "ID")]
         id: Int,
     }
 
-    /// Answers a [`LeaseGrantRequest`], and a [`LeaseKeepAliveRequest`]
-    /// where a time to live of 0 tells that the lease has ended.
+    /// Response to a [`LeaseGrantRequest`] or a [`LeaseKeepAliveRequest`]. In
+    /// the latter case a time to live of 0 means that the lease has expired.
     LeaseResponse {
-        /// Head.
+        /// Header.
         header: Header,
-        /// The lease.
+        /// Id of the lease.
         #[serde(rename = "ID")]
         id: Int,
         /// Time to live in seconds.
@@ -342,40 +343,40 @@
 
     /// Renews a lease.
     LeaseKeepAliveRequest {
-        /// The lease.
+        /// Id of the lease.
         #[serde(rename = "ID")]
         id: Int,
     }
 
-    /// Ends a lease.
+    /// Revokes a lease.
     LeaseRevokeRequest {
-        /// The lease.
+        /// Id of the lease.
         #[serde(rename = "ID")]
         id: Int,
     }
 
     /// Starts a watch.
     WatchRequest {
-        /// What to watch.
+        /// Parameters of the watch.
         #[serde(alias = "createRequest")]
         create_request: WatchCreateRequest,
     }
 
-    /// Selects what a watch delivers.
+    /// Selects the changes that a watch delivers.
     WatchCreateRequest {
         /// First key.
         key: Blob,
         /// As in [`RangeRequest`].
         #[serde(alias = "rangeEnd")]
         range_end: Blob,
-        /// First revision; 0 is the next one.
+        /// First revision; 0 means the next one.
         #[serde(alias = "startRevision")]
         start_revision: Int,
-        /// Asks for the record before each change.
+        /// Requests the previous record with each change.
         #[serde(alias = "prevKv")]
         prev_kv: bool,
-        /// Asks for messages without changes now and then, whose header
-        /// tells the revision that the watch has reached.
+        /// Requests periodic messages without changes whose header carries the
+        /// revision that the watch has reached.
         #[serde(alias = "progressNotify")]
         progress_notify: bool,
     }
@@ -385,78 +386,79 @@
         /// Kind of change.
         #[serde(rename = "type")]
         kind: EventKind,
-        /// Record after it; for a deletion the key and the revision.
+        /// Record after the change; for a deletion only the key and the
+        /// revision are set.
         kv: KeyValue,
-        /// Record before it, if asked for.
+        /// Record before the change, if requested.
         prev_kv: Option<KeyValue>,
     }
 
     /// A message of a watch.
     WatchResponse {
-        /// Head.
+        /// Header.
         header: Header,
-        /// Number of the watch.
+        /// Id of the watch.
         watch_id: Int,
-        /// Tells that the watch has begun.
+        /// Whether this message confirms the start of the watch.
         created: bool,
-        /// Tells that the watch has ended.
+        /// Whether the watch has ended.
         canceled: bool,
-        /// Set if the first revision is compacted.
+        /// Compacted revision, set if the start revision was compacted.
         compact_revision: Int,
-        /// Says why the watch has ended.
+        /// Reason why the watch has ended.
         cancel_reason: String,
         /// The changes.
         events: Vec<Event>,
     }
 
-    /// Body of a refusal.
+    /// Body of an error response.
     ErrorResponse {
         /// Text of the error.
         error: String,
-        /// Number of the gRPC status.
+        /// gRPC status code.
         code: u32,
-        /// Text of the error once more.
+        /// Text of the error; same as `error`.
         message: String,
     }
 }
 
-/// A message of a streaming call: a result, or the failure that ends it.
+/// A message of a streaming call: a result, or the error that ends the stream.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StreamMessage<T> {
-    /// One result.
+    /// A result.
     Result(T),
-    /// The failure.
+    /// The error.
     Error(ErrorResponse),
 }
 
-/// How a [`Compare`] compares.
+/// Relation of a [`Compare`].
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// Equal.
+    /// Both values are equal.
     #[default]
     Equal,
-    /// The found one is greater.
+    /// The stored value is greater.
     Greater,
-    /// The found one is less.
+    /// The stored value is less.
     Less,
-    /// They differ.
+    /// The values differ.
     NotEqual,
 }
 
-/// What a [`Compare`] compares.
+/// Property that a [`Compare`] compares.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// Number of writes.
+    /// Number of writes since the key was created.
     #[default]
     Version,
-    /// Revision at which the key came to be.
+    /// Revision at which the key was created.
     Create,
     /// Revision of the last write.
     Mod,
--- a/crates/kv/src/lease.rs
+++ b/crates/kv/src/lease.rs
@@ -1,4 +1,4 @@
-//! What the holder of a lease may still believe.
+//! Client-side tracking of a lease.
 
 use base::Millis;
 
@@ -6,17 +6,17 @@
 
 const MS_PER_S: u64 = 1_000;
 
-/// Share of the time to live after which a lease is record_renewal: a third leaves
-/// two more attempts.
+/// A lease is renewed after this fraction of its time to live. A third leaves
+/// time for two more attempts.
 const RENEW_DIVISOR: u64 = 3;
 
-/// Tracks a lease from its holder's side.
+/// Tracks the expiry of a lease on the side of its holder.
 ///
-/// The holder counts from the moment *before* it sent the grant or the
-/// renewal, so that its own end is never later than the service's. A holder
-/// that was paused finds the lease unsafe at its next look. This saves it
-/// useless work; what it has sent already must be fenced by a revision in
-/// each transaction.
+/// The time to live counts from the moment *before* the grant or the renewal
+/// was sent, so that the lease never lasts longer for its holder than for the
+/// key-value service. A holder that was paused finds the lease expired at its
+/// next check. This check only saves useless work: writes that are already in
+/// flight must be fenced by a revision in each transaction.
 ///
 /// # Example
 ///
@@ -39,7 +39,7 @@
 }
 
 impl HeldLease {
-    /// Starts with a grant that was sent at `sent_at`.
+    /// Creates the state for a grant that was sent at `sent_at`.
     pub fn new(id: LeaseId, ttl_s: u32, sent_at: Millis) -> Self {
         Self {
             id,
@@ -48,30 +48,31 @@
         }
     }
 
-    /// Returns the lease.
+    /// Returns the id of the lease.
     #[inline]
     pub fn id(&self) -> LeaseId {
         self.id
     }
 
-    /// Takes note of a renewal that succeeded and was sent at `sent_at`.
+    /// Records a successful renewal that was sent at `sent_at`.
     pub fn record_renewal(&mut self, sent_at: Millis) {
         self.sent_at = self.sent_at.max(sent_at);
     }
 
-    /// Returns when to renew.
+    /// Returns the time of the next renewal.
     #[inline]
     pub fn renew_at(&self) -> Millis {
         self.sent_at.saturating_add_ms(self.ttl_ms / RENEW_DIVISOR)
     }
 
-    /// Returns the earliest moment at which the service may end the lease.
+    /// Returns the earliest time at which the key-value service may expire the
+    /// lease.
     #[inline]
     pub fn expires_at(&self) -> Millis {
         self.sent_at.saturating_add_ms(self.ttl_ms)
     }
 
-    /// Tells whether the lease surely lasts for `margin_ms` more.
+    /// Reports whether the lease is certain to last for another `margin_ms`.
     #[inline]
     pub fn is_valid_for(&self, now: Millis, margin_ms: u64) -> bool {
         now.saturating_add_ms(margin_ms) < self.expires_at()
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -1,16 +1,17 @@
 //! Client of the platform's key-value service.
 //!
-//! [`Kv`] is what the rest of the system needs of such a service:
-//! compare-and-swap transactions, leases and watches. [`EtcdJson`] speaks
-//! the etcd v3 JSON gateway; [`Memory`] is an in-memory fake for focused
-//! tests. Both the fake and the stand-in server run on [`mvcc`].
+//! The [`Kv`] trait covers the operations that the rest of the system uses:
+//! compare-and-swap transactions, leases and watches. [`EtcdJson`] implements
+//! it over the etcd v3 JSON gateway, and [`Memory`] is an in-memory fake for
+//! tests. The fake and the stand-in server share the state machine in
+//! [`mvcc`].
 //!
 //! # Errors
 //!
-//! The one distinction that callers must make is in [`KvError`]: a write that
-//! failed with [`KvError::Unknown`] may have taken effect. It is neither
-//! success nor failure until it was read back; [`ops::Writer`] does that by
-//! operation ids.
+//! Callers must distinguish one case of [`KvError`]: a write that failed with
+//! [`KvError::Unknown`] may have taken effect. Its outcome is undecided until
+//! the write is read back. [`ops::Writer`] does this by means of operation
+//! ids.
 
 mod backoff;
 pub mod batch;
--- a/crates/kv/src/memory.rs
+++ b/crates/kv/src/memory.rs
@@ -14,36 +14,35 @@
     mvcc::{Change, KeyRange, Limits, Store, StoreError, Transaction},
 };
 
-/// What happens to one writing call of a [`Memory`].
+/// Fault injected into one write call of a [`Memory`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum WriteFault {
-    /// The call is done and answered.
+    /// The call succeeds.
     #[default]
     None,
-    /// The call is refused without effect: [`KvError::NotDone`].
+    /// The call is rejected without effect: [`KvError::NotDone`].
     Refused,
-    /// The call is lost on its way, without effect: [`KvError::Unknown`].
+    /// The request is lost, without effect: [`KvError::Unknown`].
     RequestLost,
-    /// The call takes effect and its answer is lost: [`KvError::Unknown`].
+    /// The call takes effect and its response is lost: [`KvError::Unknown`].
     ResponseLost,
 }
 
-/// Calls that a [`Memory`] has received.
+/// Number of calls that a [`Memory`] has received.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MemoryCounts {
-    /// Reads, transactions without a writing step among them.
+    /// Reads, including read-only transactions.
     pub reads: u64,
-    /// Writing transactions and lease calls.
+    /// Write transactions and lease calls.
     pub writes: u64,
     /// Watches that were started.
     pub watches: u64,
 }
 
-/// A key-value service inside the process, for tests.
+/// In-memory key-value service for tests.
 ///
-/// Its clock stands still until the test steps it, so that leases end
-/// exactly when the test says so. Faults are scripted. Clones share one
-/// service.
+/// Its clock advances only when the test steps it, so that leases expire at
+/// exact times. Faults are scripted. Clones share one store.
 ///
 /// # Example
 ///
@@ -79,11 +78,11 @@
     signal: watch::Sender<Signal>,
 }
 
-/// What the watches wait for.
+/// State whose changes wake the watches.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct Signal {
     revision: u64,
-    breaks: u64,
+    watch_failures: u64,
 }
 
 #[derive(Debug, Default)]
@@ -95,9 +94,9 @@
 }
 
 impl Memory {
-    /// Makes a service whose leases end by a clock that others share.
+    /// Creates a service whose leases expire by a shared clock.
     ///
-    /// Whoever steps that clock calls [`Memory::expire`] afterwards.
+    /// The caller must call [`Memory::expire`] after each step of the clock.
     pub fn with_clock(clock: Arc<SteppedClock>) -> Self {
         Self(Arc::new(Inner {
             clock,
@@ -105,33 +104,32 @@
         }))
     }
 
-    /// Makes a service with other limits.
+    /// Creates a service with these limits.
     pub fn with_limits(limits: Limits) -> Self {
         let memory = Self::default();
         memory.state().store = Store::new(limits);
         memory
     }
 
-    /// Returns the clock that the leases end by.
+    /// Returns the clock by which leases expire.
     pub fn clock(&self) -> &Arc<SteppedClock> {
         &self.0.clock
     }
 
-    /// Steps the clock and ends the leases that are due.
+    /// Steps the clock and removes the expired leases.
     pub fn step_ms(&self, ms: u64) {
         self.0.clock.step_ms(ms);
         self.expire();
     }
 
-    /// Ends the leases that are due.
+    /// Removes the expired leases.
     pub fn expire(&self) {
         let mut state = self.state();
         state.store.expire(self.0.clock.now());
-        self.announce(&state);
+        self.notify_watches(&state);
     }
 
-    /// Scripts what happens to the next writing calls, in order; those
-    /// beyond the script are done.
+    /// Sets the faults of the next write calls, in order; later calls succeed.
     pub fn script_write_faults(
         &self,
         faults: impl IntoIterator<Item = WriteFault>,
@@ -139,8 +137,8 @@
         self.state().faults.extend(faults);
     }
 
-    /// Makes every call fail without effect, or ends that. Going down ends
-    /// all watches.
+    /// Starts or ends an outage, during which every call fails without effect.
+    /// The start of an outage ends all watches.
     pub fn set_down(&self, is_down: bool) {
         self.state().is_down = is_down;
         if is_down {
@@ -150,20 +148,22 @@
 
     /// Ends all watches with an error.
     pub fn fail_watches(&self) {
-        self.0.signal.send_modify(|signal| signal.breaks += 1);
+        self.0
+            .signal
+            .send_modify(|signal| signal.watch_failures += 1);
     }
 
-    /// Forgets the changes up to a revision.
+    /// Compacts the log up to a revision.
     ///
     /// # Errors
     ///
-    /// [`KvError::Compacted`] or [`KvError::Invalid`] if that revision is
-    /// compacted already or yet to come.
+    /// [`KvError::Compacted`] if the revision is already compacted,
+    /// [`KvError::Invalid`] if it is in the future.
     pub fn compact(&self, revision: u64) -> Result<(), Report<KvError>> {
         self.state().store.compact(revision).map_err(rejected)
     }
 
-    /// Returns the calls received so far.
+    /// Returns the number of calls received so far.
     pub fn counts(&self) -> MemoryCounts {
         self.state().counts
     }
@@ -173,14 +173,14 @@
         self.state().store.revision()
     }
 
-    fn read(&self, range: &KeyRange, limit: u32) -> Answer<GetReply> {
+    fn read(&self, range: &KeyRange, limit: u32) -> KvResult<GetReply> {
         let mut state = self.state();
         state.counts.reads += 1;
-        state.check_up()?;
+        state.check_available()?;
         state.store.expire(self.0.clock.now());
         let found = state.store.range(range, limit as usize, 0);
         let found = found.map_err(rejected)?;
-        self.announce(&state);
+        self.notify_watches(&state);
         Ok(GetReply {
             revision: state.store.revision(),
             kvs: found.records.into_iter().map(Into::into).collect(),
@@ -190,36 +190,40 @@
     fn write<T>(
         &self,
         call: impl FnOnce(&mut Store) -> Result<T, StoreError>,
-    ) -> Answer<T> {
+    ) -> KvResult<T> {
         let mut state = self.state();
         state.counts.writes += 1;
-        state.check_up()?;
+        state.check_available()?;
         let fault = state.faults.pop_front().unwrap_or_default();
         match fault {
-            WriteFault::Refused => return Err(failed(KvError::NotDone)),
-            WriteFault::RequestLost => return Err(failed(KvError::Unknown)),
+            WriteFault::Refused => {
+                return Err(injected_fault(KvError::NotDone));
+            }
+            WriteFault::RequestLost => {
+                return Err(injected_fault(KvError::Unknown));
+            }
             WriteFault::None | WriteFault::ResponseLost => {}
         }
         state.store.expire(self.0.clock.now());
-        let answer = call(&mut state.store);
-        self.announce(&state);
+        let result = call(&mut state.store);
+        self.notify_watches(&state);
         match fault {
-            WriteFault::ResponseLost => Err(failed(KvError::Unknown)),
-            _ => answer.map_err(rejected),
+            WriteFault::ResponseLost => Err(injected_fault(KvError::Unknown)),
+            _ => result.map_err(rejected),
         }
     }
 
-    fn run(&self, txn: Txn) -> Answer<TxnReply> {
+    fn run_txn(&self, txn: Txn) -> KvResult<TxnReply> {
         let txn = Transaction::from(txn);
         if txn.is_write() {
             return self.write(|store| store.commit(&txn).map(Into::into));
         }
         let mut state = self.state();
         state.counts.reads += 1;
-        state.check_up()?;
+        state.check_available()?;
         state.store.expire(self.0.clock.now());
         let outcome = state.store.commit(&txn).map_err(rejected)?;
-        self.announce(&state);
+        self.notify_watches(&state);
         Ok(outcome.into())
     }
 
@@ -227,26 +231,26 @@
         &self,
         range: KeyRange,
         from_revision: u64,
-    ) -> Answer<Box<dyn Watcher>> {
+    ) -> KvResult<Box<dyn Watcher>> {
         let mut state = self.state();
         state.counts.watches += 1;
-        state.check_up()?;
+        state.check_available()?;
         let next_revision = match from_revision {
             0 => state.store.revision() + 1,
             _ => from_revision,
         };
         let signal = self.0.signal.subscribe();
-        let breaks = signal.borrow().breaks;
+        let watch_failures = signal.borrow().watch_failures;
         Ok(Box::new(MemoryWatcher {
             memory: self.clone(),
             range,
             next_revision,
             signal,
-            breaks,
+            watch_failures,
         }))
     }
 
-    fn announce(&self, state: &State) {
+    fn notify_watches(&self, state: &State) {
         let revision = state.store.revision();
         self.0.signal.send_if_modified(|signal| {
             let is_new = signal.revision != revision;
@@ -260,12 +264,12 @@
     }
 }
 
-type Answer<T> = Result<T, Report<KvError>>;
+type KvResult<T> = Result<T, Report<KvError>>;
 
 impl State {
-    fn check_up(&self) -> Answer<()> {
+    fn check_available(&self) -> KvResult<()> {
         match self.is_down {
-            true => Err(failed(KvError::NotDone)),
+            true => Err(injected_fault(KvError::NotDone)),
             false => Ok(()),
         }
     }
@@ -281,7 +285,7 @@
     }
 
     fn txn(&self, txn: Txn) -> KvFuture<'_, TxnReply> {
-        ready(self.run(txn))
+        ready(self.run_txn(txn))
     }
 
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId> {
@@ -312,28 +316,30 @@
     range: KeyRange,
     next_revision: u64,
     signal: watch::Receiver<Signal>,
-    breaks: u64,
+    watch_failures: u64,
 }
 
 impl MemoryWatcher {
-    async fn wait(&mut self) -> Answer<WatchBatch> {
+    async fn wait(&mut self) -> KvResult<WatchBatch> {
         loop {
-            // The signal is marked as seen before the log is read, so that
-            // a change in between wakes the next wait.
-            if self.signal.borrow_and_update().breaks != self.breaks {
-                return Err(failed(KvError::NotDone));
+            // The signal is marked as seen before the log is read, so that a
+            // change between the two wakes the next wait.
+            if self.signal.borrow_and_update().watch_failures
+                != self.watch_failures
+            {
+                return Err(injected_fault(KvError::NotDone));
             }
-            let batch = self.take()?;
+            let batch = self.take_changes()?;
             if !batch.events.is_empty() {
                 return Ok(batch);
             }
             if self.signal.changed().await.is_err() {
-                return Err(failed(KvError::NotDone));
+                return Err(injected_fault(KvError::NotDone));
             }
         }
     }
 
-    fn take(&mut self) -> Answer<WatchBatch> {
+    fn take_changes(&mut self) -> KvResult<WatchBatch> {
         let state = self.memory.state();
         let revision = state.store.revision();
         let changes = state.store.changes(&self.range, self.next_revision);
@@ -352,12 +358,12 @@
     }
 }
 
-fn ready<'a, T: Send + 'a>(answer: Answer<T>) -> KvFuture<'a, T> {
-    Box::pin(future::ready(answer))
+fn ready<'a, T: Send + 'a>(result: KvResult<T>) -> KvFuture<'a, T> {
+    Box::pin(future::ready(result))
 }
 
-fn failed(error: KvError) -> Report<KvError> {
-    Report::new(error).attach("scripted fault")
+fn injected_fault(error: KvError) -> Report<KvError> {
+    Report::new(error).attach("injected fault")
 }
 
 fn rejected(error: StoreError) -> Report<KvError> {
--- a/crates/kv/src/model.rs
+++ b/crates/kv/src/model.rs
@@ -2,38 +2,43 @@
 
 use error_stack::Report;
 
-/// Says what became of a call to the key-value service.
+/// Outcome of a failed call to the key-value service.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KvError {
-    /// The call certainly had no effect: no connection could be made or the
-    /// service refused it.
+    /// The call had no effect: no connection could be made, or the service
+    /// refused the call.
     NotDone,
-    /// The answer was lost; a write may have taken effect.
+    /// The response was lost; a write may have taken effect.
     Unknown,
-    /// The lease has ended or never was.
+    /// The lease has expired or does not exist.
     LeaseGone,
-    /// The watch cannot go on from its revision because the service has
-    /// compacted it; read the range again.
+    /// The watch cannot resume from its revision because that revision is
+    /// compacted. Read the range again.
     Compacted,
-    /// The request breaks a limit of the service, for example its size.
+    /// The request violates a limit of the service, for example the size
+    /// limit.
     Invalid,
 }
 
 impl fmt::Display for KvError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            KvError::NotDone => "the key-value service did not do the call",
-            KvError::Unknown => "the answer of the key-value service is lost",
-            KvError::LeaseGone => "the lease has ended",
-            KvError::Compacted => "the watched revision is compacted",
-            KvError::Invalid => "the key-value service rejects the call",
+            KvError::NotDone => {
+                "the key-value service did not execute the call"
+            }
+            KvError::Unknown => {
+                "the response of the key-value service was lost"
+            }
+            KvError::LeaseGone => "the lease has expired",
+            KvError::Compacted => "the watched revision has been compacted",
+            KvError::Invalid => "the key-value service rejected the call",
         })
     }
 }
 
 impl std::error::Error for KvError {}
 
-/// Names a lease of the service.
+/// Id of a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Ord, PartialOrd, Hash)]
 pub struct LeaseId(pub i64);
 
@@ -44,36 +49,36 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// Revision at which the key came to be; serves as a fencing number.
+    /// Revision at which the key was created; serves as a fencing token.
     pub create_revision: u64,
     /// Revision of the last write to the key.
     pub mod_revision: u64,
-    /// Lease that the key ends with, if any.
+    /// Lease that the key is attached to.
     pub lease: Option<LeaseId>,
 }
 
 /// A condition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Compare {
-    /// Holds if the key's last write was at this revision; 0 means that the
+    /// Holds if the last write to the key has this revision; 0 means that the
     /// key does not exist.
     ModRevision {
-        /// Key to look at.
+        /// Key to compare.
         key: String,
         /// Expected revision.
         equals: u64,
     },
-    /// Holds if the key was created at this revision; 0 means that it does
-    /// not exist.
+    /// Holds if the key was created at this revision; 0 means that the key
+    /// does not exist.
     CreateRevision {
-        /// Key to look at.
+        /// Key to compare.
         key: String,
         /// Expected revision.
         equals: u64,
     },
 }
 
-/// A step of a transaction.
+/// An operation of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Op {
     /// Writes one key.
@@ -82,7 +87,7 @@
         key: String,
         /// New value.
         value: Vec<u8>,
-        /// Lease that the key ends with.
+        /// Lease that the key is attached to.
         lease: Option<LeaseId>,
     },
     /// Deletes one key.
@@ -95,31 +100,30 @@
         /// Key to read.
         key: String,
     },
-    /// Reads keys with a prefix, in order.
+    /// Reads the keys with a prefix, in order.
     GetPrefix {
-        /// Common start of the keys.
+        /// Prefix of the keys.
         prefix: String,
-        /// Most keys to return; 0 is no limit.
+        /// Maximum number of keys; 0 means no limit.
         limit: u32,
     },
 }
 
-/// A transaction: all of `success` if every comparison holds, else all of
-/// `failure`.
+/// A transaction: runs `success` if all comparisons hold, otherwise `failure`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Txn {
-    /// Conditions.
+    /// Comparisons.
     pub compares: Vec<Compare>,
-    /// Steps if all hold.
+    /// Operations if all comparisons hold.
     pub success: Vec<Op>,
-    /// Steps otherwise.
+    /// Operations otherwise.
     pub failure: Vec<Op>,
 }
 
-/// Answer to one step.
+/// Result of an operation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OpReply {
-    /// The key is written.
+    /// The key was written.
     Put,
     /// This many keys were deleted.
     Deleted(u64),
@@ -127,27 +131,28 @@
     Read(Vec<KeyValue>),
 }
 
-/// Answer to a transaction.
+/// Response to a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TxnReply {
-    /// Tells which branch ran.
+    /// Whether the `success` branch ran.
     pub succeeded: bool,
-    /// Revision of the service after it.
+    /// Revision of the store after the transaction.
     pub revision: u64,
-    /// One answer for each step of that branch.
+    /// One result for each operation of the branch that ran.
     pub replies: Vec<OpReply>,
 }
 
-/// Answer to a read.
+/// Response to a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GetReply {
-    /// Revision of the service at the read; a watch goes on from the next.
+    /// Revision of the store at the time of the read; a watch resumes from the
+    /// next one.
     pub revision: u64,
     /// The keys, in order.
     pub kvs: Vec<KeyValue>,
 }
 
-/// A change seen by a watch.
+/// A change that a watch delivers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// A key was written.
@@ -161,16 +166,16 @@
     },
 }
 
-/// Changes that a watch delivers at once.
+/// Changes that a watch delivers together.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WatchBatch {
-    /// Revision that the batch reaches.
+    /// Revision up to which the changes are complete.
     pub revision: u64,
-    /// Changes in order.
+    /// Changes in order of their revisions.
     pub events: Vec<Event>,
 }
 
-/// What the calls of [`Kv`] return.
+/// Future that the methods of [`Kv`] return.
 pub type KvFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, Report<KvError>>> + Send + 'a>>;
 
@@ -180,8 +185,8 @@
     ///
     /// # Errors
     ///
-    /// Any error ends the watch. The holder reads the range again and starts
-    /// a new watch, so that a gap is never passed over in silence.
+    /// Any error ends the watch. The caller reads the range again and starts a
+    /// new watch, so that no gap goes unnoticed.
     fn next(&mut self) -> KvFuture<'_, WatchBatch>;
 }
 
@@ -190,12 +195,12 @@
     /// Reads one key.
     fn get(&self, key: &str) -> KvFuture<'_, GetReply>;
 
-    /// Reads the keys with a prefix; a `limit` of 0 is no limit.
+    /// Reads the keys with a prefix; a `limit` of 0 means no limit.
     fn get_prefix(&self, prefix: &str, limit: u32) -> KvFuture<'_, GetReply>;
 
-    /// Reads the keys with a prefix as they were up to some seconds ago, for
-    /// callers that can do with that: it costs the service far less. Where
-    /// there is no such read it is a read of now.
+    /// Reads the keys with a prefix from a copy that may be some seconds
+    /// stale, at a much lower cost to the key-value service. The default
+    /// implementation makes a current read.
     fn get_prefix_stale(&self, prefix: &str) -> KvFuture<'_, GetReply> {
         self.get_prefix(prefix, 0)
     }
@@ -207,13 +212,13 @@
     /// [`KvError::Unknown`] if it may have taken effect.
     fn txn(&self, txn: Txn) -> KvFuture<'_, TxnReply>;
 
-    /// Runs a transaction that may wait so long for those of other writers,
-    /// to share a call with them. Where nothing collects them it runs at
-    /// once.
+    /// Runs a transaction that may be delayed by up to `max_wait_ms` to share
+    /// a call with those of other writers. The default implementation runs it
+    /// immediately.
     ///
     /// # Errors
     ///
-    /// As [`txn`](Self::txn).
+    /// As for [`txn`](Self::txn).
     fn txn_batched(
         &self,
         txn: Txn,
@@ -222,20 +227,20 @@
         self.txn(txn)
     }
 
-    /// Grants a lease that ends `ttl_s` seconds after its last renewal.
+    /// Grants a lease that expires `ttl_s` seconds after its last renewal.
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId>;
 
     /// Renews a lease.
     ///
     /// # Errors
     ///
-    /// [`KvError::LeaseGone`] if it has ended.
+    /// [`KvError::LeaseGone`] if the lease has expired.
     fn lease_keep_alive(&self, lease: LeaseId) -> KvFuture<'_, ()>;
 
-    /// Ends a lease and deletes its keys.
+    /// Revokes a lease and deletes its keys.
     fn lease_revoke(&self, lease: LeaseId) -> KvFuture<'_, ()>;
 
-    /// Watches the keys with a prefix from a revision on.
+    /// Watches the keys with a prefix, starting at a revision.
     fn watch(
         &self,
         prefix: &str,
@@ -243,7 +248,7 @@
     ) -> KvFuture<'_, Box<dyn Watcher>>;
 }
 
-/// A service whose transactions may all wait for those of other writers.
+/// Adapter that lets all transactions share calls with those of other writers.
 ///
 /// # Example
 ///
@@ -265,7 +270,8 @@
 }
 
 impl BatchingKv {
-    /// Lets the transactions of a service wait for `max_wait_ms` each.
+    /// Creates an adapter whose transactions may each be delayed by up to
+    /// `max_wait_ms`.
     pub fn new(kv: Arc<dyn Kv>, max_wait_ms: u64) -> Self {
         Self { kv, max_wait_ms }
     }
--- a/crates/kv/src/mvcc.rs
+++ b/crates/kv/src/mvcc.rs
@@ -1,11 +1,11 @@
-//! State machine of a key-value service with revisions, leases and a log.
+//! State machine of a key-value store with revisions, leases and a change log.
 //!
-//! It behaves as etcd does for what the system uses: every writing
-//! transaction gets the next revision, changes stay readable until they are
-//! compacted, and the end of a lease deletes its keys as one transaction.
-//! There is no I/O and no clock in it; the in-memory fake
-//! ([`Memory`](crate::Memory)) and the stand-in server share it, so that
-//! both have the same semantics.
+//! Its semantics match those of etcd for the operations that the system uses:
+//! every write transaction increments the revision, changes stay readable
+//! until they are compacted, and the expiry of a lease deletes its keys in one
+//! transaction. The state machine has no I/O and no clock. The in-memory fake
+//! ([`Memory`](crate::Memory)) and the stand-in server share it, so that both
+//! have the same semantics.
 //!
 //! # Example
 //!
@@ -42,26 +42,26 @@
     },
 };
 
-/// Says why the store rejects a call; the call had no effect.
+/// Reason why the store rejected a call. The call had no effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StoreError {
     /// A key is empty.
     EmptyKey,
-    /// A value is over the limit.
+    /// A value exceeds the size limit.
     TooLarge,
-    /// A transaction has too many steps or conditions.
+    /// A transaction has too many operations or conditions.
     TooManyOps,
     /// A transaction writes one key twice.
     DuplicateKey,
-    /// The lease has ended or never was.
+    /// The lease has expired or does not exist.
     LeaseNotFound,
-    /// A lease with this number exists.
+    /// A lease with this id exists.
     LeaseExists,
     /// The time to live of a lease is out of range.
     InvalidLeaseTtl,
-    /// The revision is compacted away.
+    /// The revision has been compacted.
     Compacted,
-    /// The revision is yet to come.
+    /// The revision is in the future.
     FutureRevision,
 }
 
--- a/crates/kv/src/mvcc/convert.rs
+++ b/crates/kv/src/mvcc/convert.rs
@@ -1,4 +1,5 @@
-//! Between the store's types and those of the [`Kv`](crate::Kv) trait.
+//! Conversions between the types of the store and those of the
+//! [`Kv`](crate::Kv) trait.
 
 use crate::{
     Compare, Event, KeyValue, KvError, Op, OpReply, Txn, TxnReply,
@@ -115,8 +116,8 @@
     }
 }
 
-/// The system's own keys are text; another writer's that are not stay
-/// recognisable.
+/// Converts a key to text. The keys of this system are UTF-8; other keys in
+/// the store are converted lossily, so that they stay recognisable.
 fn text(key: Vec<u8>) -> String {
     String::from_utf8(key)
         .unwrap_or_else(|e| String::from_utf8_lossy(e.as_bytes()).into())
--- a/crates/kv/src/mvcc/lease.rs
+++ b/crates/kv/src/mvcc/lease.rs
@@ -4,34 +4,35 @@
 
 use crate::{LeaseId, mvcc::StoreError};
 
-/// Number of the first lease, too large for a double-precision float, as
-/// those of etcd are; a client that reads it as one is noticed at once.
-const FIRST_LEASE: i64 = 0x1000_0000_0000_0001;
+/// First lease id. Like the ids of etcd it exceeds the range of integers that
+/// a double-precision float represents exactly, so that a client that parses
+/// it as a float fails in tests.
+const FIRST_LEASE_ID: i64 = 0x1000_0000_0000_0001;
 
-/// Longest time to live, in seconds, that etcd accepts.
-const TTL_MAX_S: u32 = 9_000_000;
+/// Maximum time to live that etcd accepts, in seconds.
+const MAX_TTL_S: u32 = 9_000_000;
 
 const MS_PER_S: u64 = 1_000;
 
 #[derive(Clone, Debug)]
 struct Lease {
     ttl_s: u32,
-    ends_at: Millis,
+    expires_at: Millis,
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// Leases with their keys and end times.
+/// Leases with their keys and expiry times.
 #[derive(Clone, Debug)]
 pub(super) struct Leases {
     by_id: BTreeMap<LeaseId, Lease>,
-    next: i64,
+    next_number: i64,
 }
 
 impl Default for Leases {
     fn default() -> Self {
         Self {
             by_id: BTreeMap::new(),
-            next: FIRST_LEASE,
+            next_number: FIRST_LEASE_ID,
         }
     }
 }
@@ -43,7 +44,7 @@
         id: Option<LeaseId>,
         ttl_s: u32,
     ) -> Result<LeaseId, StoreError> {
-        if ttl_s == 0 || ttl_s > TTL_MAX_S {
+        if ttl_s == 0 || ttl_s > MAX_TTL_S {
             return Err(StoreError::InvalidLeaseTtl);
         }
         let id = id.unwrap_or_else(|| self.next_id());
@@ -52,7 +53,7 @@
         }
         let lease = Lease {
             ttl_s,
-            ends_at: end(now, ttl_s),
+            expires_at: expiry(now, ttl_s),
             keys: BTreeSet::new(),
         };
         self.by_id.insert(id, lease);
@@ -66,7 +67,7 @@
     ) -> Result<u32, StoreError> {
         let lease =
             self.by_id.get_mut(&id).ok_or(StoreError::LeaseNotFound)?;
-        lease.ends_at = end(now, lease.ttl_s);
+        lease.expires_at = expiry(now, lease.ttl_s);
         Ok(lease.ttl_s)
     }
 
@@ -83,13 +84,13 @@
         self.by_id.contains_key(&id)
     }
 
-    pub(super) fn ended(&self, now: Millis) -> Vec<LeaseId> {
-        let ended = self.by_id.iter().filter(|(_, l)| l.ends_at <= now);
-        ended.map(|(id, _)| *id).collect()
+    pub(super) fn expired(&self, now: Millis) -> Vec<LeaseId> {
+        let expired = self.by_id.iter().filter(|(_, l)| l.expires_at <= now);
+        expired.map(|(id, _)| *id).collect()
     }
 
-    pub(super) fn next_end(&self) -> Option<Millis> {
-        self.by_id.values().map(|lease| lease.ends_at).min()
+    pub(super) fn next_expiry(&self) -> Option<Millis> {
+        self.by_id.values().map(|lease| lease.expires_at).min()
     }
 
     pub(super) fn len(&self) -> usize {
@@ -109,15 +110,15 @@
     }
 
     fn next_id(&mut self) -> LeaseId {
-        while self.by_id.contains_key(&LeaseId(self.next)) {
-            self.next += 1;
+        while self.by_id.contains_key(&LeaseId(self.next_number)) {
+            self.next_number += 1;
         }
-        let id = LeaseId(self.next);
-        self.next += 1;
+        let id = LeaseId(self.next_number);
+        self.next_number += 1;
         id
     }
 }
 
-fn end(now: Millis, ttl_s: u32) -> Millis {
+fn expiry(now: Millis, ttl_s: u32) -> Millis {
     now.saturating_add_ms(u64::from(ttl_s) * MS_PER_S)
 }
--- a/crates/kv/src/mvcc/range.rs
+++ b/crates/kv/src/mvcc/range.rs
@@ -1,7 +1,7 @@
-/// End of a range that reaches to the last key, as etcd writes it.
+/// Range end that selects all following keys, in etcd's encoding.
 const OPEN_END: &[u8] = b"\0";
 
-/// Selects one key or a run of neighbouring keys.
+/// Selects one key or a range of adjacent keys.
 ///
 /// # Example
 ///
@@ -31,7 +31,7 @@
         Self::new(key.into(), Vec::new())
     }
 
-    /// Selects all keys with a prefix; an empty one selects every key.
+    /// Selects all keys with a prefix; an empty prefix selects every key.
     pub fn prefix(prefix: impl Into<Vec<u8>>) -> Self {
         let start = prefix.into();
         let end = prefix_end(&start);
@@ -41,8 +41,8 @@
         Self::new(start, end)
     }
 
-    /// Reads a range as etcd's requests carry it: an empty `range_end`
-    /// stands for the one key, a zero byte for all keys from `key` on.
+    /// Creates a range in etcd's encoding: an empty `range_end` selects the
+    /// single key, a zero byte all keys from `key` on.
     pub fn new(key: Vec<u8>, range_end: Vec<u8>) -> Self {
         let end = match range_end.as_slice() {
             [] => End::SingleKey,
@@ -58,7 +58,7 @@
         &self.start
     }
 
-    /// Returns the end as etcd's requests carry it.
+    /// Returns the end of the range in etcd's encoding.
     pub fn range_end(&self) -> &[u8] {
         match &self.end {
             End::SingleKey => &[],
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Tells whether a key is selected.
+    /// Reports whether the range contains a key.
     pub fn contains(&self, key: &[u8]) -> bool {
         match &self.end {
             End::SingleKey => key == self.start,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns the first key behind all keys with a prefix.
+/// Returns the first key after all keys with a prefix.
 fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/kv/src/mvcc/store.rs
+++ b/crates/kv/src/mvcc/store.rs
@@ -14,19 +14,20 @@
     },
 };
 
-/// Revision of an empty store, as of a new etcd.
+/// Revision of an empty store, the same as in etcd.
 const FIRST_REVISION: u64 = 1;
 
-/// What a store accepts and keeps.
+/// Limits of requests and of the change log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Largest value.
+    /// Maximum size of a value, in bytes.
     pub value_max_bytes: usize,
-    /// Most steps or conditions of a transaction.
+    /// Maximum number of operations or conditions in a transaction.
     pub txn_max_ops: usize,
-    /// Changes kept for watches; older ones are compacted.
+    /// Maximum number of changes kept for watches; older ones are compacted.
     pub history_max_changes: usize,
-    /// Bytes of values kept for watches; older ones are compacted.
+    /// Maximum size of the values kept for watches, in bytes; older ones are
+    /// compacted.
     pub history_max_bytes: usize,
 }
 
@@ -48,13 +49,13 @@
     pub key: Vec<u8>,
     /// The value.
     pub value: Arc<[u8]>,
-    /// Revision at which the key came to be.
+    /// Revision at which the key was created.
     pub create_revision: u64,
     /// Revision of the last write.
     pub mod_revision: u64,
-    /// Number of writes since the key came to be.
+    /// Number of writes since the key was created.
     pub version: u64,
-    /// Lease that the key ends with.
+    /// Lease that the key is attached to.
     pub lease: Option<LeaseId>,
 }
 
@@ -65,9 +66,9 @@
     pub revision: u64,
     /// The key.
     pub key: Vec<u8>,
-    /// Record after it; `None` for a deletion.
+    /// Record after the change; `None` for a deletion.
     pub current: Option<Record>,
-    /// Record before it.
+    /// Record before the change.
     pub previous: Option<Record>,
 }
 
@@ -77,16 +78,16 @@
     }
 }
 
-/// Answer to a read.
+/// Result of a read.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RangeReply {
-    /// The records, in order of their keys.
+    /// The records, in key order.
     pub records: Vec<Record>,
-    /// How many keys the range selects, also beyond the limit.
+    /// Number of keys in the range, including those beyond the limit.
     pub count: usize,
 }
 
-/// Keys, leases and the log of changes.
+/// Keys, leases and the change log.
 ///
 /// See the [module](crate::mvcc) for an example.
 #[derive(Clone, Debug)]
@@ -107,7 +108,7 @@
 }
 
 impl Store {
-    /// Makes an empty store at revision 1.
+    /// Creates an empty store at revision 1.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -138,8 +139,8 @@
         self.leases.len()
     }
 
-    /// Reads keys as of a revision; 0 stands for the current one, and a
-    /// `limit` of 0 for no limit.
+    /// Reads keys at a revision. A `revision` of 0 means the current one, and
+    /// a `limit` of 0 means no limit.
     ///
     /// # Errors
     ///
@@ -156,25 +157,25 @@
             return Err(StoreError::FutureRevision);
         }
         if revision == 0 || revision == self.revision {
-            return Ok(reply(self.select(range), limit));
+            return Ok(range_reply(self.select(range), limit));
         }
         if revision < self.compacted {
             return Err(StoreError::Compacted);
         }
         let past = self.records_at(range, revision);
-        Ok(reply(past.values(), limit))
+        Ok(range_reply(past.values(), limit))
     }
 
     /// Runs a transaction.
     ///
     /// # Errors
     ///
-    /// Any error leaves the store as it was.
+    /// On any error the store is unchanged.
     pub fn commit(
         &mut self,
         txn: &Transaction,
     ) -> Result<Outcome, StoreError> {
-        self.check(txn)?;
+        self.validate(txn)?;
         let holds = |c: &super::Condition| c.holds(self.keys.get(&c.key));
         let succeeded = txn.conditions.iter().all(holds);
         let steps = match succeeded {
@@ -182,10 +183,10 @@
             false => &txn.failure,
         };
         self.check_leases(steps)?;
-        let logged = self.log.len();
+        let log_len_before = self.log.len();
         let next = self.revision + 1;
         let replies = steps.iter().map(|s| self.apply(s, next)).collect();
-        self.end_transaction(logged, next);
+        self.end_transaction(log_len_before, next);
         Ok(Outcome {
             succeeded,
             is_write: steps.iter().any(Step::is_write),
@@ -194,8 +195,8 @@
         })
     }
 
-    /// Grants a lease that ends `ttl_s` seconds after its last renewal;
-    /// `None` as its number picks one.
+    /// Grants a lease that expires `ttl_s` seconds after its last renewal.
+    /// Without an `id` the store chooses one.
     ///
     /// # Errors
     ///
@@ -222,42 +223,42 @@
         self.leases.keep_alive(now, id)
     }
 
-    /// Ends a lease and deletes its keys in one transaction.
+    /// Revokes a lease and deletes its keys in one transaction.
     ///
     /// # Errors
     ///
     /// [`StoreError::LeaseNotFound`].
     pub fn revoke(&mut self, id: LeaseId) -> Result<(), StoreError> {
         let keys = self.leases.remove(id)?;
-        let logged = self.log.len();
+        let log_len_before = self.log.len();
         let next = self.revision + 1;
         for key in keys {
             self.delete(key, next);
         }
-        self.end_transaction(logged, next);
+        self.end_transaction(log_len_before, next);
         Ok(())
     }
 
-    /// Ends the leases whose time has come and returns them.
+    /// Removes the expired leases and returns their ids.
     pub fn expire(&mut self, now: Millis) -> Vec<LeaseId> {
-        let ended = self.leases.ended(now);
-        for id in &ended {
-            // The lease was found a moment ago.
+        let expired = self.leases.expired(now);
+        for id in &expired {
+            // The id was just read from the leases, so this cannot fail.
             let _ = self.revoke(*id);
         }
-        ended
+        expired
     }
 
-    /// Returns when the next lease ends unless it is renewed.
+    /// Returns the next time at which a lease expires unless it is renewed.
     pub fn next_expiry(&self) -> Option<Millis> {
-        self.leases.next_end()
+        self.leases.next_expiry()
     }
 
-    /// Returns the changes of the selected keys from a revision on.
+    /// Returns the changes of the selected keys, starting at a revision.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Compacted`] if some of them are no longer known.
+    /// [`StoreError::Compacted`] if some of the changes have been compacted.
     pub fn changes(
         &self,
         range: &KeyRange,
@@ -272,12 +273,12 @@
         Ok(selected.cloned().collect())
     }
 
-    /// Forgets the changes up to a revision.
+    /// Compacts the log up to a revision.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Compacted`] if it was done before,
-    /// [`StoreError::FutureRevision`] if the revision is yet to come.
+    /// [`StoreError::Compacted`] if the revision is already compacted,
+    /// [`StoreError::FutureRevision`] if it is in the future.
     pub fn compact(&mut self, revision: u64) -> Result<(), StoreError> {
         if revision > self.revision {
             return Err(StoreError::FutureRevision);
@@ -285,11 +286,11 @@
         if revision <= self.compacted {
             return Err(StoreError::Compacted);
         }
-        self.forget(revision);
+        self.discard_through(revision);
         Ok(())
     }
 
-    fn check(&self, txn: &Transaction) -> Result<(), StoreError> {
+    fn validate(&self, txn: &Transaction) -> Result<(), StoreError> {
         let max = self.limits.txn_max_ops;
         let lens = [&txn.success, &txn.failure].map(Vec::len);
         if txn.conditions.len().max(lens[0]).max(lens[1]) > max {
@@ -350,24 +351,25 @@
                 StepReply::Deleted(deleted.collect())
             }
             Step::Range { range, limit } => {
-                StepReply::Range(reply(self.select(range), *limit))
+                StepReply::Range(range_reply(self.select(range), *limit))
             }
         }
     }
 
     fn put(&mut self, put: &Put, revision: u64) -> Option<Record> {
-        let old = self.keys.get(&put.key);
+        let current = self.keys.get(&put.key);
         let record = Record {
             key: put.key.clone(),
             value: put.value.clone(),
-            create_revision: old.map_or(revision, |o| o.create_revision),
+            create_revision: current.map_or(revision, |r| r.create_revision),
             mod_revision: revision,
-            version: old.map_or(1, |o| o.version + 1),
+            version: current.map_or(1, |r| r.version + 1),
             lease: put.lease,
         };
         let previous = self.keys.insert(put.key.clone(), record.clone());
-        let old_lease = previous.as_ref().and_then(|old| old.lease);
-        self.leases.detach(old_lease, &put.key);
+        let previous_lease =
+            previous.as_ref().and_then(|previous| previous.lease);
+        self.leases.detach(previous_lease, &put.key);
         self.leases.attach(put.lease, &put.key);
         self.append(Change {
             revision,
@@ -395,20 +397,20 @@
         self.log.push_back(change);
     }
 
-    /// Takes the next revision if anything was logged, and keeps the log
-    /// within its limits.
-    fn end_transaction(&mut self, logged_before: usize, next: u64) {
-        if self.log.len() == logged_before {
+    /// Advances the revision if the transaction logged changes, and compacts
+    /// the log to its limits.
+    fn end_transaction(&mut self, log_len_before: usize, next: u64) {
+        if self.log.len() == log_len_before {
             return;
         }
         self.revision = next;
         while self.is_log_over_limit() {
             let oldest = self.log.front().map_or(0, |c| c.revision);
             if oldest >= self.revision {
-                // The latest transaction always stays for the watches.
+                // The latest transaction is always kept for the watches.
                 return;
             }
-            self.forget(oldest);
+            self.discard_through(oldest);
         }
     }
 
@@ -417,9 +419,9 @@
             || self.log_bytes > self.limits.history_max_bytes
     }
 
-    fn forget(&mut self, revision: u64) {
-        let gone = self.log_position(revision + 1);
-        for change in self.log.drain(..gone) {
+    fn discard_through(&mut self, revision: u64) {
+        let discarded = self.log_position(revision + 1);
+        for change in self.log.drain(..discarded) {
             self.log_bytes -= change.value_bytes();
         }
         self.compacted = revision;
@@ -439,7 +441,8 @@
             .take_while(|record| range.contains(&record.key))
     }
 
-    /// Takes back the changes after a revision, newest first.
+    /// Reconstructs the records at a revision by undoing the later changes,
+    /// newest first.
     fn records_at(
         &self,
         range: &KeyRange,
@@ -454,7 +457,9 @@
                 continue;
             }
             match &change.previous {
-                Some(old) => records.insert(old.key.clone(), old.clone()),
+                Some(previous) => {
+                    records.insert(previous.key.clone(), previous.clone())
+                }
                 None => records.remove(&change.key),
             };
         }
@@ -469,7 +474,7 @@
     }
 }
 
-fn reply<'a>(
+fn range_reply<'a>(
     selected: impl Iterator<Item = &'a Record>,
     limit: usize,
 ) -> RangeReply {
--- a/crates/kv/src/mvcc/txn.rs
+++ b/crates/kv/src/mvcc/txn.rs
@@ -12,12 +12,12 @@
     pub key: Vec<u8>,
     /// New value.
     pub value: Arc<[u8]>,
-    /// Lease that the key ends with.
+    /// Lease that the key is attached to.
     pub lease: Option<LeaseId>,
 }
 
 impl Put {
-    /// Writes a key that no lease ends.
+    /// Creates a write without a lease.
     pub fn new(key: impl Into<Vec<u8>>, value: impl AsRef<[u8]>) -> Self {
         Self {
             key: key.into(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Ties the key to a lease.
+    /// Attaches the key to a lease.
     #[must_use]
     pub fn with_lease(mut self, lease: LeaseId) -> Self {
         self.lease = Some(lease);
@@ -45,45 +45,45 @@
     Range {
         /// Keys to read.
         range: KeyRange,
-        /// Most keys to return; 0 is no limit.
+        /// Maximum number of keys; 0 means no limit.
         limit: usize,
     },
 }
 
 impl Step {
-    /// Tells whether the step may change a key.
+    /// Reports whether the step may change a key.
     #[inline]
     pub fn is_write(&self) -> bool {
         !matches!(self, Step::Range { .. })
     }
 }
 
-/// What a condition compares, with the value to compare to.
+/// Property that a condition compares, with the value to compare to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Operand {
-    /// Number of writes since the key came to be.
+    /// Number of writes since the key was created.
     Version(u64),
-    /// Revision at which the key came to be.
+    /// Revision at which the key was created.
     CreateRevision(u64),
     /// Revision of the last write.
     ModRevision(u64),
     /// The value.
     Value(Vec<u8>),
-    /// Number of the lease, 0 for none.
+    /// Id of the lease; 0 means none.
     Lease(i64),
 }
 
-/// How a condition compares.
+/// Relation of a condition.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Relation {
-    /// The found one equals the given one.
+    /// The stored value equals the given one.
     #[default]
     Equal,
-    /// The found one is greater.
+    /// The stored value is greater.
     Greater,
-    /// The found one is less.
+    /// The stored value is less.
     Less,
-    /// They differ.
+    /// The values differ.
     NotEqual,
 }
 
@@ -101,18 +101,18 @@
 /// A condition of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Condition {
-    /// Key to look at.
+    /// Key to compare.
     pub key: Vec<u8>,
-    /// How to compare.
+    /// Relation that must hold.
     pub relation: Relation,
-    /// What to compare.
+    /// Property and value to compare.
     pub operand: Operand,
 }
 
 impl Condition {
-    /// Tells whether the condition holds for the key's record.
+    /// Reports whether the condition holds for the record of the key.
     ///
-    /// For a missing key every number is 0, and no condition on its value
+    /// For a missing key all numbers are 0, and no condition on the value
     /// holds.
     pub fn holds(&self, found: Option<&Record>) -> bool {
         let number = |of: fn(&Record) -> u64| found.map_or(0, of);
@@ -133,19 +133,19 @@
     }
 }
 
-/// All of `success` if every condition holds, else all of `failure`.
+/// A transaction: runs `success` if all conditions hold, otherwise `failure`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Transaction {
     /// Conditions.
     pub conditions: Vec<Condition>,
-    /// Steps if all hold.
+    /// Steps if all conditions hold.
     pub success: Vec<Step>,
     /// Steps otherwise.
     pub failure: Vec<Step>,
 }
 
 impl Transaction {
-    /// Runs steps without a condition.
+    /// Creates a transaction without conditions.
     pub fn of(steps: impl IntoIterator<Item = Step>) -> Self {
         Self {
             success: steps.into_iter().collect(),
@@ -153,18 +153,18 @@
         }
     }
 
-    /// Tells whether either branch has a writing step.
+    /// Reports whether either branch has a write step.
     pub fn is_write(&self) -> bool {
         self.success.iter().chain(&self.failure).any(Step::is_write)
     }
 }
 
-/// Answer to one step.
+/// Result of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StepReply {
-    /// The key is written over this record.
+    /// The key was written.
     Put {
-        /// Record before.
+        /// Record before the write.
         previous: Option<Record>,
     },
     /// These records were deleted.
@@ -173,15 +173,15 @@
     Range(RangeReply),
 }
 
-/// Answer to a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outcome {
-    /// Tells which branch ran.
+    /// Whether the `success` branch ran.
     pub succeeded: bool,
-    /// Tells whether the branch has writing steps.
+    /// Whether the branch that ran has write steps.
     pub is_write: bool,
-    /// Revision of the store after it.
+    /// Revision of the store after the transaction.
     pub revision: u64,
-    /// One answer for each step of the branch.
+    /// One result for each step of the branch that ran.
     pub replies: Vec<StepReply>,
 }
--- a/crates/kv/src/ops.rs
+++ b/crates/kv/src/ops.rs
@@ -1,69 +1,71 @@
-//! Writes whose outcome is known in the end.
+//! Writes that are retried until their outcome is known.
 
 use base::{Millis, timer::Timer};
 use error_stack::Report;
 
 use crate::{Backoff, GetReply, Kv, KvError, KvFuture, Op, Txn, TxnReply};
 
-/// Shortest ceiling of the pause between attempts.
-const PAUSE_BASE_MS: u64 = 20;
+/// First ceiling of the backoff between attempts, in milliseconds.
+const BACKOFF_BASE_MS: u64 = 20;
 
-/// Longest ceiling of the pause between attempts.
-const PAUSE_CAP_MS: u64 = 2_000;
+/// Maximum ceiling of the backoff between attempts, in milliseconds.
+const BACKOFF_MAX_MS: u64 = 2_000;
 
-/// What the caller concludes from reading a write back.
+/// Conclusion from reading a write back.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReadBack<T> {
-    /// The write took effect: its operation id is there.
+    /// The write took effect: its operation id was found.
     Applied(T),
-    /// The write has no effect and cannot have one any more, because what
-    /// it compares with has changed.
+    /// The write has had no effect and cannot take effect any more, because
+    /// the revision that it compares has changed.
     Superseded,
-    /// What the write compares with still holds; it may yet take effect.
+    /// The revision that the write compares is unchanged, so the write may
+    /// still take effect.
     Undecided,
 }
 
-/// How a guarded write ended.
+/// Outcome of a guarded write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome<T> {
-    /// It took effect.
+    /// The write took effect.
     Applied(T),
-    /// It certainly has no effect, because a comparison does not hold.
+    /// The write had no effect, because a comparison does not hold.
     Superseded,
 }
 
-/// Carries out guarded writes until their outcome is known.
+/// Retries guarded writes until their outcome is known.
 ///
-/// A write whose answer was lost is neither success nor failure, and a
-/// read that does not show it proves nothing while it may still be on its
-/// way. So the write is read back, and if it is still [`ReadBack::Undecided`]
-/// sent once more, unchanged. That is no blind repetition: the transaction
-/// compares revisions that its own effect changes, so that of all copies
-/// only one can take effect.
+/// If the response to a write is lost, its outcome is unknown, and a read that
+/// does not show the write proves nothing while a copy may still be in flight.
+/// The write is therefore read back and, if it is still
+/// [`ReadBack::Undecided`], sent again unchanged. The retry is safe because
+/// the transaction compares revisions that its own effect changes: at most one
+/// of all copies takes effect.
 #[derive(Clone)]
 pub struct Writer {
     timer: Timer,
-    give_up_ms: u64,
+    timeout_ms: u64,
 }
 
 impl Writer {
-    /// Waits by `timer` and gives up after `give_up_ms`.
-    pub fn new(timer: Timer, give_up_ms: u64) -> Self {
-        Self { timer, give_up_ms }
+    /// Creates a writer that waits by `timer` and gives up after `timeout_ms`.
+    pub fn new(timer: Timer, timeout_ms: u64) -> Self {
+        Self { timer, timeout_ms }
     }
 
-    /// Commits `txn` and tells what became of it.
+    /// Commits `txn` and returns its outcome.
     ///
-    /// `txn` must compare a revision that each of its writes changes, and
-    /// its value must carry an operation id. If the answer is lost,
-    /// `read_back` is read and `decide` looks for that id. `answered` makes
-    /// the result from an answer that arrived. `random` spreads the pauses.
+    /// `txn` must compare a revision that each of its writes changes, and its
+    /// value must carry an operation id. If the response is lost, `read_back`
+    /// is read and `decide` looks for that id. `on_reply` computes the result
+    /// from a response that arrived. `random` provides the jitter of the
+    /// backoff.
     ///
     /// # Errors
     ///
-    /// [`KvError::NotDone`] if it certainly has no effect,
-    /// [`KvError::Unknown`] if that is still open when the time is up, and
-    /// the service's other refusals as they are.
+    /// [`KvError::NotDone`] if the write had no effect, [`KvError::Unknown`]
+    /// if this is undecided at the deadline. Other errors of the service are
+    /// returned unchanged.
     ///
     /// # Example
     ///
@@ -116,30 +118,30 @@
         kv: &dyn Kv,
         txn: Txn,
         read_back: Op,
-        answered: impl Fn(&TxnReply) -> T + Send,
+        on_reply: impl Fn(&TxnReply) -> T + Send,
         mut decide: impl FnMut(&GetReply) -> ReadBack<T> + Send,
         mut random: impl FnMut() -> u64 + Send,
     ) -> Result<Outcome<T>, Report<KvError>> {
         let mut attempt = Attempt {
-            backoff: Backoff::new(PAUSE_BASE_MS, PAUSE_CAP_MS),
-            give_up_at: self.timer.now().saturating_add_ms(self.give_up_ms),
-            may_be_done: false,
-            failure: String::new(),
+            backoff: Backoff::new(BACKOFF_BASE_MS, BACKOFF_MAX_MS),
+            deadline: self.timer.now().saturating_add_ms(self.timeout_ms),
+            may_have_applied: false,
+            last_failure: String::new(),
         };
         loop {
             let call = kv.txn(txn.clone());
-            match self.limit(&attempt, call, KvError::Unknown).await {
+            match self.with_deadline(&attempt, call, KvError::Unknown).await {
                 Ok(reply) if reply.succeeded => {
-                    return Ok(Outcome::Applied(answered(&reply)));
+                    return Ok(Outcome::Applied(on_reply(&reply)));
                 }
-                Ok(_) if !attempt.may_be_done => {
+                Ok(_) if !attempt.may_have_applied => {
                     return Ok(Outcome::Superseded);
                 }
-                // An earlier copy may be what changed the revision.
+                // An earlier copy of the write may have changed the revision.
                 Ok(_) => {}
-                Err(report) => attempt.note(report)?,
+                Err(report) => attempt.record_failure(report)?,
             }
-            if attempt.may_be_done {
+            if attempt.may_have_applied {
                 let found = self
                     .read_back(kv, &read_back, &mut attempt, &mut random)
                     .await?;
@@ -151,7 +153,7 @@
                     ReadBack::Undecided => {}
                 }
             }
-            self.pause(&mut attempt, &mut random).await?;
+            self.back_off(&mut attempt, &mut random).await?;
         }
     }
 
@@ -171,20 +173,21 @@
                     kv.get(key)
                 }
             };
-            let found = self.limit(attempt, call, KvError::NotDone).await;
+            let found =
+                self.with_deadline(attempt, call, KvError::NotDone).await;
             match found {
                 Ok(found) => return Ok(found),
                 Err(report) => {
-                    attempt.failure = report.to_string();
-                    self.pause(attempt, random).await?;
+                    attempt.last_failure = report.to_string();
+                    self.back_off(attempt, random).await?;
                 }
             }
         }
     }
 
-    /// Ends a call when the time is up, so that the caller's answer does
-    /// not wait for the client's own timeout.
-    async fn limit<T>(
+    /// Bounds a call by the deadline, so that the caller does not wait for the
+    /// timeout of the client.
+    async fn with_deadline<T>(
         &self,
         attempt: &Attempt,
         call: KvFuture<'_, T>,
@@ -193,59 +196,60 @@
         tokio::select! {
             biased;
             result = call => result,
-            () = self.timer.subscribe_at(attempt.give_up_at) => {
-                Err(Report::new(error).attach("the time is up"))
+            () = self.timer.subscribe_at(attempt.deadline) => {
+                Err(Report::new(error).attach("deadline exceeded"))
             }
         }
     }
 
-    async fn pause(
+    async fn back_off(
         &self,
         attempt: &mut Attempt,
         random: &mut (impl FnMut() -> u64 + Send),
     ) -> Result<(), Report<KvError>> {
         let now = self.timer.now();
-        let again_at = attempt.backoff.record_failure(now, random());
-        if again_at >= attempt.give_up_at {
-            return Err(attempt.give_up());
+        let retry_at = attempt.backoff.record_failure(now, random());
+        if retry_at >= attempt.deadline {
+            return Err(attempt.timeout_report());
         }
-        self.timer.subscribe_at(again_at).await;
+        self.timer.subscribe_at(retry_at).await;
         Ok(())
     }
 }
 
-/// State of one write over its attempts.
+/// State of a write across its attempts.
 struct Attempt {
     backoff: Backoff,
-    give_up_at: Millis,
-    may_be_done: bool,
-    failure: String,
+    deadline: Millis,
+    may_have_applied: bool,
+    last_failure: String,
 }
 
 impl Attempt {
-    /// Sorts out the failures that no further attempt changes.
-    fn note(
+    /// Returns the error if no further attempt can succeed.
+    fn record_failure(
         &mut self,
         report: Report<KvError>,
     ) -> Result<(), Report<KvError>> {
-        self.failure = report.to_string();
+        self.last_failure = report.to_string();
         match report.current_context() {
-            KvError::Unknown => self.may_be_done = true,
+            KvError::Unknown => self.may_have_applied = true,
             KvError::NotDone => {}
-            // A refusal of this copy says nothing about an earlier one.
-            _ if self.may_be_done => {}
+            // The rejection of this copy does not decide the outcome of an
+            // earlier one.
+            _ if self.may_have_applied => {}
             _ => return Err(report),
         }
         Ok(())
     }
 
-    fn give_up(&self) -> Report<KvError> {
-        let error = match self.may_be_done {
+    fn timeout_report(&self) -> Report<KvError> {
+        let error = match self.may_have_applied {
             true => KvError::Unknown,
             false => KvError::NotDone,
         };
         Report::new(error)
             .attach(format!("after {} attempts", self.backoff.failures()))
-            .attach(format!("last failure: {}", self.failure))
+            .attach(format!("last failure: {}", self.last_failure))
     }
 }
--- a/crates/kv/src/paths.rs
+++ b/crates/kv/src/paths.rs
@@ -1,4 +1,4 @@
-//! Which way a call takes to the key-value service.
+//! Selection of the network path to the key-value service.
 
 use std::{
     net::SocketAddr,
@@ -7,16 +7,17 @@
 
 use base::Millis;
 
-/// Time between two tries of the direct way while it fails, in
-/// milliseconds: each costs a call that is paid for.
-const DIRECT_AGAIN_MS: u64 = 1_000;
+/// Interval between attempts on the direct path while it is down, in
+/// milliseconds. Each attempt is a call that is billed.
+const DIRECT_RETRY_INTERVAL_MS: u64 = 1_000;
 
-/// The ways to the service: directly, or through another node.
+/// The paths to the key-value service: direct, or through a peer.
 ///
-/// The service may turn single nodes away, or the path from one node to it
-/// may be cut, while all others reach it. One sees nodes that refuse jobs
-/// and run old configurations beside others that do not. Such a node then
-/// uses another one's path, and tries its own again now and then.
+/// The service may reject single nodes, or the network between one node and
+/// the service may fail while all others reach it. Such a node would refuse
+/// jobs and run an outdated configuration while its peers work normally. It
+/// therefore sends its calls through a peer, and tries the direct path again
+/// at an interval.
 ///
 /// # Example
 ///
@@ -43,37 +44,37 @@
 
 #[derive(Debug)]
 struct Inner {
-    /// Time between two calls while the service is away, in milliseconds.
-    away_pause_ms: u64,
+    /// Interval between two calls during an outage, in milliseconds.
+    outage_interval_ms: u64,
     peers: Vec<SocketAddr>,
-    turn: usize,
-    direct_lost: bool,
+    next_peer: usize,
+    is_direct_down: bool,
     direct_tried_at: Option<Millis>,
-    /// Failures since the last call that went well, by whatever way.
+    /// Consecutive failures over all paths.
     failures: u32,
     failed_at: Millis,
 }
 
-/// Failures in a row after which the service counts as away. Single answers
-/// are lost also when it is there.
-const AWAY_FAILURES: u32 = 3;
+/// Consecutive failures after which the service counts as down. Single
+/// responses are also lost while it is up.
+const OUTAGE_FAILURES: u32 = 3;
 
-/// Time between two calls of a node while the service is away, in
-/// milliseconds, unless it is set.
+/// Default interval between two calls of a node during an outage, in
+/// milliseconds.
 ///
-/// What goes wrong without it: each request of a caller becomes calls that
-/// fail, all of which are paid for; one saw 6,800 calls in an outage of six
-/// seconds where 36 nodes need a few hundred to notice its end.
-const AWAY_PAUSE_MS: u64 = 400;
+/// Without a pause each request of a caller causes calls that fail and are
+/// billed all the same: 6,800 calls were seen in an outage of six seconds,
+/// where 36 nodes need a few hundred to notice its end.
+const DEFAULT_OUTAGE_INTERVAL_MS: u64 = 400;
 
 impl Paths {
-    /// Starts with the direct way alone.
+    /// Creates a set with only the direct path.
     pub fn new(direct: SocketAddr) -> Self {
         let inner = Inner {
-            away_pause_ms: AWAY_PAUSE_MS,
+            outage_interval_ms: DEFAULT_OUTAGE_INTERVAL_MS,
             peers: Vec::new(),
-            turn: 0,
-            direct_lost: false,
+            next_peer: 0,
+            is_direct_down: false,
             direct_tried_at: None,
             failures: 0,
             failed_at: Millis::default(),
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Sets the time between two calls while the service is away, so that
-    /// the nodes of a large fleet do not make more calls together than those
-    /// of a small one.
+    /// Sets the interval between two calls during an outage. A larger interval
+    /// keeps the total number of calls of a large fleet at that of a small
+    /// one.
     ///
     /// # Example
     ///
@@ -104,46 +105,55 @@
     /// assert_eq!(paths.pick(Millis::new(1_900)), None);
     /// assert_eq!(paths.pick(Millis::new(2_010)), Some(direct));
     /// ```
-    pub fn set_outage_interval_ms(&self, away_pause_ms: u64) {
-        self.lock().away_pause_ms = away_pause_ms;
+    pub fn set_outage_interval_ms(&self, outage_interval_ms: u64) {
+        self.lock().outage_interval_ms = outage_interval_ms;
     }
 
-    /// Sets the nodes that pass calls on, in the order of their use.
+    /// Sets the peers that forward calls, in the order in which they are
+    /// tried.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         self.lock().peers = peers;
     }
 
-    /// Returns the address for the next call; none while the service is away
-    /// and was asked a moment ago.
+    /// Returns the address for the next call, or `None` during an outage if
+    /// the last failure is too recent.
     pub fn pick(&self, now: Millis) -> Option<SocketAddr> {
         let mut inner = self.lock();
         let since_ms = now.saturating_ms_since(inner.failed_at);
-        if inner.failures >= AWAY_FAILURES && since_ms < inner.away_pause_ms {
+        if inner.failures >= OUTAGE_FAILURES
+            && since_ms < inner.outage_interval_ms
+        {
             return None;
         }
-        if !inner.direct_lost || inner.peers.is_empty() {
+        if !inner.is_direct_down || inner.peers.is_empty() {
             return Some(self.direct);
         }
-        let again = inner
-            .direct_tried_at
-            .is_none_or(|at| now.saturating_ms_since(at) >= DIRECT_AGAIN_MS);
-        if again {
+        let retry_direct = inner.direct_tried_at.is_none_or(|at| {
+            now.saturating_ms_since(at) >= DIRECT_RETRY_INTERVAL_MS
+        });
+        if retry_direct {
             inner.direct_tried_at = Some(now);
             return Some(self.direct);
         }
-        Some(inner.peers[inner.turn % inner.peers.len()])
+        Some(inner.peers[inner.next_peer % inner.peers.len()])
     }
 
-    /// Tells whether a failed call may have a better way now.
-    pub fn has_alternative(&self, than: SocketAddr) -> bool {
+    /// Reports whether a call that failed at `address` can be retried on
+    /// another path.
+    pub fn has_alternative(&self, address: SocketAddr) -> bool {
         let inner = self.lock();
-        than == self.direct && !inner.peers.is_empty()
+        address == self.direct && !inner.peers.is_empty()
     }
 
-    /// Takes record_result of how a call ended.
-    pub fn record_result(&self, address: SocketAddr, good: bool, now: Millis) {
+    /// Records the result of a call.
+    pub fn record_result(
+        &self,
+        address: SocketAddr,
+        succeeded: bool,
+        now: Millis,
+    ) {
         let mut inner = self.lock();
-        match good {
+        match succeeded {
             true => inner.failures = 0,
             false => {
                 inner.failures = inner.failures.saturating_add(1);
@@ -151,16 +161,16 @@
             }
         }
         if address != self.direct {
-            if !good {
-                inner.turn = inner.turn.wrapping_add(1);
+            if !succeeded {
+                inner.next_peer = inner.next_peer.wrapping_add(1);
             }
             return;
         }
-        if inner.direct_lost == good {
-            log::info!(direct = good; "the way to the key-value service");
+        if inner.is_direct_down == succeeded {
+            log::info!(direct = succeeded; "the way to the key-value service");
         }
-        inner.direct_lost = !good;
-        if !good {
+        inner.is_direct_down = !succeeded;
+        if !succeeded {
             inner.direct_tried_at = Some(now);
         }
     }
--- a/crates/kv/tests/batch.rs
+++ b/crates/kv/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Transactions of several writers that share calls.
+//! Batching of the transactions of several writers.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// How long the writers of these tests can wait.
+/// Wait limit of the writers in these tests.
 const MAX_WAIT_MS: u64 = 50;
 
 fn put(key: &str, before: u64) -> Txn {
@@ -32,14 +32,15 @@
     GroupCommit::start(Arc::new(kv.clone()), BatchLimits::default())
 }
 
-/// Guards against calls that grow with the number of writers: load pattern of
-/// a fleet in which each worker has one small write every second.
+/// Guards against a number of calls that grows with the number of writers. The
+/// load is that of a fleet in which each worker makes one small write per
+/// second.
 #[parameterized(
     few = { 8, 1 },
     many = { 64, 4 },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn writers_of_a_moment_share_calls(writers: usize, calls: u64) {
+async fn concurrent_writers_share_calls(writers: usize, calls: u64) {
     let kv = Memory::default();
     let group = group(&kv);
     let writes = (0..writers).map(|number| {
@@ -55,30 +56,30 @@
     assert_eq!(kv.counts().writes, calls);
 }
 
-/// Guards against writers that fail since another one in their call was
-/// overtaken.
+/// Guards against writers that fail because of a conflict of another writer in
+/// the same call.
 #[tokio::test(start_paused = true)]
-async fn a_writer_that_was_overtaken_fails_alone() {
+async fn a_writer_with_a_conflict_fails_alone() {
     let kv = Memory::default();
     kv.txn(put("taken", 0)).await.expect("written");
     let group = group(&kv);
-    let (taken, free) = tokio::join!(
+    let (conflicting, free) = tokio::join!(
         group.commit(put("taken", 0), MAX_WAIT_MS),
         group.commit(put("free", 0), MAX_WAIT_MS),
     );
-    assert!(!taken.expect("answered").succeeded);
+    assert!(!conflicting.expect("answered").succeeded);
     assert!(free.expect("answered").succeeded);
 }
 
-/// Guards against a write that counts as failed, or as done, though nobody
-/// knows.
+/// Guards against a write that is reported as failed, or as applied, although
+/// its outcome is unknown.
 #[parameterized(
     lost_before = { WriteFault::RequestLost, KvError::Unknown },
     lost_after = { WriteFault::ResponseLost, KvError::Unknown },
     refused = { WriteFault::Refused, KvError::NotDone },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn what_became_of_a_call_holds_for_all_in_it(
+async fn the_outcome_of_a_call_applies_to_all_its_writers(
     fault: WriteFault,
     error: KvError,
 ) {
@@ -95,10 +96,10 @@
     }
 }
 
-/// Guards against two writes of one key in one call, which the service
-/// refuses.
+/// Guards against two writes to one key in one call, which the key-value
+/// service rejects.
 #[tokio::test(start_paused = true)]
-async fn writes_of_one_key_go_one_after_the_other() {
+async fn writes_to_one_key_do_not_share_a_call() {
     let kv = Memory::default();
     let group = group(&kv);
     let (first, second) = tokio::join!(
@@ -109,27 +110,27 @@
     assert_eq!(done.iter().filter(|done| **done).count(), 1);
 }
 
-/// Guards against a writer that waits for others longer than it can.
+/// Guards against a writer that waits longer than its wait limit.
 #[tokio::test(start_paused = true)]
-async fn the_least_patient_writer_decides_when_a_call_goes_out() {
+async fn the_shortest_wait_limit_decides_when_a_call_is_sent() {
     let kv = Memory::default();
     let group = group(&kv);
-    let began = Instant::now();
-    let (patient, urgent) = tokio::join!(
+    let started = Instant::now();
+    let (relaxed, urgent) = tokio::join!(
         group.commit(put("a", 0), 10_000),
         group.commit(put("b", 0), MAX_WAIT_MS),
     );
     assert_eq!(
-        patient.expect("written").revision,
+        relaxed.expect("written").revision,
         urgent.expect("written").revision
     );
-    let waited_ms = began.elapsed().as_millis() as u64;
+    let waited_ms = started.elapsed().as_millis() as u64;
     assert!(waited_ms < 2 * MAX_WAIT_MS, "{waited_ms} ms");
 }
 
-/// Guards against writers whose lease is gone, which fail others.
+/// Guards against a writer with an expired lease that fails others.
 #[tokio::test(start_paused = true)]
-async fn what_hangs_on_a_lease_goes_by_itself() {
+async fn a_write_with_a_lease_does_not_share_a_call() {
     let kv = Memory::default();
     let group = group(&kv);
     let lost = Txn {
--- a/crates/kv/tests/etcd.rs
+++ b/crates/kv/tests/etcd.rs
@@ -1,4 +1,5 @@
-//! What the client of the JSON gateway makes of each kind of failure.
+//! Errors that the client of the JSON gateway returns for each kind of
+//! failure.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,41 +20,48 @@
 };
 use yare::parameterized;
 
-/// What the server does with one connection after a whole request.
+/// Action of the server after it has read a complete request.
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    Answer(u16, &'static str),
+enum Action {
+    Respond(u16, &'static str),
     Truncate,
     Close,
-    Silence,
+    NoResponse,
 }
 
 const EMPTY_RANGE: &str = r#"{"header":{"revision":"7"}}"#;
 
-/// Serves one connection for each act, the last one for all others.
-async fn serve(acts: Vec<Act>) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Serves one connection with each action and all others with the last one.
+async fn serve(actions: Vec<Action>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests = Arc::new(AtomicUsize::new(0));
-    let seen = Arc::clone(&requests);
+    let request_count = Arc::clone(&requests);
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            let (acts, seen) = (acts.clone(), Arc::clone(&seen));
-            tokio::spawn(async move { act(stream, &acts, &seen).await });
+            let (actions, request_count) =
+                (actions.clone(), Arc::clone(&request_count));
+            tokio::spawn(async move {
+                handle(stream, &actions, &request_count).await
+            });
         }
     });
     (address, requests)
 }
 
-async fn act(mut stream: TcpStream, acts: &[Act], seen: &AtomicUsize) {
+async fn handle(
+    mut stream: TcpStream,
+    actions: &[Action],
+    request_count: &AtomicUsize,
+) {
     read_request(&mut stream).await;
-    let turn = seen.fetch_add(1, Ordering::SeqCst);
-    let reply = match acts[turn.min(acts.len() - 1)] {
-        Act::Answer(status, body) => response(status, body, body.len()),
-        Act::Truncate => response(200, "{", 100),
-        Act::Close => return,
-        Act::Silence => std::future::pending().await,
+    let index = request_count.fetch_add(1, Ordering::SeqCst);
+    let reply = match actions[index.min(actions.len() - 1)] {
+        Action::Respond(status, body) => response(status, body, body.len()),
+        Action::Truncate => response(200, "{", 100),
+        Action::Close => return,
+        Action::NoResponse => std::future::pending().await,
     };
     stream.write_all(reply.as_bytes()).await.unwrap();
 }
@@ -85,8 +93,8 @@
     }
 }
 
-/// Returns an address at which nothing listens.
-async fn refusing() -> SocketAddr {
+/// Returns an address that refuses connections.
+async fn refusing_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
@@ -110,38 +118,42 @@
 }
 
 #[parameterized(
-    closed = { Act::Close, KvError::Unknown },
-    truncated = { Act::Truncate, KvError::Unknown },
-    silent = { Act::Silence, KvError::Unknown },
-    broken_json = { Act::Answer(200, "{"), KvError::Unknown },
+    closed = { Action::Close, KvError::Unknown },
+    truncated = { Action::Truncate, KvError::Unknown },
+    silent = { Action::NoResponse, KvError::Unknown },
+    broken_json = { Action::Respond(200, "{"), KvError::Unknown },
     missing_step = {
-        Act::Answer(200, r#"{"succeeded":true}"#), KvError::Unknown
+        Action::Respond(200, r#"{"succeeded":true}"#), KvError::Unknown
     },
-    server_error = { Act::Answer(500, "oops"), KvError::Unknown },
+    server_error = { Action::Respond(500, "oops"), KvError::Unknown },
     unavailable = {
-        Act::Answer(503, r#"{"code":14,"message":"down"}"#), KvError::Unknown
+        Action::Respond(503, r#"{"code":14,"message":"down"}"#),
+        KvError::Unknown
     },
     busy = {
-        Act::Answer(429, r#"{"code":8,"message":"too many requests"}"#),
+        Action::Respond(429, r#"{"code":8,"message":"too many requests"}"#),
         KvError::NotDone
     },
     too_large = {
-        Act::Answer(400, r#"{"code":3,"message":"request is too large"}"#),
+        Action::Respond(400, r#"{"code":3,"message":"request is too large"}"#),
         KvError::Invalid
     },
     lease_gone = {
-        Act::Answer(
+        Action::Respond(
             404, r#"{"code":5,"message":"requested lease not found"}"#
         ),
         KvError::LeaseGone
     },
-    wrong_server = { Act::Answer(404, "<html>"), KvError::Invalid },
+    wrong_server = { Action::Respond(404, "<html>"), KvError::Invalid },
 )]
 #[test_macro(tokio::test)]
-async fn a_failed_write_tells_whether_it_ran(act: Act, error: KvError) {
-    let (address, requests) = serve(vec![act]).await;
-    let (other, untouched) = serve(vec![act]).await;
-    let timeout_ms = if matches!(act, Act::Silence) {
+async fn a_failed_write_reports_whether_it_ran(
+    action: Action,
+    error: KvError,
+) {
+    let (address, requests) = serve(vec![action]).await;
+    let (other, untouched) = serve(vec![action]).await;
+    let timeout_ms = if matches!(action, Action::NoResponse) {
         300
     } else {
         60_000
@@ -155,7 +167,10 @@
 
 #[tokio::test]
 async fn a_refused_connection_is_certain() {
-    let kv = client(&[refusing().await, refusing().await], 60_000);
+    let kv = client(
+        &[refusing_address().await, refusing_address().await],
+        60_000,
+    );
     let write = kv.txn(put()).await.unwrap_err();
     assert_eq!(*write.current_context(), KvError::NotDone);
     let read = kv.get("a").await.unwrap_err();
@@ -168,31 +183,32 @@
 async fn the_next_address_takes_a_write_that_was_not_sent() {
     let reply = r#"{"header":{"revision":"7"},"succeeded":true,
         "responses":[{"response_put":{}}]}"#;
-    let (address, _) = serve(vec![Act::Answer(200, reply)]).await;
-    let kv = client(&[refusing().await, address], 60_000);
+    let (address, _) = serve(vec![Action::Respond(200, reply)]).await;
+    let kv = client(&[refusing_address().await, address], 60_000);
     let reply = kv.txn(put()).await.unwrap();
     assert!(reply.succeeded);
     assert_eq!(reply.revision, 7);
 }
 
-/// Symptom: reads fail for as long as a dead connection stays in the pool.
-/// Events: a connection goes silent; new ones to the same address work.
-/// Cause: something between the two ends has lost track of it.
+/// Guards against reads that fail for as long as a dead connection stays in
+/// the pool. A device between client and server has dropped the state of the
+/// connection, which goes silent, while new connections to the same address
+/// work.
 #[parameterized(
-    silent = { Act::Silence },
-    closed = { Act::Close },
-    truncated = { Act::Truncate },
-    unavailable = { Act::Answer(503, "") },
+    silent = { Action::NoResponse },
+    closed = { Action::Close },
+    truncated = { Action::Truncate },
+    unavailable = { Action::Respond(503, "") },
 )]
 #[test_macro(tokio::test)]
-async fn a_read_is_repeated_on_a_new_connection(act: Act) {
-    let timeout_ms = if matches!(act, Act::Silence) {
+async fn a_read_is_repeated_on_a_new_connection(action: Action) {
+    let timeout_ms = if matches!(action, Action::NoResponse) {
         10_000
     } else {
         60_000
     };
     let (address, requests) =
-        serve(vec![act, Act::Answer(200, EMPTY_RANGE)]).await;
+        serve(vec![action, Action::Respond(200, EMPTY_RANGE)]).await;
     let kv = client(&[address], timeout_ms);
     assert_eq!(kv.get("a").await.unwrap().revision, 7);
     assert_eq!(requests.load(Ordering::SeqCst), 2);
@@ -206,11 +222,11 @@
     },
 )]
 #[test_macro(tokio::test)]
-async fn a_renewal_tells_whether_the_lease_lives(
+async fn a_renewal_reports_whether_the_lease_is_alive(
     body: &'static str,
     error: Option<KvError>,
 ) {
-    let (address, _) = serve(vec![Act::Answer(200, body)]).await;
+    let (address, _) = serve(vec![Action::Respond(200, body)]).await;
     let kv = client(&[address], 60_000);
     let result = kv.lease_keep_alive(LeaseId(5)).await;
     assert_eq!(result.err().map(|e| *e.current_context()), error);
@@ -228,7 +244,7 @@
 #[test_macro(tokio::test)]
 async fn a_watch_ends_with_an_error(line: &'static str, error: KvError) {
     let body: &'static str = Box::leak(format!("{line}\n").into_boxed_str());
-    let (address, _) = serve(vec![Act::Answer(200, body)]).await;
+    let (address, _) = serve(vec![Action::Respond(200, body)]).await;
     let kv = client(&[address], 60_000);
     let report = match kv.watch("a", 1).await {
         Ok(mut watch) => watch.next().await.unwrap_err(),
--- a/crates/kv/tests/memory.rs
+++ b/crates/kv/tests/memory.rs
@@ -1,4 +1,5 @@
-//! The in-memory fake: scripted faults, stepped leases, watches.
+//! The in-memory fake: scripted faults, lease expiry by a stepped clock,
+//! watches.
 
 use futures::FutureExt;
 use pomeloslip_kv::{
@@ -24,7 +25,7 @@
     lost_after = { WriteFault::ResponseLost, Some(KvError::Unknown), 1 },
 )]
 #[test_macro(tokio::test)]
-async fn a_scripted_fault_meets_one_write(
+async fn a_scripted_fault_affects_one_write(
     fault: WriteFault,
     error: Option<KvError>,
     written: usize,
--- a/crates/kv/tests/mvcc.rs
+++ b/crates/kv/tests/mvcc.rs
@@ -1,4 +1,4 @@
-//! The state machine: transactions, revisions, leases and the log.
+//! The state machine: transactions, revisions, leases and the change log.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/kv/tests/ops.rs
+++ b/crates/kv/tests/ops.rs
@@ -1,4 +1,4 @@
-//! Writes whose answer was lost, and the pauses between attempts.
+//! Writes with lost responses, and the backoff between attempts.
 
 use std::{future::pending, sync::Arc};
 
@@ -7,7 +7,7 @@
 use pomeloslip_kv::{
     Backoff, Compare, GetReply, Kv, KvError, KvFuture, LeaseId, Memory, Op,
     Txn, TxnReply, Watcher,
-    WriteFault::{self, None as Fine, Refused, RequestLost, ResponseLost},
+    WriteFault::{self, None as NoFault, Refused, RequestLost, ResponseLost},
     ops::{Outcome, ReadBack, Writer},
 };
 use yare::parameterized;
@@ -39,30 +39,34 @@
 
 async fn write(
     kv: &dyn Kv,
-    give_up_ms: u64,
+    timeout_ms: u64,
 ) -> Result<Outcome<()>, Report<KvError>> {
     let timer = Timer::new(Arc::new(SystemClock::new()));
     let driver = tokio::spawn(timer.clone().drive());
     let read = Op::Get { key: KEY.into() };
-    let outcome = Writer::new(timer, give_up_ms)
+    let outcome = Writer::new(timer, timeout_ms)
         .commit(kv, guarded("mine"), read, |_| (), decide, || 0)
         .await;
     driver.abort();
     outcome
 }
 
-/// Symptom: a write is done twice, or reported as failed though it is there.
-/// Events: the answer is lost before or after the effect, once or more.
-/// Cause: an unknown write was taken for a failure or repeated unguarded.
+/// Guards against a write that is applied twice, or reported as failed
+/// although it was applied. The response is lost before or after the effect,
+/// once or more, and a write with an unknown outcome is taken for a failure or
+/// retried without a guard.
 #[parameterized(
-    answered = { vec![Fine], 1 },
-    refused_first = { vec![Refused, Fine], 2 },
+    answered = { vec![NoFault], 1 },
+    refused_first = { vec![Refused, NoFault], 2 },
     lost_after = { vec![ResponseLost], 1 },
-    lost_before = { vec![RequestLost, Fine], 2 },
+    lost_before = { vec![RequestLost, NoFault], 2 },
     lost_before_then_after = { vec![RequestLost, Refused, ResponseLost], 3 },
 )]
 #[test_macro(tokio::test)]
-async fn a_lost_answer_is_read_back(faults: Vec<WriteFault>, attempts: u64) {
+async fn a_write_with_a_lost_response_is_read_back(
+    faults: Vec<WriteFault>,
+    attempts: u64,
+) {
     let kv = Memory::default();
     kv.script_write_faults(faults);
     let outcome = write(&kv, 600_000).await.unwrap();
@@ -85,7 +89,7 @@
     perhaps_done = { vec![RequestLost, Refused], KvError::Unknown },
 )]
 #[test_macro(tokio::test)]
-async fn giving_up_tells_what_is_certain(
+async fn a_timeout_reports_whether_the_write_may_have_applied(
     faults: Vec<WriteFault>,
     error: KvError,
 ) {
@@ -115,10 +119,10 @@
     assert_eq!(*report.current_context(), KvError::LeaseGone);
 }
 
-/// A service that takes calls and never answers.
-struct Silent;
+/// A service that accepts calls and never responds.
+struct Unresponsive;
 
-impl Kv for Silent {
+impl Kv for Unresponsive {
     fn get(&self, _: &str) -> KvFuture<'_, GetReply> {
         Box::pin(pending())
     }
@@ -149,8 +153,8 @@
 }
 
 #[tokio::test]
-async fn a_silent_service_does_not_hold_the_caller() {
-    let report = write(&Silent, 20).await.unwrap_err();
+async fn an_unresponsive_service_does_not_block_the_caller() {
+    let report = write(&Unresponsive, 20).await.unwrap_err();
     assert_eq!(*report.current_context(), KvError::Unknown);
 }
 
@@ -161,9 +165,9 @@
     let mut ceilings = Vec::new();
     for _ in 0..80 {
         ceilings.push(backoff.ceiling_ms());
-        let again = backoff.record_failure(now, 99);
-        assert_eq!(again, now.saturating_add_ms(100));
-        assert!(backoff.is_ready(again) && !backoff.is_ready(now));
+        let retry_at = backoff.record_failure(now, 99);
+        assert_eq!(retry_at, now.saturating_add_ms(100));
+        assert!(backoff.is_ready(retry_at) && !backoff.is_ready(now));
     }
     assert_eq!(ceilings[..4], [100, 200, 350, 350]);
     assert_eq!(ceilings[79], 350);
--- a/crates/kv/tests/paths.rs
+++ b/crates/kv/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Which way calls take to the key-value service.
+//! Selection of the path to the key-value service.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 const NOW: Millis = Millis::new(10_000);
 
 #[test]
-fn without_other_nodes_the_direct_way_is_all_there_is() {
+fn without_peers_only_the_direct_path_is_used() {
     let paths = Paths::new(address(1));
     paths.record_result(address(1), false, NOW);
     assert_eq!(paths.pick(NOW), Some(address(1)));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_node_that_fails_as_well_is_followed_by_the_next() {
+fn a_peer_that_fails_is_replaced_by_the_next() {
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2), address(3)]);
     paths.record_result(address(1), false, NOW);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_direct_way_is_used_again_once_it_works() {
+fn the_direct_path_is_used_again_once_it_works() {
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2)]);
     paths.record_result(address(1), false, NOW);
@@ -42,15 +42,15 @@
     assert_eq!(paths.pick(later), Some(address(1)));
 }
 
-/// Symptom: thousands of calls in an outage. Events: the service is away,
-/// every request of a caller asks for it again. Cause: nobody remembered
-/// that the last calls had failed.
+/// Guards against thousands of calls during an outage: every request of a
+/// caller calls the key-value service again if earlier failures are not
+/// recorded.
 #[test]
-fn a_service_that_is_away_is_left_alone_for_a_moment() {
+fn calls_are_paused_during_an_outage() {
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2)]);
-    for way in [1, 2, 2] {
-        paths.record_result(address(way), false, NOW);
+    for port in [1, 2, 2] {
+        paths.record_result(address(port), false, NOW);
     }
     assert_eq!(paths.pick(NOW), None);
     let later = NOW.saturating_add_ms(500);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_single_lost_answer_stops_no_call() {
+fn failures_below_the_threshold_pause_no_call() {
     let paths = Paths::new(address(1));
     paths.record_result(address(1), false, NOW);
     paths.record_result(address(1), false, NOW);
--- a/crates/kv/tests/property.rs
+++ b/crates/kv/tests/property.rs
@@ -1,9 +1,9 @@
-//! Answers of the key-value service that arrive cut or altered.
+//! Truncated or altered responses of the key-value service.
 //!
-//! Symptom: a key that is there reads as absent, or a write that took effect
-//! as one that did not. Sequence: the service, or something in front of it,
-//! sends a part of an answer or something else. Cause, if it fails: what
-//! arrived was taken for an answer that the service did not give.
+//! Guards against a key that reads as absent although it exists, and a write
+//! that is reported as not executed although it took effect. The service, or a
+//! proxy in front of it, sends a truncated response or different bytes, and
+//! the client accepts them as a response of the service.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,8 @@
 };
 use yare::parameterized;
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Returns a configuration with a fixed seed; `PROPERTY_FACTOR` multiplies the
+/// number of cases.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -39,14 +40,15 @@
     Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-/// Answers every call with these bytes, of a body of `length` bytes.
+/// Creates a client of a server that sends these bytes to every call and
+/// announces a body of `length` bytes.
 async fn client_of(body: Vec<u8>, length: usize) -> EtcdJson {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let body: Arc<[u8]> = body.into();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer(stream, Arc::clone(&body), length));
+            tokio::spawn(respond(stream, Arc::clone(&body), length));
         }
     });
     EtcdJsonOptions::new([address.to_string()])
@@ -55,7 +57,7 @@
         .unwrap()
 }
 
-async fn answer(mut stream: TcpStream, body: Arc<[u8]>, length: usize) {
+async fn respond(mut stream: TcpStream, body: Arc<[u8]>, length: usize) {
     // The requests of these tests fit into one segment.
     let mut request = [0; 4_096];
     let _ = stream.read(&mut request).await;
@@ -108,7 +110,7 @@
     }
 }
 
-fn written() -> Vec<u8> {
+fn write_response() -> Vec<u8> {
     let body = json::TxnResponse {
         header: header(9),
         succeeded: true,
@@ -151,14 +153,15 @@
     vec((any::<Index>(), byte), 1..4)
 }
 
-/// Whatever stands in front of the service answers 200 with its own object.
+/// A proxy in front of the service responds with status 200 and an object of
+/// its own.
 #[parameterized(
     empty = { "{}" },
     error = { r#"{"error":"no leader","code":14,"message":"no leader"}"# },
     foreign = { r#"{"status":"ok"}"# },
     no_revision = { r#"{"header":{},"count":"0"}"# },
 )]
-fn an_object_without_a_revision_is_no_answer(body: &str) {
+fn an_object_without_a_revision_is_not_a_response(body: &str) {
     let body = body.as_bytes();
     runtime().block_on(async {
         let kv = client_of(body.to_vec(), body.len()).await;
@@ -173,19 +176,20 @@
     #![proptest_config(config(250))]
 
     #[test]
-    fn a_read_is_whole_or_an_error(
+    fn a_read_is_complete_or_an_error(
         reply in range(),
         cut: Index,
-        says_whole: bool,
+        claims_complete: bool,
     ) {
-        let whole = serde_json::to_vec(&reply).unwrap();
-        let part = whole[..cut.index(whole.len())].to_vec();
-        let length = if says_whole { part.len() } else { whole.len() };
+        let complete = serde_json::to_vec(&reply).unwrap();
+        let truncated = complete[..cut.index(complete.len())].to_vec();
+        let length =
+            if claims_complete { truncated.len() } else { complete.len() };
         runtime().block_on(async {
-            let kv = client_of(part, length).await;
+            let kv = client_of(truncated, length).await;
             let error = kv.get_prefix("a", 0).await.unwrap_err();
             assert_eq!(*error.current_context(), KvError::NotDone);
-            let kv = client_of(whole.clone(), whole.len()).await;
+            let kv = client_of(complete.clone(), complete.len()).await;
             let found = kv.get_prefix("a", 0).await.unwrap();
             assert_eq!(found.revision, 9);
             let values = found.kvs.into_iter().map(|kv| kv.value);
@@ -194,24 +198,25 @@
     }
 
     #[test]
-    fn a_write_whose_answer_is_cut_may_have_run(
+    fn a_write_whose_response_is_truncated_may_have_run(
         cut: Index,
-        says_whole: bool,
+        claims_complete: bool,
     ) {
-        let whole = written();
-        let part = whole[..cut.index(whole.len())].to_vec();
-        let length = if says_whole { part.len() } else { whole.len() };
+        let complete = write_response();
+        let truncated = complete[..cut.index(complete.len())].to_vec();
+        let length =
+            if claims_complete { truncated.len() } else { complete.len() };
         runtime().block_on(async {
-            let kv = client_of(part, length).await;
+            let kv = client_of(truncated, length).await;
             let error = kv.txn(put()).await.unwrap_err();
             assert_eq!(*error.current_context(), KvError::Unknown);
         });
     }
 
-    /// An altered answer to a write never says that it did not run.
+    /// An altered response to a write is never reported as not executed.
     #[test]
-    fn an_altered_answer_is_taken_or_unknown(changes in changes()) {
-        let mut body = written();
+    fn an_altered_response_is_accepted_or_unknown(changes in changes()) {
+        let mut body = write_response();
         alter(&mut body, &changes);
         runtime().block_on(async {
             let length = body.len();
@@ -223,7 +228,10 @@
     }
 
     #[test]
-    fn an_altered_read_is_answered(reply in range(), changes in changes()) {
+    fn an_altered_read_succeeds_or_is_not_done(
+        reply in range(),
+        changes in changes(),
+    ) {
         let mut body = serde_json::to_vec(&reply).unwrap();
         alter(&mut body, &changes);
         runtime().block_on(async {
@@ -235,10 +243,10 @@
         });
     }
 
-    /// Each whole line comes out once and in order, then an error; a gap
-    /// never goes without a word.
+    /// Each complete line is delivered once and in order, followed by an
+    /// error, so that no gap goes unnoticed.
     #[test]
-    fn a_watch_gives_whole_lines_and_then_an_error(
+    fn a_watch_delivers_complete_lines_and_then_an_error(
         kvs in vec(key_value(), 0..6),
         cut: Index,
     ) {
@@ -247,14 +255,15 @@
         let created = b"{\"result\":{\"header\":{\"revision\":\"9\"},\
             \"created\":true}}\n".to_vec();
         let body = lines.concat();
-        let part = &body[..cut.index(body.len() + 1)];
-        let whole = part.iter().filter(|byte| **byte == b'\n').count() as u64;
-        let sent = [&created[..], part].concat();
+        let truncated = &body[..cut.index(body.len() + 1)];
+        let complete_lines =
+            truncated.iter().filter(|byte| **byte == b'\n').count() as u64;
+        let sent = [&created[..], truncated].concat();
         runtime().block_on(async {
             let length = created.len() + body.len();
             let kv = client_of(sent, length).await;
             let mut watch = kv.watch("a", 10).await.unwrap();
-            for revision in 10..10 + whole {
+            for revision in 10..10 + complete_lines {
                 let batch = watch.next().await.unwrap();
                 assert_eq!(batch.revision, revision);
                 let Event::Put(kv) = &batch.events[0] else {
--- a/crates/obs/src/cell.rs
+++ b/crates/obs/src/cell.rs
@@ -4,15 +4,16 @@
 
 use crate::table::{Quantiles, Totals};
 
-/// Largest value kept; larger ones count as this. An hour in microseconds.
-const VALUE_MAX: u64 = 3_600_000_000;
+/// Maximum recorded value; larger values are clamped. One hour in
+/// microseconds.
+const MAX_VALUE: u64 = 3_600_000_000;
 
 /// Values of one series of one customer and class.
 ///
-/// Two windows alternate: one is written while the other keeps the values
-/// of the time before, so that a reader always sees at least one full
-/// window. A decaying histogram was rejected: its counts cannot be checked
-/// against what was sent.
+/// Two windows alternate: one is written while the other keeps the values of
+/// the previous period, so that a snapshot always covers at least one full
+/// window. A decaying histogram was rejected because its counts cannot be
+/// compared with the number of values recorded.
 #[derive(Debug, Default)]
 pub(crate) struct Cell(Mutex<Values>);
 
@@ -24,7 +25,7 @@
 }
 
 impl Cell {
-    /// Adds a value; `digits` are the significant decimal digits kept.
+    /// Records a value; `digits` is the number of significant decimal digits.
     pub(crate) fn record(&self, window: usize, digits: u8, value: u64) {
         let mut values = self.lock();
         values.totals.add(value);
@@ -33,16 +34,16 @@
             *slot = new_histogram(digits).map(Box::new);
         }
         if let Some(histogram) = slot {
-            // Fails only for values that no histogram can grow to.
-            let _ = histogram.record(value.min(VALUE_MAX));
+            // Fails only for values beyond the range of any histogram.
+            let _ = histogram.record(value.min(MAX_VALUE));
         }
     }
 
-    /// Empties a window before it is written again.
+    /// Clears a window before it is written again.
     ///
-    /// A window that was empty already loses its memory: customers come for a
-    /// burst and are quiet for weeks, and would otherwise hold the memory of
-    /// their busiest minute until the process ends.
+    /// A window that is already empty is freed: customers send bursts and are
+    /// idle for weeks, and would otherwise hold the memory of their busiest
+    /// minute until the process ends.
     pub(crate) fn clear(&self, window: usize) {
         let mut values = self.lock();
         let slot = &mut values.windows[window];
@@ -70,7 +71,7 @@
         values.totals
     }
 
-    /// Tells whether values came since the last call.
+    /// Reports whether values were recorded since the last call.
     pub(crate) fn take_changed(&self) -> bool {
         let mut values = self.lock();
         let count = values.totals.count;
@@ -91,7 +92,7 @@
     }
 }
 
-/// Makes a histogram that starts small and grows with its largest value.
+/// Creates a histogram that starts small and resizes with its largest value.
 fn new_histogram<C: hdrhistogram::Counter>(
     digits: u8,
 ) -> Option<Histogram<C>> {
@@ -100,7 +101,7 @@
     Some(histogram)
 }
 
-/// Reads the quantiles that a table shows.
+/// Returns the quantiles that a snapshot shows.
 pub(crate) fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
     Quantiles {
         count: histogram.len(),
--- a/crates/obs/src/error.rs
+++ b/crates/obs/src/error.rs
@@ -1,9 +1,9 @@
 use std::fmt;
 
-/// Says what of logs or metrics could not be set up.
+/// Failure to set up logs or metrics.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ObsError {
-    /// The logger could not be started, for example because one runs.
+    /// The logger could not be started, for example because one is running.
     Logs,
     /// The statsd sink could not be opened.
     Statsd,
--- a/crates/obs/src/lib.rs
+++ b/crates/obs/src/lib.rs
@@ -1,8 +1,8 @@
-//! Logs as JSON lines, statsd metrics and histograms per customer and class.
+//! JSON line logs, statsd metrics and histograms per customer and class.
 //!
-//! [`logs`] writes one JSON object per line to stderr from a thread of its
-//! own. [`Metrics`] counts and measures in memory and reports from there:
-//! to a statsd server every few seconds, and to whoever asks for a
+//! [`logs`] writes one JSON object per line to stderr from a dedicated thread.
+//! [`Metrics`] aggregates counters and histograms in memory. It publishes them
+//! to a statsd server at an interval and returns them as a
 //! [`MetricsSnapshot`].
 //!
 //! ```
--- a/crates/obs/src/logs.rs
+++ b/crates/obs/src/logs.rs
@@ -1,7 +1,7 @@
-//! JSON lines to stderr that never make a request wait for stderr.
+//! JSON line logs on stderr that never block a request.
 //!
-//! Each line has `ts` (RFC 3339 in UTC, to the millisecond), `level`,
-//! `target`, `message` and all key-values of its record:
+//! Each line has `ts` (RFC 3339 in UTC, with milliseconds), `level`, `target`,
+//! `message` and all key-value pairs of its record:
 //!
 //! ```
 //! let request_id = "r-1";
@@ -35,15 +35,17 @@
 use crate::{LogSettings, ObsError};
 
 const TS_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.3fZ";
-const OWN_KEYS: [&str; 4] = ["ts", "level", "target", "message"];
+const RESERVED_KEYS: [&str; 4] = ["ts", "level", "target", "message"];
 
 /// Starts the logger of this process on stderr.
 ///
-/// Keep the guard until the process ends; dropping it writes what waits.
+/// Keep the guard until the process ends; dropping it flushes the queued
+/// lines.
 ///
 /// # Errors
 ///
-/// [`ObsError::Logs`] if a logger runs already or no thread can be started.
+/// [`ObsError::Logs`] if a logger is already running or the thread cannot be
+/// started.
 pub fn start(settings: &LogSettings) -> Result<LogGuard, Report<ObsError>> {
     start_to(settings, Box::new(io::stderr()))
 }
@@ -52,13 +54,13 @@
 ///
 /// # Errors
 ///
-/// As [`start`].
+/// As for [`start`].
 pub fn start_to(
     settings: &LogSettings,
     output: Box<dyn Write + Send>,
 ) -> Result<LogGuard, Report<ObsError>> {
-    // Reports are logged as text inside a JSON line, where the escape codes
-    // of a terminal would only hide the words.
+    // Reports are logged as text inside a JSON line, where ANSI escape codes
+    // would only be noise.
     Report::set_color_mode(ColorMode::None);
     let lines = Arc::new(LineQueue::start(settings, output)?);
     let handle = Logger::with(specification(settings))
@@ -71,10 +73,10 @@
     })
 }
 
-/// Logs each panic as a line instead of plain text on stderr.
+/// Logs each panic as a JSON line instead of plain text on stderr.
 ///
-/// The message and the place are in the line; the thread ends as before.
-/// Call it once, after [`start`].
+/// The line has the message and the source location. The thread unwinds as
+/// usual. Call this once, after [`start`].
 pub fn log_panics() {
     panic::set_hook(Box::new(|info| {
         let payload = info.payload();
@@ -106,14 +108,14 @@
 }
 
 impl LogGuard {
-    /// Waits until all lines so far are written, at most
-    /// [`LogSettings::flush_timeout_ms`]; tells whether they are.
+    /// Waits until all queued lines are written, for at most
+    /// [`LogSettings::flush_timeout_ms`]; reports whether they were.
     pub fn flush(&self) -> bool {
         self.lines.flush()
     }
 
-    /// Returns how many lines were dropped because the output did not keep
-    /// up.
+    /// Returns the number of lines that were dropped because the output was
+    /// too slow.
     pub fn dropped_lines(&self) -> u64 {
         self.lines.dropped.load(Ordering::Relaxed)
     }
@@ -130,13 +132,13 @@
     Flush(SyncSender<()>),
 }
 
-/// Lines on their way to the thread that writes them.
+/// Bounded queue to the thread that writes the lines.
 ///
-/// What goes wrong without it: stderr is a pipe, its reader stalls, and
-/// every thread that logs stops in a write, requests included. One would see
-/// all latencies grow at once while the endpoints are idle. The queue is
-/// bounded in bytes; lines over the bound are dropped and counted, and the
-/// count is logged when the reader is back.
+/// Without the queue every thread that logs would block in its write when the
+/// reader of the stderr pipe stalls, including the threads that serve
+/// requests: all latencies would grow at once while the endpoints are idle.
+/// The queue is bounded in bytes. Lines beyond the bound are dropped and
+/// counted, and the count is logged when the reader resumes.
 struct LineQueue {
     sender: Sender<Message>,
     queued_bytes: Arc<AtomicUsize>,
@@ -158,7 +160,7 @@
             receiver,
             queued_bytes: queued_bytes.clone(),
             dropped: dropped.clone(),
-            reported: 0,
+            reported_dropped: 0,
             output,
         };
         thread::Builder::new()
@@ -216,13 +218,13 @@
     receiver: Receiver<Message>,
     queued_bytes: Arc<AtomicUsize>,
     dropped: Arc<AtomicU64>,
-    reported: u64,
+    reported_dropped: u64,
     output: Box<dyn Write + Send>,
 }
 
 impl OutputThread {
-    /// Writes until the last sender is gone. An output that fails, for
-    /// example a closed pipe, cannot be told anywhere; its lines are lost.
+    /// Writes lines until all senders are dropped. Errors of the output, for
+    /// example a closed pipe, cannot be reported anywhere; its lines are lost.
     fn run(mut self) {
         while let Ok(message) = self.receiver.recv() {
             match message {
@@ -239,9 +241,9 @@
         let _ = self.output.write_all(line);
         self.queued_bytes.fetch_sub(line.len(), Ordering::Relaxed);
         let dropped = self.dropped.load(Ordering::Relaxed);
-        if dropped > self.reported {
-            let _ = self.report_dropped(dropped - self.reported);
-            self.reported = dropped;
+        if dropped > self.reported_dropped {
+            let _ = self.report_dropped(dropped - self.reported_dropped);
+            self.reported_dropped = dropped;
         }
     }
 
@@ -263,13 +265,13 @@
 
 /// Writes a record as one JSON object and a line feed.
 ///
-/// `fields` come after the record's own key-values. A key that is there
-/// already is left out the second time, so that no object has a key twice;
-/// a key-value named like one of the four own keys is left out too.
+/// `fields` follow the key-value pairs of the record. A key that occurs again
+/// is skipped, so that no object has duplicate keys; so is a pair with a
+/// reserved key.
 ///
 /// # Errors
 ///
-/// Those of the output.
+/// The errors of the output.
 pub fn write_line(
     output: &mut dyn Write,
     now: &mut DeferredNow,
@@ -302,20 +304,20 @@
         map.serialize_entry("level", record.level().as_str())?;
         map.serialize_entry("target", record.target())?;
         map.serialize_entry("message", record.args())?;
-        let mut pairs = Pairs {
+        let mut visitor = KeyValueVisitor {
             seen: HashSet::new(),
             map: &mut map,
             error: None,
         };
-        // The visitor cannot pass on an error of the serialiser; it is kept
-        // beside it.
-        let _ = record.key_values().visit(&mut pairs);
-        if let Some(error) = pairs.error {
+        // The visitor cannot return an error of the serialiser, so the error
+        // is stored in the visitor.
+        let _ = record.key_values().visit(&mut visitor);
+        if let Some(error) = visitor.error {
             return Err(error);
         }
-        let seen = pairs.seen;
+        let seen = visitor.seen;
         for (key, value) in self.fields {
-            if !is_own(key) && !seen.contains(key) {
+            if !is_reserved(key) && !seen.contains(key) {
                 map.serialize_entry(key, value)?;
             }
         }
@@ -323,24 +325,24 @@
     }
 }
 
-fn is_own(key: &str) -> bool {
-    OWN_KEYS.contains(&key)
+fn is_reserved(key: &str) -> bool {
+    RESERVED_KEYS.contains(&key)
 }
 
-struct Pairs<'a, M: SerializeMap> {
+struct KeyValueVisitor<'a, M: SerializeMap> {
     seen: HashSet<String>,
     map: &'a mut M,
     error: Option<M::Error>,
 }
 
-impl<'kvs, M: SerializeMap> VisitSource<'kvs> for Pairs<'_, M> {
+impl<'kvs, M: SerializeMap> VisitSource<'kvs> for KeyValueVisitor<'_, M> {
     fn visit_pair(
         &mut self,
         key: Key<'kvs>,
         value: Value<'kvs>,
     ) -> Result<(), kv::Error> {
         let key = key.as_str();
-        if is_own(key) || !self.seen.insert(key.to_owned()) {
+        if is_reserved(key) || !self.seen.insert(key.to_owned()) {
             return Ok(());
         }
         let mut json = Json(serde_json::Value::Null);
@@ -353,7 +355,7 @@
     }
 }
 
-/// Turns a value of a record into a JSON value.
+/// Converts a value of a record to a JSON value.
 struct Json(serde_json::Value);
 
 impl<'v> VisitValue<'v> for Json {
--- a/crates/obs/src/metrics.rs
+++ b/crates/obs/src/metrics.rs
@@ -18,17 +18,17 @@
     table::OTHER,
 };
 
-/// Significant digits of a customer's histogram: values are off by 1/16 at
-/// most. A second digit takes eight times as many buckets in each doubling of
-/// the values, which 1,400 customers with 8 series cannot be given.
+/// Significant digits of the histograms per customer: the error of a value is
+/// at most 1/16. A second digit would need eight times as many buckets for
+/// each doubling of the value, which is too much memory for 1,400 customers
+/// with 8 series.
 const CUSTOMER_DIGITS: u8 = 1;
 
-/// Significant digits of the histograms over all customers: off by 1/128 at
-/// most.
+/// Significant digits of the histograms over all customers: the error of a
+/// value is at most 1/128.
 const ALL_DIGITS: u8 = 2;
 
-/// Parts of the rows over all customers, so that threads seldom meet at one
-/// lock.
+/// Shards of the rows over all customers, which reduce lock contention.
 const SHARDS: usize = 8;
 
 /// Value of a gauge that was never set.
@@ -51,14 +51,13 @@
     published: Millis,
 }
 
-/// Counts and measures in memory, per customer and class.
+/// Counters and histograms in memory, per customer and class.
 ///
-/// Clones share one set of values. A request only adds to memory: a
+/// Clones share one set of values. Recording a value only updates memory: a
 /// histogram behind a lock that is held for some nanoseconds, or an atomic.
-/// [`Metrics::maintain`] sends what has changed to the statsd server, every
-/// [`MetricsSettings::publish_interval_ms`]. The alternative, one statsd
-/// line for each value, was rejected: 750,000 tokens a second would be as
-/// many lines.
+/// [`Metrics::maintain`] sends the changes to the statsd server every
+/// [`MetricsSettings::publish_interval_ms`]. Sending one statsd line per value
+/// was rejected: 750,000 tokens per second would cause as many lines.
 ///
 /// # Example
 ///
@@ -86,21 +85,22 @@
 }
 
 impl Default for Metrics {
-    /// Makes metrics that are kept in memory only.
+    /// Creates metrics that are only kept in memory.
     fn default() -> Self {
         let settings = MetricsSettings::default();
-        let publisher = Publisher::none(&settings);
+        let publisher = Publisher::disabled(&settings);
         Self::with_publisher(settings, publisher)
     }
 }
 
 impl Metrics {
-    /// Makes metrics that report to the statsd server of the settings.
+    /// Creates metrics that are published to the statsd server of the
+    /// settings.
     ///
     /// # Errors
     ///
-    /// [`ObsError::Statsd`] if no UDP socket can be opened. A server that
-    /// is not there is no error: statsd is sent and forgotten.
+    /// [`ObsError::Statsd`] if no UDP socket can be opened. An unreachable
+    /// server is not an error, because statsd datagrams are not acknowledged.
     pub fn try_new(
         settings: MetricsSettings,
     ) -> Result<Self, Report<ObsError>> {
@@ -130,8 +130,8 @@
         &self.0.settings
     }
 
-    /// Returns a handle for one customer that spares the look-up; take one for
-    /// each request that records many values.
+    /// Returns a handle for one customer that avoids repeated look-ups. Use
+    /// one for each request that records many values.
     ///
     /// # Example
     ///
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Adds a value of a customer's request.
+    /// Records a value of a customer's request.
     pub fn record(
         &self,
         series: Series,
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Adds a value that belongs to no customer, for example a call of the
-    /// key-value service.
+    /// Records a value that belongs to no customer, for example of a call to
+    /// the key-value service.
     pub fn record_all(&self, series: Series, class: Class, value: u64) {
         let rows = &self.0.all[shard()];
         rows.record(self.window(), series, class, value);
@@ -199,7 +199,7 @@
         self.0.gauges[gauge.index()].store(value, Ordering::Relaxed);
     }
 
-    /// Returns all that is known, rows without values left out.
+    /// Returns all metrics; rows without values are omitted.
     pub fn snapshot(&self) -> MetricsSnapshot {
         let mut table = MetricsSnapshot {
             window_ms: self.0.settings.window_ms,
@@ -219,8 +219,8 @@
         table
     }
 
-    /// Rotates the windows and reports to the statsd server, each when its
-    /// time has come.
+    /// Rotates the windows and publishes to the statsd server, each when its
+    /// interval has elapsed.
     pub fn maintain(&self, now: Millis) {
         let settings = &self.0.settings;
         let mut last_run = self
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Does the maintenance until the returned future is dropped; spawned once
-    /// by a daemon.
+    /// Calls [`maintain`](Self::maintain) at an interval until the returned
+    /// future is dropped; a daemon spawns it once.
     pub async fn drive(self, timer: Timer) {
         let settings = &self.0.settings;
         let step_ms =
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Starts a new window; the one before it stays in the snapshots.
+    /// Starts a new window; the previous one remains in the snapshots.
     pub fn rotate(&self) {
         let next = 1 - self.window();
         for rows in &self.0.all {
@@ -265,12 +265,12 @@
         self.0.window.store(next, Ordering::Release);
     }
 
-    /// Sends the changes since the last call to the statsd server: counters
-    /// as increments, gauges, and the quantiles of each row with new values
-    /// as gauges.
+    /// Sends the changes since the last call to the statsd server: counters as
+    /// increments, gauges, and the quantiles of each row with new values as
+    /// gauges.
     pub fn publish(&self) {
         let publisher = &self.0.publisher;
-        if !publisher.is_on() {
+        if !publisher.is_enabled() {
             return;
         }
         for row in self.gauge_rows() {
@@ -317,22 +317,23 @@
         }
     }
 
-    /// Returns the rows of a customer, made if there is room.
+    /// Returns the rows of a customer, which are created below the limit on
+    /// customers.
     fn rows(&self, customer: &Customer) -> Arc<Rows> {
         let customers = self.0.customers.load();
         if let Some(rows) = customers.get(customer) {
             return rows.clone();
         }
-        // Without this look each value of a customer over the bound would
+        // Without this check each value of a customer beyond the limit would
         // copy the map.
-        if !self.has_room(&customers) || customer.as_str() == OTHER {
+        if !self.has_capacity(&customers) || customer.as_str() == OTHER {
             return self.0.other.clone();
         }
         drop(customers);
         let new = Arc::new(Rows::new(CUSTOMER_DIGITS));
         self.0.customers.update(|old| {
             let mut customers = old.clone();
-            if self.has_room(old) {
+            if self.has_capacity(old) {
                 customers
                     .entry(customer.clone())
                     .or_insert_with(|| new.clone());
@@ -343,12 +344,12 @@
         customers.get(customer).unwrap_or(&self.0.other).clone()
     }
 
-    fn has_room(&self, customers: &HashMap<Customer, Arc<Rows>>) -> bool {
+    fn has_capacity(&self, customers: &HashMap<Customer, Arc<Rows>>) -> bool {
         customers.len() < self.0.settings.customers_max
     }
 }
 
-/// Counts and measures for one customer; see [`Metrics::customer`].
+/// Records counters and values of one customer; see [`Metrics::customer`].
 #[derive(Clone)]
 pub struct CustomerMetrics {
     rows: Arc<Rows>,
@@ -362,7 +363,7 @@
 }
 
 impl CustomerMetrics {
-    /// Adds a value.
+    /// Records a value.
     #[inline]
     pub fn record(&self, series: Series, class: Class, value: u64) {
         self.metrics.record_rows(&self.rows, series, class, value);
@@ -375,7 +376,7 @@
     }
 }
 
-/// Picks the shard of this thread; threads take them in turn.
+/// Returns the shard of this thread; shards are assigned in round robin order.
 #[inline]
 fn shard() -> usize {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
@@ -383,6 +384,7 @@
         static SHARD: usize =
             NEXT.fetch_add(1, Ordering::Relaxed) % SHARDS;
     }
-    // A thread that ends has lost its number; any shard is right then.
+    // The thread-local value is gone while a thread ends; any shard is correct
+    // then.
     SHARD.try_with(|shard| *shard).unwrap_or(0)
 }
--- a/crates/obs/src/names.rs
+++ b/crates/obs/src/names.rs
@@ -18,10 +18,10 @@
         }
 
         impl $name {
-            /// All of them, in the order of their numbers.
+            /// All variants, in the order of their indices.
             pub const ALL: &'static [$name] = &[$($name::$item,)+];
 
-            /// Returns the name used in reports.
+            /// Returns the name in reports.
             #[inline]
             pub fn as_str(self) -> &'static str {
                 match self {
@@ -44,65 +44,66 @@
 }
 
 names! {
-    /// Names a measured value; the unit is part of the name.
+    /// A measured value; the name includes the unit.
     Series {
-        /// From the arrival of a request to its first token.
+        /// Time from the arrival of a request to its first token.
         FirstTokenMs = "first_token_ms",
-        /// Between two tokens of one answer.
+        /// Time between two tokens of one response.
         BetweenTokensUs = "between_tokens_us",
-        /// From the arrival of a request to the end of its answer.
+        /// Time from the arrival of a request to the end of its response.
         TotalMs = "total_ms",
         /// Time that the entry itself adds to a request.
         EntryOverheadUs = "entry_overhead_us",
         /// Time that a request waits for admission at its endpoint.
         QueueWaitUs = "queue_wait_us",
-        /// From the start of a batch item at its endpoint to its result.
+        /// Time from the start of a batch item at its endpoint to its result.
         BatchItemMs = "batch_item_ms",
-        /// From the result of a batch item to the commit that shows it.
+        /// Time from the result of a batch item to the commit that publishes
+        /// it.
         CommitMs = "commit_ms",
-        /// One call of the key-value service.
+        /// Duration of a call to the key-value service.
         KvCallUs = "kv_call_us",
     }
 }
 
 names! {
-    /// Names something that is counted.
+    /// A counted event.
     Counter {
         /// Requests or items that arrived.
         Arrived = "arrived",
-        /// Requests or items with a whole answer.
+        /// Requests or items with a complete response.
         Completed = "completed",
-        /// Requests that were refused and did not run.
+        /// Requests that were refused and not executed.
         Refused = "refused",
-        /// Requests that ended in an error after they may have run.
+        /// Requests that ended in an error after they may have been executed.
         Failed = "failed",
-        /// Requests that their caller gave up.
+        /// Requests that the caller cancelled.
         Cancelled = "cancelled",
-        /// Attempts after the first.
+        /// Attempts after the first one.
         Retried = "retried",
-        /// Batch items that gave way to an online request.
+        /// Batch items that were preempted by an online request.
         Preempted = "preempted",
-        /// Tokens passed on to callers.
+        /// Tokens forwarded to callers.
         Tokens = "tokens",
     }
 }
 
 names! {
-    /// Names a value that stands until it is set anew.
+    /// A value that remains until it is set again.
     Gauge {
-        /// Configuration revision in force.
+        /// Revision of the configuration in force.
         Revision = "revision",
-        /// Endpoints that take work.
+        /// Endpoints that accept requests.
         EndpointsUp = "endpoints_up",
-        /// Endpoints that are known and take none.
+        /// Known endpoints that accept no requests.
         EndpointsDown = "endpoints_down",
-        /// Online requests that run now.
+        /// Running online requests.
         OnlineRunning = "online_running",
-        /// Online requests that wait now.
+        /// Waiting online requests.
         OnlineWaiting = "online_waiting",
-        /// Batch items that run now.
+        /// Running batch items.
         BatchRunning = "batch_running",
-        /// Batch items that wait now.
+        /// Waiting batch items.
         BatchWaiting = "batch_waiting",
         /// Batch partitions that this process owns.
         Partitions = "partitions",
--- a/crates/obs/src/publish.rs
+++ b/crates/obs/src/publish.rs
@@ -16,21 +16,21 @@
     rows::{Rows, histogram_row},
 };
 
-/// Metric that stands for "send what is buffered"; see [`FlushingSink`].
+/// Empty metric that requests a flush; see [`FlushingSink`].
 const FLUSH_MARK: &str = "";
 
-/// Sends rows to a statsd server.
+/// Publishes rows to a statsd server.
 pub(crate) struct Publisher {
     client: StatsdClient,
     queue: Option<QueuingMetricSink>,
 }
 
-/// Sends its buffer when it meets [`FLUSH_MARK`].
+/// Flushes its buffer when it receives [`FLUSH_MARK`].
 ///
-/// What goes wrong without it: a flush of the queue passes by the metrics
-/// that still wait in the queue, and the end of each report stays in the
-/// buffer until the next report. One would see values an interval late, the
-/// last ones never. The mark takes its turn behind the metrics.
+/// A flush of the queuing sink bypasses the metrics that are still queued, so
+/// that the end of each report would stay in the buffer until the next report:
+/// values would arrive an interval late and the last ones never. The mark
+/// passes through the queue behind the metrics.
 struct FlushingSink(BufferedUdpMetricSink);
 
 impl MetricSink for FlushingSink {
@@ -48,28 +48,29 @@
 }
 
 impl Publisher {
-    /// Sends nothing.
-    pub(crate) fn none(settings: &MetricsSettings) -> Self {
+    /// Creates a publisher that sends nothing.
+    pub(crate) fn disabled(settings: &MetricsSettings) -> Self {
         Self {
             client: client(settings, NopMetricSink),
             queue: None,
         }
     }
 
-    /// Sends to the address of the settings, or nothing without one.
+    /// Creates a publisher for the statsd address of the settings, or a
+    /// disabled one if there is none.
     pub(crate) fn try_new(
         settings: &MetricsSettings,
     ) -> Result<Self, Report<ObsError>> {
         let Some(addr) = settings.statsd_addr else {
-            return Ok(Self::none(settings));
+            return Ok(Self::disabled(settings));
         };
         let socket = open_socket(addr)
             .change_context(ObsError::Statsd)
             .attach_with(|| format!("server {addr}"))?;
         let udp = BufferedUdpMetricSink::from(addr, socket)
             .change_context(ObsError::Statsd)?;
-        // A thread of its own sends, so that a slow network is felt by the
-        // bounded queue and not by the caller.
+        // A dedicated thread sends, so that a slow network fills the bounded
+        // queue and does not block the caller.
         let queue = QueuingMetricSink::with_capacity(
             FlushingSink(udp),
             settings.queue_metrics,
@@ -80,20 +81,20 @@
         })
     }
 
-    /// Tells whether anything is sent at all.
+    /// Reports whether metrics are sent.
     #[inline]
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         self.queue.is_some()
     }
 
-    /// Sends one gauge.
+    /// Sends a gauge.
     pub(crate) fn gauge(&self, row: &GaugeRow) {
-        // A metric that does not fit the queue is lost, as any datagram may
-        // be; the next report brings the newer value.
+        // A metric is dropped if the queue is full, as any datagram may be;
+        // the next report has the newer value.
         let _ = self.client.gauge(row.gauge.as_str(), row.value);
     }
 
-    /// Sends what has changed in the rows of one scope.
+    /// Sends the changes in the rows of a scope.
     pub(crate) fn rows(&self, scope: &Scope, shards: &[&Rows]) {
         for class in Class::ALL {
             for series in Series::ALL {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Hands the last buffer to the network.
+    /// Requests a flush of the last buffer.
     pub(crate) fn flush(&self) {
         if let Some(queue) = &self.queue {
             let _ = queue.emit(FLUSH_MARK);
@@ -139,7 +140,8 @@
         series: Series,
         class: Class,
     ) {
-        // Every shard is asked, so that each notes what is sent.
+        // Every shard must be visited, because the call marks its values as
+        // published.
         let changed = shards
             .iter()
             .map(|rows| rows.cell(series, class).take_changed())
@@ -150,14 +152,14 @@
         let Some(row) = histogram_row(scope, shards, series, class) else {
             return;
         };
-        let parts = [
+        let quantiles_by_name = [
             ("p50", row.window.p50),
             ("p95", row.window.p95),
             ("p99", row.window.p99),
             ("max", row.window.max),
         ];
-        for (part, value) in parts {
-            let name = format!("{series}.{part}");
+        for (quantile, value) in quantiles_by_name {
+            let name = format!("{series}.{quantile}");
             self.client
                 .gauge_with_tags(&name, value)
                 .with_tag("tenant", scope.as_str())
--- a/crates/obs/src/rows.rs
+++ b/crates/obs/src/rows.rs
@@ -9,27 +9,27 @@
 
 const CLASSES: usize = Class::ALL.len();
 
-/// Series and counters of one scope, or of one shard of it.
+/// Histograms and counters of one scope, or of one shard of a scope.
 pub(crate) struct Rows {
     cells: Vec<Cell>,
-    counters: Vec<CountCell>,
+    counters: Vec<CounterCell>,
     digits: u8,
 }
 
 /// A counter with its value at the last report.
 #[derive(Default)]
-pub(crate) struct CountCell {
+pub(crate) struct CounterCell {
     total: AtomicU64,
     published: AtomicU64,
 }
 
-impl CountCell {
+impl CounterCell {
     #[inline]
     pub(crate) fn add(&self, n: u64) {
         self.total.fetch_add(n, Ordering::Relaxed);
     }
 
-    /// Returns what came since the last call.
+    /// Returns the increment since the last call.
     pub(crate) fn take_increment(&self) -> u64 {
         let total = self.total.load(Ordering::Relaxed);
         let published = self.published.swap(total, Ordering::Relaxed);
@@ -38,13 +38,13 @@
 }
 
 impl Rows {
-    /// Makes rows whose histograms keep this many significant digits.
+    /// Creates rows whose histograms keep this number of significant digits.
     pub(crate) fn new(digits: u8) -> Self {
         let cells = Series::ALL.len() * CLASSES;
         let counters = Counter::ALL.len() * CLASSES;
         Self {
             cells: (0..cells).map(|_| Cell::default()).collect(),
-            counters: (0..counters).map(|_| CountCell::default()).collect(),
+            counters: (0..counters).map(|_| CounterCell::default()).collect(),
             digits,
         }
     }
@@ -76,12 +76,12 @@
         &self,
         counter: Counter,
         class: Class,
-    ) -> &CountCell {
+    ) -> &CounterCell {
         &self.counters[counter.index() * CLASSES + class as usize]
     }
 }
 
-/// Adds the rows of a scope that have values to a table.
+/// Adds the rows of a scope that have values to a snapshot.
 pub(crate) fn add_rows(
     table: &mut MetricsSnapshot,
     scope: &Scope,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Merges the shards of one histogram; none if it never had a value.
+/// Merges the shards of a histogram; returns `None` if it has no values.
 pub(crate) fn histogram_row(
     scope: &Scope,
     shards: &[&Rows],
--- a/crates/obs/src/settings.rs
+++ b/crates/obs/src/settings.rs
@@ -4,29 +4,29 @@
 use log::LevelFilter;
 use serde::{Deserialize, Serialize};
 
-/// Names the least severe level that is written.
+/// Minimum severity of the records that are logged.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Writes nothing.
+    /// Logs nothing.
     Off,
-    /// Writes what needs somebody to act.
+    /// Logs problems that need an operator.
     Error,
-    /// Writes what may need somebody to act.
+    /// Logs problems that may need an operator.
     Warn,
-    /// Writes changes of state; the default.
+    /// Logs state changes; the default.
     #[default]
     Info,
-    /// Writes each request.
+    /// Logs each request.
     Debug,
-    /// Writes each step.
+    /// Logs each step of a request.
     Trace,
 }
 
 impl LogLevel {
-    /// Returns the filter of the `log` crate.
+    /// Returns the corresponding filter of the `log` crate.
     #[inline]
     pub fn filter(self) -> LevelFilter {
         match self {
@@ -62,17 +62,18 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Least severe level written.
+    /// Minimum severity.
     pub level: LogLevel,
-    /// Levels of single targets (module paths), over `level`. The default
-    /// keeps the HTTP libraries quiet; a list in the settings replaces it.
+    /// Levels of single targets (module paths), which override `level`. The
+    /// default reduces the output of the HTTP libraries; a list in the
+    /// settings replaces it.
     pub targets: IndexMap<String, LogLevel>,
-    /// Bytes of lines that may wait for stderr; lines over it are dropped
-    /// and counted.
+    /// Maximum size of the queue to stderr, in bytes; lines beyond it are
+    /// dropped and counted.
     pub queue_bytes: usize,
-    /// Longest wait for stderr when the process ends.
+    /// Maximum time to flush to stderr when the process ends.
     pub flush_timeout_ms: u64,
-    /// Fields put on each line, for example `vm` and `role`.
+    /// Fields added to each line, for example `vm` and `role`.
     pub fields: IndexMap<String, String>,
 }
 
@@ -88,10 +89,11 @@
     }
 }
 
-/// Keeps the HTTP libraries from writing several lines for each request.
+/// Returns levels that keep the HTTP libraries from logging several lines per
+/// request.
 fn quiet_targets() -> IndexMap<String, LogLevel> {
-    // The server library warns of each ordinary launch and of each caller
-    // that leaves early.
+    // The server library warns at each normal launch and whenever a caller
+    // disconnects early.
     let server = ["rocket", "_"].map(|target| (target, LogLevel::Error));
     let client = ["hyper", "hyper_util", "reqwest"]
         .map(|target| (target, LogLevel::Warn));
@@ -117,20 +119,21 @@
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricsSettings {
-    /// Address of the statsd server; nothing is sent without it.
+    /// Address of the statsd server; without one nothing is sent.
     pub statsd_addr: Option<SocketAddr>,
-    /// First part of each name that is sent.
+    /// Prefix of each metric name.
     pub prefix: String,
-    /// Tags put on each metric that is sent, for example `vm`.
+    /// Tags added to each metric, for example `vm`.
     pub tags: IndexMap<String, String>,
-    /// Time between two reports to the statsd server.
+    /// Interval between two reports to the statsd server.
     pub publish_interval_ms: u64,
-    /// Length of one of the two windows that a snapshot shows.
+    /// Length of each of the two windows in a snapshot.
     pub window_ms: u64,
-    /// Customers with rows of their own; all further ones share one.
+    /// Maximum number of customers with rows of their own; all others share
+    /// one.
     #[serde(rename = "tenants_max")]
     pub customers_max: usize,
-    /// Metrics that may wait to be sent; more are dropped.
+    /// Maximum number of queued metrics; more are dropped.
     pub queue_metrics: usize,
 }
 
