--- a/crates/obs/src/table.rs
+++ b/crates/obs/src/table.rs
@@ -8,7 +8,7 @@
 const ALL: &str = "*";
 pub(crate) const OTHER: &str = "other";
 
-/// Tells whose values a row holds.
+/// Customers whose values a row holds.
 ///
 /// # Example
 ///
@@ -27,7 +27,7 @@
 pub enum Scope {
     /// All customers together, written `*`.
     All,
-    /// The customers over the bound, written `other`.
+    /// The customers beyond the limit, written `other`.
     Other,
     /// One customer.
     Customer(Customer),
@@ -68,37 +68,37 @@
     }
 }
 
-/// Quantiles of the last minutes, in the unit of their series.
+/// Quantiles over the last one to two windows, in the unit of the series.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(default)]
 pub struct Quantiles {
-    /// Values seen.
+    /// Number of values.
     pub count: u64,
     /// Median.
     pub p50: u64,
-    /// 95 in 100 values are at most this.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 in 100 values are at most this.
+    /// 99th percentile.
     pub p99: u64,
-    /// 999 in 1,000 values are at most this.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// Largest value.
+    /// Maximum.
     pub max: u64,
 }
 
-/// Sums since the start of the process, in the unit of their series.
+/// Totals since the start of the process, in the unit of the series.
 #[derive(
     Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize,
 )]
 #[serde(default)]
 pub struct Totals {
-    /// Values seen.
+    /// Number of values.
     pub count: u64,
-    /// Their sum.
+    /// Sum of the values.
     pub sum: u64,
-    /// Largest value.
+    /// Maximum.
     pub max: u64,
 }
 
@@ -117,28 +117,28 @@
     }
 }
 
-/// One series of one scope and class.
+/// A histogram of one series, scope and class.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct HistogramRow {
-    /// What is measured.
+    /// Measured series.
     pub series: Series,
-    /// Whose values these are.
+    /// Scope of the values.
     #[serde(rename = "tenant")]
     pub customer: Scope,
     /// Class of the requests.
     pub class: Class,
-    /// The last minutes.
+    /// Quantiles over the last one to two windows.
     pub window: Quantiles,
-    /// Since the start of the process.
+    /// Totals since the start of the process.
     pub total: Totals,
 }
 
-/// One counter of one scope and class.
+/// A counter of one scope and class.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CounterRow {
-    /// What is counted.
+    /// Counted event.
     pub counter: Counter,
-    /// Whose count this is.
+    /// Scope of the count.
     #[serde(rename = "tenant")]
     pub customer: Scope,
     /// Class of the requests.
@@ -147,33 +147,33 @@
     pub total: u64,
 }
 
-/// One gauge.
+/// A gauge.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct GaugeRow {
-    /// What is shown.
+    /// Name of the gauge.
     pub gauge: Gauge,
     /// Last value set.
     pub value: u64,
 }
 
-/// Everything that [`Metrics`](crate::Metrics) knows, for `/status`.
+/// Contents of [`Metrics`](crate::Metrics), as shown by `/status`.
 ///
-/// Rows without values are left out.
+/// Rows without values are omitted.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MetricsSnapshot {
-    /// Length of one window; a row shows one to two of them.
+    /// Length of one window; a row covers one to two windows.
     pub window_ms: u64,
     /// Histograms, by scope, class and series.
     pub histograms: Vec<HistogramRow>,
     /// Counters, by scope, class and counter.
     pub counters: Vec<CounterRow>,
-    /// Gauges that were set.
+    /// Gauges that have been set.
     pub gauges: Vec<GaugeRow>,
 }
 
 impl MetricsSnapshot {
-    /// Finds a histogram.
+    /// Returns a histogram, if it has a row.
     pub fn histogram(
         &self,
         series: Series,
@@ -187,7 +187,7 @@
         })
     }
 
-    /// Returns a counter, 0 if it has no row.
+    /// Returns the value of a counter, or 0 if it has no row.
     pub fn counter(
         &self,
         counter: Counter,
--- a/crates/obs/tests/logs.rs
+++ b/crates/obs/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Shape of the log lines and what happens when nobody reads them.
+//! Format of the log lines and behaviour with a stalled output.
 
 #![allow(clippy::unwrap_used)]
 
@@ -72,7 +72,7 @@
     own_key = { "message", "mine", "refused \"x\"\n" },
     field_key = { "vm", "vm-9", "vm-9" },
 )]
-fn a_key_stands_once(key: &str, value: &str, expected: &str) {
+fn a_key_is_written_once(key: &str, value: &str, expected: &str) {
     let pairs = [(key, Value::from(value)), (key, Value::from("again"))];
     let line = line(&pairs, &[("vm", "vm-7")]);
     assert_eq!(line[key], expected);
@@ -88,20 +88,20 @@
     assert_eq!(settings.level, LogLevel::Debug);
 }
 
-/// An output whose first write waits until the test lets it go.
-struct Gate {
-    entered: Sender<()>,
-    open: Receiver<()>,
-    waited: bool,
+/// An output whose first write blocks until the test unblocks it.
+struct BlockingOutput {
+    blocked: Sender<()>,
+    unblock: Receiver<()>,
+    has_blocked: bool,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Gate {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.waited {
-            self.waited = true;
-            self.entered.send(()).unwrap();
-            self.open.recv().unwrap();
+        if !self.has_blocked {
+            self.has_blocked = true;
+            self.blocked.send(()).unwrap();
+            self.unblock.recv().unwrap();
         }
         self.text.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -112,21 +112,20 @@
     }
 }
 
-/// Symptom: all requests stand still while the endpoints are idle.
-/// Sequence: the reader of stderr stalls, the pipe fills, each thread that
-/// logs waits in its write.
-/// Cause: the line was written on the thread of the request. Here the
-/// output is closed while lines come: none waits, the lines over the bound
-/// are dropped and counted, and the count is in the log.
+/// Guards against requests that all stall while the endpoints are idle. The
+/// reader of stderr stalls, the pipe fills, and each thread that logs blocks
+/// if it writes on the thread of the request. With the output blocked no
+/// thread may wait, the lines beyond the bound are dropped and counted, and
+/// the count is logged.
 #[test]
-fn a_stalled_output_drops_lines_and_says_so() {
-    let (entered, in_write) = channel();
-    let (open, wait) = channel();
+fn a_stalled_output_drops_and_counts_lines() {
+    let (blocked, in_write) = channel();
+    let (unblock, wait) = channel();
     let text = Arc::new(Mutex::new(Vec::new()));
-    let gate = Gate {
-        entered,
-        open: wait,
-        waited: false,
+    let output = BlockingOutput {
+        blocked,
+        unblock: wait,
+        has_blocked: false,
         text: text.clone(),
     };
     let settings = LogSettings {
@@ -134,7 +133,7 @@
         flush_timeout_ms: 60_000,
         ..LogSettings::default()
     };
-    let guard = logs::start_to(&settings, Box::new(gate)).unwrap();
+    let guard = logs::start_to(&settings, Box::new(output)).unwrap();
     log::info!(request_id = "r-0"; "first");
     in_write.recv().unwrap();
     for n in 1..100 {
@@ -143,7 +142,7 @@
     log::debug!("below the level");
     let dropped = guard.dropped_lines();
     assert!((1..100).contains(&dropped), "{dropped}");
-    open.send(()).unwrap();
+    unblock.send(()).unwrap();
     assert!(guard.flush());
     logs::log_panics();
     let panicked = std::thread::spawn(|| panic!("out of {}", "luck"));
--- a/crates/obs/tests/metrics.rs
+++ b/crates/obs/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Quantiles, windows, the bound on customers and the statsd text.
+//! Quantiles, windows, the limit on customers and the statsd lines.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,7 +23,7 @@
     all_customers = { Scope::All, 100 },
     one_customer = { Scope::Customer(customer("alama")), 16 },
 )]
-fn quantiles_are_near(scope: Scope, part: u64) {
+fn quantiles_are_within_the_error_bound(scope: Scope, part: u64) {
     let metrics = Metrics::default();
     for value in 1..=10_000 {
         metrics.record(
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn windows_forget_and_totals_do_not() {
+fn windows_expire_and_totals_do_not() {
     let settings = MetricsSettings {
         window_ms: 60_000,
         ..MetricsSettings::default()
@@ -108,9 +108,8 @@
     assert_eq!(counts(&metrics), (1, 4));
 }
 
-/// Symptom: the process grows with each new customer name.
-/// Sequence: names come without end, each gets rows of its own.
-/// Cause: no bound. Here the third customer and all after it share one row.
+/// Guards against memory that grows with each new customer name. The third
+/// customer and all later ones share one row.
 #[test]
 fn customers_over_the_bound_share_a_row() {
     let settings = MetricsSettings {
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn a_table_survives_json() {
+fn a_snapshot_round_trips_through_json() {
     let metrics = Metrics::default();
     metrics.record(Series::TotalMs, &customer("a"), Class::Batch, 7);
     metrics.count(Counter::Tokens, &customer("a"), Class::Batch, 7);
@@ -218,7 +217,7 @@
     let expected = BTreeSet::from_iter(expected);
     assert_eq!(receive(&server, expected.len()), expected);
 
-    // Only what has changed is sent again.
+    // Only changes are sent again.
     metrics.count(Counter::Arrived, &a, Class::Online, 4);
     metrics.publish();
     let lines = receive(&server, 3);
