--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -53,9 +53,9 @@
             ..convert::range_request(&range)
         };
         let reply: RangeResponse =
-            self.0.call(RANGE, Effect::ReadOnly, &request).await?;
+            self.0.call(RANGE, Effect::None, &request).await?;
         convert::get_reply(reply).map_err(|reason| {
-            Effect::ReadOnly
+            Effect::None
                 .lost_response()
                 .attach(reason)
                 .attach("path /v3/kv/range")
@@ -66,7 +66,7 @@
         let mut ops = txn.success.iter().chain(&txn.failure);
         let effect = match ops.any(convert::is_write) {
             true => Effect::NonIdempotent,
-            false => Effect::ReadOnly,
+            false => Effect::None,
         };
         let lens = [txn.failure.len(), txn.success.len()];
         let request = TxnRequest::from(txn);
--- a/crates/kv/src/etcd/transport.rs
+++ b/crates/kv/src/etcd/transport.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Effect {
     /// The call changes nothing.
-    ReadOnly,
+    None,
     /// The call may be repeated with the same effect.
     Idempotent,
     /// The call must not be repeated before its outcome is known.
@@ -47,7 +47,7 @@
     /// Returns the error of a call that was sent and got no response.
     pub(super) fn lost_response(self) -> Report<KvError> {
         Report::new(match self {
-            Effect::ReadOnly => KvError::NotDone,
+            Effect::None => KvError::NotDone,
             Effect::Idempotent | Effect::NonIdempotent => KvError::Unknown,
         })
     }
--- a/crates/kv/src/etcd/watch.rs
+++ b/crates/kv/src/etcd/watch.rs
@@ -97,11 +97,10 @@
         create_request: convert::watch_request(range, from_revision),
     };
     let body = transport::encode(&request)?;
-    let mut attempts = Attempts::new(transport, WATCH, Effect::ReadOnly);
+    let mut attempts = Attempts::new(transport, WATCH, Effect::None);
     while let Some((url, timeout)) = attempts.next() {
         let attempt = start_stream(transport, url, body.clone(), timeout);
-        match transport::with_timeout(timeout, Effect::ReadOnly, attempt).await
-        {
+        match transport::with_timeout(timeout, Effect::None, attempt).await {
             Ok(stream) => {
                 attempts.succeeded();
                 return Ok(stream);
@@ -118,11 +117,11 @@
     body: Vec<u8>,
     timeout: Duration,
 ) -> Result<(Messages, WatchResponse), Failure> {
-    let response = transport.post(url, body, Effect::ReadOnly).await?;
+    let response = transport.post(url, body, Effect::None).await?;
     let mut messages = Messages::new(response);
     let first = messages.next(timeout).await.map_err(classify)?;
-    let first = first
-        .ok_or_else(|| Failure::Lost(Effect::ReadOnly.lost_response()))?;
+    let first =
+        first.ok_or_else(|| Failure::Lost(Effect::None.lost_response()))?;
     check_not_canceled(&first).map_err(classify)?;
     Ok((messages, first))
 }
@@ -178,14 +177,12 @@
                 Err(_) => return Ok(None),
                 Ok(Ok(Some(chunk))) => self.buffer.extend_from_slice(&chunk),
                 Ok(Ok(None)) => {
-                    return Err(stream_error("the watch has ended"));
-                }
-                Ok(Err(error)) => {
-                    return Err(stream_error(&error.to_string()));
+                    return Err(interrupted("the watch has ended"));
                 }
+                Ok(Err(error)) => return Err(interrupted(&error.to_string())),
             }
             if self.buffer.len() > MAX_MESSAGE_BYTES {
-                return Err(stream_error("a message is too large"));
+                return Err(interrupted("a message is too large"));
             }
         }
     }
@@ -210,12 +207,12 @@
     match serde_json::from_slice(line) {
         Ok(StreamMessage::Result(message)) => Ok(message),
         Ok(StreamMessage::Error(body)) => {
-            Err(transport::refusal(&body, Effect::ReadOnly))
+            Err(transport::refusal(&body, Effect::None))
         }
-        Err(error) => Err(stream_error(&error.to_string())),
+        Err(error) => Err(interrupted(&error.to_string())),
     }
 }
 
-fn stream_error(reason: &str) -> Report<KvError> {
+fn interrupted(reason: &str) -> Report<KvError> {
     Report::new(KvError::NotDone).attach(reason.to_owned())
 }
--- a/crates/kv/src/memory.rs
+++ b/crates/kv/src/memory.rs
@@ -196,19 +196,15 @@
         state.check_available()?;
         let fault = state.faults.pop_front().unwrap_or_default();
         match fault {
-            WriteFault::Refused => {
-                return Err(injected_fault(KvError::NotDone));
-            }
-            WriteFault::RequestLost => {
-                return Err(injected_fault(KvError::Unknown));
-            }
+            WriteFault::Refused => return Err(injected(KvError::NotDone)),
+            WriteFault::RequestLost => return Err(injected(KvError::Unknown)),
             WriteFault::None | WriteFault::ResponseLost => {}
         }
         state.store.expire(self.0.clock.now());
         let result = call(&mut state.store);
         self.notify_watches(&state);
         match fault {
-            WriteFault::ResponseLost => Err(injected_fault(KvError::Unknown)),
+            WriteFault::ResponseLost => Err(injected(KvError::Unknown)),
             _ => result.map_err(rejected),
         }
     }
@@ -269,7 +265,7 @@
 impl State {
     fn check_available(&self) -> KvResult<()> {
         match self.is_down {
-            true => Err(injected_fault(KvError::NotDone)),
+            true => Err(injected(KvError::NotDone)),
             false => Ok(()),
         }
     }
@@ -327,14 +323,14 @@
             if self.signal.borrow_and_update().watch_failures
                 != self.watch_failures
             {
-                return Err(injected_fault(KvError::NotDone));
+                return Err(injected(KvError::NotDone));
             }
             let batch = self.take_changes()?;
             if !batch.events.is_empty() {
                 return Ok(batch);
             }
             if self.signal.changed().await.is_err() {
-                return Err(injected_fault(KvError::NotDone));
+                return Err(injected(KvError::NotDone));
             }
         }
     }
@@ -362,7 +358,7 @@
     Box::pin(future::ready(result))
 }
 
-fn injected_fault(error: KvError) -> Report<KvError> {
+fn injected(error: KvError) -> Report<KvError> {
     Report::new(error).attach("injected fault")
 }
 
--- a/crates/kv/src/ops.rs
+++ b/crates/kv/src/ops.rs
@@ -146,9 +146,7 @@
                     .read_back(kv, &read_back, &mut attempt, &mut random)
                     .await?;
                 match decide(&found) {
-                    ReadBack::Applied(value) => {
-                        return Ok(Outcome::Applied(value));
-                    }
+                    ReadBack::Applied(v) => return Ok(Outcome::Applied(v)),
                     ReadBack::Superseded => return Ok(Outcome::Superseded),
                     ReadBack::Undecided => {}
                 }
--- a/crates/kv/src/paths.rs
+++ b/crates/kv/src/paths.rs
@@ -31,7 +31,7 @@
 /// paths.set_peers(vec![peer]);
 /// let now = Millis::new(10);
 /// assert_eq!(paths.pick(now), Some(direct));
-/// paths.record_result(direct, false, now);
+/// paths.record(direct, false, now);
 /// assert_eq!(paths.pick(now), Some(peer));
 /// let later = Millis::new(2_000);
 /// assert_eq!(paths.pick(later), Some(direct));
@@ -100,7 +100,7 @@
     /// paths.set_outage_interval_ms(2_000);
     /// let now = Millis::new(10);
     /// for _ in 0..3 {
-    ///     paths.record_result(direct, false, now);
+    ///     paths.record(direct, false, now);
     /// }
     /// assert_eq!(paths.pick(Millis::new(1_900)), None);
     /// assert_eq!(paths.pick(Millis::new(2_010)), Some(direct));
@@ -146,12 +146,7 @@
     }
 
     /// Records the result of a call.
-    pub fn record_result(
-        &self,
-        address: SocketAddr,
-        succeeded: bool,
-        now: Millis,
-    ) {
+    pub fn record(&self, address: SocketAddr, succeeded: bool, now: Millis) {
         let mut inner = self.lock();
         match succeeded {
             true => inner.failures = 0,
--- a/crates/kv/tests/etcd.rs
+++ b/crates/kv/tests/etcd.rs
@@ -147,10 +147,7 @@
     wrong_server = { Action::Respond(404, "<html>"), KvError::Invalid },
 )]
 #[test_macro(tokio::test)]
-async fn a_failed_write_reports_whether_it_ran(
-    action: Action,
-    error: KvError,
-) {
+async fn a_failed_write_tells_whether_it_ran(action: Action, error: KvError) {
     let (address, requests) = serve(vec![action]).await;
     let (other, untouched) = serve(vec![action]).await;
     let timeout_ms = if matches!(action, Action::NoResponse) {
--- a/crates/kv/tests/paths.rs
+++ b/crates/kv/tests/paths.rs
@@ -14,7 +14,7 @@
 #[test]
 fn without_peers_only_the_direct_path_is_used() {
     let paths = Paths::new(address(1));
-    paths.record_result(address(1), false, NOW);
+    paths.record(address(1), false, NOW);
     assert_eq!(paths.pick(NOW), Some(address(1)));
     assert!(!paths.has_alternative(address(1)));
 }
@@ -23,11 +23,11 @@
 fn a_peer_that_fails_is_replaced_by_the_next() {
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2), address(3)]);
-    paths.record_result(address(1), false, NOW);
+    paths.record(address(1), false, NOW);
     assert_eq!(paths.pick(NOW), Some(address(2)));
-    paths.record_result(address(2), false, NOW);
+    paths.record(address(2), false, NOW);
     assert_eq!(paths.pick(NOW), Some(address(3)));
-    paths.record_result(address(3), true, NOW);
+    paths.record(address(3), true, NOW);
     assert_eq!(paths.pick(NOW), Some(address(3)));
 }
 
@@ -35,10 +35,10 @@
 fn the_direct_path_is_used_again_once_it_works() {
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2)]);
-    paths.record_result(address(1), false, NOW);
+    paths.record(address(1), false, NOW);
     let later = NOW.saturating_add_ms(1_500);
     assert_eq!(paths.pick(later), Some(address(1)));
-    paths.record_result(address(1), true, later);
+    paths.record(address(1), true, later);
     assert_eq!(paths.pick(later), Some(address(1)));
 }
 
@@ -50,19 +50,19 @@
     let paths = Paths::new(address(1));
     paths.set_peers(vec![address(2)]);
     for port in [1, 2, 2] {
-        paths.record_result(address(port), false, NOW);
+        paths.record(address(port), false, NOW);
     }
     assert_eq!(paths.pick(NOW), None);
     let later = NOW.saturating_add_ms(500);
     assert!(paths.pick(later).is_some());
-    paths.record_result(address(2), true, later);
+    paths.record(address(2), true, later);
     assert!(paths.pick(later).is_some());
 }
 
 #[test]
 fn failures_below_the_threshold_pause_no_call() {
     let paths = Paths::new(address(1));
-    paths.record_result(address(1), false, NOW);
-    paths.record_result(address(1), false, NOW);
+    paths.record(address(1), false, NOW);
+    paths.record(address(1), false, NOW);
     assert_eq!(paths.pick(NOW), Some(address(1)));
 }
