--- a/crates/kv/src/etcd/watch.rs
+++ b/crates/kv/src/etcd/watch.rs
@@ -176,13 +176,11 @@
             match tokio::time::timeout(idle, chunk).await {
                 Err(_) => return Ok(None),
                 Ok(Ok(Some(chunk))) => self.buffer.extend_from_slice(&chunk),
-                Ok(Ok(None)) => {
-                    return Err(interrupted("the watch has ended"));
-                }
-                Ok(Err(error)) => return Err(interrupted(&error.to_string())),
+                Ok(Ok(None)) => return Err(ended("the watch has ended")),
+                Ok(Err(error)) => return Err(ended(&error.to_string())),
             }
             if self.buffer.len() > MAX_MESSAGE_BYTES {
-                return Err(interrupted("a message is too large"));
+                return Err(ended("a message is too large"));
             }
         }
     }
@@ -209,10 +207,10 @@
         Ok(StreamMessage::Error(body)) => {
             Err(transport::refusal(&body, Effect::None))
         }
-        Err(error) => Err(interrupted(&error.to_string())),
+        Err(error) => Err(ended(&error.to_string())),
     }
 }
 
-fn interrupted(reason: &str) -> Report<KvError> {
+fn ended(reason: &str) -> Report<KvError> {
     Report::new(KvError::NotDone).attach(reason.to_owned())
 }
