--- a/crates/bench/benches/quarantine.rs
+++ b/crates/bench/benches/quarantine.rs
@@ -32,12 +32,12 @@
 async fn measure(options: Options) -> Result<(), Report<BenchError>> {
     let rounds = if options.small { 20_000 } else { 400_000 };
     let clock = Arc::new(SystemClock::new());
-    let most = QuarantineOptions::default().cases_most;
+    let most = QuarantineOptions::default().max_records;
     let none = Quarantine::local(clock.clone(), QuarantineOptions::default());
     let full = Quarantine::local(clock.clone(), QuarantineOptions::default());
     for number in 0..most as u64 {
         let now = clock.unix();
-        full.crashed(digest(&number.to_le_bytes()), crash(number, now));
+        full.record_crash(digest(&number.to_le_bytes()), crash(number, now));
     }
     let mut table = Table::new(
         "Time of one check in ns, and as a ratio to that without any request \
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -6,9 +6,9 @@
 use base::{Incarnation, timer::Timer};
 use conf::settings::EndpointSettings;
 use futures::future::{BoxFuture, FutureExt};
-use gate::{End, Refused, RefusedWhy};
+use gate::{End, RejectReason, Rejection};
 use obs::{Counter, Metrics, Series};
-use upstream::{EndpointClient, Seen};
+use upstream::{EndpointClient, ResponseProgress};
 use wire::{
     Answer, CompanionHandler,
     message::{
@@ -79,13 +79,13 @@
     }
 }
 
-fn refusal(refused: Refused) -> Refusal {
-    let kind = match refused.why {
-        RefusedWhy::Full => RefusalKind::Full,
-        RefusedWhy::Stalled => RefusalKind::EndpointDown,
-        RefusedWhy::Leaving => RefusalKind::Leaving,
+fn refusal(refused: Rejection) -> Refusal {
+    let kind = match refused.reason {
+        RejectReason::Full => RefusalKind::Full,
+        RejectReason::Stalled => RefusalKind::EndpointDown,
+        RejectReason::Leaving => RefusalKind::Leaving,
     };
-    Refusal::new(kind, refused.why.as_str())
+    Refusal::new(kind, refused.reason.as_str())
         .retry_after_ms(refused.retry_after_ms)
 }
 
@@ -153,16 +153,17 @@
             let gap_us = u64::from(gap_us);
             customer.record(Series::BetweenTokensUs, class, gap_us);
         }
-        if seen != Seen::Stream && std::mem::take(&mut is_first) {
+        if seen != ResponseProgress::Stream && std::mem::take(&mut is_first) {
             let ms = shared.timer.now().saturating_ms_since(arrived);
             customer.record(Series::FirstTokenMs, class, ms);
         }
     };
-    let outcome = shared.client.run_seen(request, &answer, on_seen).await;
+    let outcome = shared
+        .client
+        .run_with_progress(request, &answer, on_seen)
+        .await;
     let (counter, end) = match outcome.kind {
-        OutcomeKind::Complete => {
-            (Counter::Completed, End::Whole { tokens: 0 })
-        }
+        OutcomeKind::Complete => (Counter::Completed, End::Done { tokens: 0 }),
         OutcomeKind::Cancelled => (Counter::Cancelled, End::Failed),
         _ => (Counter::Failed, End::Failed),
     };
@@ -176,7 +177,7 @@
     let detail = match why {
         NotStarted::Refused(refused) => format!(
             "{}; come back in {} ms",
-            refused.why, refused.retry_after_ms
+            refused.reason, refused.retry_after_ms
         ),
         NotStarted::Returned => "the endpoint is leaving".to_owned(),
     };
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -2,7 +2,7 @@
 
 use base::{Millis, RequestDigest};
 use quarantine::{Crash, CrashedEndpoint, Quarantine};
-use router::{EndpointKey, Failure, Refused, Report};
+use router::{EndpointKey, EndpointReport, Failure, Refusal};
 use wire::message::{Load, RefusalKind};
 
 use super::{Fleet, Target};
@@ -78,7 +78,8 @@
     /// Notes that the answer is whole.
     pub(crate) fn completed(&self) {
         if let Some(call) = &self.call {
-            call.quarantine.answered(|| call.digest, call.resumed_after);
+            call.quarantine
+                .record_response(|| call.digest, call.resumed_after);
         }
     }
 
@@ -99,7 +100,7 @@
             resumed_after: call.resumed_after,
             reached: call.reached,
         };
-        call.quarantine.crashed(call.digest, crash);
+        call.quarantine.record_crash(call.digest, crash);
     }
 
     /// Notes the load that came with the reply to the call. If it comes from
@@ -117,11 +118,11 @@
     /// Notes that the endpoint did not take the call.
     pub(crate) fn refused(&self, kind: RefusalKind) {
         let why = match kind {
-            RefusalKind::Full => Refused::Full,
-            RefusalKind::Leaving => Refused::Leaving,
-            RefusalKind::EndpointDown => Refused::Down,
-            RefusalKind::WrongTarget => Refused::WrongTarget,
-            _ => Refused::Other,
+            RefusalKind::Full => Refusal::Full,
+            RefusalKind::Leaving => Refusal::Leaving,
+            RefusalKind::EndpointDown => Refusal::Down,
+            RefusalKind::WrongTarget => Refusal::WrongTarget,
+            _ => Refusal::Other,
         };
         let now = self.fleet.timer.now();
         self.fleet.router().refused(self.key, why, now);
@@ -149,8 +150,8 @@
 
 /// Returns what a router needs of a load. Batch items give way at once, so
 /// they do not count.
-pub(super) fn report(load: &Load) -> Report {
-    Report {
+pub(super) fn report(load: &Load) -> EndpointReport {
+    EndpointReport {
         running: load.running.saturating_sub(load.batch_running),
         waiting: load.waiting,
         first_token_ms: load.first_token_ms,
--- a/crates/fleet/tests/burst.rs
+++ b/crates/fleet/tests/burst.rs
@@ -1,49 +1,49 @@
-//! A burst of many nodes before engines that are nearly full, by a stepped
-//! clock and without a network: the shipped choice, old views, queues.
+//! Simulates a burst of requests from many nodes to engines that are nearly
+//! full, with a stepped clock and without a network. It uses the real endpoint
+//! choice, delayed knowledge of other nodes' load, and queues at the engines.
 //!
-//! The pattern: seventeen nodes send 355 streams a second for 2.4 s to 38
-//! engines of seven slots; a stream holds a slot for 0.75 s on average, so
-//! that all slots are wanted. What a node knows of the others is up to a
-//! tenth of a second old. A first event is in time if it waits 240 ms at the
-//! most for a slot.
+//! Load: seventeen nodes send 355 streams a second for 2.4 s to 38 engines
+//! with seven slots each. A stream holds a slot for 0.75 s on average, so all
+//! slots are needed. What a node knows of the others is up to a tenth of a
+//! second old. A first event is in time if it waits at most 240 ms for a slot.
 
 use std::collections::{HashSet, VecDeque};
 
 use base::Millis;
 use pomeloslip_fleet::{
-    Endpoint, EndpointRecord, EndpointState, EndpointTable, LifeKey, Need,
-    Selection,
+    Endpoint, EndpointQuery, EndpointRecord, EndpointState, EndpointTable,
+    IncarnationKey, Selection,
 };
 
 const SLOTS: u32 = 7;
 const BURST_MS: u64 = 2_400;
 const UPDATE_MS: u64 = 50;
-const PATIENCE_MS: u64 = 240;
+const MAX_WAIT_MS: u64 = 240;
 
-/// A fleet and the load that it gets.
+/// A fleet and its load.
 #[derive(Clone, Copy)]
 struct Fleet {
     nodes: usize,
     engines: usize,
-    /// Arrivals in a second.
+    /// Arrivals per second.
     rate: u64,
 }
 
-/// The fleet in whose bursts the pattern was found.
+/// The fleet in which the failure was first observed.
 const SMALL: Fleet = Fleet {
     nodes: 17,
     engines: 38,
     rate: 355,
 };
 
-/// Ten times as many of all.
+/// Ten times as many nodes, engines and requests.
 const LARGE: Fleet = Fleet {
     nodes: 170,
     engines: 380,
     rate: 3_550,
 };
 
-/// Numbers that look random and are the same each time.
+/// Deterministic pseudo-random numbers.
 struct Random(u64);
 
 impl Random {
@@ -55,9 +55,9 @@
 
 #[derive(Default)]
 struct Engine {
-    /// Node and end of each stream that runs.
+    /// Node and end time of each running stream.
     running: Vec<(usize, u64)>,
-    /// Node and arrival of each that waits.
+    /// Node and arrival time of each waiting request.
     waiting: VecDeque<(usize, u64)>,
 }
 
@@ -69,8 +69,8 @@
     longest_queue: usize,
 }
 
-/// Plays a burst.
-fn play(fleet: Fleet, seed: u64) -> Outcome {
+/// Simulates one burst.
+fn simulate_burst(fleet: Fleet, seed: u64) -> Outcome {
     let Fleet {
         nodes,
         engines: engine_count,
@@ -88,8 +88,9 @@
     let selections: Vec<Selection> = (0..nodes)
         .map(|node| {
             let is_own = |endpoint: &Endpoint| {
-                let at: usize = endpoint.record().id.parse().expect("number");
-                at % nodes == node
+                let index: usize =
+                    endpoint.record().id.parse().expect("number");
+                index % nodes == node
             };
             Selection::new(&format!("node-{node}"), &tables[node], is_own)
         })
@@ -97,10 +98,10 @@
     let mut counts = vec![vec![0_u32; nodes]; engine_count];
     let mut outcome = Outcome::default();
     for now in 1..BURST_MS + 2_000 {
-        for (at, engine) in engines.iter_mut().enumerate() {
+        for (index, engine) in engines.iter_mut().enumerate() {
             engine.running.retain(|(node, ends)| {
                 if *ends <= now {
-                    views[*node][at].end();
+                    views[*node][index].end_request();
                 }
                 *ends > now
             });
@@ -108,7 +109,7 @@
                 let Some((node, arrived)) = engine.waiting.pop_front() else {
                     break;
                 };
-                match now - arrived <= PATIENCE_MS {
+                match now - arrived <= MAX_WAIT_MS {
                     true => outcome.in_time += 1,
                     false => outcome.late += 1,
                 }
@@ -117,18 +118,20 @@
             }
         }
         if now % UPDATE_MS == 0 {
-            // What the nodes hear now was sent one update before.
+            // The counts that the nodes receive now are one update interval
+            // old.
             report(&views, &selections, &counts, now);
             count(&views, &mut counts);
         }
         if now > BURST_MS {
             continue;
         }
-        // Whole arrivals of each millisecond, and the rest by chance.
-        let rest = u64::from(random.below(1_000) < rate % 1_000);
-        for _ in 0..rate / 1_000 + rest {
+        // The integer part of the arrivals of each millisecond, and the
+        // fraction at random.
+        let fraction = u64::from(random.below(1_000) < rate % 1_000);
+        for _ in 0..rate / 1_000 + fraction {
             let node = random.below(nodes as u64) as usize;
-            let need = Need {
+            let query = EndpointQuery {
                 service: "engines",
                 failure_domain: "east",
                 affinity: random.below(1_000),
@@ -136,13 +139,13 @@
                 queue_allowance: 1,
             };
             let selection = &selections[node];
-            match tables[node].choose(selection, &need, Millis::new(now)) {
+            match tables[node].choose(selection, &query, Millis::new(now)) {
                 Ok(choice) => {
-                    choice.endpoint.begin();
+                    choice.endpoint.begin_request();
                     let id = &choice.endpoint.record().id;
-                    let at: usize = id.parse().expect("a number");
-                    engines[at].waiting.push_back((node, now));
-                    let queue = engines[at].waiting.len();
+                    let index: usize = id.parse().expect("a number");
+                    engines[index].waiting.push_back((node, now));
+                    let queue = engines[index].waiting.len();
                     outcome.longest_queue = outcome.longest_queue.max(queue);
                 }
                 Err(_) => outcome.refused += 1,
@@ -153,9 +156,9 @@
 }
 
 fn view(engines: usize) -> Vec<Endpoint> {
-    let endpoint = |at: usize| {
+    let endpoint = |index: usize| {
         Endpoint::new(EndpointRecord {
-            id: at.to_string(),
+            id: index.to_string(),
             started_at: None,
             address: ([127, 0, 0, 1], 80).into(),
             service: "engines".to_owned(),
@@ -168,15 +171,15 @@
 }
 
 fn count(views: &[Vec<Endpoint>], counts: &mut [Vec<u32>]) {
-    for (at, counts) in counts.iter_mut().enumerate() {
+    for (index, counts) in counts.iter_mut().enumerate() {
         for (node, view) in views.iter().enumerate() {
-            counts[node] = view[at].in_flight();
+            counts[node] = view[index].in_flight();
         }
     }
 }
 
-/// Reports to each node what the others have at the endpoints that it sends
-/// to as a rule; of others it hears nothing.
+/// Records at each node the load of the others at its selected endpoints; it
+/// learns nothing of other endpoints.
 fn report(
     views: &[Vec<Endpoint>],
     selections: &[Selection],
@@ -184,29 +187,29 @@
     now: u64,
 ) {
     for (node, selection) in selections.iter().enumerate() {
-        let selected: HashSet<LifeKey> = selection.iter().collect();
-        for (at, endpoint) in views[node].iter().enumerate() {
-            if selected.contains(&endpoint.life()) {
-                let all: u32 = counts[at].iter().sum();
-                let others = all - counts[at][node];
-                endpoint.report_remote(others, Millis::new(now));
+        let selected: HashSet<IncarnationKey> = selection.iter().collect();
+        for (index, endpoint) in views[node].iter().enumerate() {
+            if selected.contains(&endpoint.incarnation_key()) {
+                let all: u32 = counts[index].iter().sum();
+                let others = all - counts[index][node];
+                endpoint.record_remote_load(others, Millis::new(now));
             }
         }
     }
 }
 
-/// Symptom: first events come a second late in a burst while most engines
-/// have no queue. Events: nearly all engines are full; one gets a free slot,
-/// every node sees it, and ten requests arrive there before any node hears
-/// of the others. Cause: each node took the least loaded of all.
+/// Guards against first events that are a second late in a burst while most
+/// engines have no queue: when each node took the least loaded of all engines,
+/// every node saw the one with a free slot, and ten requests arrived there
+/// before any node learned of the others.
 ///
-/// With the least loaded of all 1,149 of 8,600 were late, and 17 requests
+/// With that choice 1,149 of 8,600 first events were late, and 17 requests
 /// waited at one engine.
 #[test]
 fn nodes_do_not_all_send_to_the_one_engine_with_a_free_slot() {
     let mut all = Outcome::default();
     for seed in 1..=10 {
-        let one = play(SMALL, seed);
+        let one = simulate_burst(SMALL, seed);
         all.in_time += one.in_time;
         all.late += one.late;
         all.refused += one.refused;
@@ -219,12 +222,13 @@
     assert_eq!(all.refused, 0, "{all:?}");
 }
 
-/// A node of a large fleet hears of the load of a few endpoints alone, and of
-/// the others it knows its own requests. Ten times the fleet and the load do
-/// as well as the small one, where a selection is half of all endpoints.
+/// A node of a large fleet receives the load of a few endpoints only, and
+/// knows just its own requests at the others. Ten times the fleet and the load
+/// must perform as well as the small fleet, where a selection covers half of
+/// all endpoints.
 #[test]
 fn a_large_fleet_does_as_well_with_a_selection() {
-    let outcome = play(LARGE, 1);
+    let outcome = simulate_burst(LARGE, 1);
     println!("one burst: {outcome:?}");
     let ended = f64::from(outcome.in_time + outcome.late);
     let share_late = f64::from(outcome.late) / ended;
--- a/crates/jobs/src/assignment.rs
+++ b/crates/jobs/src/assignment.rs
@@ -1,6 +1,6 @@
 use std::sync::Arc;
 
-use fleet::{Endpoint, LifeKey};
+use fleet::{Endpoint, IncarnationKey};
 use indexmap::IndexMap;
 
 use crate::{JobKey, JobManifest, Members, NodeRecord, ring::HashRing};
@@ -20,11 +20,11 @@
 pub struct Assignment {
     node: String,
     members: Arc<Members>,
-    user_by_endpoint: IndexMap<LifeKey, usize>,
+    user_by_endpoint: IndexMap<IncarnationKey, usize>,
     /// Number of endpoints of each node, by the node's index among the
     /// members.
     endpoint_counts: Vec<usize>,
-    own_endpoints: Vec<LifeKey>,
+    own_endpoints: Vec<IncarnationKey>,
     steps: usize,
 }
 
@@ -68,7 +68,7 @@
         endpoints: impl IntoIterator<Item = &'a Endpoint>,
     ) -> Self {
         let mut endpoints: Vec<&Endpoint> = endpoints.into_iter().collect();
-        endpoints.sort_by_key(|endpoint| endpoint.spread());
+        endpoints.sort_by_key(|endpoint| endpoint.id_hash());
         let members = members.into();
         let mut assignment = Self {
             node: node.to_owned(),
@@ -148,10 +148,11 @@
         endpoints.retain(|endpoint| {
             let endpoint_counts = &self.endpoint_counts;
             let has_capacity = |node: usize| endpoint_counts[node] < limit;
-            let user = ring.find(endpoint.spread(), has_capacity);
+            let user = ring.find(endpoint.id_hash(), has_capacity);
             if let Some(user) = user {
                 self.endpoint_counts[user] += 1;
-                self.user_by_endpoint.insert(endpoint.life(), user);
+                self.user_by_endpoint
+                    .insert(endpoint.incarnation_key(), user);
             }
             user.is_none()
         });
@@ -171,7 +172,7 @@
     }
 
     /// Returns the endpoints that are assigned to this node.
-    pub fn own_endpoints(&self) -> &[LifeKey] {
+    pub fn own_endpoints(&self) -> &[IncarnationKey] {
         &self.own_endpoints
     }
 
@@ -188,13 +189,13 @@
     }
 
     /// Returns the node that an endpoint is assigned to.
-    pub fn user_of(&self, endpoint: LifeKey) -> Option<&NodeRecord> {
+    pub fn user_of(&self, endpoint: IncarnationKey) -> Option<&NodeRecord> {
         let index = self.user_by_endpoint.get(&endpoint)?;
         self.members.nodes().get(*index)
     }
 
     /// Reports whether an endpoint is assigned to this node.
-    pub fn uses_endpoint(&self, endpoint: LifeKey) -> bool {
+    pub fn uses_endpoint(&self, endpoint: IncarnationKey) -> bool {
         self.user_of(endpoint)
             .is_some_and(|user| user.node == self.node)
     }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,41 +1,43 @@
 //! Customer rate and concurrency limits and retry budgets without I/O.
 //!
 //! Each limit is a small state machine that takes the time as an argument:
-//! rates ([`TokenBucket`]), requests at once ([`ConcurrencyLimit`]), both for
-//! every customer ([`LimitTable`]), an entry's part of a limit of the fleet
-//! ([`LimitShare`]), retries ([`RetryBudget`]) and fair turns of customers
-//! ([`FairQueue`]).
+//! request rates ([`TokenBucket`]), concurrent requests
+//! ([`ConcurrencyLimit`]), both per customer ([`LimitTable`]), an entry's
+//! share of a fleet-wide limit ([`LimitShare`]), retries ([`RetryBudget`]) and
+//! fair queueing over customers ([`FairQueue`]).
 //!
-//! A cap over all fronts is held by a [`FleetLimiter`]: [`EvenParts`] gives
-//! each front a fixed part, [`PoolMember`] lends its parts to a few nodes
-//! ([`PoolHolder`]) that count for many fronts.
+//! A rate limit over all fronts is enforced by a [`FleetLimiter`]:
+//! [`EvenSplit`] gives each front a fixed share, while [`TokenClient`] allots
+//! its shares to a few nodes ([`TokenServer`]) that count requests for many
+//! fronts.
 //!
-//! A refusal always says when to come back ([`OverLimit`]); nothing waits
-//! inside a limit.
+//! A refusal always includes the time after which to retry ([`OverLimit`]); no
+//! request waits inside a limit.
 
 mod bucket;
-mod cap;
 mod concurrency;
-mod even;
+mod even_split;
 mod fair;
 mod front_count;
 mod limiter;
 mod pool;
+mod rate_limit;
 mod retry;
 mod share;
 mod table;
 
 pub use crate::{
     bucket::{OverLimit, TokenBucket},
-    cap::{Allowance, Cap, CapError, Counted},
     concurrency::{ConcurrencyLimit, Permit},
-    even::EvenParts,
+    even_split::EvenSplit,
     fair::{FairQueue, FlowKey, PushError},
-    limiter::{FleetLimiter, LimitAction, LimitNodes, Ticket, Verdict},
+    limiter::{FleetLimiter, LimitAction, LimitDecision, LimitNodes, Ticket},
     pool::{
-        PoolAsk, PoolGrant, PoolHolder, PoolMember, PoolOptions, PoolReply,
-        PoolStamp, PoolWant, Refused, SLOTS,
+        Demand, SLOT_COUNT, ServerTimestamp, TokenClient, TokenGrant,
+        TokenRefusal, TokenRequest, TokenResponse, TokenServer,
+        TokenServerOptions,
     },
+    rate_limit::{QuotaPermit, RateLimit, RateLimitError, Tolerance},
     retry::RetryBudget,
     share::{EntryCount, LimitShare},
     table::{Admission, FleetLimits, LimitKey, LimitTable},
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,26 +1,30 @@
-//! Choices, lives and recovery of endpoints.
+//! Choice, incarnations and recovery of endpoints.
 
 use base::{Incarnation, Millis};
 use pomeloslip_router::{
-    Affinity, EndpointKey, Failure, HealthPolicy, Listed, Policy, PoolKey,
-    Probing, Query, Refused, Report, Router, RouterOptions,
+    Affinity, EndpointKey, EndpointReport, Failure, HealthPolicy,
+    ListedEndpoint, Policy, PoolKey, Probing, Query, Refusal, Router,
+    RouterOptions,
 };
 use yare::parameterized;
 
 const T0: Millis = Millis::new(0);
 
-fn listed(name: &str, near: bool) -> Listed {
+fn listed(name: &str, same_domain: bool) -> ListedEndpoint {
     let valid = name.parse().expect("a valid name");
-    Listed::new(valid, near, &format!("{name}:7000"))
+    ListedEndpoint::new(valid, same_domain, &format!("{name}:7000"))
 }
 
-fn many(count: usize, near: usize) -> Vec<Listed> {
+fn many(count: usize, same_domain: usize) -> Vec<ListedEndpoint> {
     (0..count)
-        .map(|at| listed(&format!("e{at}"), at < near))
+        .map(|at| listed(&format!("e{at}"), at < same_domain))
         .collect()
 }
 
-fn router(options: RouterOptions, list: &[Listed]) -> (Router, PoolKey) {
+fn router(
+    options: RouterOptions,
+    list: &[ListedEndpoint],
+) -> (Router, PoolKey) {
     let mut router = Router::new("entry-1", options);
     let pool = router.pool("pool");
     router.list(pool, list);
@@ -31,11 +35,11 @@
     RouterOptions::default().affinity(None)
 }
 
-fn report(life: u64) -> Report {
-    Report {
+fn report(incarnation: u64) -> EndpointReport {
+    EndpointReport {
         up: true,
-        incarnation: Incarnation::new(life),
-        ..Report::default()
+        incarnation: Incarnation::new(incarnation),
+        ..EndpointReport::default()
     }
 }
 
@@ -58,7 +62,7 @@
 #[parameterized(
     random = { Policy::Random },
     round_robin = { Policy::RoundRobin },
-    least_of_two = { Policy::LeastOfTwo },
+    least_of_two = { Policy::PowerOfTwoChoices },
     probing = { Policy::Probing(Probing::default()) },
 )]
 fn every_policy_spreads_and_never_repeats_a_try(policy: Policy) {
@@ -84,42 +88,48 @@
 
 #[test]
 fn own_domain_first_and_others_by_need() {
-    let options = plain().policy(Policy::LeastOfTwo).far_penalty(2);
+    let options = plain()
+        .policy(Policy::PowerOfTwoChoices)
+        .other_domain_penalty(2);
     let (mut router, pool) = router(options, &many(2, 1));
-    let (near, far) = (key(&router, "e0"), key(&router, "e1"));
+    let (same_domain, far) = (key(&router, "e0"), key(&router, "e1"));
     let mut chosen = Vec::new();
     for random in 0..5 {
         let key = choose(&mut router, pool, T0, random).unwrap();
         router.sent(key, T0);
         chosen.push(key);
     }
-    // The far one is taken once it is less loaded by more than two.
-    assert_eq!(chosen, [near, near, near, far, near]);
+    // The endpoint of the other domain is taken once it is less loaded by more
+    // than two.
+    assert_eq!(
+        chosen,
+        [same_domain, same_domain, same_domain, far, same_domain]
+    );
 }
 
-/// Symptom: requests to endpoints of a lost failure domain. Events: all
-/// endpoints of the entry's own domain become unreachable. Cause would be a
-/// subset or a preference that knows only the own domain.
+/// Guards against requests to endpoints of a failed failure domain: all
+/// endpoints of the entry's own domain become unreachable, and the subset or
+/// the preference must not be limited to that domain.
 #[test]
 fn a_lost_own_domain_spills_over() {
     let (mut router, pool) = router(plain().subset(8), &many(100, 50));
     let views: Vec<_> = router.endpoints().collect();
     assert_eq!(views.len(), 8);
     let is_near = |name: &str| name[1..].parse::<usize>().unwrap() < 50;
-    let near: Vec<_> =
+    let same_domain: Vec<_> =
         views.iter().filter(|v| is_near(v.name.as_str())).collect();
-    assert_eq!(near.len(), 6);
-    for view in &near {
+    assert_eq!(same_domain.len(), 6);
+    for view in &same_domain {
         router.failed(view.key, Failure::Unreachable, T0);
     }
     let chosen = choose(&mut router, pool, T0, 3).unwrap();
-    assert!(near.iter().all(|view| view.key != chosen));
+    assert!(same_domain.iter().all(|view| view.key != chosen));
 }
 
 #[test]
 fn entries_use_different_parts_and_keep_them() {
     let list = many(100, 0);
-    let part = |entry: &str, list: &[Listed]| {
+    let subset_names = |entry: &str, list: &[ListedEndpoint]| {
         let mut router = Router::new(entry, plain().subset(10));
         let pool = router.pool("pool");
         router.list(pool, list);
@@ -128,27 +138,28 @@
         names.sort();
         names
     };
-    let first = part("entry-1", &list);
-    assert_ne!(first, part("entry-2", &list));
-    let without: Vec<Listed> = list
+    let first = subset_names("entry-1", &list);
+    assert_ne!(first, subset_names("entry-2", &list));
+    let without: Vec<ListedEndpoint> = list
         .iter()
         .filter(|one| one.name().as_str() != first[0])
         .cloned()
         .collect();
-    let after = part("entry-1", &without);
+    let after = subset_names("entry-1", &without);
     assert!(first[1..].iter().all(|name| after.contains(name)));
 }
 
-/// Symptom: a restarted endpoint gets nothing, or its count of calls is off.
-/// Events: calls run at one life, the companion restarts at the same address
-/// and answers, the old calls end. Cause would be one record for both lives.
+/// Guards against a restarted endpoint that gets no calls or a wrong in-flight
+/// count. Calls run at one incarnation, the companion restarts at the same
+/// address and responds, and the old calls end; one record for both
+/// incarnations would mix them up.
 #[test]
-fn a_new_life_is_a_new_endpoint() {
+fn a_new_incarnation_is_a_new_endpoint() {
     let (mut router, pool) = router(plain(), &many(1, 1));
     let old = choose(&mut router, pool, T0, 1).unwrap();
     router.sent(old, T0);
     assert_eq!(router.reported(old, &report(1), T0), old);
-    router.refused(old, Refused::Leaving, T0);
+    router.refused(old, Refusal::Leaving, T0);
     assert_eq!(choose(&mut router, pool, T0, 1), None);
 
     let new = router.probed(old, &report(2), T0);
@@ -159,21 +170,21 @@
     router.failed(old, Failure::Unreachable, T0);
     let views: Vec<_> = router.endpoints().collect();
     assert_eq!(views.len(), 1);
-    assert_eq!((views[0].in_flight, views[0].open), (1, true));
+    assert_eq!((views[0].in_flight, views[0].selectable), (1, true));
 }
 
-/// Symptom: new work at an endpoint that leaves. Events: its companion says
-/// so, and the platform's list still shows it for a minute. Cause would be a
-/// list that overrules the companion.
+/// Guards against new work at a leaving endpoint. Its companion has announced
+/// that it is leaving, but the platform's list still has it for a minute; the
+/// list must not override the companion.
 #[test]
 fn a_lagging_list_does_not_bring_a_leaving_one_back() {
     let list = many(3, 3);
     let (mut router, pool) = router(plain().subset(2), &list);
     let leaving = router.endpoints().next().unwrap();
     router.reported(leaving.key, &report(7), T0);
-    router.leaving(Incarnation::new(7));
+    router.mark_leaving(Incarnation::new(7));
     let listing = router.list(pool, &list);
-    // Another one takes its place in the subset.
+    // Another endpoint replaces it in the subset.
     assert_eq!(listing.added.len(), 1);
     for random in 0..50 {
         let chosen = choose(&mut router, pool, T0, random).unwrap();
@@ -182,16 +193,16 @@
 }
 
 #[test]
-fn a_life_that_left_before_it_was_known_gets_nothing() {
+fn an_incarnation_that_left_before_it_was_known_gets_nothing() {
     let (mut router, pool) = router(plain(), &many(1, 1));
-    router.leaving(Incarnation::new(7));
+    router.mark_leaving(Incarnation::new(7));
     let key = key(&router, "e0");
     router.probed(key, &report(7), T0);
     assert_eq!(choose(&mut router, pool, T0, 1), None);
 }
 
 #[test]
-fn an_ejected_one_comes_back_by_probe_and_one_call() {
+fn an_ejected_endpoint_recovers_by_a_probe_and_one_call() {
     let (mut router, pool) = router(plain(), &many(2, 2));
     let (bad, good) = (key(&router, "e0"), key(&router, "e1"));
     router.reported(bad, &report(1), T0);
@@ -221,7 +232,7 @@
 }
 
 #[test]
-fn a_second_time_out_is_longer() {
+fn a_second_ejection_is_longer() {
     let (mut router, _) = router(plain(), &many(1, 1));
     let key = key(&router, "e0");
     router.reported(key, &report(1), T0);
@@ -234,11 +245,11 @@
     assert_eq!(router.tick(Millis::new(3_000)), [key]);
 }
 
-/// Symptom: one endpoint gets the load of all. Events: every call to every
-/// endpoint fails for a while. Cause would be taking out endpoint after
-/// endpoint for what is not theirs.
+/// Guards against ejecting one endpoint after the other when every call to
+/// every endpoint fails for a while, which would leave the load of all to one
+/// endpoint.
 #[test]
-fn a_brown_out_takes_out_at_most_half() {
+fn a_brown_out_ejects_at_most_half() {
     let (mut router, _) = router(plain(), &many(10, 10));
     let keys: Vec<_> = router.endpoints().map(|v| v.key).collect();
     for _ in 0..20 {
@@ -246,7 +257,7 @@
             router.failed(*key, Failure::Lost, T0);
         }
     }
-    assert_eq!(router.endpoints().filter(|v| v.open).count(), 5);
+    assert_eq!(router.endpoints().filter(|v| v.selectable).count(), 5);
 }
 
 #[test]
@@ -254,9 +265,9 @@
     let (mut router, _) = router(plain(), &many(1, 1));
     let key = key(&router, "e0");
     for _ in 0..50 {
-        router.refused(key, Refused::Full, T0);
+        router.refused(key, Refusal::Full, T0);
     }
-    assert!(router.endpoints().all(|view| view.open));
+    assert!(router.endpoints().all(|view| view.selectable));
 }
 
 #[test]
@@ -286,13 +297,14 @@
         router.sent(key, T0);
         at_home += u32::from(key == home);
     }
-    // The mean at the end is 10; a quarter more and one for rounding.
+    // The final mean is 10; the bound allows a quarter more, and rounding adds
+    // one.
     assert!((10..=14).contains(&at_home), "{at_home}");
 }
 
 #[test]
-fn health_values_prefer_the_best_and_recover_by_probes() {
-    let health = HealthPolicy::Value { sensitivity: 2 };
+fn health_scores_prefer_the_best_and_recover_by_probes() {
+    let health = HealthPolicy::Score { sensitivity: 2 };
     let (mut router, pool) = router(plain().health(health), &many(2, 2));
     let (bad, good) = (key(&router, "e0"), key(&router, "e1"));
     router.reported(bad, &report(1), T0);
@@ -317,10 +329,10 @@
         ..Probing::default()
     });
     let (mut router, pool) = router(plain().policy(policy), &many(3, 3));
-    let told = [(4, 10), (0, 90), (1, 20)];
-    for (at, (running, first_token_ms)) in told.into_iter().enumerate() {
+    let reports = [(4, 10), (0, 90), (1, 20)];
+    for (at, (running, first_token_ms)) in reports.into_iter().enumerate() {
         let key = key(&router, &format!("e{at}"));
-        let report = Report {
+        let report = EndpointReport {
             running,
             first_token_ms,
             ..report(at as u64 + 1)
@@ -338,7 +350,7 @@
     let (mut router, pool) = router(options, &many(4, 4));
     let query = Query::default().prefix(Some(42));
     let home = router.choose(pool, &query, T0, 1).unwrap().endpoint;
-    let report = Report {
+    let report = EndpointReport {
         waiting: 1,
         ..report(1)
     };
