--- a/crates/kv/tests/etcd.rs
+++ b/crates/kv/tests/etcd.rs
@@ -36,15 +36,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let requests = Arc::new(AtomicUsize::new(0));
-    let request_count = Arc::clone(&requests);
+    let seen = Arc::clone(&requests);
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            let (actions, request_count) =
-                (actions.clone(), Arc::clone(&request_count));
-            tokio::spawn(async move {
-                handle(stream, &actions, &request_count).await
-            });
+            let (actions, seen) = (actions.clone(), Arc::clone(&seen));
+            tokio::spawn(async move { handle(stream, &actions, &seen).await });
         }
     });
     (address, requests)
@@ -53,10 +50,10 @@
 async fn handle(
     mut stream: TcpStream,
     actions: &[Action],
-    request_count: &AtomicUsize,
+    seen: &AtomicUsize,
 ) {
     read_request(&mut stream).await;
-    let index = request_count.fetch_add(1, Ordering::SeqCst);
+    let index = seen.fetch_add(1, Ordering::SeqCst);
     let reply = match actions[index.min(actions.len() - 1)] {
         Action::Respond(status, body) => response(status, body, body.len()),
         Action::Truncate => response(200, "{", 100),
