--- a/crates/kv/src/batch.rs
+++ b/crates/kv/src/batch.rs
@@ -143,9 +143,9 @@
     compared.chain(touched).collect()
 }
 
-/// Reports whether a transaction may share a call. Reads and transactions that
-/// may fail on their own, for example because a lease has expired, must not
-/// fail others.
+/// Reports whether a transaction may share a call. A transaction that can fail
+/// on its own, for example because its lease has expired, must not fail
+/// others.
 pub fn is_batchable(txn: &Txn) -> bool {
     let is_leaseless_write = |op: &Op| match op {
         Op::Put { lease, .. } => lease.is_none(),
