--- a/crates/companion/src/rota.rs
+++ b/crates/companion/src/rota.rs
@@ -1,82 +1,88 @@
-//! Which entry is asked for work next, and when.
+//! Selects the entry of the next pull and its time.
 
 use std::net::SocketAddr;
 
 use base::Millis;
 
-/// Longest pause between two pulls without work, in milliseconds.
+/// Maximum pause between two pulls without work, in milliseconds.
 ///
-/// With 2,200 companions of which all are idle this is 1,100 pulls a second,
-/// three a second at each of 340 entries.
-const PAUSE_MAX_MS: u64 = 2_000;
+/// If all of 2,200 companions are idle, this causes 1,100 pulls per second:
+/// three per second at each of 340 entries.
+const MAX_PAUSE_MS: u64 = 2_000;
 
-/// Shortest pause, whatever the entry says.
-const PAUSE_MIN_MS: u64 = 50;
+/// Minimum pause, regardless of the hint of the entry.
+const MIN_PAUSE_MS: u64 = 50;
 
-/// Pause of an entry that did not answer, in milliseconds.
-const SILENT_MS: u64 = 5_000;
+/// Backoff after an entry did not respond, in milliseconds.
+const FAILURE_BACKOFF_MS: u64 = 5_000;
 
-struct Asked {
+struct EntryState {
     entry: SocketAddr,
-    /// A pull is under way.
+    /// A pull is in progress.
     pending: bool,
-    /// It had work at the last pull.
+    /// The last pull returned items.
     has_work: bool,
     not_before: Millis,
 }
 
-/// The entries in turn, the one that last had work first.
-pub(crate) struct Rota {
-    entries: Vec<Asked>,
-    at: usize,
+/// Pulls from entries round robin, preferring the one that last had work.
+pub(crate) struct PullSchedule {
+    entries: Vec<EntryState>,
+    next_index: usize,
     pause_ms: u64,
     not_before: Millis,
-    empty_in_row: usize,
+    consecutive_empty: usize,
 }
 
-impl Rota {
-    /// Begins with one entry, so that companions that start together begin
-    /// at different ones.
+impl PullSchedule {
+    /// Creates a schedule that begins with the entry at index `first`, so that
+    /// companions that start together begin at different entries.
     pub(crate) fn new(entries: &[SocketAddr], first: usize) -> Self {
-        let asked = |entry: &SocketAddr| Asked {
+        let entry_state = |entry: &SocketAddr| EntryState {
             entry: *entry,
             pending: false,
             has_work: false,
             not_before: Millis::new(0),
         };
         Self {
-            at: first % entries.len().max(1),
-            entries: entries.iter().map(asked).collect(),
+            next_index: first % entries.len().max(1),
+            entries: entries.iter().map(entry_state).collect(),
             pause_ms: 0,
             not_before: Millis::new(0),
-            empty_in_row: 0,
+            consecutive_empty: 0,
         }
     }
 
-    /// Returns the entry to ask now and notes that it is being asked.
+    /// Returns the entry to pull from now and marks its pull as in progress.
     pub(crate) fn next(&mut self, now: Millis) -> Option<SocketAddr> {
-        let free = |asked: &Asked| !asked.pending && now >= asked.not_before;
-        let has_work = |asked: &Asked| asked.has_work && free(asked);
-        let found = match self.entries.iter().position(has_work) {
-            Some(at) => at,
+        let is_available = |entry_state: &EntryState| {
+            !entry_state.pending && now >= entry_state.not_before
+        };
+        let has_work = |entry_state: &EntryState| {
+            entry_state.has_work && is_available(entry_state)
+        };
+        let index = match self.entries.iter().position(has_work) {
+            Some(index) => index,
             None if now < self.not_before => return None,
             None => {
                 let count = self.entries.len();
-                let turns = (0..count).map(|n| (self.at + n) % count);
-                let mut free = turns.filter(|at| free(&self.entries[*at]));
-                let at = free.next()?;
-                self.at = (at + 1) % count;
-                at
+                let candidates =
+                    (0..count).map(|n| (self.next_index + n) % count);
+                let mut available = candidates
+                    .filter(|index| is_available(&self.entries[*index]));
+                let index = available.next()?;
+                self.next_index = (index + 1) % count;
+                index
             }
         };
-        let asked = &mut self.entries[found];
-        asked.pending = true;
-        Some(asked.entry)
+        let entry_state = &mut self.entries[index];
+        entry_state.pending = true;
+        Some(entry_state.entry)
     }
 
-    /// Takes an answer: the items that it brought, and the entry's word on
-    /// when to ask again. `jitter` is between 0 and 1.
-    pub(crate) fn answered(
+    /// Records a reply with its number of items and the hint of the entry for
+    /// the next pull. `jitter` is between 0 and 1.
+    pub(crate) fn record_reply(
         &mut self,
         entry: SocketAddr,
         now: Millis,
@@ -85,45 +91,47 @@
         jitter: f64,
     ) {
         let count = self.entries.len();
-        let Some(asked) = self.asked(entry) else {
+        let Some(entry_state) = self.entry_state(entry) else {
             return;
         };
-        asked.pending = false;
-        asked.has_work = items > 0;
+        entry_state.pending = false;
+        entry_state.has_work = items > 0;
         if items > 0 {
             self.pause_ms = 0;
-            self.empty_in_row = 0;
+            self.consecutive_empty = 0;
             self.not_before = now;
             return;
         }
-        // A round of all entries goes without a pause after there was work;
-        // else work at another entry would wait for the pauses.
-        self.empty_in_row += 1;
-        if self.empty_in_row < count.min(ROUND_MAX) {
+        // After there was work, one round of all entries runs without a pause.
+        // Otherwise work at another entry would wait for several pauses.
+        self.consecutive_empty += 1;
+        if self.consecutive_empty < count.min(MAX_ROUND_ENTRIES) {
             return;
         }
         let hint_ms = u64::from(next_in_ms);
         let pause_ms = (self.pause_ms * 2).max(hint_ms);
-        self.pause_ms = pause_ms.clamp(PAUSE_MIN_MS, PAUSE_MAX_MS);
-        // Without jitter, companions that were idled by the same end of a
-        // job would ask together for ever.
+        self.pause_ms = pause_ms.clamp(MIN_PAUSE_MS, MAX_PAUSE_MS);
+        // Without jitter, companions that became idle at the end of the same
+        // job would stay synchronized and pull at the same time.
         let ms = self.pause_ms as f64 * (0.5 + jitter);
         self.not_before = now.saturating_add_ms(ms as u64);
     }
 
-    /// Notes that an entry did not answer.
-    pub(crate) fn silent(&mut self, entry: SocketAddr, now: Millis) {
-        if let Some(asked) = self.asked(entry) {
-            asked.pending = false;
-            asked.has_work = false;
-            asked.not_before = now.saturating_add_ms(SILENT_MS);
+    /// Records that an entry did not respond.
+    pub(crate) fn record_failure(&mut self, entry: SocketAddr, now: Millis) {
+        if let Some(entry_state) = self.entry_state(entry) {
+            entry_state.pending = false;
+            entry_state.has_work = false;
+            entry_state.not_before = now.saturating_add_ms(FAILURE_BACKOFF_MS);
         }
     }
 
-    fn asked(&mut self, entry: SocketAddr) -> Option<&mut Asked> {
-        self.entries.iter_mut().find(|asked| asked.entry == entry)
+    fn entry_state(&mut self, entry: SocketAddr) -> Option<&mut EntryState> {
+        self.entries
+            .iter_mut()
+            .find(|entry_state| entry_state.entry == entry)
     }
 }
 
-/// Most entries that are asked in a row without a pause.
-const ROUND_MAX: usize = 8;
+/// Maximum number of consecutive pulls without a pause.
+const MAX_ROUND_ENTRIES: usize = 8;
--- a/crates/conf/src/settings/check.rs
+++ b/crates/conf/src/settings/check.rs
@@ -15,28 +15,28 @@
 const MIB: u64 = 1 << 20;
 const TIB: u64 = 1 << 40;
 
-/// Shortest secret, in bytes; a shorter one can be guessed.
-const SECRET_MIN_BYTES: usize = 16;
+/// Minimum length of a secret; shorter ones are too easy to guess.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Largest value of the key-value service leaves room for this many items'
-/// records in one commit.
-const COMMIT_ITEMS_MAX: u32 = 20_000;
+/// Maximum number of items in a commit, so that their records fit into the
+/// largest value that the key-value service stores.
+const MAX_COMMIT_ITEMS: u32 = 20_000;
 
 impl Settings {
-    /// Reads and checks the settings of a process.
+    /// Reads and validates the settings of a process.
     ///
     /// # Errors
     ///
-    /// Every problem of the file with its place; see [`crate::read`].
+    /// Every problem of the file with its location; see [`crate::read`].
     pub fn read(path: impl AsRef<Path>) -> Result<Self, Report<ConfError>> {
         read_checked(path)
     }
 
-    /// Parses and checks the settings of a process.
+    /// Parses and validates the settings of a process.
     ///
     /// # Errors
     ///
-    /// Every problem of the text with its place; see [`crate::parse`].
+    /// Every problem of the text with its location; see [`crate::parse`].
     ///
     /// # Example
     ///
@@ -64,59 +64,61 @@
     }
 
     fn check_role(&self, findings: &mut Findings<'_>) {
-        let mut needs = |section: &str, found: bool| {
-            if !found {
+        let mut require = |section: &str, is_present: bool| {
+            if !is_present {
                 let role = self.role.as_str();
-                let message = format!("missing; role {role} needs it");
+                let message = format!("missing; required by role {role}");
                 findings.report(section, message);
             }
         };
         match self.role {
             Role::Entry => {
-                needs("key_value", self.key_value.is_some());
+                require("key_value", self.key_value.is_some());
             }
             Role::Companion => {
-                needs("endpoint", self.endpoint.is_some());
+                require("endpoint", self.endpoint.is_some());
                 // Only engines run batch items.
-                let kind = self.endpoint.as_ref().map(|one| one.kind);
-                let pulls = kind == Some(EndpointKind::Engine);
-                needs("entries", !pulls || !self.entries.is_empty());
+                let kind =
+                    self.endpoint.as_ref().map(|endpoint| endpoint.kind);
+                let runs_batch = kind == Some(EndpointKind::Engine);
+                require("entries", !runs_batch || !self.entries.is_empty());
             }
-            Role::Data => needs("data", self.data.is_some()),
+            Role::Data => require("data", self.data.is_some()),
         }
         if self.role != Role::Companion && self.endpoint.is_some() {
-            let message = "only role companion has an endpoint of its own";
+            let message = "is only valid for role companion";
             findings.report("endpoint", message);
         }
         if self.role == Role::Companion && self.data.is_some() {
-            let message = "role companion keeps nothing";
+            let message =
+                "is not valid for role companion, which stores no data";
             findings.report("data", message);
         }
         if self.role != Role::Entry && !self.endpoints.is_empty() {
-            findings.report("endpoints", "only role entry uses it");
+            findings.report("endpoints", "is only valid for role entry");
         }
     }
 
     fn check_addresses(&self, findings: &mut Findings<'_>) {
-        let same = self.listen == self.peer_listen;
-        if same && self.listen.port() != 0 {
+        let is_same = self.listen == self.peer_listen;
+        if is_same && self.listen.port() != 0 {
             findings.report("peer_listen", "is the same as `listen`");
         }
         for (index, entry) in self.entries.iter().enumerate() {
-            let path = findings.item("entries", index);
-            check_target(&path, *entry, findings);
+            let path = findings.item_path("entries", index);
+            check_remote(&path, *entry, findings);
         }
         if let Some(statsd) = self.metrics.statsd {
-            check_target("metrics.statsd", statsd, findings);
+            check_remote("metrics.statsd", statsd, findings);
         }
     }
 
     fn check_data_vms(&self, findings: &mut Findings<'_>) {
         let mut names = UniqueNames::default();
         for (index, data_vm) in self.data_vms.iter().enumerate() {
-            let path = findings.item("data_vms", index);
+            let path = findings.item_path("data_vms", index);
             let address = format!("{path}.address");
-            check_target(&address, data_vm.address, findings);
+            check_remote(&address, data_vm.address, findings);
             let vm = format!("{path}.vm");
             names.add(&vm, data_vm.vm.as_str(), findings);
         }
@@ -125,11 +127,12 @@
     fn check_endpoints(&self, findings: &mut Findings<'_>) {
         let mut names = UniqueNames::default();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let path = findings.item("endpoints", index);
+            let path = findings.item_path("endpoints", index);
             if endpoint.peer.is_some() == endpoint.http.is_some() {
-                findings.report(&path, "takes one of `peer` and `http`");
+                findings
+                    .report(&path, "needs exactly one of `peer` and `http`");
             }
-            findings.name(&format!("{path}.pool"), &endpoint.pool);
+            findings.check_name(&format!("{path}.pool"), &endpoint.pool);
             let name = format!("{path}.endpoint");
             names.add(&name, endpoint.endpoint.as_str(), findings);
         }
@@ -137,10 +140,10 @@
 
     fn check_secrets(&self, findings: &mut Findings<'_>) {
         for (index, secret) in self.peer_secrets.iter().enumerate() {
-            if secret.expose().len() < SECRET_MIN_BYTES {
-                let path = findings.item("peer_secrets", index);
+            if secret.expose().len() < MIN_SECRET_BYTES {
+                let path = findings.item_path("peer_secrets", index);
                 let message =
-                    format!("has fewer than {SECRET_MIN_BYTES} bytes");
+                    format!("has fewer than {MIN_SECRET_BYTES} bytes");
                 findings.report(&path, message);
             }
         }
@@ -159,7 +162,7 @@
         }
         if let Some(vm_list) = &self.vm_list {
             let poll_ms = vm_list.poll_ms;
-            findings.range("vm_list.poll_ms", poll_ms, 100, MINUTE_MS);
+            findings.check_range("vm_list.poll_ms", poll_ms, 100, MINUTE_MS);
         }
         if let Some(endpoint) = &self.endpoint {
             endpoint.check(findings);
@@ -170,7 +173,7 @@
         self.limits.check(findings);
         self.batch.check(findings);
         self.timeouts.check(findings);
-        findings.name("metrics.prefix", &self.metrics.prefix);
+        findings.check_name("metrics.prefix", &self.metrics.prefix);
     }
 }
 
@@ -180,7 +183,12 @@
             findings.report("key_value.addresses", "is empty");
         }
         let timeout_ms = self.timeout_ms;
-        findings.range("key_value.timeout_ms", timeout_ms, 10, MINUTE_MS);
+        findings.check_range(
+            "key_value.timeout_ms",
+            timeout_ms,
+            10,
+            MINUTE_MS,
+        );
         if self.prefix.is_empty() {
             findings.report("key_value.prefix", "is empty");
         }
@@ -189,15 +197,30 @@
 
 impl Check for EndpointSettings {
     fn check(&self, findings: &mut Findings<'_>) {
-        findings.name("endpoint.pool", &self.pool);
-        let most = self.max_running;
-        findings.range("endpoint.max_running", most, 1, 4_096);
+        findings.check_name("endpoint.pool", &self.pool);
+        let max_running = self.max_running;
+        findings.check_range("endpoint.max_running", max_running, 1, 4_096);
         let batch = self.batch_max_running;
-        findings.range("endpoint.batch_max_running", batch, 0, most);
+        findings.check_range(
+            "endpoint.batch_max_running",
+            batch,
+            0,
+            max_running,
+        );
         let path = "endpoint.first_token_target_ms";
-        findings.range(path, self.first_token_target_ms, 1, 10 * MINUTE_MS);
+        findings.check_range(
+            path,
+            self.first_token_target_ms,
+            1,
+            10 * MINUTE_MS,
+        );
         let path = "endpoint.between_tokens_target_ms";
-        findings.range(path, self.between_tokens_target_ms, 1, MINUTE_MS);
+        findings.check_range(
+            path,
+            self.between_tokens_target_ms,
+            1,
+            MINUTE_MS,
+        );
     }
 }
 
@@ -207,65 +230,80 @@
             findings.report("data.folder", "is empty");
         }
         let quota = self.quota_bytes;
-        findings.range("data.quota_bytes", quota, MIB, 1_024 * TIB);
+        findings.check_range("data.quota_bytes", quota, MIB, 1_024 * TIB);
         let days = self.retention_days;
-        findings.range("data.retention_days", days, 1, 3_650);
+        findings.check_range("data.retention_days", days, 1, 3_650);
     }
 }
 
 impl Check for LimitSettings {
     fn check(&self, findings: &mut Findings<'_>) {
         let body = self.body_max_bytes;
-        findings.range("limits.body_max_bytes", body, 1_024, 1_024 * MIB);
+        findings.check_range(
+            "limits.body_max_bytes",
+            body,
+            1_024,
+            1_024 * MIB,
+        );
         let file = self.file_max_bytes;
-        findings.range("limits.file_max_bytes", file, 1_024, TIB);
+        findings.check_range("limits.file_max_bytes", file, 1_024, TIB);
         let header = self.header_max_bytes;
-        findings.range("limits.header_max_bytes", header, 256, MIB);
-        findings.range("limits.headers_max", self.headers_max, 8, 1_024);
-        findings.range("limits.items_max", self.items_max, 1, 10_000_000);
+        findings.check_range("limits.header_max_bytes", header, 256, MIB);
+        findings.check_range("limits.headers_max", self.headers_max, 8, 1_024);
+        findings.check_range(
+            "limits.items_max",
+            self.items_max,
+            1,
+            10_000_000,
+        );
         let item = self.item_max_bytes;
-        findings.range("limits.item_max_bytes", item, 64, file.max(64));
+        findings.check_range("limits.item_max_bytes", item, 64, file.max(64));
         let jobs = self.open_jobs_max;
-        findings.range("limits.open_jobs_max", jobs, 1, 100_000);
+        findings.check_range("limits.open_jobs_max", jobs, 1, 100_000);
         let streams = self.streams_max;
-        findings.range("limits.streams_max", streams, 1, 100_000);
+        findings.check_range("limits.streams_max", streams, 1, 100_000);
     }
 }
 
 impl Check for BatchSettings {
     fn check(&self, findings: &mut Findings<'_>) {
-        findings.range("batch.partitions", self.partitions, 1, 4_096);
-        findings.range("batch.lease_ttl_s", self.lease_ttl_s, 2, 300);
+        findings.check_range("batch.partitions", self.partitions, 1, 4_096);
+        findings.check_range("batch.lease_ttl_s", self.lease_ttl_s, 2, 300);
         let interval = self.commit_interval_ms;
-        findings.range("batch.commit_interval_ms", interval, 1, MINUTE_MS);
+        findings.check_range(
+            "batch.commit_interval_ms",
+            interval,
+            1,
+            MINUTE_MS,
+        );
         let items = self.commit_items_max;
         let path = "batch.commit_items_max";
-        findings.range(path, items, 1, COMMIT_ITEMS_MAX);
+        findings.check_range(path, items, 1, MAX_COMMIT_ITEMS);
         let grant = self.grant_items_max;
-        findings.range("batch.grant_items_max", grant, 1, 1_024);
+        findings.check_range("batch.grant_items_max", grant, 1, 1_024);
         let ttl = self.grant_ttl_ms;
-        findings.range("batch.grant_ttl_ms", ttl, 100, DAY_MS);
-        findings.range("batch.attempts_max", self.attempts_max, 1, 100);
+        findings.check_range("batch.grant_ttl_ms", ttl, 100, DAY_MS);
+        findings.check_range("batch.attempts_max", self.attempts_max, 1, 100);
     }
 }
 
 impl Check for TimeoutSettings {
     fn check(&self, findings: &mut Findings<'_>) {
         let connect = self.connect_ms;
-        findings.range("timeouts.connect_ms", connect, 1, MINUTE_MS);
+        findings.check_range("timeouts.connect_ms", connect, 1, MINUTE_MS);
         let first = self.first_byte_ms;
-        findings.range("timeouts.first_byte_ms", first, 1, DAY_MS);
+        findings.check_range("timeouts.first_byte_ms", first, 1, DAY_MS);
         let between = self.between_bytes_ms;
-        findings.range("timeouts.between_bytes_ms", between, 1, DAY_MS);
-        findings.range("timeouts.drain_ms", self.drain_ms, 0, DAY_MS);
+        findings.check_range("timeouts.between_bytes_ms", between, 1, DAY_MS);
+        findings.check_range("timeouts.drain_ms", self.drain_ms, 0, DAY_MS);
     }
 }
 
-/// Refuses what cannot be connected to.
-fn check_target(path: &str, to: SocketAddr, findings: &mut Findings<'_>) {
-    if to.port() == 0 {
-        findings.report(path, "port 0 cannot be reached");
-    } else if to.ip().is_unspecified() {
-        findings.report(path, "is no address of one machine");
+/// Reports an address that cannot be connected to.
+fn check_remote(path: &str, address: SocketAddr, findings: &mut Findings<'_>) {
+    if address.port() == 0 {
+        findings.report(path, "cannot be connected to: the port is 0");
+    } else if address.ip().is_unspecified() {
+        findings.report(path, "is not the address of a single machine");
     }
 }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -24,7 +24,7 @@
     JobError, JobKey, JobView, Ledger, Members, NewJob, NodeRecord,
     decode_new_job, encode_new_job,
 };
-use pass::{Fetch, Pool};
+use pass::{CallOutcome, Pool};
 use store::{Spool, SpoolError};
 use tokio::{
     sync::{Notify, watch},
@@ -198,15 +198,17 @@
     };
     *request.method_mut() = Method::PUT;
     *request.body_mut() = bytes;
-    let exchange = pool.exchange(&peer, request, ANSWER_BYTES);
+    let exchange = pool.call(&peer, request, ANSWER_BYTES);
     let answer = match time::timeout(wait, exchange).await {
-        Ok(Fetch::Answered(head, _)) if head.status.is_success() => {
+        Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
             Spooled::Safe
         }
-        Ok(Fetch::Answered(head, _)) if head.status.is_client_error() => {
+        Ok(CallOutcome::Answered(head, _))
+            if head.status.is_client_error() =>
+        {
             Spooled::No
         }
-        Ok(Fetch::NotSent) => Spooled::No,
+        Ok(CallOutcome::NotSent) => Spooled::No,
         Ok(_) | Err(_) => Spooled::Maybe,
     };
     log::info!(
@@ -329,19 +331,19 @@
         }
         let (spool, key) = (self.spool.clone(), job.key.clone());
         let kept =
-            task::spawn_blocking(move || spool.keep(key.as_str(), &bytes));
+            task::spawn_blocking(move || spool.put(key.as_str(), &bytes));
         let error = match kept.await {
             Ok(Ok(())) => {
                 self.note_kept(&job);
                 return StatusCode::OK;
             }
             Ok(Err(report)) => *report.current_context(),
-            Err(_) => SpoolError::Disk,
+            Err(_) => SpoolError::Io,
         };
         log::warn!(request_id = job.key.as_str(), error:%;
             "a job is not kept on disk");
         match error {
-            SpoolError::Full | SpoolError::Name => {
+            SpoolError::Full | SpoolError::InvalidName => {
                 StatusCode::PAYLOAD_TOO_LARGE
             }
             _ => StatusCode::INTERNAL_SERVER_ERROR,
--- a/crates/store/tests/basics.rs
+++ b/crates/store/tests/basics.rs
@@ -1,4 +1,4 @@
-//! What a store promises when nothing goes wrong.
+//! Behavior of a store without faults.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 use base::{SteppedClock, UnixMillis};
 use pomeloslip_store::{
-    BLOB_MAX_BYTES, BlobId, BlobIdError, IndexOrigin, Put, Store, StoreError,
-    StoreOptions, sim::SimDisk,
+    BlobId, BlobIdError, IndexOrigin, MAX_BLOB_BYTES, PutOutcome, Store,
+    StoreError, StoreOptions, sim::SimDisk,
 };
 use yare::parameterized;
 
@@ -24,9 +24,9 @@
     leading = { "/a", BlobIdError::EmptySegment },
     trailing = { "a/", BlobIdError::EmptySegment },
     parent = { "a/../b", BlobIdError::DoubleDot },
-    space = { "a b", BlobIdError::Character(' ') },
-    nul = { "a\0", BlobIdError::Character('\0') },
-    letter = { "ä", BlobIdError::Character('ä') },
+    space = { "a b", BlobIdError::InvalidCharacter(' ') },
+    nul = { "a\0", BlobIdError::InvalidCharacter('\0') },
+    letter = { "ä", BlobIdError::InvalidCharacter('ä') },
 )]
 fn bad_ids_are_refused(text: &str, error: BlobIdError) {
     assert_eq!(text.parse::<BlobId>(), Err(error));
@@ -42,23 +42,23 @@
 #[test]
 fn puts_are_idempotent_and_write_once() {
     let store = open(&SimDisk::new(1));
-    assert_eq!(put(&store, "a", b"one"), Ok(Put::Stored));
-    assert_eq!(put(&store, "a", b"one"), Ok(Put::AlreadySame));
+    assert_eq!(put(&store, "a", b"one"), Ok(PutOutcome::Stored));
+    assert_eq!(put(&store, "a", b"one"), Ok(PutOutcome::AlreadySame));
     let other = put(&store, "a", b"two");
-    assert_eq!(other, Err(StoreError::OtherContent));
+    assert_eq!(other, Err(StoreError::ContentMismatch));
     assert_eq!(get(&store, "a").unwrap().unwrap(), b"one");
     assert_eq!(get(&store, "b"), Ok(None));
 }
 
 #[test]
-fn arrivals_are_checked() {
+fn puts_are_validated() {
     let store = open(&SimDisk::new(1));
     let wrong = store.put(&id("a"), "abc".into(), 1).unwrap_err();
-    assert_eq!(*wrong.current_context(), StoreError::WrongCrc);
-    let large = vec![7; BLOB_MAX_BYTES + 1];
+    assert_eq!(*wrong.current_context(), StoreError::CrcMismatch);
+    let large = vec![7; MAX_BLOB_BYTES + 1];
     assert_eq!(put(&store, "a", &large), Err(StoreError::TooLarge));
     assert_eq!(store.stat().unwrap().blobs, 0);
-    assert_eq!(put(&store, "a", &large[1..]), Ok(Put::Stored));
+    assert_eq!(put(&store, "a", &large[1..]), Ok(PutOutcome::Stored));
     assert_eq!(get(&store, "a").unwrap().unwrap(), &large[1..]);
 }
 
@@ -105,7 +105,7 @@
     assert_eq!((removed.blobs, removed.bytes), (3, 9));
     assert_eq!(names("", None, 9), ["a-/1", "b/1"]);
     let bad = store.remove_prefix("a").unwrap_err();
-    assert_eq!(*bad.current_context(), StoreError::BadPrefix);
+    assert_eq!(*bad.current_context(), StoreError::InvalidPrefix);
 }
 
 #[test]
@@ -121,12 +121,12 @@
     assert_eq!(store.remove_older_than(now, 500).unwrap().blobs, 1);
     assert_eq!(get(&store, "old"), Ok(None));
     assert_eq!(get(&store, "new").unwrap().unwrap(), b"2");
-    assert_eq!(put(&store, "old", b"other"), Ok(Put::Stored));
+    assert_eq!(put(&store, "old", b"other"), Ok(PutOutcome::Stored));
     assert_eq!(get(&store, "old").unwrap().unwrap(), b"other");
 }
 
 #[test]
-fn space_is_reclaimed_and_the_rest_stays() {
+fn space_is_reclaimed_and_other_blobs_are_kept() {
     let disk = SimDisk::new(1);
     let store = open(&disk);
     let body = vec![b'x'; 500];
@@ -142,7 +142,7 @@
     assert!(stat.disk_bytes * 2 < before, "{before} -> {stat:?}");
     assert_eq!(stat.blobs, 25);
     drop(store);
-    // Without the index the removed blobs must not come back either.
+    // The removed blobs must not reappear when the index is rebuilt.
     for kept_index in [true, false] {
         if !kept_index {
             disk.set_content("index.redb", Vec::new());
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn concurrent_puts_of_a_real_folder_are_all_kept() {
+fn concurrent_puts_to_a_real_folder_are_all_stored() {
     let dir = tempfile::tempdir().unwrap();
     let options = StoreOptions::new(dir.path()).segment_bytes(1 << 20);
     let (store, _) = Store::open(options.clone()).unwrap();
@@ -172,7 +172,7 @@
             let store = store.clone();
             scope.spawn(move || {
                 for n in 0..20 {
-                    // Every blob is put by two of the writers.
+                    // Two writers put each blob.
                     let name = format!("{}/{n}", writer / 2);
                     let body = name.repeat(1 + n * 700);
                     put(&store, &name, body.as_bytes()).unwrap();
@@ -194,9 +194,9 @@
     }
 }
 
-/// Symptom: a read fails or finds nothing while space is reclaimed. Sequence:
-/// the reader looks a blob up; its segment is copied and deleted; the reader
-/// opens the file. Cause, if it fails: the reader does not look again.
+/// Guards against reads that fail or find nothing while space is reclaimed. A
+/// reader looks up a blob; its segment is then copied and deleted before the
+/// reader opens the file. The reader must look up the blob again.
 #[test]
 fn blobs_stay_readable_while_they_are_moved() {
     let store = open(&SimDisk::new(1));
--- a/crates/store/tests/panic.rs
+++ b/crates/store/tests/panic.rs
@@ -1,7 +1,7 @@
-//! A panic while one writer commits for others.
+//! A panic while one writer commits the batch of others.
 //!
-//! Symptom: all later puts hang. Sequence: a writer leads a batch and
-//! panics in it. Cause, if it fails: nobody is told to lead next.
+//! Guards against all later puts hanging after a group commit leader panics,
+//! which happens if no other writer becomes the leader.
 
 mod common;
 
@@ -15,12 +15,13 @@
 };
 
 use pomeloslip_store::{
-    FileLayer, LayerFile, LockGuard, Put, Store, StoreOptions, sim::SimDisk,
+    FileLayer, LayerFile, LockGuard, PutOutcome, Store, StoreOptions,
+    sim::SimDisk,
 };
 
 use crate::common::{get, put};
 
-/// A disk whose next sync panics when told so.
+/// A disk whose next sync panics on request.
 #[derive(Clone, Debug)]
 struct PanickingDisk {
     disk: SimDisk,
@@ -88,7 +89,10 @@
     }
 
     fn sync(&self) -> io::Result<()> {
-        assert!(!self.panics.swap(false, Ordering::Relaxed), "told to");
+        assert!(
+            !self.panics.swap(false, Ordering::Relaxed),
+            "injected sync panic"
+        );
         self.file.sync()
     }
 }
@@ -101,12 +105,12 @@
     };
     let options = StoreOptions::with_layer(disk.clone());
     let (store, _) = Store::open(options.clone()).expect("opens");
-    assert_eq!(put(&store, "a", b"1"), Ok(Put::Stored));
+    assert_eq!(put(&store, "a", b"1"), Ok(PutOutcome::Stored));
     disk.panics.store(true, Ordering::Relaxed);
     let panicked = catch_unwind(AssertUnwindSafe(|| put(&store, "b", b"2")));
     assert!(panicked.is_err());
     assert_eq!(get(&store, "b"), Ok(None));
-    assert_eq!(put(&store, "b", b"2"), Ok(Put::Stored));
+    assert_eq!(put(&store, "b", b"2"), Ok(PutOutcome::Stored));
     drop(store);
     disk.disk.crash();
     let (store, report) = Store::open(options).expect("opens");
