--- a/crates/node/src/commit_wire.rs
+++ b/crates/node/src/commit_wire.rs
@@ -1,4 +1,4 @@
-//! Writes as nodes send them to each other: a table in JSON, then the
+//! Wire format of writes between nodes: a table in JSON, followed by the
 //! values one after the other.
 
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct WireTxn {
-    /// Keys with the revisions that they are to have.
+    /// Keys with their expected revisions.
     compares: Vec<(String, u64)>,
     steps: Vec<WireStep>,
 }
@@ -17,31 +17,32 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum WireStep {
-    /// Writes as many of the bytes that follow to a key.
+    /// Writes the next so many bytes after the table to a key.
     Put(String, usize),
     Delete(String),
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireOutcome {
-    /// It is done, at this revision.
+    /// The write is applied, at this revision.
     Done(u64),
-    /// It compares with what has changed.
+    /// A comparison of the write failed: a key has changed.
     Overtaken(u64),
-    /// It has no effect.
+    /// The write is not applied.
     NotDone,
-    /// It may have taken effect.
+    /// The write may have been applied.
     Unknown,
-    /// The service rejects it.
+    /// The key-value service rejects the write as invalid.
     Invalid,
 }
 
-/// Length of the table, before it.
+/// Size of the length of the table, which precedes it.
 const LENGTH_BYTES: usize = 4;
 
-/// Encodes a write; none for one that hangs on more than revisions.
+/// Encodes a write; `None` if it depends on more than revisions or uses a
+/// lease.
 pub(crate) fn encode(txn: &Txn) -> Option<Bytes> {
     let compares = txn.compares.iter().map(|compare| match compare {
         Compare::ModRevision { key, equals } => Some((key.clone(), *equals)),
@@ -72,7 +73,7 @@
     Some(Bytes::from(bytes))
 }
 
-/// Decodes what [`encode`] made; none of anything else.
+/// Decodes a write from [`encode`]; `None` if the bytes are malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Txn> {
     let (length, rest) = bytes.split_at_checked(LENGTH_BYTES)?;
     let length = u32::from_le_bytes(length.try_into().ok()?);
@@ -108,7 +109,7 @@
     Bytes::from(serde_json::to_vec(outcome).unwrap_or_default())
 }
 
-/// Decodes an outcome; one that cannot be read leaves it open.
+/// Decodes an outcome; a malformed one counts as unknown.
 pub(crate) fn decode_outcome(bytes: &[u8]) -> WireOutcome {
     serde_json::from_slice(bytes).unwrap_or_else(|error| {
         log::warn!(error:%; "the outcome of a write cannot be read");
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns what the service would have answered.
+    /// Returns the response that the key-value service would have sent.
     pub(crate) fn into_result(self, txn: &Txn) -> TxnResult {
         let reply = |succeeded, revision| TxnReply {
             succeeded,
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -1,15 +1,14 @@
-//! Writes that share calls to the key-value service with those of other
-//! nodes.
+//! Batches writes of several nodes into shared calls to the key-value service.
 //!
-//! One worker of many collects the writes that can wait a little and sends
-//! them together ([`GroupCommit`]). What is urgent goes to the service
-//! directly, and so does everything while the collecting worker does not
-//! answer.
+//! One worker of many, the collector, batches the writes that can be delayed
+//! ([`GroupCommit`]). Urgent writes are sent to the key-value service
+//! directly, and so are all writes while the collector does not respond.
 //!
-//! Rejected: one collecting worker in each failure domain. It saves bytes
-//! between them, but six calls go out for each that one worker makes, and
-//! calls are the dearer ones. And longer pauses between the writes of each
-//! node: results would be read later, and calls still grow with the nodes.
+//! Rejected: a collector in each failure domain. It saves bytes between the
+//! domains, but makes six calls for each one of a single collector, and calls
+//! cost more. Also rejected: longer intervals between the writes of each node.
+//! Results would be readable later, and calls would still grow with the number
+//! of nodes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -34,41 +33,41 @@
     peer,
 };
 
-/// Path at which a node takes the writes of others; the time that one can
-/// wait follows, in milliseconds.
+/// Path prefix at which a node receives the writes of others, followed by the
+/// maximum delay of the write in milliseconds.
 pub(crate) const COMMIT_PATH: &str = "/commit/";
 
-/// Workers whose writes one of them collects. Ten thousand rows a second
-/// would be too many for one; this many workers write some hundred.
+/// Number of workers for each collector. Ten thousand rows a second would be
+/// too many for one; this many workers write some hundred.
 const WORKERS_OF_ONE: usize = 128;
 
-/// Tells the choice of collecting workers from others that go by the same
-/// hashes, so that one worker does not have all special tasks.
+/// Salt that separates the choice of collectors from others by the same
+/// hashes, so that one worker does not get all special tasks.
 const CHOICE: u64 = 0x636f_6d6d_6974;
 
-/// Collecting workers that a node tries one after the other.
+/// Number of collectors that a node tries, one after the other.
 const CANDIDATES: usize = 2;
 
-/// Longest wait for an answer beyond what the write can wait, in
-/// milliseconds: that of a call to the service, and a way there and back.
+/// Maximum wait for a response beyond the delay of the write, in milliseconds:
+/// that of a call to the key-value service, and a round trip between nodes.
 const ANSWER_MS: u64 = 1_400;
 
-/// How long a worker that did not answer is not asked again, in
-/// milliseconds.
+/// Backoff for a worker that did not respond, in milliseconds.
 const AGAIN_MS: u64 = 3_000;
 
-/// Largest call: the inputs of a job as one value, and a few more.
+/// Maximum size of a request: the inputs of a job as one value, and some extra
+/// space.
 pub(crate) const MOST_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest answer.
+/// Maximum size of a response.
 const ANSWER_BYTES: usize = 4 * 1024;
 
-/// The key-value service for writes that can wait: they go through the
-/// collecting worker.
+/// A key-value service that sends writes that can be delayed through the
+/// collector.
 #[derive(Clone)]
 pub(crate) struct SharedCommits {
     kv: Arc<dyn Kv>,
-    /// Collects on this node what others send here.
+    /// Batches on this node the writes that others send to it.
     group: GroupCommit,
     node: String,
     view: JobView,
@@ -78,7 +77,7 @@
     choice: Arc<Mutex<Choice>>,
 }
 
-/// The collecting workers of this node, and what they follow from.
+/// The collectors of this node, and the roster that they are derived from.
 #[derive(Default)]
 struct Choice {
     roster: Option<Roster>,
@@ -147,7 +146,8 @@
         }
     }
 
-    /// Asks another worker; none if it surely did not take the write.
+    /// Sends a write to another worker; `None` if that worker certainly did
+    /// not receive it.
     async fn ask(
         &self,
         worker: &NodeRecord,
@@ -252,11 +252,11 @@
     }
 }
 
-/// Longest that a write of another node is made to wait, in milliseconds,
-/// whatever it asks for.
+/// Maximum delay of a write of another node, in milliseconds, whatever it asks
+/// for.
 const PATIENCE_MOST_MS: u64 = 2_000;
 
-/// Takes a write of another node and answers when its outcome is known.
+/// Commits a write of another node and responds when its outcome is known.
 pub(crate) async fn take(
     group: GroupCommit,
     request: Request<Incoming>,
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -6,12 +6,12 @@
 use kv::KeyValue;
 use pass::HeaderNames;
 
-/// Says that bytes from outside are not what they should be.
+/// An error in bytes that were received from outside.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DialectError(String);
 
 impl DialectError {
-    /// Tells what is wrong.
+    /// Creates an error with a description of what is wrong.
     pub fn new(what: impl fmt::Display) -> Self {
         Self(what.to_string())
     }
@@ -25,102 +25,103 @@
 
 impl error::Error for DialectError {}
 
-/// A call about a job that is there already.
+/// A request that refers to an existing job.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum JobCall {
-    /// Read results from a position on.
+    /// Reads results, starting at a position.
     Results {
         /// The job.
         job: JobKey,
-        /// First position wanted.
+        /// First position to return.
         after: u32,
         /// How long to wait for a result, in milliseconds.
         wait_ms: u64,
     },
-    /// Read the body of an item.
+    /// Reads the body of an item.
     Body {
         /// The job.
         job: JobKey,
-        /// The caller's id of the item.
+        /// The id that the caller gave the item.
         item: String,
     },
-    /// End the job.
+    /// Cancels the job.
     End {
         /// The job.
         job: JobKey,
     },
 }
 
-/// An operator's wish that a node be emptied before it is taken away.
+/// An operator's order to drain a node before it is removed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VacateOrder {
-    /// The node.
+    /// The node to drain.
     pub node: String,
-    /// How long it may take, in milliseconds.
+    /// How long draining may take, in milliseconds.
     pub within_ms: u64,
 }
 
-/// How far a node is emptied.
+/// The progress of draining a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VacateState {
-    /// It still holds work.
+    /// The node still holds work.
     Active,
-    /// It holds nothing that would be missed.
+    /// The node holds no work or data that would be lost with it.
     Complete,
 }
 
-/// What an operator wrote to the key-value service.
+/// A value that an operator wrote to the key-value service.
 #[derive(Clone, Debug)]
 pub enum OperatorOrder {
     /// A configuration.
     Config(Box<Config>),
-    /// A node is to be emptied.
+    /// An order to drain a node.
     Vacate(VacateOrder),
-    /// Something that no role of this project acts on.
+    /// A value that no role of this project acts on.
     Other,
 }
 
-/// How a platform spells what the roles exchange with it.
+/// Encodes and decodes the messages that the roles exchange with a platform.
 ///
-/// A dialect only translates: it is a set of pure functions from bytes to
-/// typed values and back, and decides nothing.
+/// A dialect only translates: it is a set of pure functions between bytes and
+/// typed values, and makes no decisions.
 pub trait Dialect: Send + Sync + 'static {
-    /// Returns the names of the headers.
+    /// Returns the header names.
     fn headers(&self) -> HeaderNames;
 
-    /// Returns the common start of the keys of endpoints.
+    /// Returns the key prefix of endpoint entries.
     fn endpoints_prefix(&self) -> &'static str;
 
     /// Decodes the entry of an endpoint.
     ///
     /// # Errors
     ///
-    /// [`DialectError`] tells what is wrong with it.
+    /// Returns [`DialectError`] if the entry is malformed.
     fn endpoint(&self, kv: &KeyValue) -> Result<EndpointRecord, DialectError>;
 
-    /// Returns the common start of the keys that operators write.
+    /// Returns the prefix of the keys that operators write.
     fn orders_prefix(&self) -> &'static str;
 
-    /// Decodes what an operator wrote.
+    /// Decodes a value that an operator wrote.
     ///
     /// # Errors
     ///
-    /// As [`endpoint`](Self::endpoint).
+    /// Returns [`DialectError`] if the value is malformed.
     fn order(&self, kv: &KeyValue) -> Result<OperatorOrder, DialectError>;
 
-    /// Returns the key and value that tell operators how far a node is
-    /// emptied.
+    /// Returns the key and value that report to operators how far a node is
+    /// drained.
     fn vacate_status(
         &self,
         node: &str,
         state: VacateState,
     ) -> (String, Vec<u8>);
 
-    /// Decodes a call about a job; none if the request is no such call.
+    /// Decodes a request that refers to a job, or returns `None` for any other
+    /// request.
     ///
     /// # Errors
     ///
-    /// As [`endpoint`](Self::endpoint).
+    /// Returns [`DialectError`] if the request is malformed.
     fn job_call(
         &self,
         method: &Method,
@@ -132,19 +133,19 @@
     ///
     /// # Errors
     ///
-    /// As [`endpoint`](Self::endpoint).
+    /// Returns [`DialectError`] if the body is malformed.
     fn items(&self, body: &[u8]) -> Result<Vec<ItemInput>, DialectError>;
 
-    /// Encodes results.
+    /// Encodes a page of results.
     fn page(&self, page: &Page) -> Vec<u8>;
 
-    /// Returns the path at which the balancer asks for readiness.
+    /// Returns the path that load balancers use as a readiness check.
     fn ready_path(&self) -> &'static str;
 
-    /// Returns the path at which an endpoint tells its load.
+    /// Returns the path at which an endpoint reports its load.
     fn load_path(&self) -> &'static str;
 
-    /// Decodes the load that an endpoint tells there; the slots are not
-    /// part of it.
+    /// Decodes a load report from that path. Reports do not contain the number
+    /// of slots, which the caller passes.
     fn load(&self, body: &[u8], slots: u32) -> Option<LoadReport>;
 }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,9 +1,9 @@
 use std::{error, fmt};
 
-/// Says that a node cannot run.
+/// The reason why a node cannot run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NodeError {
-    /// An address cannot be listened on.
+    /// An address cannot be bound.
     Listen,
 }
 
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -10,12 +10,12 @@
 use kv::{Event, GetReply, KeyValue};
 use tokio::sync::watch;
 
-/// What is known of the keys below one prefix, as of a revision.
+/// A node's copy of the keys below one prefix, as of a revision.
 ///
-/// A node follows three of them: endpoints, operators' keys and jobs. It
-/// reads them from the key-value service or from another node that does, and
-/// passes them on in turn: a change is the set of keys that are newer than
-/// what the other side has.
+/// A node follows three feeds: endpoints, operators' keys and jobs. It reads
+/// them from the key-value service or from another node that does, and serves
+/// them to other nodes: a delta is the set of keys that are newer than the
+/// other node's revision.
 pub(crate) struct Feed {
     scope: Scope,
     prefix: String,
@@ -26,13 +26,13 @@
     changes: watch::Sender<u64>,
 }
 
-/// Which of the keys below a prefix somebody follows.
+/// The subset of the keys below a prefix that a node follows.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum Scope {
-    /// All of them.
+    /// All keys.
     All,
-    /// All but the heads of jobs. Fronts ask for those that their callers
-    /// want; of the whole fleet there are hundreds of changes a second.
+    /// All keys except job manifests. Fronts request the manifests that their
+    /// callers need; the whole fleet changes hundreds of them each second.
     WithoutHeads,
 }
 
@@ -44,83 +44,87 @@
         }
     }
 
-    /// Tells whether whoever follows this can answer who wants `other`.
+    /// Reports whether a node with this scope can serve requests for `other`.
     pub(crate) fn covers(self, other: Self) -> bool {
         self == Self::All || other == Self::WithoutHeads
     }
 }
 
-/// Tells whether a write of a key has changed nothing that nodes go by.
+/// Reports whether a write of a key has changed nothing that nodes act on.
 ///
-/// What goes wrong where each write counts as a change: endpoints write
-/// their entries every second to show that they live. Each node was sent
-/// half of the list of endpoints with each listing, 600 kilobytes a second
-/// at three thousand of them, and read it all anew.
+/// Endpoints write their entries every second as heartbeats. If each write
+/// counted as a change, each node would receive half of the list of endpoints
+/// with each listing, 600 kilobytes a second with three thousand of them, and
+/// decode it again.
 type SameMeaning = Box<dyn Fn(&KeyValue, &KeyValue) -> bool + Send + Sync>;
 
 #[derive(Debug, Default)]
 struct State {
-    /// Each as of the write that gave it the meaning that it has.
+    /// The items, each as of the write that last changed its meaning.
     items: IndexMap<String, KeyValue>,
     /// The keys of the items by the revisions of these writes.
     by_revision: BTreeSet<(u64, String)>,
-    /// How often an item has come, gone or changed.
+    /// Number of times that an item was added, removed or changed.
     content: u64,
-    /// Keys that were deleted, with the revision of the deletion.
+    /// Deleted keys with the revision of the deletion.
     deleted: IndexMap<String, u64>,
-    /// Deletions up to here are forgotten.
+    /// Revision up to which tombstones have been dropped.
     whole_since: u64,
     revision: u64,
     fresh_at: Option<Millis>,
-    /// Hash of the name of the node that read the service then.
+    /// Hash of the name of the node that read the key-value service at
+    /// `fresh_at`.
     read_by: u64,
     failed_at: Option<Millis>,
 }
 
-/// Deletions that are remembered. Whoever is further behind gets all keys.
+/// Maximum number of tombstones. A node whose revision is older than the
+/// dropped ones receives all keys.
 const DELETED_MOST: usize = 512;
 
-/// How much is known, without what it is.
+/// The state of a feed without its items.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct FeedStatus {
-    /// Revision up to which all changes are contained.
+    /// Revision up to which all changes are included.
     pub(crate) revision: u64,
-    /// How often an item has come, gone or changed.
+    /// Number of times that an item was added, removed or changed.
     pub(crate) content: u64,
-    /// How many items there are.
+    /// Number of items.
     pub(crate) items: usize,
-    /// Moment up to which all changes are contained.
+    /// Time up to which all changes are included.
     pub(crate) fresh_at: Option<Millis>,
-    /// Hash of the name of the node that read the service then.
+    /// Hash of the name of the node that read the key-value service at
+    /// `fresh_at`.
     pub(crate) read_by: u64,
-    /// Last moment at which the key-value service could not be read.
+    /// Time of the last failed read of the key-value service.
     pub(crate) failed_at: Option<Millis>,
 }
 
-/// What has changed after a revision.
+/// The changes after a revision.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Delta {
-    /// Revision that this reaches.
+    /// Revision that this delta reaches.
     pub(crate) revision: u64,
     /// Whether keys that are not among `items` do not exist.
     pub(crate) whole: bool,
     /// Whether there are more changes, after `revision`.
     pub(crate) more: bool,
-    /// Keys that are new or changed.
+    /// Keys that were created or changed.
     pub(crate) items: Vec<KeyValue>,
-    /// Keys that were deleted.
+    /// Keys that were deleted, with the revision of the deletion.
     pub(crate) deleted: Vec<(String, u64)>,
-    /// Moment up to which all changes are contained.
+    /// Time up to which all changes are included.
     pub(crate) fresh_at: Option<Millis>,
-    /// Hash of the name of the node that read the service then.
+    /// Hash of the name of the node that read the key-value service at
+    /// `fresh_at`.
     pub(crate) read_by: u64,
-    /// Last moment at which the key-value service could not be read.
+    /// Time of the last failed read of the key-value service.
     pub(crate) failed_at: Option<Millis>,
 }
 
 impl Feed {
-    /// Follows the keys below a prefix; a write of a key that is `same` as
-    /// the one before counts as none.
+    /// Creates an empty feed of the keys below a prefix. A write of a key that
+    /// `is_equivalent` to the previous value does not count as a change.
     pub(crate) fn new(
         prefix: &str,
         scope: Scope,
@@ -161,7 +165,7 @@
         self.changes.subscribe()
     }
 
-    /// Replaces all by a whole read that began at `began`.
+    /// Replaces all items by a full read that started at `started_at`.
     pub(crate) fn replace(&self, reply: GetReply, began: Millis) {
         let mut state = self.lock();
         if reply.revision < state.revision {
@@ -180,7 +184,8 @@
         self.tell(state);
     }
 
-    /// Applies changes that reach a revision; all up to `now` are known then.
+    /// Applies changes up to a revision, which include all changes up to
+    /// `now`.
     pub(crate) fn apply(
         &self,
         events: Vec<Event>,
@@ -203,15 +208,16 @@
         self.tell(state);
     }
 
-    /// Takes in a key that this node has written, before all other changes
-    /// up to that write are known.
+    /// Records a key that this node has written, before all other changes up
+    /// to that write are known.
     pub(crate) fn note_written(&self, kv: KeyValue) {
         let mut state = self.lock();
         self.put(&mut state, kv);
         self.tell(state);
     }
 
-    /// Takes in a deletion by this node likewise.
+    /// Records a deletion by this node, before all other changes up to it are
+    /// known.
     pub(crate) fn note_deleted(&self, key: String, revision: u64) {
         let mut state = self.lock();
         let known = state.items.get(&key).map_or(0, |kv| kv.mod_revision);
@@ -221,17 +227,17 @@
         self.tell(state);
     }
 
-    /// Takes in what another node knows.
+    /// Merges a delta from another node.
     pub(crate) fn merge(&self, delta: Delta) {
         let mut state = self.lock();
         state.failed_at = state.failed_at.max(delta.failed_at);
-        // Two nodes may be at different revisions; what is older than the
-        // own knowledge must not bring anything back. It confirms it all the
-        // same: the other node knows all changes up to a moment, and none of
-        // them is newer than its revision. Without that a node that has read
-        // the service itself, at a revision that other keys have reached,
-        // counts its knowledge as old until these keys change again, and a
-        // worker keeps jobs on its disk that are long done.
+        // Two nodes may be at different revisions. An older delta must not
+        // restore deleted or replaced items, but it still confirms the local
+        // state: the other node knows all changes up to a time, and none of
+        // them is newer than its revision. Otherwise a node that has read the
+        // key-value service itself, at a revision that other keys have
+        // reached, treats its state as stale until these keys change again,
+        // and a worker keeps jobs on its disk that completed long ago.
         if delta.revision < state.revision {
             state.confirm(delta.fresh_at, delta.read_by);
             self.tell(state);
@@ -258,19 +264,19 @@
         self.tell(state);
     }
 
-    /// Takes note of a read that failed.
+    /// Records a failed read.
     pub(crate) fn read_failed(&self, now: Millis) {
         let mut state = self.lock();
         state.failed_at = Some(now);
         self.tell(state);
     }
 
-    /// Returns what has changed after a revision.
+    /// Returns the changes after a revision.
     pub(crate) fn since(&self, after: u64) -> Delta {
         self.page(after, usize::MAX, Scope::All)
     }
 
-    /// Tells whether there are changes after a revision.
+    /// Reports whether there are changes after a revision.
     pub(crate) fn has_news(&self, after: u64, scope: Scope) -> bool {
         let state = self.lock();
         if scope == Scope::All || after < state.whole_since {
@@ -286,11 +292,12 @@
                 .any(|(key, _)| scope.has(key))
     }
 
-    /// Returns the first changes after a revision, about `most` of them.
+    /// Returns the first changes after a revision, about `max_changes` of
+    /// them.
     ///
-    /// The list of endpoints of a large fleet takes a node with a thin link
-    /// a third of a second. With the first few hundred of them it serves
-    /// requests meanwhile.
+    /// The list of endpoints of a large fleet takes a third of a second to
+    /// reach a node with a slow link. With the first few hundred of them the
+    /// node already serves requests.
     pub(crate) fn page(&self, after: u64, most: usize, scope: Scope) -> Delta {
         let state = self.lock();
         let mut delta = match state.end_of_page(after, most) {
@@ -324,27 +331,27 @@
 }
 
 impl State {
-    /// Returns the revision with which a page of about `most` changes ends;
-    /// none if it holds all that there are, or cannot be divided since keys
-    /// that are not sent are to be deleted.
+    /// Returns the last revision of a page of about `max_changes` changes;
+    /// `None` if the page contains all changes, or cannot be split because it
+    /// implies the deletion of keys that it does not contain.
     fn end_of_page(&self, after: u64, most: usize) -> Option<u64> {
         if after != 0 && after < self.whole_since {
             return None;
         }
         let first = (after + 1, String::new());
-        // Own writes beyond the revision are no end of a page: what others
-        // have written before them is not known yet.
+        // A page does not end at this node's own writes beyond the revision:
+        // changes that others wrote before them are not known yet.
         let end = (self.revision + 1, String::new());
         if first >= end {
             return None;
         }
         let mut newer = self.by_revision.range(first..end);
         let (last, _) = newer.nth(most.saturating_sub(1))?;
-        // All changes of one revision go together.
+        // Changes of the same revision stay on the same page.
         newer.any(|(revision, _)| revision > last).then_some(*last)
     }
 
-    /// Returns the changes of a page that more pages follow.
+    /// Returns the changes of a page that is followed by more pages.
     fn part(&self, after: u64, last: u64, scope: Scope) -> Delta {
         let from = (after + 1, String::new());
         let to = (last + 1, String::new());
@@ -385,7 +392,7 @@
         }
     }
 
-    /// Takes note of a moment up to which a node knew all changes.
+    /// Records a time up to which a node knew all changes.
     fn confirm(&mut self, at: Option<Millis>, read_by: u64) {
         if at > self.fresh_at {
             self.fresh_at = at;
@@ -411,8 +418,7 @@
         self.items.insert(kv.key.clone(), kv);
     }
 
-    /// Returns the keys of all items up to a revision that are not among
-    /// these.
+    /// Returns the keys of all items up to a revision that are not in `kept`.
     fn keys_without(
         &self,
         kept: &IndexSet<&str>,
--- a/crates/node/src/feed_wire.rs
+++ b/crates/node/src/feed_wire.rs
@@ -28,18 +28,19 @@
     siblings::{BULK_PATH, BulkAnswers},
 };
 
-/// Path of the feeds between nodes; the number of the feed follows.
+/// Path prefix of feed requests between nodes, followed by the number of the
+/// feed.
 const FEED_PATH: &str = "/feed/";
 
-/// Longest that a question is made to wait for a change, in milliseconds,
-/// whatever it asks for.
+/// Maximum time that a request waits for a change, in milliseconds, whatever
+/// it asks for.
 const WAIT_MOST_MS: u64 = 10_000;
 
-/// Largest answer: all keys of a large fleet.
+/// Maximum body size: all keys of a large fleet.
 const MOST_BYTES: usize = 32 * 1024 * 1024;
 
-/// What precedes the changes in an answer. Ages instead of times, as the
-/// clocks of two nodes have nothing in common.
+/// Header that precedes the changes in a response. It contains ages instead of
+/// times because the clocks of two nodes are unrelated.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct WireHead {
@@ -51,8 +52,8 @@
     failed_age_ms: Option<u64>,
 }
 
-/// The changes themselves. They stay the same while the head changes with
-/// the time, and are encoded once for all nodes that ask.
+/// The changes of a response. They stay the same while the header changes over
+/// time, and are encoded once for all requesting nodes.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct WireChanges {
@@ -64,14 +65,14 @@
 #[serde(deny_unknown_fields)]
 struct WireItem {
     key: String,
-    /// Base64 of the bytes.
+    /// Base64 of the value.
     value: String,
     create_revision: u64,
     mod_revision: u64,
     lease: Option<i64>,
 }
 
-/// Ends the head.
+/// Separates the header from the changes.
 const SEPARATOR: u8 = b'\n';
 
 fn encode(head: &WireHead, changes: &[u8]) -> Bytes {
@@ -106,8 +107,8 @@
     let (head, changes) = bytes.split_at(end);
     let head: WireHead = serde_json::from_slice(head).ok()?;
     let changes: WireChanges = serde_json::from_slice(changes).ok()?;
-    // Counted from the question, so that the answer's way makes it older
-    // and not younger.
+    // Ages count from this time, which may only make the data look older than
+    // it is, not fresher.
     let at =
         |age_ms: u64| Millis::new(arrived_at.as_ms().saturating_sub(age_ms));
     let items: Option<Vec<KeyValue>> =
@@ -134,16 +135,15 @@
     })
 }
 
-/// Changes as they were encoded for an earlier question.
+/// Cache of encoded changes that earlier requests have produced.
 ///
-/// What goes wrong without it: a whole fleet starts, and sixteen nodes ask
-/// one for the list of three thousand endpoints; at a third of a core it
-/// takes half a second to encode it for all of them, at each level of the
-/// tree.
+/// When a whole fleet starts, sixteen nodes request the list of three thousand
+/// endpoints from one node. With a third of a core it takes half a second to
+/// encode the list for each of them, at each level of the tree.
 #[derive(Default)]
 pub(crate) struct EncodedPages(Mutex<IndexMap<PageKey, EncodedPage>>);
 
-/// What an encoded page was made of.
+/// Cache key of an encoded page.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct PageKey {
     feed: usize,
@@ -157,16 +157,16 @@
 struct EncodedPage {
     changes: Bytes,
     whole: bool,
-    /// Where the page ends, if others follow.
+    /// Revision at which the page ends, if others follow.
     ends_at: Option<u64>,
 }
 
-/// Pages that are kept: some for each feed, since those who ask are at
-/// nearly the same revision.
+/// Maximum number of cached pages: a few for each feed, since the requesting
+/// nodes are at nearly the same revision.
 const PAGES_KEPT: usize = 12;
 
 impl EncodedPages {
-    /// Returns an answer to a question.
+    /// Returns the response to a request.
     fn answer(&self, feed: &Feed, call: FeedCall, now: Millis) -> Bytes {
         let status = feed.status();
         let key = PageKey {
@@ -209,24 +209,24 @@
     }
 }
 
-/// What one node asks another.
+/// A feed request to another node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Question {
     /// Number of the feed.
     pub(crate) number: usize,
-    /// Revision that is known already.
+    /// Revision that the requesting node has.
     pub(crate) after: u64,
-    /// How old that knowledge is; none if there is none.
+    /// Age of the data at that revision; `None` if there is none.
     pub(crate) age_ms: Option<u64>,
-    /// About how many changes the answer may have.
+    /// Approximate maximum number of changes in the response.
     pub(crate) most: usize,
-    /// Which keys are wanted.
+    /// Which keys are requested.
     pub(crate) scope: Scope,
-    /// How long it may wait for a change and an answer.
+    /// Time limits for the change and the response.
     pub(crate) pace: Pace,
 }
 
-/// Asks another node for what has changed.
+/// Requests the changes of a feed from another node.
 pub(crate) async fn ask(
     pool: &Pool,
     peer: &Endpoint,
@@ -258,8 +258,9 @@
     let fetch = pool.fetch(peer, request, MOST_BYTES);
     let body = time::timeout(patience, fetch).await.ok()??;
     Counters::count(&counters.feed_bytes_received, body.len());
-    // An answer counts from its arrival: what its way took, milliseconds
-    // inside a region, is far below the ages that decide anything.
+    // The age of a response counts from its arrival: the time on the network,
+    // milliseconds inside a region, is far below the ages that matter for any
+    // decision.
     let delta = decode(&body, clock.now());
     if delta.is_none() {
         log::warn!(node = peer.record().id.as_str(), bytes = body.len();
@@ -268,7 +269,8 @@
     delta
 }
 
-/// Answers other nodes: feeds, inputs and results of jobs, and calls that are passed on to the key-value
+/// Serves requests of other nodes: feeds, inputs, results and manifests of
+/// jobs, jobs to spool, shared writes, and calls relayed to the key-value
 /// service.
 pub(crate) struct PeerHandler {
     pub(crate) relay: Relay,
@@ -276,13 +278,13 @@
     pub(crate) pages: Arc<EncodedPages>,
     pub(crate) counters: Arc<Counters>,
     pub(crate) bulk: BulkAnswers,
-    /// Where this node keeps jobs for fronts, if it has a disk.
+    /// Spool of jobs that fronts have accepted, if this node has a disk.
     pub(crate) spool: Option<Arc<JobSpool>>,
-    /// Collects writes of other nodes.
+    /// Batches writes of other nodes.
     pub(crate) group: GroupCommit,
-    /// Answers for the heads of jobs.
+    /// Serves job manifests.
     pub(crate) heads: HeadAnswers,
-    /// Takes jobs that other nodes have accepted.
+    /// Receives jobs that other nodes have accepted.
     pub(crate) pushed: PushedJobs,
     pub(crate) clock: Arc<dyn Clock>,
 }
@@ -354,14 +356,14 @@
     response
 }
 
-/// Reads a number from a question; one that is missing or malformed is none.
+/// Parses a numeric query parameter; `None` if it is missing or malformed.
 pub(crate) fn number_in(uri: &Uri, name: &str) -> Option<u64> {
     let mut pairs = uri.query()?.split('&');
     let value = pairs.find_map(|pair| pair.strip_prefix(name))?;
     value.strip_prefix('=')?.parse().ok()
 }
 
-/// A question as it arrives.
+/// A received feed request.
 #[derive(Clone, Copy, Debug)]
 struct FeedCall {
     number: usize,
@@ -370,23 +372,25 @@
     scope: Scope,
     wait_ms: u64,
     age_most_ms: u64,
-    /// How old what the other side knows is.
+    /// Age of the requesting node's data.
     age_ms: u64,
 }
 
-/// How much younger this node's knowledge has to be for an answer without
-/// any change, in milliseconds. Well above what the way between two nodes
-/// takes, by which the ages that they tell each other are off, and well
-/// below the second in which the service confirms that nothing has changed.
+/// Minimum difference by which this node's data has to be fresher than the
+/// requesting node's for a response without changes, in milliseconds. Well
+/// above the network latency between two nodes, by which the ages in messages
+/// are inaccurate, and well below the second in which the key-value service
+/// confirms that nothing has changed.
 const YOUNGER_MS: u64 = 100;
 
 impl FeedCall {
-    /// Reads a question; none for a path that is none.
+    /// Parses a request; `None` if the path is not a feed path.
     fn parse(uri: &Uri) -> Option<Self> {
         let number = uri.path().strip_prefix(FEED_PATH)?;
         let most = number_in(uri, "most").and_then(|n| n.try_into().ok());
         Some(Self {
-            // Of a feed that does not exist, if it is no number.
+            // A path without a valid number refers to a feed that does not
+            // exist.
             number: number.parse().unwrap_or(usize::MAX),
             after: number_in(uri, "after").unwrap_or(0),
             most: most.unwrap_or(usize::MAX),
@@ -400,19 +404,19 @@
         })
     }
 
-    /// Returns as soon as there is a change or a confirmation, and as soon as
-    /// what this node knows is too old to be of use. A node that has just
-    /// started knows nothing yet and is waited for.
+    /// Waits until there is a change or a confirmation, or until this node's
+    /// data is too old to be of use. If this node has just started and has no
+    /// data yet, the request waits for the first data.
     ///
-    /// What goes wrong without confirmations: while nothing changes, each
-    /// step of the tree adds the wait of its question to the age of what is
-    /// known, and the nodes three steps away take their readers for cut off.
-    /// A fleet of 88 nodes read the service 750 times within eight seconds.
+    /// Without confirmations, each level of the tree adds the wait of its
+    /// request to the age of the data while nothing changes, and nodes three
+    /// levels away assume that their readers are disconnected. A fleet of 88
+    /// nodes read the key-value service 750 times within eight seconds.
     ///
-    /// What goes wrong without the end at old knowledge: this node is cut off
-    /// from the service, and whoever asks it waits out its time here before
-    /// it looks elsewhere. Where both readers are cut off, others then run an
-    /// old configuration for seconds.
+    /// Without the end at stale data, a requesting node waits for the full
+    /// time at a node that is disconnected from the key-value service before
+    /// it queries another one. If both readers are disconnected, others run an
+    /// outdated configuration for seconds.
     async fn wait_for_change(&self, feed: &Feed, clock: &dyn Clock) {
         let now = clock.now();
         let until = now.saturating_add_ms(self.wait_ms.min(WAIT_MOST_MS));
--- a/crates/node/src/follow.rs
+++ b/crates/node/src/follow.rs
@@ -1,4 +1,4 @@
-//! How a node follows the keys below a prefix.
+//! Keeps a feed up to date from other nodes or the key-value service.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -17,36 +17,38 @@
     turns::Place,
 };
 
-/// Pause after a failed read of the service, in milliseconds: a return is
-/// noticed within it, and the whole fleet costs a few calls a second.
+/// Pause after a failed read of the key-value service, in milliseconds. Its
+/// recovery is noticed within this time, at the cost of a few calls a second
+/// for the whole fleet.
 const FAILED_PAUSE_MS: u64 = 400;
 
-/// Pause between two questions to readers that have not started yet, in
+/// Pause between two queries to readers that have not started yet, in
 /// milliseconds.
 const START_PAUSE_MS: u64 = 20;
 
-/// Changes that a node that starts asks for first. Three hundred endpoints
-/// are a few for each request, and take a thin link of 30 megabits a second
-/// 30 ms and a tenth of a core as long; the rest follows at once.
+/// Number of changes that a starting node requests first. Three hundred
+/// endpoints are a few for each request, and take 30 ms on a slow link of 30
+/// megabits a second and as long on a tenth of a core; the remainder follows
+/// at once.
 const FIRST_PAGE: usize = 300;
 
-/// Keys from which on some change between any two reads: endpoints write
-/// their entries each second or so.
+/// Number of keys from which on some key changes between any two reads:
+/// endpoints write their entries about once a second.
 const CHANGING_KEYS: usize = 8;
 
-/// Longest wait for the changes since the last read, in milliseconds. They
-/// are there, so that a service that is well answers at once.
+/// Maximum wait for the changes since the last read, in milliseconds. The
+/// changes exist already, so a healthy key-value service responds at once.
 const CHANGES_MS: u64 = 300;
 
-/// Time between two reads of all keys by one reader, in milliseconds. What a
-/// watch has left out is noticed then.
+/// Interval between two full reads by one reader, in milliseconds. A full read
+/// recovers changes that a watch has missed.
 const WHOLE_READ_MS: u64 = 10_000;
 
-/// Pause of a reader that waits for its turn and cannot ask another one, in
-/// milliseconds.
+/// Pause of a reader that waits for its turn and cannot query another reader,
+/// in milliseconds.
 const TURN_PAUSE_MS: u64 = 50;
 
-/// Follows one feed until the process ends.
+/// Keeps one feed up to date until the process ends.
 pub(crate) struct Follower {
     pub(crate) number: usize,
     pub(crate) feed: Arc<Feed>,
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Asks the readers for a first answer until they have one.
+    /// Queries the readers until one returns first data, or the wait limit is
+    /// over.
     async fn start(&self) {
         let mut seeded = self.readers.seeded.subscribe();
         let _ = seeded.wait_for(|seeded| *seeded).await;
@@ -124,8 +127,9 @@
         }
     }
 
-    /// Waits for what another reader reads; returns false if it is this
-    /// node's turn. Of the readers those are none that do not answer.
+    /// Waits for another reader's read, or returns `false` if it is this
+    /// node's turn. `None` entries of `readers` are readers that do not
+    /// respond.
     async fn leave_turn(
         &self,
         place: Place,
@@ -166,7 +170,7 @@
         self.readers.avoid(self.number, &reader.node, why, now);
     }
 
-    /// Asks a reader and takes in what it knows.
+    /// Queries a reader and merges its changes.
     async fn ask(
         &self,
         reader: &NodeRecord,
@@ -197,11 +201,11 @@
         };
         let now = self.clock.now();
         let age = delta.fresh_at.map(|at| now.saturating_ms_since(at));
-        // A reader that confirmed its knowledge before the other one did is
-        // at an older revision and as good; the merge leaves out what is old.
+        // A reader that confirmed its data before the other reader did is at
+        // an older revision and equally good; the merge ignores older items.
         let is_young =
             age.is_some_and(|age_ms| age_ms <= self.pace.age_most_ms);
-        // A first part is good enough to start with.
+        // A first page is good enough to start with.
         let is_start =
             known.fresh_at.is_none() && delta.revision > known.revision;
         if !is_young && !is_start {
@@ -211,11 +215,11 @@
         Ok(())
     }
 
-    /// Reads the changes since the last read of any reader, in one call
-    /// however many keys there are; returns whether that was enough.
+    /// Reads the changes since the last read of any reader, in a single call
+    /// regardless of the number of keys; returns whether that was enough.
     ///
-    /// A watch that says nothing of keys that change all the time may have
-    /// lost its history, so that only one with changes counts.
+    /// A watch that returns no changes of keys that change all the time may
+    /// have lost its history, so only a watch with changes counts.
     async fn read_changes(&self, whole_at: Millis) -> bool {
         let known = self.feed.status();
         let began = self.clock.now();
@@ -258,10 +262,10 @@
                 self.feed.apply(batch.events, batch.revision, now);
                 return Ok(());
             }
-            // A watch that says nothing cannot be told from one that is cut
-            // off. What goes wrong where it is waited for: this node and all
-            // that ask it take the service for away as long as nothing
-            // changes, and jobs that wait on disks are not entered.
+            // A silent watch cannot be told from a disconnected one. If it
+            // were awaited, this node and all that query it would treat the
+            // key-value service as unavailable while nothing changes, and
+            // spooled jobs would not be entered.
             *watcher = None;
         }
         let prefix = self.feed.prefix();
@@ -281,7 +285,7 @@
     time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Logs when a dependency is lost and when it is back, once each.
+/// Logs the loss and the recovery of a dependency, once each.
 struct Reach {
     what: String,
     lost_at: Option<Millis>,
--- a/crates/node/src/job_heads.rs
+++ b/crates/node/src/job_heads.rs
@@ -1,10 +1,10 @@
-//! Manifests of jobs as fronts ask for them.
+//! Serves and fetches job manifests between nodes.
 //!
-//! Workers follow the heads of all jobs, fronts do not: of a fleet with
-//! hundreds of changes a second a front needs those few that its callers ask
-//! for. It asks the worker that runs the job, which knows of a result as soon
-//! as that is listed, or another worker as long as it does not know which one
-//! that is.
+//! Workers follow the manifests of all jobs, fronts do not: a fleet makes
+//! hundreds of changes a second, of which a front needs the few that its
+//! callers request. It queries the worker that runs the job, which knows a
+//! result as soon as it is listed, or another worker while it does not know
+//! which one runs the job.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -26,28 +26,32 @@
 
 use crate::{feed_wire::number_in, peer};
 
-/// Path of the heads that a worker knows; the job follows.
+/// Path prefix of the manifests that a worker knows, followed by the job.
 pub(crate) const HEAD_PATH: &str = "/head/";
 
-/// Longest wait for an answer beyond what the question waits for news.
+/// Maximum wait for a response beyond the time that the request waits for a
+/// change, in milliseconds.
 const ANSWER_MS: u64 = 150;
 
-/// Longest that a question is made to wait, in milliseconds.
+/// Maximum time that a request waits for a change, in milliseconds.
 const WAIT_MOST_MS: u64 = 2_000;
 
-/// How long a worker that did not answer is not asked again, in milliseconds.
+/// Backoff for a worker that did not respond, in milliseconds.
 const AGAIN_MS: u64 = 3_000;
 
-/// Manifests that a front remembers, so that it knows whom to ask for news.
+/// Maximum number of manifests that a front remembers in order to know which
+/// worker to query for changes.
 const REMEMBERED_MOST: usize = 256;
 
-/// Workers that are asked for one head, one after the other.
+/// Maximum number of workers that are queried for a manifest, one after the
+/// other.
 const ASKED_MOST: usize = 2;
 
-/// Largest head: positions of all items of the largest job, several times.
+/// Maximum size of a manifest: several times the positions of all items of the
+/// largest job.
 const HEAD_BYTES: usize = 4 * 1024 * 1024;
 
-/// What precedes the head in an answer.
+/// Header that precedes the manifest in a response.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct WireKnown {
@@ -55,10 +59,10 @@
     age_ms: u64,
 }
 
-/// Ends what precedes it.
+/// Separates the header from the manifest.
 const SEPARATOR: u8 = b'\n';
 
-/// Answers questions for heads.
+/// Serves requests for manifests.
 #[derive(Clone)]
 pub(crate) struct HeadAnswers(ViewManifests);
 
@@ -112,7 +116,7 @@
     })
 }
 
-/// Asks workers for heads.
+/// Queries workers for manifests.
 pub(crate) struct PeerHeads {
     view: JobView,
     pool: Pool,
@@ -122,7 +126,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Manifests that were read lately, the oldest first.
+    /// Manifests that were read recently, the oldest first.
     remembered: IndexMap<JobKey, StoredManifest>,
     silent: IndexMap<String, Millis>,
 }
@@ -157,8 +161,8 @@
         None
     }
 
-    /// Returns the workers to ask: the one that runs the job, if it is known,
-    /// and others that the job draws.
+    /// Returns the workers to query: the one that runs the job, if known, and
+    /// others chosen by the hash of the job.
     fn workers_for(&self, job: &JobKey) -> Vec<NodeRecord> {
         let members = self.view.members();
         let now = self.clock.now();
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -1,9 +1,9 @@
-//! New jobs on their way from the front that accepted them to the worker
-//! that runs them.
+//! Pushes new jobs from the front that accepted them to the worker that runs
+//! them.
 //!
-//! The worker would hear of a job with the next change of its feed, and read
-//! its inputs from the key-value service: a call for each job, a third of a
-//! second later. A push that is lost costs just that.
+//! Without a push the worker receives the job with the next change of its
+//! feed, and reads its inputs from the key-value service: a call for each job,
+//! a third of a second later. A lost push costs no more than that.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,14 +19,15 @@
 
 use crate::{commit_wire, commits::MOST_BYTES, peer};
 
-/// Path at which a worker takes new jobs; the revision of the head follows.
+/// Path prefix at which a worker receives new jobs, followed by the revision
+/// of the manifest.
 pub(crate) const PUSH_PATH: &str = "/new-job/";
 
-/// Longest wait for the worker, in milliseconds. Its feed brings the job
-/// about then.
+/// Maximum wait for the worker, in milliseconds. Its feed delivers the job in
+/// about that time.
 const PUSH_MS: u64 = 400;
 
-/// Largest answer; it has none but a status.
+/// Maximum size of a response, which is only a status.
 const ANSWER_BYTES: usize = 1_024;
 
 /// Sends new jobs to the workers that run them.
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends a job that this node has just accepted, without waiting.
+    /// Sends a job that this node has just accepted, in a background task.
     pub(crate) fn send(&self, job: &JobKey, stored: &StoredManifest) {
         let push = self.clone();
         let (job, stored) = (job.clone(), stored.clone());
@@ -85,7 +86,7 @@
     }
 }
 
-/// Takes new jobs of other nodes.
+/// Receives new jobs from other nodes.
 #[derive(Clone)]
 pub(crate) struct PushedJobs {
     pub(crate) view: JobView,
@@ -94,7 +95,7 @@
 }
 
 impl PushedJobs {
-    /// Takes a job and its inputs.
+    /// Receives a job and its inputs.
     pub(crate) async fn take(
         self,
         request: Request<Incoming>,
@@ -125,7 +126,8 @@
             return None;
         };
         let (job, head) = decode_manifest_row(&key, &value)?;
-        // Inputs before the head: the job is taken up as it is known.
+        // Inputs are stored before the manifest, since the job starts as soon
+        // as its manifest is known.
         for row in rows {
             if let Op::Put { key, value, .. } = row {
                 self.cache.insert(&key, &Arc::new(value));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,12 +1,15 @@
-//! The roles of a small fleet: `front` takes callers' requests, `worker`
-//! runs the items of batch jobs.
+//! The roles of a small fleet: `front` serves callers' requests, `worker` runs
+//! the items of batch jobs.
 //!
-//! What they agree on lies in the key-value service: the operators'
-//! configuration, the endpoints, the jobs. Nothing else outlasts a process
-//! but jobs that are accepted while the service does not answer; they wait on
-//! the disks of two workers until it does.
-//! How all that is spelled there and on the wire is told by a [`Dialect`],
-//! of which each platform has one; nothing here knows a name of a platform.
+//! The state that roles share is stored in the key-value service: the
+//! operators' configuration, the endpoints and the jobs. The only other state
+//! that outlives a process is jobs accepted while the key-value service is
+//! unavailable; they are spooled on the disks of two workers until it is
+//! available again.
+//!
+//! A [`Dialect`] defines how this state is encoded in the key-value service
+//! and on the wire. Each platform has its own dialect; this crate contains no
+//! platform names.
 
 mod admin;
 mod base;
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -6,48 +6,50 @@
 use kv::{KeyValue, Kv, KvError, LeaseId, Op, Txn, lease::HeldLease};
 use tokio::{sync::watch, time};
 
-/// Shortest time to live of a node's entry, in seconds: its jobs are taken
-/// over that long after it is lost, and two renewals may fail before it
-/// lapses.
+/// Minimum time to live of a node's entry, in seconds: its jobs are taken over
+/// that long after the node is lost, and two renewals may fail before the
+/// entry expires.
 const LEASE_S: u32 = 3;
 
-/// Longest time to live of a node's entry, in seconds. Where a front is lost
-/// for good, others wait as long for its load at the endpoints of its share.
+/// Maximum time to live of a node's entry, in seconds. When a front is lost
+/// for good, others wait that long before they count its share of the
+/// endpoints' load as free.
 const LEASE_MOST_S: u32 = 60;
 
-/// Workers up to which entries live for [`LEASE_S`]. With more of them the
-/// time grows, so that all together renew as often as these.
+/// Number of workers up to which entries live for [`MIN_LEASE_S`]. With more
+/// workers the time grows, so that all together renew as often as this many.
 const WORKERS_AT_ONCE: usize = 40;
 
-/// The same of fronts. Nobody has to take over anything of them.
+/// The same for fronts, from which nothing has to be taken over.
 const FRONTS_AT_ONCE: usize = 50;
 
-/// How many fronts a front takes the fleet to have as long as it does not
-/// know. Of a large fleet all would else write their entries twice, of a small
-/// one they do, a few calls each.
+/// Number of fronts that a front assumes until it knows the actual number.
+/// Otherwise all fronts of a large fleet would write their entries twice; with
+/// this value those of a small one do, at a few calls each.
 const FRONTS_ASSUMED: usize = 5 * FRONTS_AT_ONCE;
 
-/// How far the time to live may be off before the entry is written again
-/// under another lease, in percent.
+/// Ratio of the actual to the wanted time to live, or the reverse, beyond
+/// which the entry is written again under a new lease, in percent.
 const LEASE_OFF_PERCENT: u32 = 150;
 
-/// Decides how long the entry of a node lives.
+/// Decides the time to live of a node's entry.
 ///
-/// Each renewal is a call. With one time to live for fleets of all sizes the
-/// renewals grow with the fleet, and were a third of all calls of 343 nodes.
+/// Each renewal is a call. With the same time to live for fleets of all sizes
+/// the renewals grow with the fleet, and were a third of all calls of 343
+/// nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseTerms {
     least_s: u32,
-    /// Nodes of the kind up to which the shortest time holds.
+    /// Number of nodes of the kind up to which the minimum time applies.
     at_once: usize,
 }
 
 impl LeaseTerms {
-    /// Makes the terms of a kind of node where the key-value service grants
-    /// no lease shorter than `least_ms`.
+    /// Creates the terms for a kind of node. `min_ms` is the shortest lease
+    /// that the key-value service grants.
     ///
-    /// What goes wrong without that bound: the service refuses the lease, the
-    /// node is never listed, and nobody gives it a job.
+    /// Without that bound the key-value service rejects the lease, the node is
+    /// never listed, and receives no jobs.
     pub(crate) fn new(runs_items: bool, least_ms: u64) -> Self {
         let least_s = least_ms.div_ceil(1_000).min(u64::from(u32::MAX));
         Self {
@@ -59,14 +61,14 @@
         }
     }
 
-    /// Returns the time to live in a fleet with so many nodes of the kind.
+    /// Returns the time to live for a number of nodes of the kind.
     pub(crate) fn lease_s(&self, count: usize) -> u32 {
         let grown = LEASE_S as usize * count / self.at_once;
         let grown = u32::try_from(grown).unwrap_or(LEASE_MOST_S);
         grown.min(LEASE_MOST_S).max(self.least_s)
     }
 
-    /// Tells whether an entry is to be written again under another lease.
+    /// Reports whether an entry has to be written again under a new lease.
     fn is_off(&self, held_s: u32, count: usize) -> bool {
         let wanted_s = self.lease_s(count);
         held_s * 100 > wanted_s * LEASE_OFF_PERCENT
@@ -77,31 +79,30 @@
 /// Pause after a failed call, in milliseconds.
 const FAILED_PAUSE_MS: u64 = 250;
 
-/// What a node hears and is heard by about its entry.
+/// Signals between a node and the task that maintains its entry.
 pub(crate) struct Presence {
-    /// Turned true when the entry is written.
+    /// Set to true when the entry is written.
     pub(crate) entered: watch::Sender<bool>,
-    /// Turns true when the node leaves.
+    /// Becomes true when the node shuts down.
     pub(crate) left: watch::Receiver<bool>,
-    /// The entry of this node as it was found at the start, once that is
-    /// known.
+    /// The entry of this node as found at the start, once it has been read.
     pub(crate) found: watch::Receiver<Option<FoundEntry>>,
 }
 
-/// The entry that a process finds of the one before it on its machine.
+/// The entry that the previous process of the same node has left.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FoundEntry(Option<KeyValue>);
 
 impl FoundEntry {
-    /// Finds the entry of a node among all.
+    /// Finds the entry of a node among those of all nodes.
     pub(crate) fn among(entries: &[KeyValue], node: &str) -> Self {
         let is_own =
             |kv: &&KeyValue| kv.key.strip_prefix(NODE_PREFIX) == Some(node);
         Self(entries.iter().find(is_own).cloned())
     }
 
-    /// Returns the lease of an entry that says the same as `record`, and
-    /// its time to live.
+    /// Returns the lease and the time to live of the entry if its content
+    /// equals `record`.
     fn lease_of(&self, record: &NodeRecord) -> Option<(LeaseId, u32)> {
         let entry = self.0.as_ref()?;
         let known = serde_json::from_slice::<NodeRecord>(&entry.value).ok()?;
@@ -118,7 +119,7 @@
     }
 }
 
-/// Keeps the entry of a node until it leaves.
+/// Maintains the entry of a node until it shuts down.
 pub(crate) struct EntryKeeper {
     pub(crate) kv: Arc<dyn Kv>,
     pub(crate) record: NodeRecord,
@@ -127,19 +128,19 @@
     pub(crate) clock: Arc<dyn Clock>,
 }
 
-/// An entry under a lease.
+/// An entry with the lease that it is written under.
 struct Entered {
     lease: HeldLease,
     lease_s: u32,
 }
 
 impl EntryKeeper {
-    /// Runs until the node leaves.
+    /// Runs until the node shuts down.
     ///
-    /// An entry that has lapsed, because the node was paused or the service
-    /// away, is written again at once under a new lease. One that a process
-    /// finds of its predecessor is kept: where all are killed and start
-    /// again, only renewals go out.
+    /// An entry that has expired, because the node was paused or the key-value
+    /// service unavailable, is written again at once under a new lease. The
+    /// entry of a previous process is reused: when the whole fleet is killed
+    /// and restarts, only renewals are sent.
     pub(crate) async fn run(self, presence: Presence) {
         let Presence {
             entered,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Goes on with the lease of the process before, if the entry still says
-    /// what this one would write.
+    /// Takes over the lease of the previous process if the entry equals the
+    /// one that this process would write.
     async fn take_over(
         &self,
         found: &mut watch::Receiver<Option<FoundEntry>>,
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Returns how many nodes of this kind are known.
+    /// Returns the number of known nodes of this kind.
     fn count(&self) -> usize {
         let roster = self.view.roster();
         if self.record.runs_items {
@@ -215,7 +216,8 @@
         }
         match self.view.fresh_at() {
             Some(_) => roster.fronts.len(),
-            // What a start reads may be too old to have all.
+            // The data of a starting node may be too stale to contain all of
+            // them.
             None => roster.fronts.len().max(FRONTS_ASSUMED),
         }
     }
--- a/crates/node/src/own_writes.rs
+++ b/crates/node/src/own_writes.rs
@@ -1,4 +1,4 @@
-//! Passes on what this node has written before a watch brings it back.
+//! Adds this node's own writes to its feed before a watch returns them.
 
 use std::sync::{Arc, OnceLock};
 
@@ -8,12 +8,12 @@
 
 use crate::feed::Feed;
 
-/// The key-value service for writes that other nodes are to know at once:
-/// each goes into the feed of its keys as soon as the service has taken it.
+/// A key-value service that adds each successful write to the feed of its
+/// keys, for writes that other nodes have to know at once.
 ///
-/// Without that a node that starts, and asks this one, is told what the last
-/// watch has brought. It passes on a request that this node holds since a
-/// moment ago.
+/// Otherwise a starting node that queries this one receives only what the last
+/// watch has returned, and forwards a request that this node has just
+/// quarantined.
 #[derive(Clone)]
 pub(crate) struct FedWrites {
     kv: Arc<dyn Kv>,
@@ -21,8 +21,8 @@
 }
 
 impl FedWrites {
-    /// Writes to a service; [`feed_to`](Self::feed_to) says where writes go
-    /// besides.
+    /// Wraps a key-value service. [`set_feed`](Self::set_feed) sets the feed
+    /// that the writes are added to.
     pub(crate) fn new(kv: Arc<dyn Kv>) -> Self {
         Self {
             kv,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sets the feed of the keys that are written.
+    /// Sets the feed of the written keys.
     pub(crate) fn feed_to(&self, feed: Arc<Feed>) {
         if self.feed.set(feed).is_err() {
             log::warn!("the feed of own writes is set twice");
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -11,17 +11,17 @@
 
 use crate::{NodeError, feed_wire::PeerHandler};
 
-/// Nodes of each kind that a node has its calls passed on by, in turn. Enough
-/// that one is left where half of them are cut off as well; a way to each
-/// node of a large fleet would only be tried, and waited for, once.
+/// Number of nodes of each kind that relay a node's calls, in turn. Enough
+/// that one remains when half of them are disconnected as well; a path through
+/// each node of a large fleet would only be tried, and waited for, once.
 const RELAYS_OF_A_KIND: usize = 8;
 
-/// Time between two looks at which nodes can pass calls on.
+/// Interval at which the relays are selected again.
 const LOOK: Duration = Duration::from_millis(500);
 
-/// Returns a node as an endpoint that questions go to; none if it told no
-/// address. Its connections are kept by name and address, as a node that
-/// starts anew may have another one.
+/// Returns a node as an endpoint for requests; `None` if it has no address.
+/// Connections are keyed by name and address, since a restarted node may have
+/// another address.
 pub(crate) fn endpoint_of(node: &NodeRecord) -> Option<Endpoint> {
     let address = node.address?;
     Some(Endpoint::new(EndpointRecord {
@@ -35,7 +35,7 @@
     }))
 }
 
-/// Makes a question to another node; none for a path that is no path.
+/// Creates a request to another node; `None` if the path is invalid.
 pub(crate) fn question(to: &Endpoint, path: &str) -> Option<Request<Bytes>> {
     let host = to.record().address.to_string();
     let mut request = Request::new(Bytes::new());
@@ -45,11 +45,11 @@
     Some(request)
 }
 
-/// Answers other nodes until the process ends.
+/// Serves other nodes until the process ends.
 ///
 /// # Errors
 ///
-/// [`NodeError::Listen`] if the address cannot be used.
+/// Returns [`NodeError::Listen`] if the address cannot be bound.
 pub(crate) fn serve(
     address: SocketAddr,
     handler: PeerHandler,
@@ -60,17 +60,17 @@
         .change_context(NodeError::Listen)?;
     let handler = Arc::new(handler);
     tokio::spawn(async move {
-        // The stage lives as long as the task, and never changes.
+        // The channel lives as long as the task, and its value never changes.
         let _sender = sender;
         listener.serve(handler).await;
     });
     Ok(())
 }
 
-/// Keeps the ways to the key-value service through other nodes up to date.
+/// Keeps the relays to the key-value service up to date.
 ///
-/// Fronts go first: the workers are the ones that tend to be cut off
-/// together. Each node starts at another of them.
+/// Fronts come first, because workers tend to be disconnected together. Each
+/// node starts at a different relay.
 pub(crate) async fn follow_peers(
     paths: Arc<Paths>,
     view: JobView,
@@ -81,8 +81,8 @@
         let roster = view.roster();
         if !known.as_ref().is_some_and(|known| known.is_same(&roster)) {
             let peers = relays_of(&roster, &node);
-            // Lost entries leave the last known ways in place: a node that
-            // is cut off itself sees nobody.
+            // If all entries are lost, the last known relays stay in place: a
+            // node that is itself disconnected sees no other node.
             if !peers.is_empty() {
                 paths.set_peers(peers);
                 paths.set_away_pause_ms(away_pause_ms(roster.len()));
@@ -93,25 +93,26 @@
     }
 }
 
-/// Time between two calls of a node while the key-value service is away, in
-/// milliseconds, in fleets of up to as many nodes as [`AWAY_NODES`].
+/// Interval between two calls of a node while the key-value service is
+/// unavailable, in milliseconds, in fleets of up to [`NODES_AT_MIN_INTERVAL`]
+/// nodes.
 const AWAY_PAUSE_MS: u64 = 400;
 
-/// Longest such time, in milliseconds: the return of the service is noticed
-/// within it.
+/// Maximum of this interval, in milliseconds: the recovery of the key-value
+/// service is noticed within it.
 const AWAY_PAUSE_MOST_MS: u64 = 2_000;
 
-/// Nodes that may ask after a service that is away at that pace.
+/// Number of nodes up to which the minimum interval applies.
 const AWAY_NODES: u64 = 32;
 
-/// Returns how long a node of a fleet of so many leaves the service alone
-/// while it is away.
+/// Returns the interval between two calls of a node while the key-value
+/// service is unavailable, for the number of nodes in the fleet.
 fn away_pause_ms(nodes: usize) -> u64 {
     let grown = AWAY_PAUSE_MS * nodes as u64 / AWAY_NODES;
     grown.clamp(AWAY_PAUSE_MS, AWAY_PAUSE_MOST_MS)
 }
 
-/// Returns the few nodes that a node has its calls passed on by.
+/// Returns the nodes that relay a node's calls.
 fn relays_of(roster: &Roster, node: &str) -> Vec<SocketAddr> {
     let start = base::stable_hash(&[node]) as usize;
     let mut relays = Vec::new();
--- a/crates/node/src/readers.rs
+++ b/crates/node/src/readers.rs
@@ -1,4 +1,5 @@
-//! Whom a node asks for news, and when it reads the service itself.
+//! Selects the nodes to query for changes, and decides when a node reads the
+//! key-value service itself.
 
 use std::{
     sync::{Mutex, MutexGuard, PoisonError},
@@ -18,27 +19,27 @@
     turns::Place,
 };
 
-/// How news pass between nodes, as parts of the time in which they must
-/// have reached all.
+/// Time limits of queries between nodes, derived from the time in which a
+/// change has to reach all nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pace {
-    /// Oldest knowledge of another node that is good enough.
+    /// Maximum age of another node's data that is accepted.
     pub(crate) age_most_ms: u64,
-    /// How long a question waits for a change. It bounds how long a node
-    /// goes on without a word that its knowledge is still whole.
+    /// How long a request waits for a change. This bounds the time that a node
+    /// goes without a confirmation that its data is complete.
     pub(crate) wait_ms: u64,
-    /// Longest wait for an answer beyond that.
+    /// Maximum wait for a response beyond `wait_ms`.
     pub(crate) answer_ms: u64,
 }
 
-/// Longest wait for an answer, in milliseconds: nodes under load take a
+/// Maximum wait for a response, in milliseconds: nodes under load take a
 /// hundred at times.
 const ANSWER_MS: u64 = 250;
 
 impl Pace {
-    /// Divides the time so that questions to two readers that have both been
-    /// lost, one after the other, and a read of the service itself fit into
-    /// it.
+    /// Divides the propagation time so that queries to two readers that are
+    /// both lost, one after the other, and a read of the key-value service
+    /// itself fit into it.
     pub(crate) fn new(news_ms: u64) -> Self {
         Self {
             age_most_ms: news_ms * 75 / 100,
@@ -48,20 +49,20 @@
     }
 }
 
-/// How long a reader that did not answer is left alone, in milliseconds.
+/// Backoff for a reader that did not respond, in milliseconds.
 const READER_AGAIN_MS: u64 = 2_000;
 
-/// How long one is left alone whose answer was too old, in milliseconds. It
-/// lives, and is up to date again as soon as the service is back; until all
-/// ask it again each of them reads the service by itself.
+/// Backoff for a reader whose data was too old, in milliseconds. The reader is
+/// alive, and is up to date again as soon as the key-value service recovers;
+/// until it is queried again, each node reads the key-value service itself.
 const READER_BEHIND_MS: u64 = 400;
 
-/// Why another node's answer is no help.
+/// The reason why a query to another node failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum NoHelp {
-    /// It does not answer.
+    /// The node does not respond.
     Silent,
-    /// What it knows is too old.
+    /// The data of the node is too old.
     Behind,
 }
 
@@ -74,33 +75,33 @@
     }
 }
 
-/// How long a node that starts waits for its readers to start as well, in
-/// milliseconds. Where everything was killed, all are back within the same
-/// few tenths of a second. Who reads the service itself then takes its place
-/// in a line of hundreds that all ask for the whole list of endpoints: with
-/// three thousand of them it took four seconds until requests were served.
+/// How long a starting node waits for its readers to start, in milliseconds.
+/// After a kill of the whole fleet, all nodes are back within the same few
+/// tenths of a second. A node that reads the key-value service itself instead
+/// queues behind hundreds that request the whole list of endpoints: with three
+/// thousand endpoints it took four seconds until requests were served.
 pub(crate) const START_PATIENCE_MS: u64 = 600;
 
-/// Looks for other nodes of one that starts and sees none, before it reads
-/// what is there now.
+/// Maximum number of reads by which a starting node that sees no other node
+/// looks for them, before it makes a linearizable read.
 const START_READS_MOST: usize = 3;
 
-/// Pause between two of them, in milliseconds.
+/// Interval between these reads, in milliseconds.
 const START_READ_PAUSE_MS: u64 = 200;
 
-/// How the service itself is read.
+/// How readers read the key-value service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Reading {
-    /// All keys again and again, with a pause in milliseconds, by all
-    /// readers in turn. For keys of which all change all the time, where a
-    /// watch returns at once and is a call as well.
+    /// Repeated reads of all keys, with a pause in milliseconds, by all
+    /// readers in round robin. For prefixes whose keys change all the time,
+    /// where a watch returns at once and costs a call as well.
     InTurn(u64),
-    /// A watch, with a pause in milliseconds in which changes gather, by the
-    /// first readers.
+    /// A watch by the first readers, with a pause in milliseconds in which
+    /// changes accumulate.
     Watching {
-        /// How many of them.
+        /// Number of nodes that watch.
         readers: usize,
-        /// The pause.
+        /// Pause after each batch of changes.
         pause_ms: u64,
     },
 }
@@ -115,37 +116,37 @@
     }
 }
 
-/// What a node does next to know more of a feed.
+/// The next action of a node to update a feed.
 pub(crate) enum Step {
-    /// Asks another node.
+    /// Queries another node.
     Ask(NodeRecord),
-    /// Reads the service.
+    /// Reads the key-value service.
     Read,
-    /// Takes turns with the other readers, of which those that do not answer
-    /// are none.
+    /// Takes part in the round robin of the readers; those that are being
+    /// avoided are `None`.
     Turn(Place, Vec<Option<NodeRecord>>),
 }
 
-/// The nodes that one node asks instead of the key-value service.
+/// The nodes that a node queries instead of the key-value service.
 pub(crate) struct Readers {
     node: String,
     failure_domain: String,
     view: JobView,
     inner: Mutex<Inner>,
-    /// Turns true when the nodes are known, or cannot be read.
+    /// Becomes true when the nodes are known, or cannot be read.
     pub(crate) seeded: watch::Sender<bool>,
 }
 
 #[derive(Default)]
 struct Inner {
-    /// Whom to ask, and the nodes from which that follows.
+    /// The nodes to query.
     sources: Vec<NodeRecord>,
-    /// The nodes that read the service, if this is one of them.
+    /// The readers, if this node is one of them.
     readers: Option<(Place, Vec<NodeRecord>)>,
     roster: Option<Roster>,
     nodes: TreeNodes,
-    /// Who was no help for which feed, and until when it is left alone. By
-    /// feed, as a reader may be up to date in one and behind in another.
+    /// Failed queries by feed and node, with the end of the backoff. By feed,
+    /// as a reader may be up to date in one and behind in another.
     avoid: Vec<(usize, String, Millis)>,
 }
 
@@ -164,12 +165,12 @@
         }
     }
 
-    /// Reads which nodes there are, so that this one knows whom to ask, and
-    /// passes on what it finds of itself.
+    /// Reads the list of nodes, so that this node knows which ones to query,
+    /// and sends its own previous entry to `previous`.
     ///
-    /// What was there seconds ago will do: it names nodes that know more.
-    /// Where all start for the first time nobody is there yet; a node then
-    /// looks again until it sees others, once its own entry is written.
+    /// A stale read is sufficient: it names nodes that have newer data. When
+    /// all nodes start for the first time, none is listed yet; a node then
+    /// reads again until it sees others, once its own entry is written.
     pub(crate) async fn seed(
         &self,
         kv: &dyn Kv,
@@ -203,7 +204,7 @@
         self.seeded.send_replace(true);
     }
 
-    /// Reads whom a starting node may ask; returns whether there is anybody.
+    /// Reads the bootstrap list; returns whether it names any other node.
     async fn read_start_list(&self, kv: &dyn Kv) -> bool {
         let read = kv.get_prefix_stale(START_PREFIX).await;
         let Ok(reply) = read else {
@@ -214,7 +215,7 @@
         self.knows_others()
     }
 
-    /// Tells whether any other node is known that may know more.
+    /// Reports whether any other node is known.
     fn knows_others(&self) -> bool {
         let roster = self.view.roster();
         let mut nodes = roster.iter();
@@ -242,15 +243,16 @@
         }
     }
 
-    /// Decides what to do next.
+    /// Decides the next action.
     ///
-    /// A node that has lost both of its sources reads the service itself
-    /// until one answers again.
+    /// A node that has lost both of its sources reads the key-value service
+    /// itself until one responds again.
     ///
-    /// The sources are asked in turn. What goes wrong with one and the same
-    /// reader: it is cut off from the service, goes on answering for as long
-    /// as its last word counts, and whoever asks it hears of a change that
-    /// much later than everybody else. The other reader tells it at once.
+    /// The sources are queried alternately. If a node always queried the same
+    /// reader and that one were disconnected from the key-value service, the
+    /// reader would go on responding until its last confirmation is too old,
+    /// and the node would receive a change that much later than all others.
+    /// The other reader delivers the change at once.
     pub(crate) fn step(
         &self,
         feed: usize,
@@ -286,7 +288,7 @@
         }
     }
 
-    /// Returns the place among the readers of the node with a hash.
+    /// Returns the index of the reader whose name has this hash.
     pub(crate) fn place_of(&self, reader: u64) -> Option<usize> {
         let inner = self.lock();
         let (_, all) = inner.readers.as_ref()?;
@@ -294,7 +296,8 @@
         all.iter().position(is_it)
     }
 
-    /// Returns the node that knows most; none if this one reads itself.
+    /// Returns the node with the freshest data; `None` if this node reads the
+    /// key-value service itself.
     pub(crate) fn first_source(
         &self,
         feed: usize,
@@ -331,7 +334,7 @@
         all.any(|(number, name, _)| *number == feed && *name == node.node)
     }
 
-    /// Returns the one of those that are not avoided whose turn it is.
+    /// Returns one of the nodes that are not avoided, by turn.
     fn in_turn<'a>(
         &self,
         feed: usize,
@@ -367,7 +370,7 @@
             };
             (place, readers)
         });
-        // Different nodes begin with different ones.
+        // Different nodes start with different sources.
         self.sources
             .sort_by_key(|source| stable_hash(&[node, &source.node]));
         self.roster = Some(roster);
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/siblings.rs
@@ -1,4 +1,4 @@
-//! Inputs and results of jobs as nodes read them from each other.
+//! Serves and fetches inputs and results of jobs between nodes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -18,26 +18,27 @@
 
 use crate::peer;
 
-/// Path of the values that a node keeps; the key follows.
+/// Path prefix of cached values, followed by the key.
 pub(crate) const BULK_PATH: &str = "/bulk/";
 
-/// Longest wait for another node's answer. Some ten times what a node takes
-/// that is not overloaded; the service answers in milliseconds.
+/// Maximum wait for another node's response. About ten times what a node needs
+/// that is not overloaded; the key-value service responds within milliseconds.
 const ANSWER: Duration = Duration::from_millis(150);
 
-/// How long a node that did not answer is not asked again, in milliseconds:
-/// a lost one leaves the list of nodes about then.
+/// Backoff for a node that did not respond, in milliseconds: a lost one
+/// disappears from the list of nodes in about that time.
 const AGAIN_MS: u64 = 3_000;
 
-/// Largest value; the service's own hold about a megabyte.
+/// Maximum size of a value; values of the key-value service have about a
+/// megabyte.
 const MOST_BYTES: usize = 2 * 1024 * 1024;
 
 /// Reads inputs and results from the node that runs the job.
 ///
-/// That node wrote the results, and read the inputs, seconds ago. Each front
-/// that answers a caller would otherwise read them from the key-value
-/// service: three to four reads for each write of results, a third of all
-/// calls that a fleet paid for.
+/// That node wrote the results, and read the inputs, seconds ago. Otherwise
+/// each front that serves a caller would read them from the key-value service:
+/// three to four reads for each write of results, a third of all calls that a
+/// fleet paid for.
 pub(crate) struct PeerBulk {
     node: String,
     view: JobView,
@@ -120,17 +121,18 @@
     }
 }
 
-/// Answers questions of other nodes for values of jobs that this one runs.
+/// Serves the values of jobs that this node runs to other nodes.
 ///
-/// A value that is not kept here is read from the key-value service, once for
-/// all that ask. What goes wrong without that: where all nodes have started
-/// anew, each front that answers a caller reads the results of each job by
-/// itself, 880 calls after the last fault of one day.
+/// A value that is not cached is read from the key-value service, once for all
+/// requests. Otherwise, after a restart of all nodes, each front that serves a
+/// caller reads the results of each job by itself: 880 calls after the last
+/// fault of one day.
 #[derive(Clone)]
 pub(crate) struct BulkAnswers {
     cache: Arc<BulkCache>,
     ledger: Ledger,
-    /// Held while a value is read, so that nobody else reads it as well.
+    /// Locked while a value is read, so that concurrent requests share the
+    /// read.
     reading: Arc<tokio::sync::Mutex<()>>,
 }
 
--- a/crates/node/src/start_list.rs
+++ b/crates/node/src/start_list.rs
@@ -1,10 +1,10 @@
-//! Whom a node asks that has just started and knows nobody.
+//! The bootstrap list: the nodes that a starting node queries first.
 //!
-//! The list of all nodes grows with the fleet, and so does the number of those
-//! that read it where all start at once: the key-value service's link was busy
-//! for a third of a second with the lists of 347 nodes, while the first
-//! callers came. The first of the readers keeps a short list in one key
-//! instead: the nodes of each failure domain that serve others.
+//! The list of all nodes grows with the fleet, and so does the number of nodes
+//! that read it when all start at once: the link of the key-value service was
+//! saturated for a third of a second by the lists of 347 nodes while the first
+//! callers arrived. The first reader therefore maintains a short list in a
+//! single key: the nodes of each failure domain that serve others.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,19 +14,20 @@
 
 use crate::tree;
 
-/// Common start of the keys of this list, of which there is one.
+/// Key prefix of the bootstrap list, of which there is one.
 pub(crate) const START_PREFIX: &str = "start/";
 
-/// The key of the list.
+/// The key of the bootstrap list.
 const START_KEY: &str = "start/nodes";
 
-/// Shortest time between two writes of the list.
+/// Minimum time between two writes of the list.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// How long a write may wait for others, in milliseconds.
+/// Maximum time that a write may wait to be sent together with others, in
+/// milliseconds.
 const PATIENCE_MS: u64 = 1_000;
 
-/// Keeps the list as long as this node is the first of the readers.
+/// Maintains the list while this node is the first of the readers.
 pub(crate) async fn keep(kv: Arc<dyn Kv>, view: JobView, node: String) {
     let mut seen: Option<Roster> = None;
     let mut written: Vec<NodeRecord> = Vec::new();
@@ -34,7 +35,7 @@
         time::sleep(PAUSE).await;
         let roster = view.roster();
         let is_seen = seen.as_ref().is_some_and(|seen| seen.is_same(&roster));
-        // What a start has read is not all.
+        // The view that a starting node has seeded is incomplete.
         if is_seen || view.fresh_at().is_none() {
             continue;
         }
@@ -77,7 +78,7 @@
     }
 }
 
-/// Decodes the list; none of what cannot be read.
+/// Decodes the list; a malformed list counts as empty.
 pub(crate) fn decode(entries: &[KeyValue]) -> Vec<NodeRecord> {
     let entry = entries.iter().find(|kv| kv.key == START_KEY);
     let Some(entry) = entry else {
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,67 +1,69 @@
-//! Whom each node asks what has changed in the key-value service.
+//! The distribution tree: which nodes each node queries for changes in the
+//! key-value service.
 //!
-//! A few nodes read the service, in turn; the first two of them are the
-//! roots. Two of each failure domain ask the roots, and all others of the
-//! domain ask those two or nodes that do: a tree of pairs, in which the nodes
-//! of one pair stand in for each other.
+//! A few nodes, the readers, read the key-value service in turn; the first two
+//! of them are the roots. Two nodes of each failure domain, the relays, query
+//! the roots, and all others of the domain query the relays or nodes below
+//! them: a tree of pairs in which the nodes of a pair back each other up.
 //!
-//! One pair that served all nodes was used before. Its load grew with the
-//! fleet, the loss of both sent every node to the service at the same
-//! moment, and each change went to each node across failure domains, where
-//! bytes cost.
+//! An earlier design had a single pair that served all nodes. Its load grew
+//! with the fleet, the loss of both sent every node to the key-value service
+//! at the same moment, and each change crossed failure domains once for each
+//! node, where bytes are charged.
 
 use base::{Millis, mix, stable_hash};
 use indexmap::IndexMap;
 use jobs::{NodeRecord, Roster};
 
-/// Nodes that ask one pair. It bounds what a node serves: sixteen waiting
-/// questions of each feed. With more of them the tree is flatter, but all
-/// fleets up to 4,000 nodes in eight domains need two steps from the relays
-/// anyway.
+/// Nodes that query one pair. This bounds what a node serves: sixteen waiting
+/// requests for each feed. A larger value makes the tree flatter, but fleets
+/// of up to 4,000 nodes in eight domains need two steps from the relays in any
+/// case.
 const FAN_OUT: usize = 16;
 
-/// Nodes that stand in for each other.
+/// Number of nodes that back each other up.
 pub(crate) const PAIR: usize = 2;
 
-/// Workers of which one reads the service. What a read returns grows with the
-/// fleet, and so does the number of nodes that share the reads.
+/// Workers for each node that reads the key-value service. The size of a read
+/// grows with the fleet, and so does the number of nodes that share the reads.
 const WORKERS_OF_A_READER: usize = 16;
 
-/// Returns the nodes that read the service for all others, those of the most
-/// duties first.
+/// Returns the nodes that read the key-value service for all others, those
+/// with the most duties first.
 pub(crate) fn readers(roster: &Roster) -> Vec<NodeRecord> {
     let wanted = roster.workers.len() / WORKERS_OF_A_READER;
     let ranked = rank(roster);
     owned(&ranked[..ranked.len().min(wanted.max(PAIR))])
 }
 
-/// The nodes that the tree is made of: those that are listed, and for a while
-/// those that were before most of them vanished at once.
+/// The nodes that the tree is built from: the listed ones, and for a while
+/// those that were listed before most of them vanished at once.
 ///
-/// Entries lapse while the service is away, all of them within a second. The
-/// nodes live, and know of each other what the service cannot tell. Without
-/// this each of them takes itself for the only one and reads the service by
-/// itself until all are listed again: 2,700 calls of 76 nodes after one outage.
+/// Entries expire within a second of each other while the key-value service is
+/// unavailable, although the nodes are alive. Without this retention each node
+/// takes itself for the only one and reads the key-value service directly
+/// until all are listed again: 2,700 calls of 76 nodes after one outage.
 #[derive(Debug, Default)]
 pub(crate) struct TreeNodes {
-    /// What was listed last.
+    /// The nodes that were listed last.
     listed: Option<Roster>,
-    /// What the tree is made of.
+    /// The nodes that the tree is built from.
     known: Option<Roster>,
-    /// Since when far fewer are listed than the tree is made of.
+    /// Time since which far fewer nodes are listed than the tree is built
+    /// from.
     shrunk_at: Option<Millis>,
 }
 
-/// Part of the nodes that has to be left so that the others count as gone: one
-/// in this many.
+/// Divisor of the fraction of nodes that has to remain listed for the missing
+/// ones to count as removed.
 const LEFT_DIVISOR: usize = 2;
 
-/// How long nodes are asked after most of them have vanished, in
+/// How long nodes are retained after most of them have vanished, in
 /// milliseconds: longer than an outage and the return of their entries take.
 const VANISHED_MS: u64 = 20_000;
 
 impl TreeNodes {
-    /// Takes in what is listed now and returns the nodes of the tree.
+    /// Applies the current listing and returns the nodes of the tree.
     pub(crate) fn follow(&mut self, listed: Roster, now: Millis) -> Roster {
         let is_seen = self
             .listed
@@ -90,18 +92,18 @@
     }
 }
 
-/// Tells whether a node is the first of those that read the service.
+/// Reports whether a node is the first of the readers.
 pub(crate) fn is_first_reader(roster: &Roster, node: &str) -> bool {
     let first = rank(roster);
     first.first().is_some_and(|first| first.node == node)
 }
 
-/// Pairs of each failure domain that a node asks which has just started.
+/// Pairs of each failure domain that are in the bootstrap list.
 const START_PAIRS: usize = 4;
 
-/// Returns the nodes that one which has just started may ask: the readers and
-/// a few of each failure domain that serve others. It is as long for a
-/// thousand nodes as for some hundred.
+/// Returns the nodes that a starting node may query: the roots and a few nodes
+/// of each failure domain that serve others. The length depends on the number
+/// of failure domains, not on the number of nodes.
 pub(crate) fn start_list(roster: &Roster) -> Vec<NodeRecord> {
     let ranked = rank(roster);
     let mut taken: IndexMap<&str, usize> = IndexMap::new();
@@ -118,10 +120,10 @@
     list
 }
 
-/// Returns the nodes to ask, in the order of preference; none if the node
-/// reads the service itself.
+/// Returns the nodes to query, in order of preference; none if the node reads
+/// the key-value service itself.
 ///
-/// All nodes find the same tree by their names, without a message.
+/// All nodes derive the same tree from the node names, without any message.
 pub(crate) fn sources(
     roster: &Roster,
     node: &str,
@@ -152,9 +154,9 @@
     owned(above(&line, at.unwrap_or(PAIR)))
 }
 
-/// Returns whom a node asks that is not listed: one of the pairs of its
-/// failure domain, so that the roots do not have to answer a whole fleet that
-/// starts, or the roots where there is none.
+/// Returns the nodes that an unlisted node queries: one of the pairs of its
+/// failure domain, so that the roots do not have to serve a whole starting
+/// fleet, or the roots if the domain has no pair.
 fn sources_of_stranger(
     ranked: &[&NodeRecord],
     node: &str,
@@ -182,15 +184,16 @@
     nodes.iter().filter(in_it).copied().collect()
 }
 
-/// Returns the pair above a place in a line of nodes: the first pair is the
-/// top, the next sixteen nodes ask it, the next sixteen the next pair.
+/// Returns the parents of a position in a sequence of nodes: the first pair is
+/// the top, the next sixteen nodes query it, the next sixteen query the second
+/// pair.
 fn above<'a>(line: &'a [&'a NodeRecord], at: usize) -> &'a [&'a NodeRecord] {
     let pair = (at - PAIR) / FAN_OUT;
     let first = pair * PAIR;
     &line[first..(first + PAIR).min(line.len())]
 }
 
-/// Returns the first nodes of each failure domain.
+/// Returns the first pair of nodes of each failure domain.
 fn relays<'a>(ranked: &[&'a NodeRecord]) -> Vec<&'a NodeRecord> {
     let mut taken: IndexMap<&str, usize> = IndexMap::new();
     let mut relays = Vec::new();
@@ -204,12 +207,12 @@
     relays
 }
 
-/// Sorts the nodes by hash, workers before fronts; the second one is of
+/// Sorts the nodes by hash, workers before fronts; the second one is in
 /// another failure domain than the first, if there is one.
 ///
-/// Nobody waits for a worker's answer, and its link carries the outputs of
-/// items anyway; a front that served others would have less left for its
-/// callers.
+/// No caller waits for a worker's response, and its link carries the outputs
+/// of items in any case; a front that served other nodes would have less
+/// capacity for its callers.
 fn rank(roster: &Roster) -> Vec<&NodeRecord> {
     let mut hashed: Vec<(u64, &NodeRecord)> = roster
         .hashed()
--- a/crates/node/src/turns.rs
+++ b/crates/node/src/turns.rs
@@ -1,60 +1,61 @@
-//! When a node reads what several nodes read in turn.
+//! Round-robin scheduling of reads that several nodes make in turn.
 
 use base::Millis;
 
-/// Time by which the turns of two readers are apart, in milliseconds, where
-/// the first of them does not take it: what one has read must have reached
-/// the others before they read it as well.
+/// Delay between the turns of consecutive readers, in milliseconds, if the
+/// earlier one misses its turn. What one node has read has to reach the others
+/// within it, or they read as well.
 const STEP_MS: u64 = 100;
 
-/// A reader among those that take turns.
+/// A position in the round robin of readers: the nodes that read the key-value
+/// service on behalf of others.
 ///
-/// Each passes on what it reads, so that all know it as young as the last
-/// read of any of them. The reader after the one that has read last is next;
-/// if it does not read, the one after it does a moment later. So reads are as
-/// frequent as those of one reader, and each reader makes one in as many as
-/// there are.
+/// Each reader passes on what it reads, so that all readers are as fresh as
+/// the last read of any of them. The reader after the one that read last is
+/// next; if it does not read, the reader after it does so one step later. So
+/// all readers together read as often as a single one, and share the reads
+/// evenly.
 ///
-/// All others ask the one that is next, so that they hear of its read at once.
-/// What goes wrong where each asks any other: three of four readers wait for
-/// each other while the fourth one reads, and what the fleet knows is half a
+/// All other readers query the next one, so that they receive its read at
+/// once. If each queried any other reader, three of four would wait for each
+/// other while the fourth one reads, and the fleet's data would be half a
 /// second older.
 ///
-/// Rejected: a part of the keys for each reader. All of them would make a call
-/// in each period, and calls are what costs; and a part of which the reader
-/// is lost would be behind for all.
+/// Rejected: sharding the keys over the readers. Every reader would then make
+/// a call in each period, and calls are what costs; the loss of a reader would
+/// make its shard stale for all nodes.
 ///
 /// # Example
 ///
 /// ```ignore
-/// let second_of_three = Place { at: 1, readers: 3 };
+/// let second_of_three = RoundRobinSlot { index: 1, readers: 3 };
 /// let read_at = Millis::new(10_000);
-/// // The first one has read last.
+/// // The first reader has read last.
 /// assert_eq!(second_of_three.wait_ms(Some(0), 600, read_at, read_at), 600);
-/// assert_eq!(second_of_three.turn_of(Some(0), 0), 1);
-/// // It has read itself, so that the third one is next.
+/// assert_eq!(second_of_three.nth_reader(Some(0), 0), 1);
+/// // This reader has read last, so the third one is next.
 /// assert_eq!(second_of_three.wait_ms(Some(1), 600, read_at, read_at), 800);
-/// assert_eq!(second_of_three.turn_of(Some(1), 0), 2);
+/// assert_eq!(second_of_three.nth_reader(Some(1), 0), 2);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Place {
-    /// Its place among them.
+    /// Index of this reader.
     pub(crate) at: usize,
-    /// How many there are.
+    /// Number of readers.
     pub(crate) readers: usize,
 }
 
 impl Place {
-    /// Returns the place of the reader that is `nth` to read after `last`,
-    /// from 0 on. Where it is not known who has read last the first one is.
+    /// Returns the index of the reader that is `nth` to read after `last`,
+    /// counted from 0. If `last` is unknown, the first reader is next.
     pub(crate) fn turn_of(self, last: Option<usize>, nth: usize) -> usize {
         let next = last.map_or(0, |last| last + 1);
         (next + nth) % self.readers.max(1)
     }
 
-    /// Returns in how many milliseconds this reader is to read, unless
-    /// another one does before: 0 for now. `fresh_at` is the moment of which
-    /// `last` knew all.
+    /// Returns the milliseconds until this reader has to read, unless another
+    /// one reads before: 0 for now. `fresh_at` is the time up to which the
+    /// last read contains all changes.
     pub(crate) fn wait_ms(
         self,
         last: Option<usize>,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,5 @@
-//! Turns what is followed into cluster.
+//! Applies the feeds to the state of the node: endpoints, configuration, jobs
+//! and quarantine.
 
 use std::sync::Arc;
 
@@ -19,58 +20,58 @@
     tree::PAIR,
 };
 
-/// Time between two listings of the endpoints, as a part of the time in
-/// which a leaving one must get no new work: a listing that has to be
-/// repeated and its way to the other nodes fit in it.
+/// Number of listings of the endpoints in the time within which a leaving
+/// endpoint must stop receiving work: a listing that has to be repeated and
+/// its propagation to the other nodes fit in it.
 const LISTINGS_PER_DRAIN: u64 = 4;
 
-/// Longest pause between listings, in milliseconds: less than half of the age
-/// up to which nodes rely on each other, so that a lost reader makes nobody
-/// read the service itself.
+/// Maximum interval between listings, in milliseconds: less than half of the
+/// age up to which nodes accept each other's data, so that the loss of a
+/// reader makes no node read the key-value service itself.
 const LISTING_MOST_MS: u64 = 600;
 
-/// Pause between two deliveries of the changes of jobs, in milliseconds.
-/// Each delivery is a call; what comes meanwhile arrives together.
+/// Interval between two deliveries of job changes, in milliseconds. Each
+/// delivery is a call; changes in between arrive together.
 const JOBS_PAUSE_MS: u64 = 300;
 
-/// Nodes that watch the jobs for all others. Nothing has a time by which all
-/// must know a change of them, so that the next one reads only where this
+/// Number of nodes that watch the jobs for all others. No change of a job has
+/// a time limit for reaching all nodes, so the next node reads only when this
 /// one is lost.
 const JOB_READERS: usize = 1;
 
-/// Number of the feed of jobs, of nodes and of requests that crash endpoints.
+/// Number of the feed of jobs, nodes and poison requests.
 pub(crate) const JOB_FEED: usize = 2;
 
-/// All that a node follows.
+/// Everything that a node follows.
 pub(crate) struct Watches {
     pub(crate) kv: Arc<dyn Kv>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) cluster: ClusterState,
     pub(crate) view: JobView,
     pub(crate) quarantine: Quarantine,
-    /// Connections to endpoints; those of ended ones are dropped.
+    /// Connections to endpoints; those of removed ones are dropped.
     pub(crate) pool: Arc<Pool>,
     pub(crate) counters: Arc<Counters>,
-    /// Turns true when the entry of this node is written.
+    /// Becomes true when the entry of this node is written.
     pub(crate) entered: watch::Receiver<bool>,
-    /// Receives the entry of this node as it is found at the start.
+    /// Receives the entry of this node as found at the start.
     pub(crate) found: watch::Sender<Option<FoundEntry>>,
-    /// What this node follows of jobs.
+    /// Which keys of the job feed this node follows.
     pub(crate) job_scope: Scope,
-    /// Who carries out orders to empty a node.
+    /// Receives orders to drain a node.
     pub(crate) orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 }
 
 impl Watches {
-    /// Starts all tasks and returns the feeds, for other nodes to ask.
+    /// Starts all tasks and returns the feeds, which other nodes query.
     pub(crate) fn start(self, settings: &NodeSettings) -> Arc<Vec<Arc<Feed>>> {
         let listing_ms = settings.drain_ms / LISTINGS_PER_DRAIN;
         let dialect = self.dialect.clone();
         let same_endpoint = move |before: &KeyValue, after: &KeyValue| {
             is_same_endpoint(&*dialect, before, after)
         };
-        // Each write of a job counts: its revision is what the next write
-        // compares with.
+        // Each write of a job counts: the next write compares with its
+        // revision.
         let never = |_: &KeyValue, _: &KeyValue| false;
         let node = settings.node.as_str();
         let followed = [
@@ -164,10 +165,10 @@
     }
 }
 
-/// Subscribes to a feed so that what it holds already counts as a change.
+/// Subscribes to a feed so that existing items already count as a change.
 ///
-/// Without that, a task that starts after the first read waits for the
-/// second, and a node whose configuration does not change never has one.
+/// Otherwise a task that starts after the first read waits for the second one,
+/// which never comes on a node whose configuration does not change.
 fn subscribe(feed: &Feed) -> watch::Receiver<u64> {
     let mut changes = feed.subscribe();
     changes.mark_changed();
@@ -192,7 +193,8 @@
         if status.revision == 0 {
             continue;
         }
-        // What is kept without an entry may have to go by now.
+        // Endpoints that are retained without an entry may have to be removed
+        // by now.
         let is_known =
             directory.has_listing() && known.content == status.content;
         if is_known && !directory.retains_missing() {
@@ -232,15 +234,15 @@
     }
 }
 
-/// Takes note that the endpoints are the same as of a later revision.
+/// Records that the endpoints are unchanged as of a later revision.
 fn confirm_endpoints(cluster: &ClusterState, revision: u64) {
     let table = cluster.endpoints.load().table.clone();
     cluster.endpoints.publish(DirectoryView { table, revision });
 }
 
-/// Tells whether two entries say the same of an endpoint. The beats by which
-/// it shows that it lives are no news; the service removes the entry if they
-/// end.
+/// Reports whether two entries describe the same state of an endpoint.
+/// Heartbeats of an endpoint do not count as changes; the key-value service
+/// removes the entry when they stop.
 fn is_same_endpoint(
     dialect: &dyn Dialect,
     before: &KeyValue,
@@ -255,13 +257,13 @@
     }
 }
 
-/// Decodes the entries that name an endpoint to use.
+/// Decodes the entries of usable endpoints.
 ///
-/// An entry may come from another writer. It names no endpoint then, and is
-/// logged once for each change of it.
+/// An entry that another program wrote may be malformed. It counts as no
+/// endpoint, and each change of it is logged once.
 #[derive(Default)]
 struct EntryDecoder {
-    /// Ids of the endpoints that entries name, by key.
+    /// Ids of the endpoints, by the key of their entry.
     ids: IndexMap<String, String>,
 }
 
--- a/crates/node/tests/readers.rs
+++ b/crates/node/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Nodes that hear of changes from other nodes instead of the key-value
+//! Nodes that receive changes from other nodes instead of the key-value
 //! service.
 
 mod common;
@@ -18,12 +18,13 @@
 
 const NODES: usize = 6;
 
-/// Between the second that news take at the most past a reader that is cut
-/// off and the 3.5 s for which its last word counts.
+/// Between the second that a change takes at most around a disconnected reader
+/// and the 3.5 s for which its last confirmation counts.
 const LATE: Duration = Duration::from_millis(2_600);
 
-/// Between the 0.75 s for which a reader's word counts in these tests, where
-/// news have a second, and the 2.5 s for which it counted before.
+/// Between the 0.75 s for which a reader's confirmation counts in these tests,
+/// where changes have a second to propagate, and the 2.5 s for which it
+/// counted before.
 const LATE_BY_BOTH: Duration = Duration::from_millis(1_700);
 
 async fn fronts(kv: &Memory) -> Vec<Node> {
@@ -34,12 +35,12 @@
     for node in &nodes {
         ready(node).await;
     }
-    // All nodes have heard of each other once their entries have spread.
+    // All nodes know each other once their entries have propagated.
     sleep(Duration::from_millis(1_500)).await;
     nodes
 }
 
-/// Starts fronts with ways of their own to the key-value service.
+/// Starts fronts with separate connections to the key-value service.
 async fn cuttable_fronts(kv: &Memory) -> Vec<(Node, Cuttable)> {
     let mut nodes = Vec::new();
     for number in 0..NODES {
@@ -91,8 +92,9 @@
     }
 }
 
-/// Symptom: half of the nodes run an old configuration. Events: the nodes
-/// that read for all others are lost. Cause: the others went on asking them.
+/// Guards against nodes that run an outdated configuration after the loss of
+/// the nodes that read for all others, because they keep querying the lost
+/// ones.
 #[tokio::test]
 async fn the_loss_of_readers_stops_no_news() {
     let kv = Memory::default();
@@ -111,8 +113,8 @@
     }
 }
 
-/// A configuration that was replaced never comes back, whoever a node asks:
-/// readers may be at different revisions.
+/// Guards against the return of a replaced configuration when a node queries
+/// readers that are at different revisions.
 #[tokio::test]
 async fn no_node_goes_back_to_an_older_configuration() {
     let kv = Memory::default();
@@ -133,11 +135,11 @@
     }
 }
 
-/// Symptom: a node that is well hears of a new configuration 3.5 s after
-/// the others, where two seconds are allowed. Events: a reader is cut off
-/// from the key-value service just after it confirmed what it knows; then
-/// the configuration changes. Cause: a node went on asking the same reader,
-/// whose last word counts for 3.5 s.
+/// Guards against a healthy node that receives a new configuration 3.5 s after
+/// the others, where two seconds are allowed: a reader is disconnected from
+/// the key-value service just after it has confirmed its data, then the
+/// configuration changes, and the node keeps querying the same reader, whose
+/// last confirmation counts for 3.5 s.
 #[tokio::test]
 async fn news_pass_by_a_reader_that_is_cut_off() {
     let kv = Memory::default();
@@ -163,10 +165,10 @@
     }
 }
 
-/// Symptom: a node that is well refuses a new route for 2.3 s, where two
-/// are allowed. Events: both readers are cut off from the key-value service
-/// at once, then the configuration changes. Cause: the others waited at each
-/// of them in turn, and took a word of 3.5 s ago for good.
+/// Guards against a healthy node that refuses a new route for 2.3 s, where two
+/// are allowed: both readers are disconnected from the key-value service at
+/// once, then the configuration changes, and the others wait at each reader in
+/// turn and accept a confirmation that is 3.5 s old.
 #[tokio::test]
 async fn news_pass_by_both_readers_when_both_are_cut_off() {
     let kv = Memory::default();
@@ -199,18 +201,19 @@
     }
 }
 
-/// Workers of a fleet in which four of them read in turn.
+/// Number of workers of a fleet in which four of them read in turn.
 const WORKERS: usize = 64;
 
-/// Endpoints that write their entries all the time.
+/// Number of endpoints that write their entries all the time.
 const ENDPOINTS: usize = 40;
 
-/// Calls a second that the readers of such a fleet need: a watch of each of
-/// the first two for operators' keys, one for jobs, and 1.5 reads of endpoints.
+/// Calls a second that the readers of such a fleet need: a watch of operators'
+/// keys by each of the first two, a watch of jobs by one, and 1.5 reads of
+/// endpoints.
 const CALLS_PER_S: u64 = 15;
 
-/// Guards against a fleet whose nodes all read the service since the readers
-/// leave the turn to each other: load pattern of endpoints that all write
+/// Guards against a fleet whose nodes all read the key-value service because
+/// the readers leave the turn to each other. Load: endpoints that all write
 /// their entries all the time, and nothing else.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_nodes_leave_the_service_to_few_readers() {
@@ -229,8 +232,8 @@
                 let value = serde_json::to_vec(&record).expect("json");
                 put(&beats, &format!("endpoints/e{number}"), value).await;
             }
-            // Watches of the in-memory service say nothing while nothing
-            // changes, where those of a real one confirm that.
+            // Watches of the in-memory service return nothing while nothing
+            // changes, where those of a real one send confirmations.
             put(&beats, "orders/beat", b"{}".to_vec()).await;
             put(&beats, "jobs/beat", b"{}".to_vec()).await;
             sleep(Duration::from_millis(300)).await;
--- a/crates/node/tests/unit/commit_wire.rs
+++ b/crates/node/tests/unit/commit_wire.rs
@@ -1,4 +1,4 @@
-//! Writes between nodes, whole and malformed.
+//! Tests of writes between nodes, complete and malformed.
 
 use kv::{Compare, LeaseId, Op, Txn};
 
@@ -35,8 +35,8 @@
     assert_eq!(decode(&bytes), Some(txn()));
 }
 
-/// Guards against a write that is carried out in part since its bytes were
-/// cut, or that takes more than its own.
+/// Guards against a write that is partly applied because its bytes were
+/// truncated, or that contains bytes beyond its own.
 #[test]
 fn a_malformed_write_is_none() {
     let bytes = encode(&txn()).expect("encoded");
@@ -47,8 +47,8 @@
     assert_eq!(decode(&longer), None);
 }
 
-/// Guards against a key that outlives its lease since the lease was lost on
-/// the way.
+/// Guards against a key that outlives its lease because the lease was lost in
+/// transit.
 #[test]
 fn a_write_under_a_lease_is_not_sent() {
     let mut leased = txn();
@@ -60,8 +60,8 @@
     assert!(encode(&leased).is_none());
 }
 
-/// Guards against a write that counts as failed since its outcome could not
-/// be read.
+/// Guards against a write that counts as failed because its outcome could not
+/// be decoded.
 #[test]
 fn an_outcome_that_cannot_be_read_is_open() {
     for outcome in [
--- a/crates/node/tests/unit/commits.rs
+++ b/crates/node/tests/unit/commits.rs
@@ -1,4 +1,4 @@
-//! Which worker collects whose writes.
+//! Tests of the choice of collectors.
 
 use indexmap::IndexMap;
 use jobs::{Members, NodeRecord};
@@ -17,9 +17,9 @@
     }))
 }
 
-/// Guards against a collecting worker whose load grows with the fleet, and
-/// against so many of them that they collect little: load pattern of fleets
-/// in which all nodes write at the same pace.
+/// Guards against a collector whose load grows with the fleet, and against so
+/// many collectors that each batches little. Load: fleets in which all nodes
+/// write at the same rate.
 #[parameterized(
     three = { 3, 1 },
     seventy = { 70, 1 },
@@ -38,7 +38,7 @@
     assert!(most <= 160, "one collects for {most}");
 }
 
-/// Guards against nodes without a second choice when the first one is lost.
+/// Guards against nodes without a second candidate when the first one is lost.
 #[test]
 fn another_worker_collects_where_the_first_is_lost() {
     for count in [2, 3, 70, 1_000] {
--- a/crates/node/tests/unit/feed.rs
+++ b/crates/node/tests/unit/feed.rs
@@ -1,4 +1,4 @@
-//! What a feed passes on.
+//! Tests of the changes that a feed passes on.
 
 use base::Millis;
 use kv::{GetReply, KeyValue};
@@ -15,7 +15,8 @@
     }
 }
 
-/// Entries are the same but for the beat after the space.
+/// Creates a feed whose entries are equivalent if they differ only in the
+/// heartbeat after the space.
 fn feed() -> Feed {
     Feed::new("endpoints/", Scope::All, "reader", |before, after| {
         let state = |kv: &KeyValue| {
@@ -32,9 +33,10 @@
     GetReply { revision, kvs: all }
 }
 
-/// Symptom: each node receives 600 kilobytes a second before three thousand
-/// endpoints of which none changes. Events: every endpoint renews its entry
-/// each second; a reader lists them. Cause: each write counted as a change.
+/// Guards against heartbeats that are passed on: every endpoint renews its
+/// entry each second and a reader lists them. When each write counted as a
+/// change, each node received 600 kilobytes a second with three thousand
+/// unchanged endpoints.
 #[test]
 fn beats_of_endpoints_are_not_passed_on() {
     for size in [10, 1_000] {
@@ -68,9 +70,9 @@
     assert_eq!(delta.deleted, [("endpoints/9".to_owned(), 9)]);
 }
 
-/// Symptom: a node that asks two readers in turn misses a change. Events:
-/// one reader started later than the other and saw an unchanged entry at a
-/// later write. Cause: the two name different revisions for the same state.
+/// Guards against a node that queries two readers alternately and misses a
+/// change: one reader started later and saw an unchanged entry at a later
+/// write, so the two name different revisions for the same state.
 #[test]
 fn readers_with_different_pasts_agree_on_changes() {
     let (early, late, node) = (feed(), feed(), feed());
@@ -97,12 +99,12 @@
     assert!(feed.all().items.is_empty());
 }
 
-/// Symptom: a copy of a job stays on a worker's disk long after the job is
-/// entered and done. Events: one of its two readers is cut off from the
-/// service, the worker reads the service itself once, at a revision that
-/// writes of other keys have reached, and goes on with the other reader.
-/// Cause: that one is at an earlier revision for as long as none of the
-/// followed keys changes, and its confirmations counted for nothing.
+/// Guards against a copy of a job that stays on a worker's disk long after the
+/// job is entered and done. One of its two readers is disconnected, and the
+/// worker reads the key-value service itself once, at a revision that writes
+/// of other keys have reached. The other reader stays at an earlier revision
+/// while none of the followed keys changes, and its confirmations were
+/// ignored.
 #[test]
 fn a_reader_at_an_earlier_revision_confirms_what_is_known() {
     let (reader, node) = (feed(), feed());
@@ -115,8 +117,8 @@
     assert_eq!(node.all().items.len(), 1);
 }
 
-/// Guards against changes that are passed over since this node has written a
-/// key after them, and against an own write that an older read takes back.
+/// Guards against changes that are skipped because this node has written a key
+/// after them, and against an own write that an older read reverts.
 #[test]
 fn an_own_write_is_passed_on_and_ends_no_page() {
     let feed = feed();
--- a/crates/node/tests/unit/feed_wire.rs
+++ b/crates/node/tests/unit/feed_wire.rs
@@ -1,4 +1,4 @@
-//! Answers about what has changed, as they are written and read.
+//! Tests of feed responses as they are encoded and decoded.
 
 use base::Millis;
 use kv::{GetReply, KeyValue};
@@ -9,7 +9,7 @@
 
 const NOW: Millis = Millis::new(10_000);
 
-/// A question for all keys after a revision.
+/// Creates a request for all keys after a revision.
 fn call(after: u64, most: usize) -> FeedCall {
     FeedCall {
         number: 0,
@@ -52,9 +52,9 @@
     assert_eq!(keys, ["e/2", "e/3"]);
 }
 
-/// Symptom: after everything was killed no node of a fleet before three
-/// thousand endpoints serves for three seconds. Cause: each had to receive
-/// and read the whole list before it could use any of it.
+/// Guards against a slow start: after a kill of all processes, no node of a
+/// fleet with three thousand endpoints served for three seconds, because each
+/// had to receive and decode the whole list before it could use any of it.
 #[test]
 fn a_node_that_starts_uses_the_first_page_and_gets_the_rest() {
     let (reader, node) = (
@@ -109,8 +109,8 @@
     assert!(pages.0.lock().expect("lock").len() <= super::PAGES_KEPT);
 }
 
-/// Symptom: a node ends, or forgets what it knows, after an answer that no
-/// node has written. Cause: what arrived was taken as it was.
+/// Guards against a malformed response that ends a node or makes it drop its
+/// data.
 #[parameterized(
     empty = { b"" },
     no_separator = { br#"{"revision":1,"whole":true,"more":false}"# },
@@ -134,7 +134,7 @@
     assert!(decode(bytes, NOW).is_none());
 }
 
-/// Every cut of an answer is refused; none ends the process.
+/// Guards against truncated responses that are accepted or end the process.
 #[test]
 fn answers_that_are_cut_off_are_not_taken() {
     let bytes =
@@ -144,9 +144,8 @@
     }
 }
 
-/// Guards against fronts that hear of each change of each job of the fleet:
-/// load pattern of a fleet with many jobs, of which a front's callers ask for
-/// few.
+/// Guards against fronts that receive each change of each job of the fleet.
+/// Load: a fleet with many jobs, of which a front's callers request few.
 #[parameterized(
     few_jobs = { 10 },
     many_jobs = { 1_000 },
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_heads.rs
@@ -1,4 +1,5 @@
-//! Whom a front asks for the head of a job, and what arrives.
+//! Tests of which workers a front queries for a manifest, and of the wire
+//! format.
 
 use std::sync::Arc;
 
@@ -66,9 +67,9 @@
     }
 }
 
-/// Guards against questions that grow with the fleet, and against callers who
-/// wait for news at a worker that hears of them later than the one that lists
-/// the results.
+/// Guards against requests that grow with the fleet, and against callers that
+/// wait for changes at a worker that receives them later than the one that
+/// lists the results.
 #[test]
 fn the_worker_that_runs_a_job_is_asked_first() {
     for workers in [3, 70, 1_000] {
@@ -91,7 +92,7 @@
     assert!(asked.iter().all(|known| known.node != "worker-1"));
 }
 
-/// Guards against a memory of heads that grows with the jobs of the fleet.
+/// Guards against a cache of manifests that grows with the jobs of the fleet.
 #[test]
 fn few_heads_are_remembered_and_none_goes_back() {
     let heads = heads(5);
@@ -106,7 +107,7 @@
     assert!(remembered <= 256, "{remembered}");
 }
 
-/// Guards against callers who learn of a result later than its worker.
+/// Guards against callers that receive a result later than its worker.
 #[tokio::test(start_paused = true)]
 async fn a_question_is_answered_as_soon_as_there_is_news() {
     let view = JobView::default();
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -1,4 +1,4 @@
-//! What a worker learns of a job that another node has accepted.
+//! Tests of jobs that another node has accepted and pushed to a worker.
 
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Accepts a job and returns what its front sends to the worker.
+/// Accepts a job and returns the message that its front sends to the worker.
 async fn accepted() -> (StoredManifest, Vec<u8>) {
     let kv = Memory::default();
     let timer = Timer::new(kv.clock().clone());
@@ -57,8 +57,8 @@
     (stored, bytes.to_vec())
 }
 
-/// Guards against a read of the key-value service for each new job: load
-/// pattern of a fleet in which each job has inputs of its own.
+/// Guards against a read of the key-value service for each new job. Load: a
+/// fleet in which each job has its own inputs.
 #[tokio::test]
 async fn a_worker_reads_nothing_of_a_job_that_is_sent_to_it() {
     let (stored, bytes) = accepted().await;
@@ -66,7 +66,8 @@
     worker.learn(&bytes, stored.revision).expect("taken");
     let key = job().key;
     assert_eq!(worker.view.get(&key), Some(stored.clone()));
-    // A ledger before an empty service: what it reads comes from the cache.
+    // A ledger with an empty key-value service: what it reads comes from the
+    // cache.
     let kv: Arc<dyn Kv> = Arc::new(Memory::default());
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
@@ -75,8 +76,8 @@
     assert_eq!(inputs, job().items);
 }
 
-/// Guards against a job that is taken up in part, or not at all, since the
-/// message about it was cut.
+/// Guards against a job that is started in part, or not at all, because the
+/// message about it was truncated.
 #[tokio::test]
 async fn a_malformed_message_changes_nothing() {
     let (stored, bytes) = accepted().await;
--- a/crates/node/tests/unit/membership.rs
+++ b/crates/node/tests/unit/membership.rs
@@ -1,5 +1,5 @@
-//! How long the entries of nodes live, and what becomes of those of a
-//! process before.
+//! Tests of the time to live of node entries and of the reuse of a previous
+//! process's entry.
 
 use jobs::{NODE_PREFIX, NodeRecord};
 use kv::{KeyValue, LeaseId};
@@ -7,8 +7,7 @@
 
 use super::{FoundEntry, LEASE_MOST_S, LeaseTerms};
 
-/// Guards against renewals that grow with the fleet: load pattern of fleets
-/// in which nothing happens.
+/// Guards against renewals that grow with the fleet. Load: idle fleets.
 #[parameterized(
     fronts = { false, 50 },
     workers = { true, 40 },
@@ -36,8 +35,8 @@
     assert_eq!(terms.lease_s(1_000_000), LEASE_MOST_S);
 }
 
-/// Guards against an entry that lapses between two renewals since its lease
-/// was taken for longer, and against one that is renewed far too often.
+/// Guards against an entry that expires between two renewals because its lease
+/// was assumed to be longer, and against one that is renewed far too often.
 #[test]
 fn a_time_to_live_that_does_not_fit_is_noticed() {
     let terms = LeaseTerms::new(false, 1_000);
@@ -68,7 +67,7 @@
     }
 }
 
-/// Guards against two calls of each node where all start again at once.
+/// Guards against two calls of each node when all restart at once.
 #[test]
 fn the_lease_of_the_process_before_is_found() {
     let written = NodeRecord {
@@ -86,7 +85,7 @@
     assert_eq!(none.lease_of(&record()), None);
 }
 
-/// Guards against a node that others look for at its former address.
+/// Guards against a node that others query at its former address.
 #[test]
 fn an_entry_that_says_something_else_is_not_taken_over() {
     let moved = NodeRecord {
--- a/crates/node/tests/unit/peer.rs
+++ b/crates/node/tests/unit/peer.rs
@@ -1,11 +1,12 @@
-//! What nodes do while the key-value service is away.
+//! Tests of the retry interval while the key-value service is unavailable.
 
 use yare::parameterized;
 
 use super::away_pause_ms;
 
-/// Guards against calls in an outage that grow with the fleet, all of which
-/// fail and are paid for: load pattern of a service that is away for all.
+/// Guards against calls during an outage that grow with the fleet, all of
+/// which fail and are charged. Load: a key-value service that is unavailable
+/// for all nodes.
 #[parameterized(
     forty = { 40 },
     twice = { 80 },
--- a/crates/node/tests/unit/siblings.rs
+++ b/crates/node/tests/unit/siblings.rs
@@ -1,4 +1,5 @@
-//! What a node reads for others that ask it for values of jobs.
+//! Tests of the reads that a node makes for others that request values of
+//! jobs.
 
 use std::sync::Arc;
 
@@ -29,9 +30,9 @@
     (kv, BulkAnswers::new(cache, ledger))
 }
 
-/// Guards against a read of the key-value service for each front that
-/// answers callers of a job: load pattern of a fleet whose nodes have all
-/// started anew, and whose callers come to any front.
+/// Guards against a read of the key-value service for each front that serves
+/// callers of a job. Load: a fleet whose nodes have all restarted, and whose
+/// callers reach any front.
 #[parameterized(
     few = { 4 },
     many = { 100 },
@@ -50,7 +51,7 @@
     assert_eq!(kv.counts().reads, 1);
 }
 
-/// Guards against other nodes that read any key through this one.
+/// Guards against other nodes that read arbitrary keys through this one.
 #[tokio::test]
 async fn only_values_of_jobs_are_read_for_others() {
     let (kv, answers) = answers("orders/config").await;
--- a/crates/node/tests/unit/tree.rs
+++ b/crates/node/tests/unit/tree.rs
@@ -1,4 +1,4 @@
-//! Who asks whom, in fleets of several sizes.
+//! Tests of the distribution tree in fleets of several sizes.
 
 use base::Millis;
 use indexmap::IndexMap;
@@ -19,8 +19,8 @@
     (0..nodes).map(node).collect()
 }
 
-/// Returns for each node how many others may ask it, and who reads the
-/// service itself.
+/// Returns for each node how many others may query it, and the nodes that read
+/// the key-value service themselves.
 fn askers(nodes: &[NodeRecord]) -> (IndexMap<String, usize>, Vec<String>) {
     let roster = Roster::new(nodes);
     let mut asked: IndexMap<String, usize> = IndexMap::new();
@@ -37,9 +37,9 @@
     (asked, roots)
 }
 
-/// Symptom: two nodes of a large fleet send three megabytes a second each,
-/// and when both are lost every node calls the service at the same moment.
-/// Cause: two readers answered all others.
+/// Guards against two readers that serve all other nodes: in a large fleet
+/// they sent three megabytes a second each, and when both were lost every node
+/// called the key-value service at the same moment.
 #[parameterized(
     small = { 9, 4 },
     a_day_s_size = { 88, 6 },
@@ -87,7 +87,7 @@
     assert!(crossing.count() <= 12);
 }
 
-/// One failure domain may be lost as a whole.
+/// Guards against the loss of both roots with one failure domain.
 #[test]
 fn the_roots_are_of_different_failure_domains() {
     for nodes in [5, 20, 100] {
@@ -121,9 +121,9 @@
     assert!(sources(&Roster::new(&all), "node-0", "domain-0").is_empty());
 }
 
-/// Guards against a key-value service whose link is busy with lists of nodes
-/// while a whole fleet starts: load pattern of a fleet of which all processes
-/// are killed at once.
+/// Guards against a key-value service whose link is saturated with lists of
+/// nodes while a whole fleet starts. Load: a fleet of which all processes are
+/// killed at once.
 #[test]
 fn what_a_start_reads_is_as_long_at_any_size() {
     for nodes in [200, 1_000, 4_000] {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Guards against roots that answer each node of a fleet that starts.
+/// Guards against roots that serve each node of a starting fleet.
 #[parameterized(
     hundreds = { 347, 6 },
     a_thousand = { 1_000, 6 },
@@ -152,8 +152,8 @@
     assert!(most <= 2 * each, "one is asked by {most}");
 }
 
-/// Guards against nodes that all read the service since their entries have
-/// lapsed in an outage of it, though they live.
+/// Guards against nodes that all read the key-value service because their
+/// entries have expired in an outage of it, though the nodes are alive.
 #[test]
 fn nodes_whose_entries_lapse_at_once_are_asked_on() {
     let all = fleet(100, 4);
@@ -163,7 +163,7 @@
     let empty = Roster::default();
     let lapsed = nodes.follow(empty.clone(), Millis::new(2_000));
     assert!(lapsed.is_same(&full));
-    // Some have returned.
+    // Some entries have returned.
     let some = Roster::new(&all[..30]);
     assert!(nodes.follow(some, Millis::new(3_000)).is_same(&full));
     let most = Roster::new(&all[..70]);
--- a/crates/node/tests/unit/turns.rs
+++ b/crates/node/tests/unit/turns.rs
@@ -1,4 +1,4 @@
-//! Reads in turn, on a stepped clock.
+//! Simulates readers that read in round robin, on a stepped clock.
 
 use base::Millis;
 use yare::parameterized;
@@ -7,14 +7,15 @@
 
 const PERIOD_MS: u64 = 600;
 
-/// Time until all readers know what one has read, in milliseconds.
+/// Time until all readers have what one of them has read, in milliseconds.
 const SPREAD_MS: u64 = 15;
 
-/// What a reader knows: as of which moment, and who has read it.
+/// The time up to which a reader knows all changes, and the reader that read
+/// them.
 type Known = Option<(Millis, usize)>;
 
-/// Plays readers for a minute, of which the first ones are lost from 20 s on.
-/// Returns the reads of each and the greatest age of what is known.
+/// Simulates a minute, in which the first `lost` readers stop at 20 s. Returns
+/// the number of reads of each reader and the maximum age of the data.
 fn play(readers: usize, lost: usize) -> (Vec<usize>, u64) {
     let mut known: Vec<Known> = vec![None; readers];
     let mut news: Vec<(u64, (Millis, usize))> = Vec::new();
@@ -60,9 +61,9 @@
     (reads, oldest_ms)
 }
 
-/// Guards against calls that grow with the number of readers, and against
-/// one reader that makes most of them: load pattern of a fleet whose endpoints
-/// all write their entries every second.
+/// Guards against calls that grow with the number of readers, and against one
+/// reader that makes most of them. Load: a fleet whose endpoints all write
+/// their entries every second.
 #[parameterized(
     one = { 1 },
     two = { 2 },
@@ -78,8 +79,7 @@
     assert!(oldest_ms <= PERIOD_MS + SPREAD_MS, "{oldest_ms} ms");
 }
 
-/// Guards against knowledge that grows old since the reader whose turn it is
-/// is lost.
+/// Guards against stale data when the reader whose turn it is is lost.
 #[parameterized(
     one_of_two = { 2, 1 },
     four_of_five = { 5, 4 },
