--- a/crates/node/src/base.rs
+++ b/crates/node/src/base.rs
@@ -21,21 +21,22 @@
 
 use crate::{
     Admin, ClusterState, Dialect, NodeError, NodeSettings, VacateOrder,
+    bootstrap_list,
     commits::SharedCommits,
     crash::{CrashDetector, QUARANTINE_PREFIX, RunNotifier},
     feed::Scope,
     feed_wire::PeerHandler,
-    job_heads::HeadAnswers,
-    job_push::PushedJobs,
+    job_manifests::ManifestResponder,
+    job_push::PushReceiver,
     job_spool::JobSpool,
     load::{self, LoadSocket},
-    membership::{EntryKeeper, LeaseTerms, Presence},
-    own_writes::FedWrites,
+    membership::{LeaseTerms, NodeRegistration, RegistrationSignals},
     peer,
+    peer_bulk::{BulkResponder, PeerBulk},
     quota::{QuotaClient, QuotaService},
-    siblings::{BulkAnswers, PeerBulk},
-    start_list, usage,
+    usage,
     watch::{JOB_FEED, Watches},
+    write_through::WriteThroughKv,
 };
 
 /// What a role is given of the world outside.
@@ -90,7 +91,7 @@
         let clock = outside.cluster.clock().clone();
         let (entered, has_entered) = watch::channel(false);
         let (found, has_found) = watch::channel(None);
-        let case_writes = FedWrites::new(outside.kv.clone());
+        let case_writes = WriteThroughKv::new(outside.kv.clone());
         let quarantine = Quarantine::new(
             Arc::new(case_writes.clone()),
             QUARANTINE_PREFIX,
@@ -105,19 +106,19 @@
             view: view.clone(),
             quarantine: quarantine.clone(),
             pool: pool.clone(),
-            entered: has_entered,
-            found,
+            registered: has_entered,
+            previous: found,
             counters: outside.counters.clone(),
             job_scope: match runs_items {
                 true => Scope::All,
-                false => Scope::WithoutHeads,
+                false => Scope::WithoutManifests,
             },
             orders,
         };
         let feeds = watches.start(settings);
-        case_writes.feed_to(feeds[JOB_FEED].clone());
+        case_writes.set_feed(feeds[JOB_FEED].clone());
         let cache: Arc<BulkCache> = Arc::default();
-        let siblings =
+        let peer_bulk =
             PeerBulk::new(&settings.node, view.clone(), clock.clone());
         let group =
             GroupCommit::start(outside.kv.clone(), BatchLimits::default());
@@ -130,14 +131,14 @@
             outside.counters.clone(),
         );
         let commits: Arc<dyn Kv> = Arc::new(commits);
-        tokio::spawn(start_list::keep(
+        tokio::spawn(bootstrap_list::maintain(
             commits.clone(),
             view.clone(),
             settings.node.clone(),
         ));
         let ledger =
             Ledger::new(commits, outside.timer.clone(), settings.value_bytes);
-        let ledger = ledger.with_peers(cache.clone(), Arc::new(siblings));
+        let ledger = ledger.with_peers(cache.clone(), Arc::new(peer_bulk));
         let spool = JobSpool::open(
             settings,
             ledger.clone(),
@@ -146,7 +147,7 @@
         );
         tokio::spawn(usage::log_usage(outside.counters.clone()));
         let spooled = spool.as_ref().map(|spool| spool.count());
-        let pushed = PushedJobs {
+        let pushed = PushReceiver {
             view: view.clone(),
             cache: cache.clone(),
             clock: clock.clone(),
@@ -156,18 +157,18 @@
             feeds,
             pages: Arc::default(),
             counters: outside.counters.clone(),
-            bulk: BulkAnswers::new(cache, ledger.clone()),
+            bulk: BulkResponder::new(cache, ledger.clone()),
             spool,
-            group,
-            heads: HeadAnswers::new(view.clone(), clock.clone()),
-            pushed,
+            group_commit: group,
+            manifests: ManifestResponder::new(view.clone(), clock.clone()),
+            push_receiver: pushed,
             clock: clock.clone(),
         };
         peer::serve(settings.peer, handler)?;
         let socket = load::bind(settings.peer)
             .await
             .change_context(NodeError::Listen)?;
-        tokio::spawn(peer::follow_peers(
+        tokio::spawn(peer::maintain_relays(
             outside.paths.clone(),
             view.clone(),
             settings.node.clone(),
@@ -199,17 +200,17 @@
             limits: Some(settings.limits),
             lease_s: 0,
         };
-        let keeper = EntryKeeper {
+        let keeper = NodeRegistration {
             kv: outside.kv.clone(),
             record,
             terms: LeaseTerms::new(runs_items, settings.lease_least_ms),
             view: view.clone(),
             clock,
         };
-        tokio::spawn(keeper.run(Presence {
-            entered,
-            left,
-            found: has_found,
+        tokio::spawn(keeper.run(RegistrationSignals {
+            registered: entered,
+            shutdown: left,
+            previous: has_found,
         }));
         let plans = Assignments::new(
             &settings.node,
--- a/crates/node/src/start_list.rs
+++ b/crates/node/src/bootstrap_list.rs
@@ -15,39 +15,41 @@
 use crate::tree;
 
 /// Key prefix of the bootstrap list, of which there is one.
-pub(crate) const START_PREFIX: &str = "start/";
+pub(crate) const BOOTSTRAP_PREFIX: &str = "start/";
 
 /// The key of the bootstrap list.
-const START_KEY: &str = "start/nodes";
+const BOOTSTRAP_KEY: &str = "start/nodes";
 
 /// Minimum time between two writes of the list.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum time that a write may wait to be sent together with others, in
 /// milliseconds.
-const PATIENCE_MS: u64 = 1_000;
+const MAX_DELAY_MS: u64 = 1_000;
 
 /// Maintains the list while this node is the first of the readers.
-pub(crate) async fn keep(kv: Arc<dyn Kv>, view: JobView, node: String) {
-    let mut seen: Option<Roster> = None;
+pub(crate) async fn maintain(kv: Arc<dyn Kv>, view: JobView, node: String) {
+    let mut last_roster: Option<Roster> = None;
     let mut written: Vec<NodeRecord> = Vec::new();
     loop {
-        time::sleep(PAUSE).await;
+        time::sleep(MIN_WRITE_INTERVAL).await;
         let roster = view.roster();
-        let is_seen = seen.as_ref().is_some_and(|seen| seen.is_same(&roster));
+        let is_unchanged = last_roster
+            .as_ref()
+            .is_some_and(|last_roster| last_roster.is_same(&roster));
         // The view that a starting node has seeded is incomplete.
-        if is_seen || view.fresh_at().is_none() {
+        if is_unchanged || view.fresh_at().is_none() {
             continue;
         }
         if !tree::is_first_reader(&roster, &node) {
             written.clear();
-            seen = Some(roster);
+            last_roster = Some(roster);
             continue;
         }
-        let list = tree::start_list(&roster);
+        let list = tree::bootstrap_list(&roster);
         if list == written || write(&*kv, &list).await {
             written = list;
-            seen = Some(roster);
+            last_roster = Some(roster);
         }
     }
 }
@@ -58,21 +60,21 @@
     };
     let txn = Txn {
         success: vec![Op::Put {
-            key: START_KEY.to_owned(),
+            key: BOOTSTRAP_KEY.to_owned(),
             value,
             lease: None,
         }],
         ..Txn::default()
     };
-    match kv.txn_within(txn, PATIENCE_MS).await {
+    match kv.txn_within(txn, MAX_DELAY_MS).await {
         Ok(_) => {
             log::info!(nodes = list.len();
-                "the nodes that starting ones ask are written");
+                "the bootstrap list is written");
             true
         }
         Err(report) => {
             log::info!(error:% = report.current_context();
-                "the nodes that starting ones ask are not written");
+                "the bootstrap list is not written");
             false
         }
     }
@@ -80,12 +82,12 @@
 
 /// Decodes the list; a malformed list counts as empty.
 pub(crate) fn decode(entries: &[KeyValue]) -> Vec<NodeRecord> {
-    let entry = entries.iter().find(|kv| kv.key == START_KEY);
+    let entry = entries.iter().find(|kv| kv.key == BOOTSTRAP_KEY);
     let Some(entry) = entry else {
         return Vec::new();
     };
     serde_json::from_slice(&entry.value).unwrap_or_else(|error| {
-        log::warn!(error:%; "the nodes that starting ones ask cannot be read");
+        log::warn!(error:%; "the bootstrap list is malformed");
         Vec::new()
     })
 }
--- a/crates/node/src/commit_wire.rs
+++ b/crates/node/src/commit_wire.rs
@@ -27,11 +27,14 @@
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireOutcome {
     /// The write is applied, at this revision.
-    Done(u64),
+    #[serde(rename = "done")]
+    Applied(u64),
     /// A comparison of the write failed: a key has changed.
-    Overtaken(u64),
+    #[serde(rename = "overtaken")]
+    Conflict(u64),
     /// The write is not applied.
-    NotDone,
+    #[serde(rename = "not_done")]
+    NotApplied,
     /// The write may have been applied.
     Unknown,
     /// The key-value service rejects the write as invalid.
@@ -75,9 +78,10 @@
 
 /// Decodes a write from [`encode`]; `None` if the bytes are malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Txn> {
-    let (length, rest) = bytes.split_at_checked(LENGTH_BYTES)?;
+    let (length, remainder) = bytes.split_at_checked(LENGTH_BYTES)?;
     let length = u32::from_le_bytes(length.try_into().ok()?);
-    let (table, mut rest) = rest.split_at_checked(length as usize)?;
+    let (table, mut remainder) =
+        remainder.split_at_checked(length as usize)?;
     let wire: WireTxn = serde_json::from_slice(table).ok()?;
     let compares = wire.compares.into_iter();
     let compares =
@@ -86,8 +90,8 @@
     for step in wire.steps {
         success.push(match step {
             WireStep::Put(key, length) => {
-                let (value, after) = rest.split_at_checked(length)?;
-                rest = after;
+                let (value, after) = remainder.split_at_checked(length)?;
+                remainder = after;
                 Op::Put {
                     key,
                     value: value.to_vec(),
@@ -97,7 +101,7 @@
             WireStep::Delete(key) => Op::Delete { key },
         });
     }
-    rest.is_empty().then(|| Txn {
+    remainder.is_empty().then(|| Txn {
         compares: compares.collect(),
         success,
         failure: Vec::new(),
@@ -112,18 +116,18 @@
 /// Decodes an outcome; a malformed one counts as unknown.
 pub(crate) fn decode_outcome(bytes: &[u8]) -> WireOutcome {
     serde_json::from_slice(bytes).unwrap_or_else(|error| {
-        log::warn!(error:%; "the outcome of a write cannot be read");
+        log::warn!(error:%; "the outcome of a write is malformed");
         WireOutcome::Unknown
     })
 }
 
 impl WireOutcome {
-    pub(crate) fn of(result: &TxnResult) -> Self {
+    pub(crate) fn from_result(result: &TxnResult) -> Self {
         match result {
-            Ok(reply) if reply.succeeded => Self::Done(reply.revision),
-            Ok(reply) => Self::Overtaken(reply.revision),
+            Ok(reply) if reply.succeeded => Self::Applied(reply.revision),
+            Ok(reply) => Self::Conflict(reply.revision),
             Err(report) => match report.current_context() {
-                KvError::NotDone => Self::NotDone,
+                KvError::NotDone => Self::NotApplied,
                 KvError::Invalid | KvError::LeaseGone => Self::Invalid,
                 KvError::Unknown | KvError::Compacted => Self::Unknown,
             },
@@ -136,21 +140,21 @@
             succeeded,
             revision,
             replies: match succeeded {
-                true => txn.success.iter().map(reply_to).collect(),
+                true => txn.success.iter().map(expected_reply).collect(),
                 false => Vec::new(),
             },
         };
         match self {
-            Self::Done(revision) => Ok(reply(true, revision)),
-            Self::Overtaken(revision) => Ok(reply(false, revision)),
-            Self::NotDone => Err(Report::new(KvError::NotDone)),
+            Self::Applied(revision) => Ok(reply(true, revision)),
+            Self::Conflict(revision) => Ok(reply(false, revision)),
+            Self::NotApplied => Err(Report::new(KvError::NotDone)),
             Self::Unknown => Err(Report::new(KvError::Unknown)),
             Self::Invalid => Err(Report::new(KvError::Invalid)),
         }
     }
 }
 
-fn reply_to(op: &Op) -> OpReply {
+fn expected_reply(op: &Op) -> OpReply {
     match op {
         Op::Delete { .. } => OpReply::Deleted(1),
         _ => OpReply::Put,
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -39,28 +39,28 @@
 
 /// Number of workers for each collector. Ten thousand rows a second would be
 /// too many for one; this many workers write some hundred.
-const WORKERS_OF_ONE: usize = 128;
+const WORKERS_PER_COLLECTOR: usize = 128;
 
 /// Salt that separates the choice of collectors from others by the same
 /// hashes, so that one worker does not get all special tasks.
-const CHOICE: u64 = 0x636f_6d6d_6974;
+const COLLECTOR_SALT: u64 = 0x636f_6d6d_6974;
 
 /// Number of collectors that a node tries, one after the other.
-const CANDIDATES: usize = 2;
+const MAX_CANDIDATES: usize = 2;
 
 /// Maximum wait for a response beyond the delay of the write, in milliseconds:
 /// that of a call to the key-value service, and a round trip between nodes.
-const ANSWER_MS: u64 = 1_400;
+const RESPONSE_TIMEOUT_MS: u64 = 1_400;
 
 /// Backoff for a worker that did not respond, in milliseconds.
-const AGAIN_MS: u64 = 3_000;
+const SILENT_BACKOFF_MS: u64 = 3_000;
 
 /// Maximum size of a request: the inputs of a job as one value, and some extra
 /// space.
-pub(crate) const MOST_BYTES: usize = 8 * 1024 * 1024;
+pub(crate) const MAX_REQUEST_BYTES: usize = 8 * 1024 * 1024;
 
 /// Maximum size of a response.
-const ANSWER_BYTES: usize = 4 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024;
 
 /// A key-value service that sends writes that can be delayed through the
 /// collector.
@@ -68,25 +68,25 @@
 pub(crate) struct SharedCommits {
     kv: Arc<dyn Kv>,
     /// Batches on this node the writes that others send to it.
-    group: GroupCommit,
+    group_commit: GroupCommit,
     node: String,
     view: JobView,
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     counters: Arc<Counters>,
-    choice: Arc<Mutex<Choice>>,
+    collectors: Arc<Mutex<Collectors>>,
 }
 
 /// The collectors of this node, and the roster that they are derived from.
 #[derive(Default)]
-struct Choice {
+struct Collectors {
     roster: Option<Roster>,
     candidates: Vec<NodeRecord>,
     silent: Vec<(String, Millis)>,
 }
 
-impl Choice {
-    fn follow(&mut self, roster: Roster, node: &str) {
+impl Collectors {
+    fn update(&mut self, roster: Roster, node: &str) {
         let known = self.roster.as_ref();
         if known.is_some_and(|known| known.is_same(&roster)) {
             return;
@@ -101,18 +101,18 @@
 fn candidates(workers: &Members, node: &str) -> Vec<NodeRecord> {
     let mut ranked: Vec<&NodeRecord> = workers.nodes().iter().collect();
     ranked.sort_by_cached_key(|worker| {
-        mix(stable_hash(&[&worker.node]) ^ CHOICE)
+        mix(stable_hash(&[&worker.node]) ^ COLLECTOR_SALT)
     });
-    let groups = ranked.len().div_ceil(WORKERS_OF_ONE).max(1);
-    let first = stable_hash(&[node]) as usize % groups;
-    let of_group = ranked.into_iter().skip(first).step_by(groups);
-    of_group.take(CANDIDATES).cloned().collect()
+    let groups = ranked.len().div_ceil(WORKERS_PER_COLLECTOR).max(1);
+    let group = stable_hash(&[node]) as usize % groups;
+    let group_members = ranked.into_iter().skip(group).step_by(groups);
+    group_members.take(MAX_CANDIDATES).cloned().collect()
 }
 
 impl SharedCommits {
     pub(crate) fn new(
         kv: Arc<dyn Kv>,
-        group: GroupCommit,
+        group_commit: GroupCommit,
         node: &str,
         view: JobView,
         clock: Arc<dyn Clock>,
@@ -120,89 +120,92 @@
     ) -> Self {
         Self {
             kv,
-            group,
+            group_commit,
             node: node.to_owned(),
             view,
             pool: Arc::default(),
             clock,
             counters,
-            choice: Arc::default(),
+            collectors: Arc::default(),
         }
     }
 
-    async fn commit(&self, txn: Txn, patience_ms: u64) -> TxnResult {
-        let Some(worker) = self.collecting_worker() else {
+    async fn commit(&self, txn: Txn, max_delay_ms: u64) -> TxnResult {
+        let Some(worker) = self.collector() else {
             return self.kv.txn(txn).await;
         };
         if !batch::can_share(&txn) {
             return self.kv.txn(txn).await;
         }
         if worker.node == self.node {
-            return self.group.commit(txn, patience_ms).await;
+            return self.group_commit.commit(txn, max_delay_ms).await;
         }
-        match self.ask(&worker, &txn, patience_ms).await {
+        match self.send_to(&worker, &txn, max_delay_ms).await {
             Some(result) => result,
             None => self.kv.txn(txn).await,
         }
     }
 
     /// Sends a write to another worker; `None` if that worker certainly did
-    /// not receive it.
-    async fn ask(
+    /// not commit it.
+    async fn send_to(
         &self,
         worker: &NodeRecord,
         txn: &Txn,
-        patience_ms: u64,
+        max_delay_ms: u64,
     ) -> Option<TxnResult> {
         let peer = peer::endpoint_of(worker)?;
-        let path = format!("{COMMIT_PATH}{patience_ms}");
-        let mut request = peer::question(&peer, &path)?;
+        let path = format!("{COMMIT_PATH}{max_delay_ms}");
+        let mut request = peer::new_request(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(txn)?;
         Counters::add(&self.counters.commits_shared);
-        let exchange = self.pool.exchange(&peer, request, ANSWER_BYTES);
-        let wait = Duration::from_millis(patience_ms + ANSWER_MS);
-        match time::timeout(wait, exchange).await {
+        let exchange = self.pool.exchange(&peer, request, MAX_RESPONSE_BYTES);
+        let timeout =
+            Duration::from_millis(max_delay_ms + RESPONSE_TIMEOUT_MS);
+        match time::timeout(timeout, exchange).await {
             Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
                 let outcome = commit_wire::decode_outcome(&body);
                 Some(outcome.into_result(txn))
             }
             Ok(Fetch::Answered(..) | Fetch::NotSent) => {
-                self.note_silent(worker);
+                self.record_silence(worker);
                 None
             }
             Ok(Fetch::Broken) | Err(_) => {
-                self.note_silent(worker);
+                self.record_silence(worker);
                 let report = Report::new(KvError::Unknown);
-                Some(Err(report.attach("the collecting worker is silent")))
+                Some(Err(report.attach("the collector does not respond")))
             }
         }
     }
 
-    fn collecting_worker(&self) -> Option<NodeRecord> {
+    fn collector(&self) -> Option<NodeRecord> {
         let roster = self.view.roster();
         let now = self.clock.now();
-        let mut choice = self.lock();
-        choice.follow(roster, &self.node);
-        choice
-            .silent
-            .retain(|(_, at)| now.saturating_ms_since(*at) < AGAIN_MS);
+        let mut collectors = self.lock();
+        collectors.update(roster, &self.node);
+        collectors.silent.retain(|(_, at)| {
+            now.saturating_ms_since(*at) < SILENT_BACKOFF_MS
+        });
         let is_silent = |name: &str| {
-            choice.silent.iter().any(|(silent, _)| silent == name)
+            collectors.silent.iter().any(|(silent, _)| silent == name)
         };
-        let mut candidates = choice.candidates.iter();
+        let mut candidates = collectors.candidates.iter();
         candidates.find(|worker| !is_silent(&worker.node)).cloned()
     }
 
-    fn note_silent(&self, worker: &NodeRecord) {
+    fn record_silence(&self, worker: &NodeRecord) {
         log::info!(node = worker.node.as_str();
-            "the worker that collects writes does not answer");
+            "the collector of writes does not respond");
         let now = self.clock.now();
         self.lock().silent.push((worker.node.clone(), now));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Choice> {
-        self.choice.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Collectors> {
+        self.collectors
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -226,9 +229,9 @@
     fn txn_within(
         &self,
         txn: Txn,
-        patience_ms: u64,
+        max_delay_ms: u64,
     ) -> KvFuture<'_, TxnReply> {
-        Box::pin(self.commit(txn, patience_ms))
+        Box::pin(self.commit(txn, max_delay_ms))
     }
 
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId> {
@@ -254,33 +257,33 @@
 
 /// Maximum delay of a write of another node, in milliseconds, whatever it asks
 /// for.
-const PATIENCE_MOST_MS: u64 = 2_000;
+const MAX_DELAY_MS: u64 = 2_000;
 
 /// Commits a write of another node and responds when its outcome is known.
-pub(crate) async fn take(
-    group: GroupCommit,
+pub(crate) async fn receive(
+    group_commit: GroupCommit,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let path = request.uri().path();
-    let patience = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
-    let patience_ms: Option<u64> = patience.parse().ok();
-    let body = match read_body(request.into_body(), MOST_BYTES).await {
+    let max_delay = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
+    let max_delay_ms: Option<u64> = max_delay.parse().ok();
+    let body = match read_body(request.into_body(), MAX_REQUEST_BYTES).await {
         Ok(body) => body,
         Err(refusal) => return refusal.into_response(),
     };
     let txn = commit_wire::decode(&body);
-    let (Some(txn), Some(patience_ms)) = (txn, patience_ms) else {
+    let (Some(txn), Some(max_delay_ms)) = (txn, max_delay_ms) else {
         log::warn!(bytes = body.len();
-            "a write of another node is malformed and is not taken");
-        return answer(StatusCode::BAD_REQUEST, Bytes::new());
+            "a malformed write of another node is rejected");
+        return respond(StatusCode::BAD_REQUEST, Bytes::new());
     };
-    let patience_ms = patience_ms.min(PATIENCE_MOST_MS);
-    let result = group.commit(txn, patience_ms).await;
-    let outcome = WireOutcome::of(&result);
-    answer(StatusCode::OK, commit_wire::encode_outcome(&outcome))
+    let max_delay_ms = max_delay_ms.min(MAX_DELAY_MS);
+    let result = group_commit.commit(txn, max_delay_ms).await;
+    let outcome = WireOutcome::from_result(&result);
+    respond(StatusCode::OK, commit_wire::encode_outcome(&outcome))
 }
 
-fn answer(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
+fn respond(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::own(body));
     *response.status_mut() = status;
     response
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -12,8 +12,8 @@
 
 impl DialectError {
     /// Creates an error with a description of what is wrong.
-    pub fn new(what: impl fmt::Display) -> Self {
-        Self(what.to_string())
+    pub fn new(description: impl fmt::Display) -> Self {
+        Self(description.to_string())
     }
 }
 
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -21,7 +21,7 @@
     prefix: String,
     /// Hash of the name of this node.
     node: u64,
-    same: SameMeaning,
+    is_equivalent: Equivalence,
     state: Mutex<State>,
     changes: watch::Sender<u64>,
 }
@@ -33,20 +33,20 @@
     All,
     /// All keys except job manifests. Fronts request the manifests that their
     /// callers need; the whole fleet changes hundreds of them each second.
-    WithoutHeads,
+    WithoutManifests,
 }
 
 impl Scope {
-    fn has(self, key: &str) -> bool {
+    fn includes(self, key: &str) -> bool {
         match self {
             Self::All => true,
-            Self::WithoutHeads => !key.starts_with(MANIFEST_PREFIX),
+            Self::WithoutManifests => !key.starts_with(MANIFEST_PREFIX),
         }
     }
 
     /// Reports whether a node with this scope can serve requests for `other`.
     pub(crate) fn covers(self, other: Self) -> bool {
-        self == Self::All || other == Self::WithoutHeads
+        self == Self::All || other == Self::WithoutManifests
     }
 }
 
@@ -56,7 +56,7 @@
 /// counted as a change, each node would receive half of the list of endpoints
 /// with each listing, 600 kilobytes a second with three thousand of them, and
 /// decode it again.
-type SameMeaning = Box<dyn Fn(&KeyValue, &KeyValue) -> bool + Send + Sync>;
+type Equivalence = Box<dyn Fn(&KeyValue, &KeyValue) -> bool + Send + Sync>;
 
 #[derive(Debug, Default)]
 struct State {
@@ -65,11 +65,11 @@
     /// The keys of the items by the revisions of these writes.
     by_revision: BTreeSet<(u64, String)>,
     /// Number of times that an item was added, removed or changed.
-    content: u64,
+    content_version: u64,
     /// Deleted keys with the revision of the deletion.
     deleted: IndexMap<String, u64>,
     /// Revision up to which tombstones have been dropped.
-    whole_since: u64,
+    tombstones_since: u64,
     revision: u64,
     fresh_at: Option<Millis>,
     /// Hash of the name of the node that read the key-value service at
@@ -80,7 +80,7 @@
 
 /// Maximum number of tombstones. A node whose revision is older than the
 /// dropped ones receives all keys.
-const DELETED_MOST: usize = 512;
+const MAX_TOMBSTONES: usize = 512;
 
 /// The state of a feed without its items.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -88,7 +88,7 @@
     /// Revision up to which all changes are included.
     pub(crate) revision: u64,
     /// Number of times that an item was added, removed or changed.
-    pub(crate) content: u64,
+    pub(crate) content_version: u64,
     /// Number of items.
     pub(crate) items: usize,
     /// Time up to which all changes are included.
@@ -106,9 +106,9 @@
     /// Revision that this delta reaches.
     pub(crate) revision: u64,
     /// Whether keys that are not among `items` do not exist.
-    pub(crate) whole: bool,
+    pub(crate) is_full: bool,
     /// Whether there are more changes, after `revision`.
-    pub(crate) more: bool,
+    pub(crate) has_more: bool,
     /// Keys that were created or changed.
     pub(crate) items: Vec<KeyValue>,
     /// Keys that were deleted, with the revision of the deletion.
@@ -129,13 +129,16 @@
         prefix: &str,
         scope: Scope,
         node: &str,
-        same: impl Fn(&KeyValue, &KeyValue) -> bool + Send + Sync + 'static,
+        is_equivalent: impl Fn(&KeyValue, &KeyValue) -> bool
+        + Send
+        + Sync
+        + 'static,
     ) -> Self {
         Self {
             scope,
             prefix: prefix.to_owned(),
             node: stable_hash(&[node]),
-            same: Box::new(same),
+            is_equivalent: Box::new(is_equivalent),
             state: Mutex::default(),
             changes: watch::Sender::new(0),
         }
@@ -153,7 +156,7 @@
         let state = self.lock();
         FeedStatus {
             revision: state.revision,
-            content: state.content,
+            content_version: state.content_version,
             items: state.items.len(),
             fresh_at: state.fresh_at,
             read_by: state.read_by,
@@ -166,22 +169,22 @@
     }
 
     /// Replaces all items by a full read that started at `started_at`.
-    pub(crate) fn replace(&self, reply: GetReply, began: Millis) {
+    pub(crate) fn replace(&self, reply: GetReply, started_at: Millis) {
         let mut state = self.lock();
         if reply.revision < state.revision {
             return;
         }
         let read: IndexSet<&str> =
             reply.kvs.iter().map(|kv| kv.key.as_str()).collect();
-        for key in state.keys_without(&read, reply.revision) {
+        for key in state.keys_not_in(&read, reply.revision) {
             state.delete(key, reply.revision);
         }
         for kv in reply.kvs {
             self.put(&mut state, kv);
         }
         state.revision = reply.revision;
-        state.confirm(Some(began), self.node);
-        self.tell(state);
+        state.confirm(Some(started_at), self.node);
+        self.notify(state);
     }
 
     /// Applies changes up to a revision, which include all changes up to
@@ -197,7 +200,7 @@
             match event {
                 Event::Put(kv) => self.put(&mut state, kv),
                 Event::Delete { key, mod_revision } => {
-                    if self.scope.has(&key) {
+                    if self.scope.includes(&key) {
                         state.delete(key, mod_revision);
                     }
                 }
@@ -205,26 +208,26 @@
         }
         state.revision = state.revision.max(revision);
         state.confirm(Some(now), self.node);
-        self.tell(state);
+        self.notify(state);
     }
 
     /// Records a key that this node has written, before all other changes up
     /// to that write are known.
-    pub(crate) fn note_written(&self, kv: KeyValue) {
+    pub(crate) fn record_put(&self, kv: KeyValue) {
         let mut state = self.lock();
         self.put(&mut state, kv);
-        self.tell(state);
+        self.notify(state);
     }
 
     /// Records a deletion by this node, before all other changes up to it are
     /// known.
-    pub(crate) fn note_deleted(&self, key: String, revision: u64) {
+    pub(crate) fn record_delete(&self, key: String, revision: u64) {
         let mut state = self.lock();
         let known = state.items.get(&key).map_or(0, |kv| kv.mod_revision);
         if known < revision {
             state.delete(key, revision);
         }
-        self.tell(state);
+        self.notify(state);
     }
 
     /// Merges a delta from another node.
@@ -240,13 +243,13 @@
         // and a worker keeps jobs on its disk that completed long ago.
         if delta.revision < state.revision {
             state.confirm(delta.fresh_at, delta.read_by);
-            self.tell(state);
+            self.notify(state);
             return;
         }
-        if delta.whole {
+        if delta.is_full {
             let sent: IndexSet<&str> =
                 delta.items.iter().map(|kv| kv.key.as_str()).collect();
-            for key in state.keys_without(&sent, delta.revision) {
+            for key in state.keys_not_in(&sent, delta.revision) {
                 state.delete(key, delta.revision);
             }
         }
@@ -261,66 +264,66 @@
         }
         state.revision = delta.revision;
         state.confirm(delta.fresh_at, delta.read_by);
-        self.tell(state);
+        self.notify(state);
     }
 
     /// Records a failed read.
-    pub(crate) fn read_failed(&self, now: Millis) {
+    pub(crate) fn record_read_failure(&self, now: Millis) {
         let mut state = self.lock();
         state.failed_at = Some(now);
-        self.tell(state);
+        self.notify(state);
     }
 
     /// Returns the changes after a revision.
-    pub(crate) fn since(&self, after: u64) -> Delta {
+    pub(crate) fn changes_since(&self, after: u64) -> Delta {
         self.page(after, usize::MAX, Scope::All)
     }
 
     /// Reports whether there are changes after a revision.
-    pub(crate) fn has_news(&self, after: u64, scope: Scope) -> bool {
+    pub(crate) fn has_changes(&self, after: u64, scope: Scope) -> bool {
         let state = self.lock();
-        if scope == Scope::All || after < state.whole_since {
+        if scope == Scope::All || after < state.tombstones_since {
             return state.revision > after;
         }
         let newer = state.by_revision.range((after + 1, String::new())..);
         let mut newer = newer.map(|(_, key)| key);
-        let mut gone = state.deleted.iter().rev();
-        newer.any(|key| scope.has(key))
-            || gone
+        let mut deleted = state.deleted.iter().rev();
+        newer.any(|key| scope.includes(key))
+            || deleted
                 .by_ref()
                 .take_while(|(_, at)| **at > after)
-                .any(|(key, _)| scope.has(key))
+                .any(|(key, _)| scope.includes(key))
     }
 
-    /// Returns the first changes after a revision, about `max_changes` of
+    /// Returns the first changes after a revision, about `max` of
     /// them.
     ///
     /// The list of endpoints of a large fleet takes a third of a second to
     /// reach a node with a slow link. With the first few hundred of them the
     /// node already serves requests.
-    pub(crate) fn page(&self, after: u64, most: usize, scope: Scope) -> Delta {
+    pub(crate) fn page(&self, after: u64, max: usize, scope: Scope) -> Delta {
         let state = self.lock();
-        let mut delta = match state.end_of_page(after, most) {
-            Some(revision) => state.part(after, revision, scope),
-            None => state.rest(after, scope),
+        let mut delta = match state.page_end(after, max) {
+            Some(revision) => state.partial_page(after, revision, scope),
+            None => state.remaining_changes(after, scope),
         };
-        delta.deleted.retain(|(key, _)| scope.has(key));
+        delta.deleted.retain(|(key, _)| scope.includes(key));
         delta
     }
 
     /// Returns all keys.
     #[cfg(test)]
     pub(crate) fn all(&self) -> Delta {
-        self.since(0)
+        self.changes_since(0)
     }
 
     fn put(&self, state: &mut State, kv: KeyValue) {
-        if self.scope.has(&kv.key) {
-            state.put(kv, &self.same);
+        if self.scope.includes(&kv.key) {
+            state.put(kv, &self.is_equivalent);
         }
     }
 
-    fn tell(&self, state: MutexGuard<'_, State>) {
+    fn notify(&self, state: MutexGuard<'_, State>) {
         drop(state);
         self.changes.send_modify(|count| *count += 1);
     }
@@ -334,8 +337,8 @@
     /// Returns the last revision of a page of about `max_changes` changes;
     /// `None` if the page contains all changes, or cannot be split because it
     /// implies the deletion of keys that it does not contain.
-    fn end_of_page(&self, after: u64, most: usize) -> Option<u64> {
-        if after != 0 && after < self.whole_since {
+    fn page_end(&self, after: u64, max_changes: usize) -> Option<u64> {
+        if after != 0 && after < self.tombstones_since {
             return None;
         }
         let first = (after + 1, String::new());
@@ -346,46 +349,47 @@
             return None;
         }
         let mut newer = self.by_revision.range(first..end);
-        let (last, _) = newer.nth(most.saturating_sub(1))?;
+        let (last, _) = newer.nth(max_changes.saturating_sub(1))?;
         // Changes of the same revision stay on the same page.
         newer.any(|(revision, _)| revision > last).then_some(*last)
     }
 
     /// Returns the changes of a page that is followed by more pages.
-    fn part(&self, after: u64, last: u64, scope: Scope) -> Delta {
+    fn partial_page(&self, after: u64, last: u64, scope: Scope) -> Delta {
         let from = (after + 1, String::new());
         let to = (last + 1, String::new());
         let keys = self.by_revision.range(from..to).map(|(_, key)| key);
-        let keys = keys.filter(|key| scope.has(key));
+        let keys = keys.filter(|key| scope.includes(key));
         let items = keys.filter_map(|key| self.items.get(key));
-        let gone = self.deleted.iter();
-        let gone = gone.filter(|(_, at)| (after + 1..=last).contains(at));
+        let deleted = self.deleted.iter();
+        let deleted =
+            deleted.filter(|(_, at)| (after + 1..=last).contains(at));
         Delta {
             revision: last,
-            more: true,
+            has_more: true,
             items: items.cloned().collect(),
-            deleted: gone.map(|(key, at)| (key.clone(), *at)).collect(),
+            deleted: deleted.map(|(key, at)| (key.clone(), *at)).collect(),
             ..Delta::default()
         }
     }
 
     /// Returns all changes after a revision.
-    fn rest(&self, after: u64, scope: Scope) -> Delta {
-        let whole = after == 0 || after < self.whole_since;
-        let first = match whole {
+    fn remaining_changes(&self, after: u64, scope: Scope) -> Delta {
+        let is_full = after == 0 || after < self.tombstones_since;
+        let first = match is_full {
             true => 0,
             false => after + 1,
         };
         let newer = self.by_revision.range((first, String::new())..);
-        let newer = newer.filter(|(_, key)| scope.has(key));
+        let newer = newer.filter(|(_, key)| scope.includes(key));
         let items = newer.filter_map(|(_, key)| self.items.get(key));
-        let gone = self.deleted.iter().filter(|(_, at)| **at > after);
+        let deleted = self.deleted.iter().filter(|(_, at)| **at > after);
         Delta {
             revision: self.revision,
-            whole,
-            more: false,
+            is_full,
+            has_more: false,
             items: items.cloned().collect(),
-            deleted: gone.map(|(key, at)| (key.clone(), *at)).collect(),
+            deleted: deleted.map(|(key, at)| (key.clone(), *at)).collect(),
             fresh_at: self.fresh_at,
             read_by: self.read_by,
             failed_at: self.failed_at,
@@ -400,46 +404,48 @@
         }
     }
 
-    fn put(&mut self, kv: KeyValue, same: &SameMeaning) {
+    fn put(&mut self, kv: KeyValue, is_equivalent: &Equivalence) {
         let deleted = self.deleted.get(&kv.key).copied().unwrap_or(0);
         if kv.mod_revision <= deleted {
             return;
         }
         if let Some(known) = self.items.get(&kv.key) {
-            if kv.mod_revision <= known.mod_revision || same(known, &kv) {
+            if kv.mod_revision <= known.mod_revision
+                || is_equivalent(known, &kv)
+            {
                 return;
             }
-            let place = (known.mod_revision, kv.key.clone());
-            self.by_revision.remove(&place);
+            let index_key = (known.mod_revision, kv.key.clone());
+            self.by_revision.remove(&index_key);
         }
-        self.content += 1;
+        self.content_version += 1;
         self.deleted.shift_remove(&kv.key);
         self.by_revision.insert((kv.mod_revision, kv.key.clone()));
         self.items.insert(kv.key.clone(), kv);
     }
 
     /// Returns the keys of all items up to a revision that are not in `kept`.
-    fn keys_without(
+    fn keys_not_in(
         &self,
         kept: &IndexSet<&str>,
         revision: u64,
     ) -> Vec<String> {
-        let old = self.items.values().filter(|kv| {
+        let missing = self.items.values().filter(|kv| {
             kv.mod_revision <= revision && !kept.contains(kv.key.as_str())
         });
-        old.map(|kv| kv.key.clone()).collect()
+        missing.map(|kv| kv.key.clone()).collect()
     }
 
     fn delete(&mut self, key: String, revision: u64) {
         if let Some(known) = self.items.swap_remove(&key) {
             self.by_revision.remove(&(known.mod_revision, key.clone()));
-            self.content += 1;
+            self.content_version += 1;
         }
         self.deleted.shift_remove(&key);
         self.deleted.insert(key, revision);
-        while self.deleted.len() > DELETED_MOST {
+        while self.deleted.len() > MAX_TOMBSTONES {
             if let Some((_, at)) = self.deleted.shift_remove_index(0) {
-                self.whole_since = self.whole_since.max(at);
+                self.tombstones_since = self.tombstones_since.max(at);
             }
         }
     }
--- a/crates/node/src/feed_wire.rs
+++ b/crates/node/src/feed_wire.rs
@@ -20,12 +20,12 @@
 use crate::{
     commits::{self, COMMIT_PATH},
     feed::{Delta, Feed, Scope},
-    job_heads::{HEAD_PATH, HeadAnswers},
-    job_push::{PUSH_PATH, PushedJobs},
+    job_manifests::{MANIFEST_PATH, ManifestResponder},
+    job_push::{PUSH_PATH, PushReceiver},
     job_spool::{JobSpool, SPOOL_PATH},
     peer,
-    readers::Pace,
-    siblings::{BULK_PATH, BulkAnswers},
+    peer_bulk::{BULK_PATH, BulkResponder},
+    readers::QueryTiming,
 };
 
 /// Path prefix of feed requests between nodes, followed by the number of the
@@ -34,19 +34,21 @@
 
 /// Maximum time that a request waits for a change, in milliseconds, whatever
 /// it asks for.
-const WAIT_MOST_MS: u64 = 10_000;
+const MAX_WAIT_MS: u64 = 10_000;
 
 /// Maximum body size: all keys of a large fleet.
-const MOST_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// Header that precedes the changes in a response. It contains ages instead of
 /// times because the clocks of two nodes are unrelated.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-struct WireHead {
+struct WireHeader {
     revision: u64,
-    whole: bool,
-    more: bool,
+    #[serde(rename = "whole")]
+    is_full: bool,
+    #[serde(rename = "more")]
+    has_more: bool,
     age_ms: Option<u64>,
     read_by: u64,
     failed_age_ms: Option<u64>,
@@ -75,9 +77,9 @@
 /// Separates the header from the changes.
 const SEPARATOR: u8 = b'\n';
 
-fn encode(head: &WireHead, changes: &[u8]) -> Bytes {
+fn encode(header: &WireHeader, changes: &[u8]) -> Bytes {
     // Numbers always encode.
-    let mut bytes = serde_json::to_vec(head).unwrap_or_default();
+    let mut bytes = serde_json::to_vec(header).unwrap_or_default();
     bytes.push(SEPARATOR);
     bytes.extend_from_slice(changes);
     Bytes::from(bytes)
@@ -102,26 +104,26 @@
     }
 }
 
-fn decode(bytes: &[u8], arrived_at: Millis) -> Option<Delta> {
+fn decode(bytes: &[u8], received_at: Millis) -> Option<Delta> {
     let end = bytes.iter().position(|byte| *byte == SEPARATOR)?;
-    let (head, changes) = bytes.split_at(end);
-    let head: WireHead = serde_json::from_slice(head).ok()?;
+    let (header, changes) = bytes.split_at(end);
+    let header: WireHeader = serde_json::from_slice(header).ok()?;
     let changes: WireChanges = serde_json::from_slice(changes).ok()?;
     // Ages count from this time, which may only make the data look older than
     // it is, not fresher.
     let at =
-        |age_ms: u64| Millis::new(arrived_at.as_ms().saturating_sub(age_ms));
+        |age_ms: u64| Millis::new(received_at.as_ms().saturating_sub(age_ms));
     let items: Option<Vec<KeyValue>> =
         changes.items.into_iter().map(decode_item).collect();
     Some(Delta {
-        revision: head.revision,
-        whole: head.whole,
-        more: head.more,
+        revision: header.revision,
+        is_full: header.is_full,
+        has_more: header.has_more,
         items: items?,
         deleted: changes.deleted,
-        fresh_at: head.age_ms.map(at),
-        read_by: head.read_by,
-        failed_at: head.failed_age_ms.map(at),
+        fresh_at: header.age_ms.map(at),
+        read_by: header.read_by,
+        failed_at: header.failed_age_ms.map(at),
     })
 }
 
@@ -146,48 +148,48 @@
 /// Cache key of an encoded page.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct PageKey {
-    feed: usize,
-    content: u64,
+    feed_number: usize,
+    content_version: u64,
     after: u64,
-    most: usize,
+    max_changes: usize,
     scope: Scope,
 }
 
 #[derive(Clone)]
 struct EncodedPage {
     changes: Bytes,
-    whole: bool,
+    is_full: bool,
     /// Revision at which the page ends, if others follow.
-    ends_at: Option<u64>,
+    end_revision: Option<u64>,
 }
 
 /// Maximum number of cached pages: a few for each feed, since the requesting
 /// nodes are at nearly the same revision.
-const PAGES_KEPT: usize = 12;
+const MAX_CACHED_PAGES: usize = 12;
 
 impl EncodedPages {
     /// Returns the response to a request.
-    fn answer(&self, feed: &Feed, call: FeedCall, now: Millis) -> Bytes {
+    fn respond(&self, feed: &Feed, query: ParsedQuery, now: Millis) -> Bytes {
         let status = feed.status();
         let key = PageKey {
-            feed: call.number,
-            content: status.content,
-            after: call.after,
-            most: call.most,
-            scope: call.scope,
+            feed_number: query.feed_number,
+            content_version: status.content_version,
+            after: query.after,
+            max_changes: query.max_changes,
+            scope: query.scope,
         };
         let page = self.page(feed, key);
         let age = |at: Millis| now.saturating_ms_since(at);
-        let fresh_at = status.fresh_at.filter(|_| page.ends_at.is_none());
-        let head = WireHead {
-            revision: page.ends_at.unwrap_or(status.revision),
-            whole: page.whole,
-            more: page.ends_at.is_some(),
+        let fresh_at = status.fresh_at.filter(|_| page.end_revision.is_none());
+        let header = WireHeader {
+            revision: page.end_revision.unwrap_or(status.revision),
+            is_full: page.is_full,
+            has_more: page.end_revision.is_some(),
             age_ms: fresh_at.map(age),
             read_by: status.read_by,
             failed_age_ms: status.failed_at.map(age),
         };
-        encode(&head, &page.changes)
+        encode(&header, &page.changes)
     }
 
     fn page(&self, feed: &Feed, key: PageKey) -> EncodedPage {
@@ -195,13 +197,13 @@
         if let Some(page) = pages.get(&key) {
             return page.clone();
         }
-        let delta = feed.page(key.after, key.most, key.scope);
+        let delta = feed.page(key.after, key.max_changes, key.scope);
         let page = EncodedPage {
-            whole: delta.whole,
-            ends_at: delta.more.then_some(delta.revision),
+            is_full: delta.is_full,
+            end_revision: delta.has_more.then_some(delta.revision),
             changes: encode_changes(delta),
         };
-        if pages.len() >= PAGES_KEPT {
+        if pages.len() >= MAX_CACHED_PAGES {
             pages.shift_remove_index(0);
         }
         pages.insert(key, page.clone());
@@ -211,52 +213,52 @@
 
 /// A feed request to another node.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Question {
+pub(crate) struct FeedQuery {
     /// Number of the feed.
-    pub(crate) number: usize,
+    pub(crate) feed_number: usize,
     /// Revision that the requesting node has.
     pub(crate) after: u64,
     /// Age of the data at that revision; `None` if there is none.
     pub(crate) age_ms: Option<u64>,
     /// Approximate maximum number of changes in the response.
-    pub(crate) most: usize,
+    pub(crate) max_changes: usize,
     /// Which keys are requested.
     pub(crate) scope: Scope,
     /// Time limits for the change and the response.
-    pub(crate) pace: Pace,
+    pub(crate) timing: QueryTiming,
 }
 
 /// Requests the changes of a feed from another node.
-pub(crate) async fn ask(
+pub(crate) async fn fetch_changes(
     pool: &Pool,
     peer: &Endpoint,
-    question: Question,
+    query: FeedQuery,
     clock: &dyn Clock,
     counters: &Counters,
 ) -> Option<Delta> {
-    let Question {
-        number,
+    let FeedQuery {
+        feed_number,
         after,
         age_ms,
-        most,
+        max_changes,
         scope,
-        pace,
-    } = question;
-    let Pace {
-        age_most_ms,
+        timing,
+    } = query;
+    let QueryTiming {
+        max_age_ms,
         wait_ms,
-        answer_ms,
-    } = pace;
+        response_timeout_ms,
+    } = timing;
     let path = format!(
-        "{FEED_PATH}{number}?after={after}&wait_ms={wait_ms}\
-         &age_most_ms={age_most_ms}&age_ms={}&most={most}&heads={}",
+        "{FEED_PATH}{feed_number}?after={after}&wait_ms={wait_ms}\
+         &age_most_ms={max_age_ms}&age_ms={}&most={max_changes}&heads={}",
         age_ms.unwrap_or(u64::MAX),
         u8::from(scope == Scope::All),
     );
-    let request = peer::question(peer, &path)?;
-    let patience = Duration::from_millis(wait_ms + answer_ms);
-    let fetch = pool.fetch(peer, request, MOST_BYTES);
-    let body = time::timeout(patience, fetch).await.ok()??;
+    let request = peer::new_request(peer, &path)?;
+    let timeout = Duration::from_millis(wait_ms + response_timeout_ms);
+    let fetch = pool.fetch(peer, request, MAX_BODY_BYTES);
+    let body = time::timeout(timeout, fetch).await.ok()??;
     Counters::count(&counters.feed_bytes_received, body.len());
     // The age of a response counts from its arrival: the time on the network,
     // milliseconds inside a region, is far below the ages that matter for any
@@ -264,7 +266,7 @@
     let delta = decode(&body, clock.now());
     if delta.is_none() {
         log::warn!(node = peer.record().id.as_str(), bytes = body.len();
-            "another node's answer is malformed and is not taken");
+            "a malformed feed response of another node is ignored");
     }
     delta
 }
@@ -277,15 +279,15 @@
     pub(crate) feeds: Arc<Vec<Arc<Feed>>>,
     pub(crate) pages: Arc<EncodedPages>,
     pub(crate) counters: Arc<Counters>,
-    pub(crate) bulk: BulkAnswers,
+    pub(crate) bulk: BulkResponder,
     /// Spool of jobs that fronts have accepted, if this node has a disk.
     pub(crate) spool: Option<Arc<JobSpool>>,
     /// Batches writes of other nodes.
-    pub(crate) group: GroupCommit,
+    pub(crate) group_commit: GroupCommit,
     /// Serves job manifests.
-    pub(crate) heads: HeadAnswers,
+    pub(crate) manifests: ManifestResponder,
     /// Receives jobs that other nodes have accepted.
-    pub(crate) pushed: PushedJobs,
+    pub(crate) push_receiver: PushReceiver,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
@@ -293,23 +295,26 @@
     fn handle(&self, request: Request<Incoming>) -> HandlerFuture {
         let uri = request.uri();
         if uri.path().starts_with(SPOOL_PATH) {
-            return Box::pin(keep_job(self.spool.clone(), request));
+            return Box::pin(spool_job(self.spool.clone(), request));
         }
         if uri.path().starts_with(COMMIT_PATH) {
-            return Box::pin(commits::take(self.group.clone(), request));
+            return Box::pin(commits::receive(
+                self.group_commit.clone(),
+                request,
+            ));
         }
-        if uri.path().starts_with(HEAD_PATH) {
+        if uri.path().starts_with(MANIFEST_PATH) {
             let uri = uri.clone();
-            return Box::pin(self.heads.clone().answer(uri));
+            return Box::pin(self.manifests.clone().respond(uri));
         }
         if uri.path().starts_with(PUSH_PATH) {
-            return Box::pin(self.pushed.clone().take(request));
+            return Box::pin(self.push_receiver.clone().receive(request));
         }
         if let Some(key) = uri.path().strip_prefix(BULK_PATH) {
-            return Box::pin(self.bulk.clone().answer(key.to_owned()));
+            return Box::pin(self.bulk.clone().respond(key.to_owned()));
         }
-        match FeedCall::parse(uri) {
-            Some(call) => self.answer_feed(call),
+        match ParsedQuery::parse(uri) {
+            Some(query) => self.serve_feed(query),
             None => self.relay.handle(request),
         }
     }
@@ -320,9 +325,9 @@
 }
 
 impl PeerHandler {
-    fn answer_feed(&self, call: FeedCall) -> HandlerFuture {
-        let feed = self.feeds.get(call.number);
-        let feed = feed.filter(|feed| feed.scope().covers(call.scope));
+    fn serve_feed(&self, query: ParsedQuery) -> HandlerFuture {
+        let feed = self.feeds.get(query.feed_number);
+        let feed = feed.filter(|feed| feed.scope().covers(query.scope));
         let Some(feed) = feed.cloned() else {
             let body = AnswerBody::own(Bytes::new());
             let mut response = Response::new(body);
@@ -332,8 +337,8 @@
         let (clock, pages) = (self.clock.clone(), self.pages.clone());
         let counters = self.counters.clone();
         Box::pin(async move {
-            call.wait_for_change(&feed, &*clock).await;
-            let bytes = pages.answer(&feed, call, clock.now());
+            query.wait_for_change(&feed, &*clock).await;
+            let bytes = pages.respond(&feed, query, clock.now());
             Counters::add(&counters.feed_answers_sent);
             Counters::count(&counters.feed_bytes_sent, bytes.len());
             Response::new(AnswerBody::own(bytes))
@@ -341,12 +346,12 @@
     }
 }
 
-async fn keep_job(
+async fn spool_job(
     spool: Option<Arc<JobSpool>>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let status =
-        match (spool, read_body(request.into_body(), MOST_BYTES).await) {
+        match (spool, read_body(request.into_body(), MAX_BODY_BYTES).await) {
             (Some(spool), Ok(body)) => spool.keep(body).await,
             (None, Ok(_)) => StatusCode::NOT_FOUND,
             (_, Err(refusal)) => return refusal.into_response(),
@@ -357,7 +362,7 @@
 }
 
 /// Parses a numeric query parameter; `None` if it is missing or malformed.
-pub(crate) fn number_in(uri: &Uri, name: &str) -> Option<u64> {
+pub(crate) fn query_number(uri: &Uri, name: &str) -> Option<u64> {
     let mut pairs = uri.query()?.split('&');
     let value = pairs.find_map(|pair| pair.strip_prefix(name))?;
     value.strip_prefix('=')?.parse().ok()
@@ -365,13 +370,13 @@
 
 /// A received feed request.
 #[derive(Clone, Copy, Debug)]
-struct FeedCall {
-    number: usize,
+struct ParsedQuery {
+    feed_number: usize,
     after: u64,
-    most: usize,
+    max_changes: usize,
     scope: Scope,
     wait_ms: u64,
-    age_most_ms: u64,
+    max_age_ms: u64,
     /// Age of the requesting node's data.
     age_ms: u64,
 }
@@ -381,26 +386,27 @@
 /// above the network latency between two nodes, by which the ages in messages
 /// are inaccurate, and well below the second in which the key-value service
 /// confirms that nothing has changed.
-const YOUNGER_MS: u64 = 100;
+const MIN_AGE_GAIN_MS: u64 = 100;
 
-impl FeedCall {
+impl ParsedQuery {
     /// Parses a request; `None` if the path is not a feed path.
     fn parse(uri: &Uri) -> Option<Self> {
-        let number = uri.path().strip_prefix(FEED_PATH)?;
-        let most = number_in(uri, "most").and_then(|n| n.try_into().ok());
+        let feed_number = uri.path().strip_prefix(FEED_PATH)?;
+        let max_changes =
+            query_number(uri, "most").and_then(|n| n.try_into().ok());
         Some(Self {
             // A path without a valid number refers to a feed that does not
             // exist.
-            number: number.parse().unwrap_or(usize::MAX),
-            after: number_in(uri, "after").unwrap_or(0),
-            most: most.unwrap_or(usize::MAX),
-            scope: match number_in(uri, "heads") {
-                Some(0) => Scope::WithoutHeads,
+            feed_number: feed_number.parse().unwrap_or(usize::MAX),
+            after: query_number(uri, "after").unwrap_or(0),
+            max_changes: max_changes.unwrap_or(usize::MAX),
+            scope: match query_number(uri, "heads") {
+                Some(0) => Scope::WithoutManifests,
                 _ => Scope::All,
             },
-            wait_ms: number_in(uri, "wait_ms").unwrap_or(0),
-            age_most_ms: number_in(uri, "age_most_ms").unwrap_or(0),
-            age_ms: number_in(uri, "age_ms").unwrap_or(u64::MAX),
+            wait_ms: query_number(uri, "wait_ms").unwrap_or(0),
+            max_age_ms: query_number(uri, "age_most_ms").unwrap_or(0),
+            age_ms: query_number(uri, "age_ms").unwrap_or(u64::MAX),
         })
     }
 
@@ -419,24 +425,24 @@
     /// outdated configuration for seconds.
     async fn wait_for_change(&self, feed: &Feed, clock: &dyn Clock) {
         let now = clock.now();
-        let until = now.saturating_add_ms(self.wait_ms.min(WAIT_MOST_MS));
+        let deadline = now.saturating_add_ms(self.wait_ms.min(MAX_WAIT_MS));
         let known_at = now.saturating_sub_ms(self.age_ms);
-        let younger_at = known_at.saturating_add_ms(YOUNGER_MS);
+        let fresher_than = known_at.saturating_add_ms(MIN_AGE_GAIN_MS);
         let mut changes = feed.subscribe();
         loop {
             changes.mark_unchanged();
             let status = feed.status();
-            let too_old_at = status
+            let stale_at = status
                 .fresh_at
-                .map(|at| at.saturating_add_ms(self.age_most_ms));
-            let until = too_old_at.unwrap_or(until).min(until);
-            let left_ms = until.saturating_ms_since(clock.now());
-            let is_news = feed.has_news(self.after, self.scope)
-                || status.fresh_at.is_some_and(|at| at > younger_at);
-            if is_news || left_ms == 0 {
+                .map(|at| at.saturating_add_ms(self.max_age_ms));
+            let deadline = stale_at.unwrap_or(deadline).min(deadline);
+            let remaining_ms = deadline.saturating_ms_since(clock.now());
+            let has_changes = feed.has_changes(self.after, self.scope)
+                || status.fresh_at.is_some_and(|at| at > fresher_than);
+            if has_changes || remaining_ms == 0 {
                 return;
             }
-            let wait = Duration::from_millis(left_ms);
+            let wait = Duration::from_millis(remaining_ms);
             let _ = time::timeout(wait, changes.changed()).await;
         }
     }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -30,7 +30,7 @@
     ClusterState, Dialect, JobCall, NodeError, NodeSettings, Outside, Signals,
     base::NodeBase,
     intake::JobIntake,
-    job_heads::PeerHeads,
+    job_manifests::PeerManifests,
     load::{FrontLoad, LoadNotifier},
     quota::QuotaClient,
 };
@@ -81,7 +81,7 @@
         let ledger = base.ledger.clone();
         let clock = outside.cluster.clock().clone();
         let heads: Arc<dyn ManifestSource> =
-            Arc::new(PeerHeads::new(view.clone(), clock.clone()));
+            Arc::new(PeerManifests::new(view.clone(), clock.clone()));
         let pages = PageReader::new(ledger.clone(), heads.clone(), clock);
         let (stage, receiver) = stage::channel(Stopping::No);
         let options = ListenerOptions::default();
--- a/crates/node/src/job_heads.rs
+++ b/crates/node/src/job_manifests.rs
@@ -24,37 +24,37 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use crate::{feed_wire::number_in, peer};
+use crate::{feed_wire::query_number, peer};
 
 /// Path prefix of the manifests that a worker knows, followed by the job.
-pub(crate) const HEAD_PATH: &str = "/head/";
+pub(crate) const MANIFEST_PATH: &str = "/head/";
 
 /// Maximum wait for a response beyond the time that the request waits for a
 /// change, in milliseconds.
-const ANSWER_MS: u64 = 150;
+const RESPONSE_TIMEOUT_MS: u64 = 150;
 
 /// Maximum time that a request waits for a change, in milliseconds.
-const WAIT_MOST_MS: u64 = 2_000;
+const MAX_WAIT_MS: u64 = 2_000;
 
 /// Backoff for a worker that did not respond, in milliseconds.
-const AGAIN_MS: u64 = 3_000;
+const SILENT_BACKOFF_MS: u64 = 3_000;
 
 /// Maximum number of manifests that a front remembers in order to know which
 /// worker to query for changes.
-const REMEMBERED_MOST: usize = 256;
+const MAX_REMEMBERED: usize = 256;
 
 /// Maximum number of workers that are queried for a manifest, one after the
 /// other.
-const ASKED_MOST: usize = 2;
+const MAX_QUERIED_WORKERS: usize = 2;
 
 /// Maximum size of a manifest: several times the positions of all items of the
 /// largest job.
-const HEAD_BYTES: usize = 4 * 1024 * 1024;
+const MAX_MANIFEST_BYTES: usize = 4 * 1024 * 1024;
 
 /// Header that precedes the manifest in a response.
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-struct WireKnown {
+struct WireHeader {
     revision: u64,
     age_ms: u64,
 }
@@ -64,20 +64,20 @@
 
 /// Serves requests for manifests.
 #[derive(Clone)]
-pub(crate) struct HeadAnswers(ViewManifests);
+pub(crate) struct ManifestResponder(ViewManifests);
 
-impl HeadAnswers {
+impl ManifestResponder {
     pub(crate) fn new(view: JobView, clock: Arc<dyn Clock>) -> Self {
         Self(ViewManifests::new(view, clock))
     }
 
-    pub(crate) async fn answer(self, uri: Uri) -> Response<AnswerBody> {
-        let job = uri.path().strip_prefix(HEAD_PATH).unwrap_or_default();
-        let wait_ms = number_in(&uri, "wait_ms").unwrap_or(0);
-        let after = number_in(&uri, "after");
+    pub(crate) async fn respond(self, uri: Uri) -> Response<AnswerBody> {
+        let job = uri.path().strip_prefix(MANIFEST_PATH).unwrap_or_default();
+        let wait_ms = query_number(&uri, "wait_ms").unwrap_or(0);
+        let after = query_number(&uri, "after");
         let known = match job.parse::<JobKey>() {
             Ok(job) => {
-                self.0.read(&job, after, wait_ms.min(WAIT_MOST_MS)).await
+                self.0.read(&job, after, wait_ms.min(MAX_WAIT_MS)).await
             }
             Err(_) => None,
         };
@@ -92,11 +92,11 @@
 }
 
 fn encode(known: &KnownManifest) -> Option<Bytes> {
-    let wire = WireKnown {
+    let header = WireHeader {
         revision: known.stored.revision,
         age_ms: known.age_ms,
     };
-    let mut bytes = serde_json::to_vec(&wire).ok()?;
+    let mut bytes = serde_json::to_vec(&header).ok()?;
     bytes.push(SEPARATOR);
     bytes.extend(encode_manifest(&known.stored.manifest).ok()?);
     Some(Bytes::from(bytes))
@@ -104,20 +104,20 @@
 
 fn decode(bytes: &[u8]) -> Option<KnownManifest> {
     let end = bytes.iter().position(|byte| *byte == SEPARATOR)?;
-    let (wire, head) = bytes.split_at(end);
-    let wire: WireKnown = serde_json::from_slice(wire).ok()?;
-    let head = decode_manifest(&head[1..]).ok()?;
+    let (header, manifest) = bytes.split_at(end);
+    let header: WireHeader = serde_json::from_slice(header).ok()?;
+    let manifest = decode_manifest(&manifest[1..]).ok()?;
     Some(KnownManifest {
         stored: StoredManifest {
-            manifest: head,
-            revision: wire.revision,
+            manifest,
+            revision: header.revision,
         },
-        age_ms: wire.age_ms,
+        age_ms: header.age_ms,
     })
 }
 
 /// Queries workers for manifests.
-pub(crate) struct PeerHeads {
+pub(crate) struct PeerManifests {
     view: JobView,
     pool: Pool,
     clock: Arc<dyn Clock>,
@@ -131,7 +131,7 @@
     silent: IndexMap<String, Millis>,
 }
 
-impl PeerHeads {
+impl PeerManifests {
     pub(crate) fn new(view: JobView, clock: Arc<dyn Clock>) -> Self {
         Self {
             view,
@@ -141,21 +141,21 @@
         }
     }
 
-    async fn ask_workers(
+    async fn query_workers(
         &self,
         job: &JobKey,
         after: Option<u64>,
         wait_ms: u64,
     ) -> Option<KnownManifest> {
         for worker in self.workers_for(job) {
-            match self.ask(&worker, job, after, wait_ms).await {
+            match self.query(&worker, job, after, wait_ms).await {
                 Ok(known) => {
                     if let Some(known) = &known {
                         self.note(job, &known.stored);
                     }
                     return known;
                 }
-                Err(()) => self.note_silent(&worker),
+                Err(()) => self.record_silence(&worker),
             }
         }
         None
@@ -169,29 +169,30 @@
         let mut state = self.lock();
         state
             .silent
-            .retain(|_, at| now.saturating_ms_since(*at) < AGAIN_MS);
+            .retain(|_, at| now.saturating_ms_since(*at) < SILENT_BACKOFF_MS);
         let known = state.remembered.get(job);
         let owner =
             known.and_then(|stored| members.owner(job, &stored.manifest));
         let nodes = members.nodes();
-        let draw = stable_hash(&[job.as_str()]);
-        let drawn = (0..ASKED_MOST as u64).filter_map(|nth| {
-            let at = mix(draw ^ nth) as usize;
-            Some(&nodes[at.checked_rem(nodes.len())?])
+        let job_hash = stable_hash(&[job.as_str()]);
+        let by_hash = (0..MAX_QUERIED_WORKERS as u64).filter_map(|nth| {
+            let index = mix(job_hash ^ nth) as usize;
+            Some(&nodes[index.checked_rem(nodes.len())?])
         });
         let owner = owner.and_then(|owner| members.get(owner));
-        let mut asked: Vec<NodeRecord> = Vec::new();
-        for worker in owner.into_iter().chain(drawn) {
-            let is_known = asked.iter().any(|one| one.node == worker.node);
-            if !is_known && !state.silent.contains_key(&worker.node) {
-                asked.push(worker.clone());
+        let mut selected: Vec<NodeRecord> = Vec::new();
+        for worker in owner.into_iter().chain(by_hash) {
+            let is_selected =
+                selected.iter().any(|known| known.node == worker.node);
+            if !is_selected && !state.silent.contains_key(&worker.node) {
+                selected.push(worker.clone());
             }
         }
-        asked.truncate(ASKED_MOST);
-        asked
+        selected.truncate(MAX_QUERIED_WORKERS);
+        selected
     }
 
-    async fn ask(
+    async fn query(
         &self,
         worker: &NodeRecord,
         job: &JobKey,
@@ -201,11 +202,11 @@
         let peer = peer::endpoint_of(worker).ok_or(())?;
         let after = after.map(|after| format!("&after={after}"));
         let after = after.unwrap_or_default();
-        let path = format!("{HEAD_PATH}{job}?wait_ms={wait_ms}{after}");
-        let request = peer::question(&peer, &path).ok_or(())?;
-        let exchange = self.pool.exchange(&peer, request, HEAD_BYTES);
-        let patience = Duration::from_millis(wait_ms + ANSWER_MS);
-        match time::timeout(patience, exchange).await {
+        let path = format!("{MANIFEST_PATH}{job}?wait_ms={wait_ms}{after}");
+        let request = peer::new_request(&peer, &path).ok_or(())?;
+        let exchange = self.pool.exchange(&peer, request, MAX_MANIFEST_BYTES);
+        let timeout = Duration::from_millis(wait_ms + RESPONSE_TIMEOUT_MS);
+        match time::timeout(timeout, exchange).await {
             Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
                 decode(&body).map(Some).ok_or(())
             }
@@ -214,9 +215,9 @@
         }
     }
 
-    fn note_silent(&self, worker: &NodeRecord) {
+    fn record_silence(&self, worker: &NodeRecord) {
         log::info!(node = worker.node.as_str();
-            "a worker does not answer for a job");
+            "a worker does not respond for a job");
         let now = self.clock.now();
         self.lock().silent.insert(worker.node.clone(), now);
     }
@@ -226,14 +227,14 @@
     }
 }
 
-impl ManifestSource for PeerHeads {
+impl ManifestSource for PeerManifests {
     fn read<'a>(
         &'a self,
         job: &'a JobKey,
         after: Option<u64>,
         wait_ms: u64,
     ) -> ManifestFuture<'a> {
-        Box::pin(self.ask_workers(job, after, wait_ms))
+        Box::pin(self.query_workers(job, after, wait_ms))
     }
 
     fn note(&self, job: &JobKey, stored: &StoredManifest) {
@@ -243,12 +244,12 @@
             return;
         }
         state.remembered.insert(job.clone(), stored.clone());
-        if state.remembered.len() > REMEMBERED_MOST {
+        if state.remembered.len() > MAX_REMEMBERED {
             state.remembered.shift_remove_index(0);
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/job_heads.rs"]
+#[path = "../tests/unit/job_manifests.rs"]
 mod tests;
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -17,7 +17,7 @@
 use pass::{AnswerBody, Fetch, Pool, read_body};
 use tokio::time;
 
-use crate::{commit_wire, commits::MOST_BYTES, peer};
+use crate::{commit_wire, commits::MAX_REQUEST_BYTES, peer};
 
 /// Path prefix at which a worker receives new jobs, followed by the revision
 /// of the manifest.
@@ -25,10 +25,10 @@
 
 /// Maximum wait for the worker, in milliseconds. Its feed delivers the job in
 /// about that time.
-const PUSH_MS: u64 = 400;
+const PUSH_TIMEOUT_MS: u64 = 400;
 
 /// Maximum size of a response, which is only a status.
-const ANSWER_BYTES: usize = 1_024;
+const MAX_RESPONSE_BYTES: usize = 1_024;
 
 /// Sends new jobs to the workers that run them.
 #[derive(Clone)]
@@ -56,7 +56,7 @@
                 log::info!(
                     request_id = job.as_str(),
                     owner = stored.manifest.owner.as_str();
-                    "a new job is not sent to its worker, which reads it"
+                    "a new job is not pushed to its worker, which will read it"
                 );
             }
         });
@@ -72,12 +72,12 @@
         let owner = members.get(&stored.manifest.owner)?;
         let peer = peer::endpoint_of(owner)?;
         let path = format!("{PUSH_PATH}{}", stored.revision);
-        let mut request = peer::question(&peer, &path)?;
+        let mut request = peer::new_request(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(&rows)?;
-        let exchange = self.pool.exchange(&peer, request, ANSWER_BYTES);
-        let wait = Duration::from_millis(PUSH_MS);
-        match time::timeout(wait, exchange).await {
+        let exchange = self.pool.exchange(&peer, request, MAX_RESPONSE_BYTES);
+        let timeout = Duration::from_millis(PUSH_TIMEOUT_MS);
+        match time::timeout(timeout, exchange).await {
             Ok(Fetch::Answered(head, _)) if head.status.is_success() => {
                 Some(())
             }
@@ -88,44 +88,46 @@
 
 /// Receives new jobs from other nodes.
 #[derive(Clone)]
-pub(crate) struct PushedJobs {
+pub(crate) struct PushReceiver {
     pub(crate) view: JobView,
     pub(crate) cache: Arc<BulkCache>,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
-impl PushedJobs {
+impl PushReceiver {
     /// Receives a job and its inputs.
-    pub(crate) async fn take(
+    pub(crate) async fn receive(
         self,
         request: Request<Incoming>,
     ) -> Response<AnswerBody> {
         let path = request.uri().path();
         let revision = path.strip_prefix(PUSH_PATH).unwrap_or_default();
         let revision: Option<u64> = revision.parse().ok();
-        let body = match read_body(request.into_body(), MOST_BYTES).await {
-            Ok(body) => body,
-            Err(refusal) => return refusal.into_response(),
-        };
-        let status = match revision.and_then(|at| self.learn(&body, at)) {
-            Some(()) => StatusCode::NO_CONTENT,
-            None => {
-                log::warn!(bytes = body.len();
-                    "a job of another node is malformed and is not taken");
-                StatusCode::BAD_REQUEST
-            }
-        };
+        let body =
+            match read_body(request.into_body(), MAX_REQUEST_BYTES).await {
+                Ok(body) => body,
+                Err(refusal) => return refusal.into_response(),
+            };
+        let status =
+            match revision.and_then(|revision| self.apply(&body, revision)) {
+                Some(()) => StatusCode::NO_CONTENT,
+                None => {
+                    log::warn!(bytes = body.len();
+                    "a malformed job of another node is rejected");
+                    StatusCode::BAD_REQUEST
+                }
+            };
         let mut response = Response::new(AnswerBody::own(bytes::Bytes::new()));
         *response.status_mut() = status;
         response
     }
 
-    fn learn(&self, body: &[u8], revision: u64) -> Option<()> {
+    fn apply(&self, body: &[u8], revision: u64) -> Option<()> {
         let mut rows = commit_wire::decode(body)?.success.into_iter();
         let Op::Put { key, value, .. } = rows.next()? else {
             return None;
         };
-        let (job, head) = decode_manifest_row(&key, &value)?;
+        let (job, manifest) = decode_manifest_row(&key, &value)?;
         // Inputs are stored before the manifest, since the job starts as soon
         // as its manifest is known.
         for row in rows {
@@ -133,10 +135,7 @@
                 self.cache.insert(&key, &Arc::new(value));
             }
         }
-        let stored = StoredManifest {
-            manifest: head,
-            revision,
-        };
+        let stored = StoredManifest { manifest, revision };
         self.view.update(&job, &stored, self.clock.now());
         Some(())
     }
--- a/crates/node/src/job_spool.rs
+++ b/crates/node/src/job_spool.rs
@@ -193,7 +193,7 @@
         return Spooled::No;
     };
     let path = format!("{SPOOL_PATH}{job}");
-    let Some(mut request) = peer::question(&peer, &path) else {
+    let Some(mut request) = peer::new_request(&peer, &path) else {
         return Spooled::No;
     };
     *request.method_mut() = Method::PUT;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -13,6 +13,7 @@
 
 mod admin;
 mod base;
+mod bootstrap_list;
 mod cluster;
 mod commit_wire;
 mod commits;
@@ -24,26 +25,25 @@
 mod follow;
 mod front;
 mod intake;
-mod job_heads;
+mod job_manifests;
 mod job_push;
 mod job_spool;
 mod load;
 mod membership;
-mod own_writes;
 mod peer;
+mod peer_bulk;
 mod probe;
 mod quota;
 mod readers;
 mod refusals;
 mod settings;
-mod siblings;
-mod start_list;
 mod tree;
 mod turns;
 mod usage;
 mod vacate;
 mod watch;
 mod worker;
+mod write_through;
 
 pub use crate::{
     admin::Admin,
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -9,28 +9,28 @@
 /// Minimum time to live of a node's entry, in seconds: its jobs are taken over
 /// that long after the node is lost, and two renewals may fail before the
 /// entry expires.
-const LEASE_S: u32 = 3;
+const MIN_LEASE_S: u32 = 3;
 
 /// Maximum time to live of a node's entry, in seconds. When a front is lost
-/// for good, others wait that long before they count its share of the
-/// endpoints' load as free.
-const LEASE_MOST_S: u32 = 60;
+/// for good, others wait that long for reports of its load at the
+/// endpoints of its share.
+const MAX_LEASE_S: u32 = 60;
 
 /// Number of workers up to which entries live for [`MIN_LEASE_S`]. With more
 /// workers the time grows, so that all together renew as often as this many.
-const WORKERS_AT_ONCE: usize = 40;
+const WORKERS_AT_MIN_LEASE: usize = 40;
 
 /// The same for fronts, from which nothing has to be taken over.
-const FRONTS_AT_ONCE: usize = 50;
+const FRONTS_AT_MIN_LEASE: usize = 50;
 
 /// Number of fronts that a front assumes until it knows the actual number.
 /// Otherwise all fronts of a large fleet would write their entries twice; with
 /// this value those of a small one do, at a few calls each.
-const FRONTS_ASSUMED: usize = 5 * FRONTS_AT_ONCE;
+const ASSUMED_FRONTS: usize = 5 * FRONTS_AT_MIN_LEASE;
 
 /// Ratio of the actual to the wanted time to live, or the reverse, beyond
 /// which the entry is written again under a new lease, in percent.
-const LEASE_OFF_PERCENT: u32 = 150;
+const LEASE_MISMATCH_PERCENT: u32 = 150;
 
 /// Decides the time to live of a node's entry.
 ///
@@ -39,9 +39,9 @@
 /// nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseTerms {
-    least_s: u32,
+    min_s: u32,
     /// Number of nodes of the kind up to which the minimum time applies.
-    at_once: usize,
+    nodes_at_min: usize,
 }
 
 impl LeaseTerms {
@@ -50,52 +50,52 @@
     ///
     /// Without that bound the key-value service rejects the lease, the node is
     /// never listed, and receives no jobs.
-    pub(crate) fn new(runs_items: bool, least_ms: u64) -> Self {
-        let least_s = least_ms.div_ceil(1_000).min(u64::from(u32::MAX));
+    pub(crate) fn new(runs_items: bool, min_ms: u64) -> Self {
+        let min_s = min_ms.div_ceil(1_000).min(u64::from(u32::MAX));
         Self {
-            least_s: LEASE_S.max(least_s as u32),
-            at_once: match runs_items {
-                true => WORKERS_AT_ONCE,
-                false => FRONTS_AT_ONCE,
+            min_s: MIN_LEASE_S.max(min_s as u32),
+            nodes_at_min: match runs_items {
+                true => WORKERS_AT_MIN_LEASE,
+                false => FRONTS_AT_MIN_LEASE,
             },
         }
     }
 
     /// Returns the time to live for a number of nodes of the kind.
     pub(crate) fn lease_s(&self, count: usize) -> u32 {
-        let grown = LEASE_S as usize * count / self.at_once;
-        let grown = u32::try_from(grown).unwrap_or(LEASE_MOST_S);
-        grown.min(LEASE_MOST_S).max(self.least_s)
+        let scaled = MIN_LEASE_S as usize * count / self.nodes_at_min;
+        let scaled = u32::try_from(scaled).unwrap_or(MAX_LEASE_S);
+        scaled.min(MAX_LEASE_S).max(self.min_s)
     }
 
     /// Reports whether an entry has to be written again under a new lease.
-    fn is_off(&self, held_s: u32, count: usize) -> bool {
+    fn is_mismatched(&self, held_s: u32, count: usize) -> bool {
         let wanted_s = self.lease_s(count);
-        held_s * 100 > wanted_s * LEASE_OFF_PERCENT
-            || wanted_s * 100 > held_s * LEASE_OFF_PERCENT
+        held_s * 100 > wanted_s * LEASE_MISMATCH_PERCENT
+            || wanted_s * 100 > held_s * LEASE_MISMATCH_PERCENT
     }
 }
 
 /// Pause after a failed call, in milliseconds.
-const FAILED_PAUSE_MS: u64 = 250;
+const RETRY_MS: u64 = 250;
 
 /// Signals between a node and the task that maintains its entry.
-pub(crate) struct Presence {
+pub(crate) struct RegistrationSignals {
     /// Set to true when the entry is written.
-    pub(crate) entered: watch::Sender<bool>,
+    pub(crate) registered: watch::Sender<bool>,
     /// Becomes true when the node shuts down.
-    pub(crate) left: watch::Receiver<bool>,
+    pub(crate) shutdown: watch::Receiver<bool>,
     /// The entry of this node as found at the start, once it has been read.
-    pub(crate) found: watch::Receiver<Option<FoundEntry>>,
+    pub(crate) previous: watch::Receiver<Option<PreviousEntry>>,
 }
 
 /// The entry that the previous process of the same node has left.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct FoundEntry(Option<KeyValue>);
+pub(crate) struct PreviousEntry(Option<KeyValue>);
 
-impl FoundEntry {
+impl PreviousEntry {
     /// Finds the entry of a node among those of all nodes.
-    pub(crate) fn among(entries: &[KeyValue], node: &str) -> Self {
+    pub(crate) fn find(entries: &[KeyValue], node: &str) -> Self {
         let is_own =
             |kv: &&KeyValue| kv.key.strip_prefix(NODE_PREFIX) == Some(node);
         Self(entries.iter().find(is_own).cloned())
@@ -120,7 +120,7 @@
 }
 
 /// Maintains the entry of a node until it shuts down.
-pub(crate) struct EntryKeeper {
+pub(crate) struct NodeRegistration {
     pub(crate) kv: Arc<dyn Kv>,
     pub(crate) record: NodeRecord,
     pub(crate) terms: LeaseTerms,
@@ -129,56 +129,56 @@
 }
 
 /// An entry with the lease that it is written under.
-struct Entered {
+struct LeasedEntry {
     lease: HeldLease,
     lease_s: u32,
 }
 
-impl EntryKeeper {
+impl NodeRegistration {
     /// Runs until the node shuts down.
     ///
     /// An entry that has expired, because the node was paused or the key-value
     /// service unavailable, is written again at once under a new lease. The
     /// entry of a previous process is reused: when the whole fleet is killed
     /// and restarts, only renewals are sent.
-    pub(crate) async fn run(self, presence: Presence) {
-        let Presence {
-            entered,
-            left: mut stop,
-            mut found,
-        } = presence;
-        let mut held = self.take_over(&mut found).await;
+    pub(crate) async fn run(self, signals: RegistrationSignals) {
+        let RegistrationSignals {
+            registered,
+            shutdown: mut stop,
+            mut previous,
+        } = signals;
+        let mut held = self.take_over(&mut previous).await;
         if held.is_some() {
-            entered.send_replace(true);
+            registered.send_replace(true);
         }
         while !*stop.borrow() {
             let result = match &mut held {
-                None => self.enter().await.map(|fresh| {
-                    entered.send_replace(true);
+                None => self.register().await.map(|fresh| {
+                    registered.send_replace(true);
                     held = Some(fresh);
                 }),
-                Some(known) if self.is_off(known) => {
-                    self.enter().await.map(|fresh| held = Some(fresh))
+                Some(known) if self.is_mismatched(known) => {
+                    self.register().await.map(|fresh| held = Some(fresh))
                 }
                 Some(known) => self.renew(known).await,
             };
             if let Err(report) = result {
                 if *report.current_context() == KvError::LeaseGone {
                     held = None;
-                    log::warn!("this node's entry has lapsed");
+                    log::warn!("this node's entry has expired");
                     continue;
                 }
                 log::info!(error:% = report.current_context();
-                    "this node's entry is not renewed");
-                wait(FAILED_PAUSE_MS, &mut stop).await;
+                    "this node's entry cannot be renewed or written");
+                wait_or_stop(RETRY_MS, &mut stop).await;
                 continue;
             }
             let now: Millis = self.clock.now();
             let next = held.as_ref().map_or(now, |held| held.lease.renew_at());
-            wait(next.saturating_ms_since(now), &mut stop).await;
+            wait_or_stop(next.saturating_ms_since(now), &mut stop).await;
         }
         if let Some(held) = held {
-            self.leave(held).await;
+            self.deregister(held).await;
         }
     }
 
@@ -186,23 +186,24 @@
     /// one that this process would write.
     async fn take_over(
         &self,
-        found: &mut watch::Receiver<Option<FoundEntry>>,
-    ) -> Option<Entered> {
-        let found = found.wait_for(Option::is_some).await.ok()?.clone()?;
-        let (lease, lease_s) = found.lease_of(&self.record)?;
+        previous: &mut watch::Receiver<Option<PreviousEntry>>,
+    ) -> Option<LeasedEntry> {
+        let previous =
+            previous.wait_for(Option::is_some).await.ok()?.clone()?;
+        let (lease, lease_s) = previous.lease_of(&self.record)?;
         let sent_at = self.clock.now();
         match self.kv.lease_keep_alive(lease).await {
             Ok(()) => {
                 log::info!(lease = lease.0;
-                    "this node takes part again under its entry");
-                Some(Entered {
+                    "this node resumes with its previous entry");
+                Some(LeasedEntry {
                     lease: HeldLease::new(lease, lease_s, sent_at),
                     lease_s,
                 })
             }
             Err(report) => {
                 log::info!(error:% = report.current_context();
-                    "the entry of the process before is not taken over");
+                    "the entry of the previous process cannot be taken over");
                 None
             }
         }
@@ -218,23 +219,26 @@
             Some(_) => roster.fronts.len(),
             // The data of a starting node may be too stale to contain all of
             // them.
-            None => roster.fronts.len().max(FRONTS_ASSUMED),
+            None => roster.fronts.len().max(ASSUMED_FRONTS),
         }
     }
 
-    fn is_off(&self, held: &Entered) -> bool {
+    fn is_mismatched(&self, held: &LeasedEntry) -> bool {
         self.view.fresh_at().is_some()
-            && self.terms.is_off(held.lease_s, self.count())
+            && self.terms.is_mismatched(held.lease_s, self.count())
     }
 
-    async fn renew(&self, held: &mut Entered) -> Result<(), Report<KvError>> {
+    async fn renew(
+        &self,
+        held: &mut LeasedEntry,
+    ) -> Result<(), Report<KvError>> {
         let sent_at = self.clock.now();
         self.kv.lease_keep_alive(held.lease.id()).await?;
         held.lease.renewed(sent_at);
         Ok(())
     }
 
-    async fn enter(&self) -> Result<Entered, Report<KvError>> {
+    async fn register(&self) -> Result<LeasedEntry, Report<KvError>> {
         let lease_s = self.terms.lease_s(self.count());
         let sent_at = self.clock.now();
         let lease = self.kv.lease_grant(lease_s).await?;
@@ -254,23 +258,23 @@
             ..Txn::default()
         };
         self.kv.txn(txn).await?;
-        log::info!(lease = lease.0, lease_s; "this node takes part");
-        Ok(Entered {
+        log::info!(lease = lease.0, lease_s; "this node is registered");
+        Ok(LeasedEntry {
             lease: HeldLease::new(lease, lease_s, sent_at),
             lease_s,
         })
     }
 
-    async fn leave(&self, held: Entered) {
+    async fn deregister(&self, held: LeasedEntry) {
         let ended = self.kv.lease_revoke(held.lease.id()).await;
         if let Err(report) = ended {
             log::info!(error:% = report.current_context();
-                "this node's entry lapses by itself");
+                "this node's lease cannot be revoked and will expire");
         }
     }
 }
 
-async fn wait(ms: u64, stop: &mut watch::Receiver<bool>) {
+async fn wait_or_stop(ms: u64, stop: &mut watch::Receiver<bool>) {
     let pause = Duration::from_millis(ms);
     let _ = time::timeout(pause, stop.wait_for(|stop| *stop)).await;
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -14,10 +14,10 @@
 /// Number of nodes of each kind that relay a node's calls, in turn. Enough
 /// that one remains when half of them are disconnected as well; a path through
 /// each node of a large fleet would only be tried, and waited for, once.
-const RELAYS_OF_A_KIND: usize = 8;
+const RELAYS_PER_KIND: usize = 8;
 
 /// Interval at which the relays are selected again.
-const LOOK: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Returns a node as an endpoint for requests; `None` if it has no address.
 /// Connections are keyed by name and address, since a restarted node may have
@@ -36,7 +36,10 @@
 }
 
 /// Creates a request to another node; `None` if the path is invalid.
-pub(crate) fn question(to: &Endpoint, path: &str) -> Option<Request<Bytes>> {
+pub(crate) fn new_request(
+    to: &Endpoint,
+    path: &str,
+) -> Option<Request<Bytes>> {
     let host = to.record().address.to_string();
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = path.parse().ok()?;
@@ -71,7 +74,7 @@
 ///
 /// Fronts come first, because workers tend to be disconnected together. Each
 /// node starts at a different relay.
-pub(crate) async fn follow_peers(
+pub(crate) async fn maintain_relays(
     paths: Arc<Paths>,
     view: JobView,
     node: String,
@@ -80,45 +83,45 @@
     loop {
         let roster = view.roster();
         if !known.as_ref().is_some_and(|known| known.is_same(&roster)) {
-            let peers = relays_of(&roster, &node);
+            let peers = select_relays(&roster, &node);
             // If all entries are lost, the last known relays stay in place: a
             // node that is itself disconnected sees no other node.
             if !peers.is_empty() {
                 paths.set_peers(peers);
-                paths.set_away_pause_ms(away_pause_ms(roster.len()));
+                paths.set_away_pause_ms(outage_interval_ms(roster.len()));
             }
             known = Some(roster);
         }
-        time::sleep(LOOK).await;
+        time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
 /// Interval between two calls of a node while the key-value service is
 /// unavailable, in milliseconds, in fleets of up to [`NODES_AT_MIN_INTERVAL`]
 /// nodes.
-const AWAY_PAUSE_MS: u64 = 400;
+const MIN_OUTAGE_INTERVAL_MS: u64 = 400;
 
 /// Maximum of this interval, in milliseconds: the recovery of the key-value
 /// service is noticed within it.
-const AWAY_PAUSE_MOST_MS: u64 = 2_000;
+const MAX_OUTAGE_INTERVAL_MS: u64 = 2_000;
 
 /// Number of nodes up to which the minimum interval applies.
-const AWAY_NODES: u64 = 32;
+const NODES_AT_MIN_INTERVAL: u64 = 32;
 
 /// Returns the interval between two calls of a node while the key-value
 /// service is unavailable, for the number of nodes in the fleet.
-fn away_pause_ms(nodes: usize) -> u64 {
-    let grown = AWAY_PAUSE_MS * nodes as u64 / AWAY_NODES;
-    grown.clamp(AWAY_PAUSE_MS, AWAY_PAUSE_MOST_MS)
+fn outage_interval_ms(nodes: usize) -> u64 {
+    let scaled = MIN_OUTAGE_INTERVAL_MS * nodes as u64 / NODES_AT_MIN_INTERVAL;
+    scaled.clamp(MIN_OUTAGE_INTERVAL_MS, MAX_OUTAGE_INTERVAL_MS)
 }
 
 /// Returns the nodes that relay a node's calls.
-fn relays_of(roster: &Roster, node: &str) -> Vec<SocketAddr> {
+fn select_relays(roster: &Roster, node: &str) -> Vec<SocketAddr> {
     let start = base::stable_hash(&[node]) as usize;
     let mut relays = Vec::new();
     for group in [&roster.fronts, &roster.workers] {
         let others = group.nodes();
-        for step in 0..others.len().min(RELAYS_OF_A_KIND) {
+        for step in 0..others.len().min(RELAYS_PER_KIND) {
             let other = &others[(start + step) % others.len()];
             if other.node != node {
                 relays.extend(other.address);
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/peer_bulk.rs
@@ -23,15 +23,15 @@
 
 /// Maximum wait for another node's response. About ten times what a node needs
 /// that is not overloaded; the key-value service responds within milliseconds.
-const ANSWER: Duration = Duration::from_millis(150);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Backoff for a node that did not respond, in milliseconds: a lost one
 /// disappears from the list of nodes in about that time.
-const AGAIN_MS: u64 = 3_000;
+const SILENT_BACKOFF_MS: u64 = 3_000;
 
 /// Maximum size of a value; values of the key-value service have about a
 /// megabyte.
-const MOST_BYTES: usize = 2 * 1024 * 1024;
+const MAX_VALUE_BYTES: usize = 2 * 1024 * 1024;
 
 /// Reads inputs and results from the node that runs the job.
 ///
@@ -62,12 +62,17 @@
         }
     }
 
-    fn owner(&self, job: &JobKey, head: &JobManifest) -> Option<NodeRecord> {
+    fn owner(
+        &self,
+        job: &JobKey,
+        manifest: &JobManifest,
+    ) -> Option<NodeRecord> {
         let members = self.view.members();
-        let owner = members.owner(job, head)?;
+        let owner = members.owner(job, manifest)?;
         let now = self.clock.now();
         let mut silent = lock(&self.silent);
-        silent.retain(|_, at| now.saturating_ms_since(*at) < AGAIN_MS);
+        silent
+            .retain(|_, at| now.saturating_ms_since(*at) < SILENT_BACKOFF_MS);
         if owner == self.node || silent.contains_key(owner) {
             return None;
         }
@@ -76,18 +81,27 @@
 }
 
 impl BulkPeers for PeerBulk {
-    fn read(&self, job: &JobKey, head: &JobManifest, key: &str) -> BulkFuture {
-        let Some(owner) = self.owner(job, head) else {
+    fn read(
+        &self,
+        job: &JobKey,
+        manifest: &JobManifest,
+        key: &str,
+    ) -> BulkFuture {
+        let Some(owner) = self.owner(job, manifest) else {
             return Box::pin(std::future::ready(None));
         };
         let (pool, clock) = (self.pool.clone(), self.clock.clone());
         let (silent, key) = (self.silent.clone(), key.to_owned());
         Box::pin(async move {
-            let asked = time::timeout(ANSWER, ask(&pool, &owner, &key)).await;
-            match asked.unwrap_or(Asked::Silent) {
-                Asked::Found(value) => Some(value),
-                Asked::Missing => None,
-                Asked::Silent => {
+            let outcome = time::timeout(
+                RESPONSE_TIMEOUT,
+                fetch_value(&pool, &owner, &key),
+            )
+            .await;
+            match outcome.unwrap_or(FetchOutcome::Silent) {
+                FetchOutcome::Found(value) => Some(value),
+                FetchOutcome::Missing => None,
+                FetchOutcome::Silent => {
                     log::info!(node = owner.node.as_str();
                         "a node does not tell what it keeps of a job");
                     lock(&silent).insert(owner.node, clock.now());
@@ -98,26 +112,30 @@
     }
 }
 
-enum Asked {
+enum FetchOutcome {
     Found(BulkValue),
     Missing,
     Silent,
 }
 
-async fn ask(pool: &Pool, owner: &NodeRecord, key: &str) -> Asked {
+async fn fetch_value(
+    pool: &Pool,
+    owner: &NodeRecord,
+    key: &str,
+) -> FetchOutcome {
     let Some(peer) = peer::endpoint_of(owner) else {
-        return Asked::Missing;
+        return FetchOutcome::Missing;
     };
     let path = format!("{BULK_PATH}{key}");
-    let Some(request) = peer::question(&peer, &path) else {
-        return Asked::Missing;
+    let Some(request) = peer::new_request(&peer, &path) else {
+        return FetchOutcome::Missing;
     };
-    match pool.exchange(&peer, request, MOST_BYTES).await {
+    match pool.exchange(&peer, request, MAX_VALUE_BYTES).await {
         Fetch::Answered(head, body) if head.status.is_success() => {
-            Asked::Found(Arc::new(body.to_vec()))
+            FetchOutcome::Found(Arc::new(body.to_vec()))
         }
-        Fetch::Answered(..) => Asked::Missing,
-        Fetch::NotSent | Fetch::Broken => Asked::Silent,
+        Fetch::Answered(..) => FetchOutcome::Missing,
+        Fetch::NotSent | Fetch::Broken => FetchOutcome::Silent,
     }
 }
 
@@ -128,24 +146,24 @@
 /// caller reads the results of each job by itself: 880 calls after the last
 /// fault of one day.
 #[derive(Clone)]
-pub(crate) struct BulkAnswers {
+pub(crate) struct BulkResponder {
     cache: Arc<BulkCache>,
     ledger: Ledger,
     /// Locked while a value is read, so that concurrent requests share the
     /// read.
-    reading: Arc<tokio::sync::Mutex<()>>,
+    read_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
-impl BulkAnswers {
+impl BulkResponder {
     pub(crate) fn new(cache: Arc<BulkCache>, ledger: Ledger) -> Self {
         Self {
             cache,
             ledger,
-            reading: Arc::default(),
+            read_lock: Arc::default(),
         }
     }
 
-    pub(crate) async fn answer(self, key: String) -> Response<AnswerBody> {
+    pub(crate) async fn respond(self, key: String) -> Response<AnswerBody> {
         if let Some(value) = self.value(&key).await {
             let bytes = Bytes::copy_from_slice(&value);
             return Response::new(AnswerBody::own(bytes));
@@ -159,7 +177,7 @@
         if let Some(value) = self.cache.get(key) {
             return Some(value);
         }
-        let _reading = self.reading.lock().await;
+        let _guard = self.read_lock.lock().await;
         if let Some(value) = self.cache.get(key) {
             return Some(value);
         }
@@ -167,7 +185,7 @@
             Ok(value) => Some(value),
             Err(report) => {
                 log::info!(key, error:% = report.current_context();
-                    "a value that another node asks for is not found");
+                    "a value that another node requests is not found");
                 None
             }
         }
@@ -181,5 +199,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/siblings.rs"]
+#[path = "../tests/unit/peer_bulk.rs"]
 mod tests;
--- a/crates/node/src/readers.rs
+++ b/crates/node/src/readers.rs
@@ -13,64 +13,64 @@
 use tokio::{sync::watch, time};
 
 use crate::{
-    membership::FoundEntry,
-    start_list::{self, START_PREFIX},
+    bootstrap_list::{self, BOOTSTRAP_PREFIX},
+    membership::PreviousEntry,
     tree::{self, TreeNodes},
-    turns::Place,
+    turns::RoundRobinSlot,
 };
 
 /// Time limits of queries between nodes, derived from the time in which a
 /// change has to reach all nodes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct QueryTiming {
     /// Maximum age of another node's data that is accepted.
-    pub(crate) age_most_ms: u64,
+    pub(crate) max_age_ms: u64,
     /// How long a request waits for a change. This bounds the time that a node
     /// goes without a confirmation that its data is complete.
     pub(crate) wait_ms: u64,
     /// Maximum wait for a response beyond `wait_ms`.
-    pub(crate) answer_ms: u64,
+    pub(crate) response_timeout_ms: u64,
 }
 
 /// Maximum wait for a response, in milliseconds: nodes under load take a
 /// hundred at times.
-const ANSWER_MS: u64 = 250;
+const RESPONSE_TIMEOUT_MS: u64 = 250;
 
-impl Pace {
+impl QueryTiming {
     /// Divides the propagation time so that queries to two readers that are
     /// both lost, one after the other, and a read of the key-value service
     /// itself fit into it.
-    pub(crate) fn new(news_ms: u64) -> Self {
+    pub(crate) fn new(propagation_ms: u64) -> Self {
         Self {
-            age_most_ms: news_ms * 75 / 100,
-            wait_ms: news_ms * 25 / 100,
-            answer_ms: ANSWER_MS,
+            max_age_ms: propagation_ms * 75 / 100,
+            wait_ms: propagation_ms * 25 / 100,
+            response_timeout_ms: RESPONSE_TIMEOUT_MS,
         }
     }
 }
 
 /// Backoff for a reader that did not respond, in milliseconds.
-const READER_AGAIN_MS: u64 = 2_000;
+const SILENT_BACKOFF_MS: u64 = 2_000;
 
 /// Backoff for a reader whose data was too old, in milliseconds. The reader is
 /// alive, and is up to date again as soon as the key-value service recovers;
 /// until it is queried again, each node reads the key-value service itself.
-const READER_BEHIND_MS: u64 = 400;
+const BEHIND_BACKOFF_MS: u64 = 400;
 
 /// The reason why a query to another node failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum NoHelp {
+pub(crate) enum QueryFailure {
     /// The node does not respond.
     Silent,
     /// The data of the node is too old.
     Behind,
 }
 
-impl NoHelp {
-    fn again_ms(self) -> u64 {
+impl QueryFailure {
+    fn backoff_ms(self) -> u64 {
         match self {
-            Self::Silent => READER_AGAIN_MS,
-            Self::Behind => READER_BEHIND_MS,
+            Self::Silent => SILENT_BACKOFF_MS,
+            Self::Behind => BEHIND_BACKOFF_MS,
         }
     }
 }
@@ -80,25 +80,25 @@
 /// tenths of a second. A node that reads the key-value service itself instead
 /// queues behind hundreds that request the whole list of endpoints: with three
 /// thousand endpoints it took four seconds until requests were served.
-pub(crate) const START_PATIENCE_MS: u64 = 600;
+pub(crate) const START_WAIT_MS: u64 = 600;
 
 /// Maximum number of reads by which a starting node that sees no other node
 /// looks for them, before it makes a linearizable read.
-const START_READS_MOST: usize = 3;
+const MAX_START_READS: usize = 3;
 
 /// Interval between these reads, in milliseconds.
-const START_READ_PAUSE_MS: u64 = 200;
+const START_READ_INTERVAL_MS: u64 = 200;
 
 /// How readers read the key-value service.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Reading {
+pub(crate) enum ReadMode {
     /// Repeated reads of all keys, with a pause in milliseconds, by all
     /// readers in round robin. For prefixes whose keys change all the time,
     /// where a watch returns at once and costs a call as well.
-    InTurn(u64),
+    RoundRobin(u64),
     /// A watch by the first readers, with a pause in milliseconds in which
     /// changes accumulate.
-    Watching {
+    Watch {
         /// Number of nodes that watch.
         readers: usize,
         /// Pause after each batch of changes.
@@ -106,10 +106,10 @@
     },
 }
 
-impl Reading {
+impl ReadMode {
     pub(crate) fn pause_ms(self) -> u64 {
         match self {
-            Self::InTurn(pause_ms) | Self::Watching { pause_ms, .. } => {
+            Self::RoundRobin(pause_ms) | Self::Watch { pause_ms, .. } => {
                 pause_ms
             }
         }
@@ -117,14 +117,14 @@
 }
 
 /// The next action of a node to update a feed.
-pub(crate) enum Step {
+pub(crate) enum NextStep {
     /// Queries another node.
-    Ask(NodeRecord),
+    Query(NodeRecord),
     /// Reads the key-value service.
     Read,
     /// Takes part in the round robin of the readers; those that are being
     /// avoided are `None`.
-    Turn(Place, Vec<Option<NodeRecord>>),
+    RoundRobin(RoundRobinSlot, Vec<Option<NodeRecord>>),
 }
 
 /// The nodes that a node queries instead of the key-value service.
@@ -142,12 +142,12 @@
     /// The nodes to query.
     sources: Vec<NodeRecord>,
     /// The readers, if this node is one of them.
-    readers: Option<(Place, Vec<NodeRecord>)>,
+    readers: Option<(RoundRobinSlot, Vec<NodeRecord>)>,
     roster: Option<Roster>,
     nodes: TreeNodes,
     /// Failed queries by feed and node, with the end of the backoff. By feed,
     /// as a reader may be up to date in one and behind in another.
-    avoid: Vec<(usize, String, Millis)>,
+    avoided: Vec<(usize, String, Millis)>,
 }
 
 impl Readers {
@@ -174,10 +174,10 @@
     pub(crate) async fn seed(
         &self,
         kv: &dyn Kv,
-        mut entered: watch::Receiver<bool>,
-        found: watch::Sender<Option<FoundEntry>>,
+        mut registered: watch::Receiver<bool>,
+        previous: watch::Sender<Option<PreviousEntry>>,
     ) {
-        let own = match self.read_start_list(kv).await {
+        let own = match self.read_bootstrap_list(kv).await {
             true => {
                 let key = format!("{NODE_PREFIX}{}", self.node);
                 let own = kv.get_prefix_stale(&key).await;
@@ -185,32 +185,32 @@
             }
             false => self.read_nodes(kv).await,
         };
-        let own = FoundEntry::among(&own, &self.node);
-        found.send_replace(Some(own));
-        let most = Duration::from_millis(START_PATIENCE_MS);
-        let entry = entered.wait_for(|entered| *entered);
-        let _ = time::timeout(most, entry).await;
-        for _ in 0..START_READS_MOST {
+        let own = PreviousEntry::find(&own, &self.node);
+        previous.send_replace(Some(own));
+        let timeout = Duration::from_millis(START_WAIT_MS);
+        let entry = registered.wait_for(|registered| *registered);
+        let _ = time::timeout(timeout, entry).await;
+        for _ in 0..MAX_START_READS {
             if self.knows_others() {
                 break;
             }
-            let pause = Duration::from_millis(START_READ_PAUSE_MS);
+            let pause = Duration::from_millis(START_READ_INTERVAL_MS);
             time::sleep(pause).await;
             self.read_nodes(kv).await;
         }
         if !self.knows_others() {
-            self.note_nodes(kv.get_prefix(NODE_PREFIX, 0).await);
+            self.record_nodes(kv.get_prefix(NODE_PREFIX, 0).await);
         }
         self.seeded.send_replace(true);
     }
 
     /// Reads the bootstrap list; returns whether it names any other node.
-    async fn read_start_list(&self, kv: &dyn Kv) -> bool {
-        let read = kv.get_prefix_stale(START_PREFIX).await;
+    async fn read_bootstrap_list(&self, kv: &dyn Kv) -> bool {
+        let read = kv.get_prefix_stale(BOOTSTRAP_PREFIX).await;
         let Ok(reply) = read else {
             return false;
         };
-        let list = start_list::decode(&reply.kvs);
+        let list = bootstrap_list::decode(&reply.kvs);
         self.view.seed_records(list);
         self.knows_others()
     }
@@ -223,10 +223,10 @@
     }
 
     async fn read_nodes(&self, kv: &dyn Kv) -> Vec<KeyValue> {
-        self.note_nodes(kv.get_prefix_stale(NODE_PREFIX).await)
+        self.record_nodes(kv.get_prefix_stale(NODE_PREFIX).await)
     }
 
-    fn note_nodes(
+    fn record_nodes(
         &self,
         read: Result<GetReply, Report<KvError>>,
     ) -> Vec<KeyValue> {
@@ -237,7 +237,7 @@
             }
             Err(report) => {
                 log::info!(error:% = report.current_context();
-                    "the nodes cannot be read at the start");
+                    "the list of nodes cannot be read at the start");
                 Vec::new()
             }
         }
@@ -253,52 +253,56 @@
     /// reader would go on responding until its last confirmation is too old,
     /// and the node would receive a change that much later than all others.
     /// The other reader delivers the change at once.
-    pub(crate) fn step(
+    pub(crate) fn next_step(
         &self,
         feed: usize,
-        reading: Reading,
+        read_mode: ReadMode,
         now: Millis,
         turn: usize,
-    ) -> Step {
+    ) -> NextStep {
         let roster = self.view.roster();
         let mut inner = self.lock();
-        inner.follow(roster, &self.node, &self.failure_domain, now);
-        inner.avoid.retain(|(_, _, until)| now < *until);
-        let sources = match (&inner.readers, reading) {
+        inner.update(roster, &self.node, &self.failure_domain, now);
+        inner.avoided.retain(|(_, _, until)| now < *until);
+        let sources = match (&inner.readers, read_mode) {
             (None, _) => &inner.sources[..],
-            (Some((place, all)), Reading::InTurn(_)) => {
-                let good = |reader: &NodeRecord| {
-                    let is_good = !inner.is_avoided(feed, reader);
-                    is_good.then(|| reader.clone())
+            (Some((slot, all)), ReadMode::RoundRobin(_)) => {
+                let usable = |reader: &NodeRecord| {
+                    let is_usable = !inner.is_avoided(feed, reader);
+                    is_usable.then(|| reader.clone())
                 };
-                return Step::Turn(*place, all.iter().map(good).collect());
+                return NextStep::RoundRobin(
+                    *slot,
+                    all.iter().map(usable).collect(),
+                );
             }
-            (Some((place, _)), Reading::Watching { readers, .. })
-                if place.at < readers =>
+            (Some((slot, _)), ReadMode::Watch { readers, .. })
+                if slot.index < readers =>
             {
-                return Step::Read;
+                return NextStep::Read;
             }
-            (Some((_, all)), Reading::Watching { readers, .. }) => {
+            (Some((_, all)), ReadMode::Watch { readers, .. }) => {
                 &all[..readers.min(all.len())]
             }
         };
-        match inner.in_turn(feed, sources, turn) {
-            Some(source) => Step::Ask(source.clone()),
-            None => Step::Read,
+        match inner.select(feed, sources, turn) {
+            Some(source) => NextStep::Query(source.clone()),
+            None => NextStep::Read,
         }
     }
 
     /// Returns the index of the reader whose name has this hash.
-    pub(crate) fn place_of(&self, reader: u64) -> Option<usize> {
+    pub(crate) fn index_of(&self, reader: u64) -> Option<usize> {
         let inner = self.lock();
         let (_, all) = inner.readers.as_ref()?;
-        let is_it = |node: &NodeRecord| stable_hash(&[&node.node]) == reader;
-        all.iter().position(is_it)
+        let has_hash =
+            |node: &NodeRecord| stable_hash(&[&node.node]) == reader;
+        all.iter().position(has_hash)
     }
 
     /// Returns the node with the freshest data; `None` if this node reads the
     /// key-value service itself.
-    pub(crate) fn first_source(
+    pub(crate) fn start_source(
         &self,
         feed: usize,
         now: Millis,
@@ -306,21 +310,21 @@
     ) -> Option<NodeRecord> {
         let roster = self.view.roster();
         let mut inner = self.lock();
-        inner.follow(roster, &self.node, &self.failure_domain, now);
-        inner.in_turn(feed, &inner.sources, turn).cloned()
+        inner.update(roster, &self.node, &self.failure_domain, now);
+        inner.select(feed, &inner.sources, turn).cloned()
     }
 
     pub(crate) fn avoid(
         &self,
         feed: usize,
         reader: &str,
-        why: NoHelp,
+        why: QueryFailure,
         now: Millis,
     ) {
         log::info!(reader, feed, why:?;
             "a reader of the key-value service is avoided");
-        let until = now.saturating_add_ms(why.again_ms());
-        self.lock().avoid.push((feed, reader.to_owned(), until));
+        let until = now.saturating_add_ms(why.backoff_ms());
+        self.lock().avoided.push((feed, reader.to_owned(), until));
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -330,45 +334,45 @@
 
 impl Inner {
     fn is_avoided(&self, feed: usize, node: &NodeRecord) -> bool {
-        let mut all = self.avoid.iter();
+        let mut all = self.avoided.iter();
         all.any(|(number, name, _)| *number == feed && *name == node.node)
     }
 
     /// Returns one of the nodes that are not avoided, by turn.
-    fn in_turn<'a>(
+    fn select<'a>(
         &self,
         feed: usize,
         nodes: &'a [NodeRecord],
         turn: usize,
     ) -> Option<&'a NodeRecord> {
         let nodes = nodes.iter();
-        let good: Vec<&NodeRecord> =
+        let usable: Vec<&NodeRecord> =
             nodes.filter(|node| !self.is_avoided(feed, node)).collect();
-        let at = turn.checked_rem(good.len())?;
-        good.get(at).copied()
+        let index = turn.checked_rem(usable.len())?;
+        usable.get(index).copied()
     }
 
-    fn follow(
+    fn update(
         &mut self,
         listed: Roster,
         node: &str,
         failure_domain: &str,
         now: Millis,
     ) {
-        let roster = self.nodes.follow(listed, now);
+        let roster = self.nodes.update(listed, now);
         let known = self.roster.as_ref();
         if known.is_some_and(|known| known.is_same(&roster)) {
             return;
         }
         self.sources = tree::sources(&roster, node, failure_domain);
         let readers = tree::readers(&roster);
-        let at = readers.iter().position(|reader| reader.node == node);
-        self.readers = at.map(|at| {
-            let place = Place {
-                at,
+        let index = readers.iter().position(|reader| reader.node == node);
+        self.readers = index.map(|index| {
+            let slot = RoundRobinSlot {
+                index,
                 readers: readers.len(),
             };
-            (place, readers)
+            (slot, readers)
         });
         // Different nodes start with different sources.
         self.sources
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -22,18 +22,18 @@
 const FAN_OUT: usize = 16;
 
 /// Number of nodes that back each other up.
-pub(crate) const PAIR: usize = 2;
+pub(crate) const PAIR_SIZE: usize = 2;
 
 /// Workers for each node that reads the key-value service. The size of a read
 /// grows with the fleet, and so does the number of nodes that share the reads.
-const WORKERS_OF_A_READER: usize = 16;
+const WORKERS_PER_READER: usize = 16;
 
 /// Returns the nodes that read the key-value service for all others, those
 /// with the most duties first.
 pub(crate) fn readers(roster: &Roster) -> Vec<NodeRecord> {
-    let wanted = roster.workers.len() / WORKERS_OF_A_READER;
+    let reader_count = roster.workers.len() / WORKERS_PER_READER;
     let ranked = rank(roster);
-    owned(&ranked[..ranked.len().min(wanted.max(PAIR))])
+    clone_all(&ranked[..ranked.len().min(reader_count.max(PAIR_SIZE))])
 }
 
 /// The nodes that the tree is built from: the listed ones, and for a while
@@ -48,7 +48,7 @@
     /// The nodes that were listed last.
     listed: Option<Roster>,
     /// The nodes that the tree is built from.
-    known: Option<Roster>,
+    members: Option<Roster>,
     /// Time since which far fewer nodes are listed than the tree is built
     /// from.
     shrunk_at: Option<Millis>,
@@ -56,38 +56,38 @@
 
 /// Divisor of the fraction of nodes that has to remain listed for the missing
 /// ones to count as removed.
-const LEFT_DIVISOR: usize = 2;
+const MIN_REMAINING_DIVISOR: usize = 2;
 
 /// How long nodes are retained after most of them have vanished, in
 /// milliseconds: longer than an outage and the return of their entries take.
-const VANISHED_MS: u64 = 20_000;
+const RETENTION_MS: u64 = 20_000;
 
 impl TreeNodes {
     /// Applies the current listing and returns the nodes of the tree.
-    pub(crate) fn follow(&mut self, listed: Roster, now: Millis) -> Roster {
-        let is_seen = self
+    pub(crate) fn update(&mut self, listed: Roster, now: Millis) -> Roster {
+        let is_unchanged = self
             .listed
             .as_ref()
-            .is_some_and(|seen| seen.is_same(&listed));
-        let is_over = self
+            .is_some_and(|last| last.is_same(&listed));
+        let is_retention_over = self
             .shrunk_at
-            .is_some_and(|at| now.saturating_ms_since(at) >= VANISHED_MS);
-        if let Some(known) = &self.known
-            && is_seen
-            && !is_over
+            .is_some_and(|at| now.saturating_ms_since(at) >= RETENTION_MS);
+        if let Some(known) = &self.members
+            && is_unchanged
+            && !is_retention_over
         {
             return known.clone();
         }
         self.listed = Some(listed.clone());
-        if let Some(known) = &self.known
-            && !is_over
-            && listed.len() * LEFT_DIVISOR < known.len()
+        if let Some(known) = &self.members
+            && !is_retention_over
+            && listed.len() * MIN_REMAINING_DIVISOR < known.len()
         {
             self.shrunk_at.get_or_insert(now);
             return known.clone();
         }
         self.shrunk_at = None;
-        self.known = Some(listed.clone());
+        self.members = Some(listed.clone());
         listed
     }
 }
@@ -99,21 +99,21 @@
 }
 
 /// Pairs of each failure domain that are in the bootstrap list.
-const START_PAIRS: usize = 4;
+const BOOTSTRAP_PAIRS: usize = 4;
 
 /// Returns the nodes that a starting node may query: the roots and a few nodes
 /// of each failure domain that serve others. The length depends on the number
 /// of failure domains, not on the number of nodes.
-pub(crate) fn start_list(roster: &Roster) -> Vec<NodeRecord> {
+pub(crate) fn bootstrap_list(roster: &Roster) -> Vec<NodeRecord> {
     let ranked = rank(roster);
-    let mut taken: IndexMap<&str, usize> = IndexMap::new();
+    let mut counts: IndexMap<&str, usize> = IndexMap::new();
     let mut list = Vec::new();
-    for (place, node) in ranked.iter().enumerate() {
-        let count = taken.entry(&node.failure_domain).or_default();
-        if place < PAIR || *count < START_PAIRS * PAIR {
+    for (position, node) in ranked.iter().enumerate() {
+        let count = counts.entry(&node.failure_domain).or_default();
+        if position < PAIR_SIZE || *count < BOOTSTRAP_PAIRS * PAIR_SIZE {
             list.push((*node).clone());
         }
-        if place >= PAIR {
+        if position >= PAIR_SIZE {
             *count += 1;
         }
     }
@@ -130,77 +130,83 @@
     failure_domain: &str,
 ) -> Vec<NodeRecord> {
     let ranked = rank(roster);
-    let Some(place) = ranked.iter().position(|known| known.node == node)
+    let Some(position) = ranked.iter().position(|known| known.node == node)
     else {
-        return sources_of_stranger(&ranked, node, failure_domain);
+        return sources_of_unlisted(&ranked, node, failure_domain);
     };
-    if place < PAIR {
+    if position < PAIR_SIZE {
         return Vec::new();
     }
-    if ranked.len() <= PAIR + FAN_OUT {
-        return owned(&ranked[..PAIR]);
+    if ranked.len() <= PAIR_SIZE + FAN_OUT {
+        return clone_all(&ranked[..PAIR_SIZE]);
     }
-    let (roots, rest) = ranked.split_at(PAIR);
-    let of_domain = of_domain(rest, &ranked[place].failure_domain);
-    let at = of_domain.iter().position(|known| known.node == node);
-    let at = at.unwrap_or_default();
-    if at >= PAIR {
-        return owned(above(&of_domain, at));
+    let (roots, others) = ranked.split_at(PAIR_SIZE);
+    let in_domain = in_domain(others, &ranked[position].failure_domain);
+    let index = in_domain.iter().position(|known| known.node == node);
+    let index = index.unwrap_or_default();
+    if index >= PAIR_SIZE {
+        return clone_all(parents(&in_domain, index));
     }
-    let relays = relays(rest);
-    let line: Vec<&NodeRecord> =
+    let relays = relays(others);
+    let sequence: Vec<&NodeRecord> =
         roots.iter().chain(&relays).copied().collect();
-    let at = line.iter().position(|known| known.node == node);
-    owned(above(&line, at.unwrap_or(PAIR)))
+    let index = sequence.iter().position(|known| known.node == node);
+    clone_all(parents(&sequence, index.unwrap_or(PAIR_SIZE)))
 }
 
 /// Returns the nodes that an unlisted node queries: one of the pairs of its
 /// failure domain, so that the roots do not have to serve a whole starting
 /// fleet, or the roots if the domain has no pair.
-fn sources_of_stranger(
+fn sources_of_unlisted(
     ranked: &[&NodeRecord],
     node: &str,
     failure_domain: &str,
 ) -> Vec<NodeRecord> {
-    let (roots, rest) = ranked.split_at(ranked.len().min(PAIR));
-    let of_domain = of_domain(rest, failure_domain);
-    let pairs: Vec<&[&NodeRecord]> = of_domain
-        .chunks(PAIR)
-        .filter(|pair| pair.len() == PAIR)
-        .take(START_PAIRS)
+    let (roots, others) = ranked.split_at(ranked.len().min(PAIR_SIZE));
+    let in_domain = in_domain(others, failure_domain);
+    let pairs: Vec<&[&NodeRecord]> = in_domain
+        .chunks(PAIR_SIZE)
+        .filter(|pair| pair.len() == PAIR_SIZE)
+        .take(BOOTSTRAP_PAIRS)
         .collect();
-    let drawn = (stable_hash(&[node]) as usize).checked_rem(pairs.len());
-    match drawn {
-        Some(at) if ranked.len() > PAIR + FAN_OUT => owned(pairs[at]),
-        _ => owned(roots),
+    let selected = (stable_hash(&[node]) as usize).checked_rem(pairs.len());
+    match selected {
+        Some(index) if ranked.len() > PAIR_SIZE + FAN_OUT => {
+            clone_all(pairs[index])
+        }
+        _ => clone_all(roots),
     }
 }
 
-fn of_domain<'a>(
+fn in_domain<'a>(
     nodes: &[&'a NodeRecord],
     failure_domain: &str,
 ) -> Vec<&'a NodeRecord> {
-    let in_it = |node: &&&NodeRecord| node.failure_domain == failure_domain;
-    nodes.iter().filter(in_it).copied().collect()
+    let is_in_domain =
+        |node: &&&NodeRecord| node.failure_domain == failure_domain;
+    nodes.iter().filter(is_in_domain).copied().collect()
 }
 
 /// Returns the parents of a position in a sequence of nodes: the first pair is
 /// the top, the next sixteen nodes query it, the next sixteen query the second
 /// pair.
-fn above<'a>(line: &'a [&'a NodeRecord], at: usize) -> &'a [&'a NodeRecord] {
-    let pair = (at - PAIR) / FAN_OUT;
-    let first = pair * PAIR;
-    &line[first..(first + PAIR).min(line.len())]
+fn parents<'a>(
+    sequence: &'a [&'a NodeRecord],
+    index: usize,
+) -> &'a [&'a NodeRecord] {
+    let pair = (index - PAIR_SIZE) / FAN_OUT;
+    let first = pair * PAIR_SIZE;
+    &sequence[first..(first + PAIR_SIZE).min(sequence.len())]
 }
 
 /// Returns the first pair of nodes of each failure domain.
 fn relays<'a>(ranked: &[&'a NodeRecord]) -> Vec<&'a NodeRecord> {
-    let mut taken: IndexMap<&str, usize> = IndexMap::new();
+    let mut counts: IndexMap<&str, usize> = IndexMap::new();
     let mut relays = Vec::new();
     for node in ranked {
-        let count = taken.entry(&node.failure_domain).or_default();
+        let count = counts.entry(&node.failure_domain).or_default();
         *count += 1;
-        if *count <= PAIR {
+        if *count <= PAIR_SIZE {
             relays.push(*node);
         }
     }
@@ -231,7 +237,7 @@
     ranked
 }
 
-fn owned(nodes: &[&NodeRecord]) -> Vec<NodeRecord> {
+fn clone_all(nodes: &[&NodeRecord]) -> Vec<NodeRecord> {
     nodes.iter().map(|node| (*node).clone()).collect()
 }
 
--- a/crates/node/src/turns.rs
+++ b/crates/node/src/turns.rs
@@ -5,7 +5,7 @@
 /// Delay between the turns of consecutive readers, in milliseconds, if the
 /// earlier one misses its turn. What one node has read has to reach the others
 /// within it, or they read as well.
-const STEP_MS: u64 = 100;
+const TURN_DELAY_MS: u64 = 100;
 
 /// A position in the round robin of readers: the nodes that read the key-value
 /// service on behalf of others.
@@ -30,7 +30,7 @@
 /// ```ignore
 /// let second_of_three = RoundRobinSlot { index: 1, readers: 3 };
 /// let read_at = Millis::new(10_000);
-/// // The first reader has read last.
+/// // The first one has read last.
 /// assert_eq!(second_of_three.wait_ms(Some(0), 600, read_at, read_at), 600);
 /// assert_eq!(second_of_three.nth_reader(Some(0), 0), 1);
 /// // This reader has read last, so the third one is next.
@@ -38,24 +38,24 @@
 /// assert_eq!(second_of_three.nth_reader(Some(1), 0), 2);
 /// ```
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct RoundRobinSlot {
     /// Index of this reader.
-    pub(crate) at: usize,
+    pub(crate) index: usize,
     /// Number of readers.
     pub(crate) readers: usize,
 }
 
-impl Place {
+impl RoundRobinSlot {
     /// Returns the index of the reader that is `nth` to read after `last`,
     /// counted from 0. If `last` is unknown, the first reader is next.
-    pub(crate) fn turn_of(self, last: Option<usize>, nth: usize) -> usize {
+    pub(crate) fn nth_reader(self, last: Option<usize>, nth: usize) -> usize {
         let next = last.map_or(0, |last| last + 1);
         (next + nth) % self.readers.max(1)
     }
 
-    /// Returns the milliseconds until this reader has to read, unless another
-    /// one reads before: 0 for now. `fresh_at` is the time up to which the
-    /// last read contains all changes.
+    /// Returns in how many milliseconds this reader has to read, unless
+    /// another one does before: 0 for now. `fresh_at` is the time up to which
+    /// the last read contains all changes.
     pub(crate) fn wait_ms(
         self,
         last: Option<usize>,
@@ -63,10 +63,11 @@
         fresh_at: Millis,
         now: Millis,
     ) -> u64 {
-        let next = self.turn_of(last, 0);
-        let before = (self.at + self.readers - next) % self.readers.max(1);
-        let apart_ms = before as u64 * STEP_MS;
-        let due_at = fresh_at.saturating_add_ms(period_ms + apart_ms);
+        let next = self.nth_reader(last, 0);
+        let turns_before =
+            (self.index + self.readers - next) % self.readers.max(1);
+        let delay_ms = turns_before as u64 * TURN_DELAY_MS;
+        let due_at = fresh_at.saturating_add_ms(period_ms + delay_ms);
         due_at.saturating_ms_since(now)
     }
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -15,9 +15,9 @@
     ClusterState, Dialect, NodeSettings, OperatorOrder, VacateOrder,
     feed::{Delta, Feed, FeedStatus, Scope},
     follow::Follower,
-    membership::FoundEntry,
-    readers::{Pace, Readers, Reading},
-    tree::PAIR,
+    membership::PreviousEntry,
+    readers::{QueryTiming, ReadMode, Readers},
+    tree::PAIR_SIZE,
 };
 
 /// Number of listings of the endpoints in the time within which a leaving
@@ -28,11 +28,11 @@
 /// Maximum interval between listings, in milliseconds: less than half of the
 /// age up to which nodes accept each other's data, so that the loss of a
 /// reader makes no node read the key-value service itself.
-const LISTING_MOST_MS: u64 = 600;
+const MAX_LISTING_INTERVAL_MS: u64 = 600;
 
 /// Interval between two deliveries of job changes, in milliseconds. Each
 /// delivery is a call; changes in between arrive together.
-const JOBS_PAUSE_MS: u64 = 300;
+const JOB_BATCH_INTERVAL_MS: u64 = 300;
 
 /// Number of nodes that watch the jobs for all others. No change of a job has
 /// a time limit for reaching all nodes, so the next node reads only when this
@@ -53,9 +53,9 @@
     pub(crate) pool: Arc<Pool>,
     pub(crate) counters: Arc<Counters>,
     /// Becomes true when the entry of this node is written.
-    pub(crate) entered: watch::Receiver<bool>,
+    pub(crate) registered: watch::Receiver<bool>,
     /// Receives the entry of this node as found at the start.
-    pub(crate) found: watch::Sender<Option<FoundEntry>>,
+    pub(crate) previous: watch::Sender<Option<PreviousEntry>>,
     /// Which keys of the job feed this node follows.
     pub(crate) job_scope: Scope,
     /// Receives orders to drain a node.
@@ -72,9 +72,9 @@
         };
         // Each write of a job counts: the next write compares with its
         // revision.
-        let never = |_: &KeyValue, _: &KeyValue| false;
+        let never_equivalent = |_: &KeyValue, _: &KeyValue| false;
         let node = settings.node.as_str();
-        let followed = [
+        let feed_modes = [
             (
                 Feed::new(
                     self.dialect.endpoints_prefix(),
@@ -82,25 +82,30 @@
                     node,
                     same_endpoint,
                 ),
-                Reading::InTurn(listing_ms.min(LISTING_MOST_MS)),
+                ReadMode::RoundRobin(listing_ms.min(MAX_LISTING_INTERVAL_MS)),
             ),
             (
                 Feed::new(
                     self.dialect.orders_prefix(),
                     Scope::All,
                     node,
-                    never,
+                    never_equivalent,
                 ),
-                Reading::Watching {
-                    readers: PAIR,
+                ReadMode::Watch {
+                    readers: PAIR_SIZE,
                     pause_ms: 0,
                 },
             ),
             (
-                Feed::new(WATCHED_PREFIX, self.job_scope, node, never),
-                Reading::Watching {
+                Feed::new(
+                    WATCHED_PREFIX,
+                    self.job_scope,
+                    node,
+                    never_equivalent,
+                ),
+                ReadMode::Watch {
                     readers: JOB_READERS,
-                    pause_ms: JOBS_PAUSE_MS,
+                    pause_ms: JOB_BATCH_INTERVAL_MS,
                 },
             ),
         ];
@@ -110,21 +115,25 @@
             self.view.clone(),
         );
         let readers = Arc::new(readers);
-        let (seeded, kv) = (readers.clone(), self.kv.clone());
-        let entered = self.entered.clone();
-        let found = self.found;
-        tokio::spawn(async move { seeded.seed(&*kv, entered, found).await });
+        let (seeder, kv) = (readers.clone(), self.kv.clone());
+        let registered = self.registered.clone();
+        let previous = self.previous;
+        tokio::spawn(
+            async move { seeder.seed(&*kv, registered, previous).await },
+        );
         let pool = Arc::new(Pool::default());
-        let pace = Pace::new(settings.news_ms());
+        let timing = QueryTiming::new(settings.news_ms());
         let mut feeds = Vec::new();
-        for (number, (feed, reading)) in followed.into_iter().enumerate() {
+        for (feed_number, (feed, read_mode)) in
+            feed_modes.into_iter().enumerate()
+        {
             let feed = Arc::new(feed);
             feeds.push(feed.clone());
             let follower = Follower {
-                number,
+                feed_number,
                 feed,
-                reading,
-                pace,
+                read_mode,
+                timing,
                 kv: self.kv.clone(),
                 readers: readers.clone(),
                 pool: pool.clone(),
@@ -148,7 +157,7 @@
             cluster.clone(),
             pool,
         ));
-        let followed_cluster = cluster.clone();
+        let job_cluster = cluster.clone();
         tokio::spawn(follow_operators(
             feeds[1].clone(),
             dialect,
@@ -159,7 +168,7 @@
             feeds[JOB_FEED].clone(),
             view,
             quarantine,
-            followed_cluster,
+            job_cluster,
         ));
         Arc::new(feeds)
     }
@@ -195,20 +204,20 @@
         }
         // Endpoints that are retained without an entry may have to be removed
         // by now.
-        let is_known =
-            directory.has_listing() && known.content == status.content;
+        let is_known = directory.has_listing()
+            && known.content_version == status.content_version;
         if is_known && !directory.retains_missing() {
             confirm_endpoints(&cluster, status.revision);
             continue;
         }
-        let delta = feed.since(known.revision);
+        let delta = feed.changes_since(known.revision);
         known = FeedStatus {
             revision: delta.revision,
             ..status
         };
         let update = entries.decode(&delta, &*dialect);
         let now = cluster.clock().now();
-        let changes = match delta.whole {
+        let changes = match delta.is_full {
             true => directory.reconcile(
                 Listing {
                     revision: update.revision,
@@ -277,7 +286,7 @@
             revision: delta.revision,
             ..ListingUpdate::default()
         };
-        if delta.whole {
+        if delta.is_full {
             self.ids.clear();
         }
         for (key, _) in &delta.deleted {
@@ -317,7 +326,7 @@
     cluster: ClusterState,
     orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 ) {
-    let take = |kv: &KeyValue| match dialect.order(kv) {
+    let apply_order = |kv: &KeyValue| match dialect.order(kv) {
         Ok(OperatorOrder::Config(config)) => cluster.take_config(*config),
         Ok(OperatorOrder::Vacate(order)) => {
             if let Some(orders) = &orders {
@@ -327,15 +336,17 @@
         Ok(OperatorOrder::Other) => {}
         Err(error) => {
             log::warn!(key = kv.key.as_str(), error:%;
-                "what an operator wrote cannot be read");
+                "an operator's value is malformed and is ignored");
         }
     };
     let mut changes = subscribe(&feed);
     let mut after = 0;
     while changes.changed().await.is_ok() {
-        let delta = feed.since(after);
+        let delta = feed.changes_since(after);
         let newer = delta.items.iter();
-        newer.filter(|kv| kv.mod_revision > after).for_each(&take);
+        newer
+            .filter(|kv| kv.mod_revision > after)
+            .for_each(&apply_order);
         after = delta.revision;
         if let Some(at) = delta.fresh_at {
             cluster.confirm_config(at);
@@ -352,7 +363,7 @@
     let mut changes = subscribe(&feed);
     let mut after = 0;
     while changes.changed().await.is_ok() {
-        let delta = feed.since(after);
+        let delta = feed.changes_since(after);
         let Some(at) = delta.fresh_at else {
             continue;
         };
@@ -360,19 +371,19 @@
             &delta.items,
             &delta.deleted,
             delta.revision,
-            delta.whole,
+            delta.is_full,
         );
         cluster.note_held_requests();
-        if after == 0 || delta.whole {
+        if after == 0 || delta.is_full {
             view.replace(&delta.items, at);
         } else {
-            let gone = delta.deleted.into_iter();
-            let gone = gone.map(|(key, mod_revision)| Event::Delete {
+            let deleted = delta.deleted.into_iter();
+            let deleted = deleted.map(|(key, mod_revision)| Event::Delete {
                 key,
                 mod_revision,
             });
             let put = delta.items.into_iter().map(Event::Put);
-            let events: Vec<Event> = put.chain(gone).collect();
+            let events: Vec<Event> = put.chain(deleted).collect();
             view.apply(&events, at);
         }
         after = delta.revision;
--- a/crates/node/src/own_writes.rs
+++ b/crates/node/src/write_through.rs
@@ -15,12 +15,12 @@
 /// watch has returned, and forwards a request that this node has just
 /// quarantined.
 #[derive(Clone)]
-pub(crate) struct FedWrites {
+pub(crate) struct WriteThroughKv {
     kv: Arc<dyn Kv>,
     feed: Arc<OnceLock<Arc<Feed>>>,
 }
 
-impl FedWrites {
+impl WriteThroughKv {
     /// Wraps a key-value service. [`set_feed`](Self::set_feed) sets the feed
     /// that the writes are added to.
     pub(crate) fn new(kv: Arc<dyn Kv>) -> Self {
@@ -31,9 +31,9 @@
     }
 
     /// Sets the feed of the written keys.
-    pub(crate) fn feed_to(&self, feed: Arc<Feed>) {
+    pub(crate) fn set_feed(&self, feed: Arc<Feed>) {
         if self.feed.set(feed).is_err() {
-            log::warn!("the feed of own writes is set twice");
+            log::warn!("the feed of this node's own writes is set twice");
         }
     }
 
@@ -41,34 +41,34 @@
         &self,
         txn: Txn,
     ) -> Result<TxnReply, error_stack::Report<kv::KvError>> {
-        let steps = txn.success.clone();
+        let ops = txn.success.clone();
         let reply = self.kv.txn(txn).await?;
         if reply.succeeded
             && let Some(feed) = self.feed.get()
         {
-            for step in steps {
-                feed_step(feed, step, reply.revision);
+            for op in ops {
+                apply_op(feed, op, reply.revision);
             }
         }
         Ok(reply)
     }
 }
 
-fn feed_step(feed: &Feed, step: Op, revision: u64) {
-    match step {
-        Op::Put { key, value, lease } => feed.note_written(KeyValue {
+fn apply_op(feed: &Feed, op: Op, revision: u64) {
+    match op {
+        Op::Put { key, value, lease } => feed.record_put(KeyValue {
             key,
             value,
             create_revision: revision,
             mod_revision: revision,
             lease,
         }),
-        Op::Delete { key } => feed.note_deleted(key, revision),
+        Op::Delete { key } => feed.record_delete(key, revision),
         Op::Get { .. } | Op::GetPrefix { .. } => {}
     }
 }
 
-impl Kv for FedWrites {
+impl Kv for WriteThroughKv {
     fn get(&self, key: &str) -> KvFuture<'_, GetReply> {
         self.kv.get(key)
     }
--- a/crates/node/tests/unit/commit_wire.rs
+++ b/crates/node/tests/unit/commit_wire.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_write_arrives_as_it_was_sent() {
+fn a_write_round_trips() {
     let bytes = encode(&txn()).expect("encoded");
     assert_eq!(decode(&bytes), Some(txn()));
 }
@@ -38,7 +38,7 @@
 /// Guards against a write that is partly applied because its bytes were
 /// truncated, or that contains bytes beyond its own.
 #[test]
-fn a_malformed_write_is_none() {
+fn a_malformed_write_is_rejected() {
     let bytes = encode(&txn()).expect("encoded");
     for length in 0..bytes.len() {
         assert_eq!(decode(&bytes[..length]), None, "{length} bytes");
@@ -63,11 +63,11 @@
 /// Guards against a write that counts as failed because its outcome could not
 /// be decoded.
 #[test]
-fn an_outcome_that_cannot_be_read_is_open() {
+fn a_malformed_outcome_is_unknown() {
     for outcome in [
-        WireOutcome::Done(3),
-        WireOutcome::Overtaken(4),
-        WireOutcome::NotDone,
+        WireOutcome::Applied(3),
+        WireOutcome::Conflict(4),
+        WireOutcome::NotApplied,
         WireOutcome::Unknown,
         WireOutcome::Invalid,
     ] {
--- a/crates/node/tests/unit/commits.rs
+++ b/crates/node/tests/unit/commits.rs
@@ -26,21 +26,24 @@
     two_hundred = { 200, 2 },
     thousand = { 1_000, 8 },
 )]
-fn a_worker_collects_for_as_many_at_any_size(count: usize, collecting: usize) {
+fn the_load_of_a_collector_does_not_grow_with_the_fleet(
+    count: usize,
+    collectors: usize,
+) {
     let workers = workers(count);
     let mut collected: IndexMap<String, usize> = IndexMap::new();
     for node in workers.nodes() {
         let first = candidates(&workers, &node.node).swap_remove(0);
         *collected.entry(first.node).or_default() += 1;
     }
-    assert_eq!(collected.len(), collecting);
-    let most = collected.values().max().copied().unwrap_or(0);
-    assert!(most <= 160, "one collects for {most}");
+    assert_eq!(collected.len(), collectors);
+    let max = collected.values().max().copied().unwrap_or(0);
+    assert!(max <= 160, "a collector serves {max} workers");
 }
 
 /// Guards against nodes without a second candidate when the first one is lost.
 #[test]
-fn another_worker_collects_where_the_first_is_lost() {
+fn every_node_has_a_second_collector() {
     for count in [2, 3, 70, 1_000] {
         let workers = workers(count);
         let found = candidates(&workers, "front-1");
--- a/crates/node/tests/unit/feed.rs
+++ b/crates/node/tests/unit/feed.rs
@@ -5,12 +5,12 @@
 
 use super::{Feed, Scope};
 
-fn entry(at: usize, state: &str, beat: u64) -> KeyValue {
+fn entry(number: usize, state: &str, revision: u64) -> KeyValue {
     KeyValue {
-        key: format!("endpoints/{at}"),
-        value: format!("{state} {beat}").into_bytes(),
+        key: format!("endpoints/{number}"),
+        value: format!("{state} {revision}").into_bytes(),
         create_revision: 1,
-        mod_revision: beat,
+        mod_revision: revision,
         lease: None,
     }
 }
@@ -38,24 +38,25 @@
 /// change, each node received 600 kilobytes a second with three thousand
 /// unchanged endpoints.
 #[test]
-fn beats_of_endpoints_are_not_passed_on() {
+fn heartbeats_of_endpoints_are_not_passed_on() {
     for size in [10, 1_000] {
         let feed = feed();
-        let all =
-            |beat| (0..size).map(|at| entry(at, "ready", beat)).collect();
+        let all = |revision| {
+            (0..size).map(|at| entry(at, "ready", revision)).collect()
+        };
         feed.replace(listing(all(5), 5), Millis::new(100));
-        let content = feed.status().content;
+        let content_version = feed.status().content_version;
         feed.replace(listing(all(9), 9), Millis::new(200));
-        let delta = feed.since(5);
+        let delta = feed.changes_since(5);
         assert_eq!(delta.items.len(), 0, "of {size}");
         assert_eq!(delta.revision, 9);
         assert_eq!(delta.fresh_at, Some(Millis::new(200)));
-        assert_eq!(feed.status().content, content);
+        assert_eq!(feed.status().content_version, content_version);
     }
 }
 
 #[test]
-fn a_change_among_beats_is_passed_on_alone() {
+fn a_change_among_heartbeats_is_passed_on_alone() {
     let feed = feed();
     let mut all: Vec<KeyValue> =
         (0..10).map(|at| entry(at, "ready", 5)).collect();
@@ -63,7 +64,7 @@
     all = (0..9).map(|at| entry(at, "ready", 9)).collect();
     all[3] = entry(3, "draining", 9);
     feed.replace(listing(all, 9), Millis::new(200));
-    let delta = feed.since(5);
+    let delta = feed.changes_since(5);
     let keys: Vec<&str> =
         delta.items.iter().map(|kv| kv.key.as_str()).collect();
     assert_eq!(keys, ["endpoints/3"]);
@@ -74,23 +75,23 @@
 /// change: one reader started later and saw an unchanged entry at a later
 /// write, so the two name different revisions for the same state.
 #[test]
-fn readers_with_different_pasts_agree_on_changes() {
+fn readers_with_different_histories_agree_on_changes() {
     let (early, late, node) = (feed(), feed(), feed());
     early.replace(listing(vec![entry(1, "ready", 5)], 5), Millis::new(1));
     node.merge(early.all());
     late.replace(listing(vec![entry(1, "ready", 7)], 7), Millis::new(2));
-    node.merge(late.since(node.status().revision));
+    node.merge(late.changes_since(node.status().revision));
     let drains = vec![entry(1, "draining", 8)];
     early.replace(listing(drains.clone(), 9), Millis::new(3));
     late.replace(listing(drains, 9), Millis::new(3));
-    node.merge(early.since(node.status().revision));
+    node.merge(early.changes_since(node.status().revision));
     assert_eq!(node.all().items[0].value, b"draining 8");
-    node.merge(late.since(node.status().revision));
+    node.merge(late.changes_since(node.status().revision));
     assert_eq!(node.all().items[0].value, b"draining 8");
 }
 
 #[test]
-fn what_was_deleted_does_not_come_back_by_an_older_answer() {
+fn an_older_response_does_not_restore_deleted_keys() {
     let feed = feed();
     feed.replace(listing(vec![entry(1, "ready", 5)], 5), Millis::new(1));
     let before = feed.all();
@@ -111,7 +112,7 @@
     reader.replace(listing(vec![entry(1, "ready", 5)], 5), Millis::new(10));
     node.replace(listing(vec![entry(1, "ready", 5)], 9), Millis::new(20));
     reader.apply(Vec::new(), 5, Millis::new(900));
-    node.merge(reader.since(node.status().revision));
+    node.merge(reader.changes_since(node.status().revision));
     assert_eq!(node.status().fresh_at, Some(Millis::new(900)));
     assert_eq!(node.status().revision, 9);
     assert_eq!(node.all().items.len(), 1);
@@ -123,18 +124,25 @@
 fn an_own_write_is_passed_on_and_ends_no_page() {
     let feed = feed();
     feed.replace(listing(vec![entry(1, "ready", 5)], 5), Millis::new(100));
-    feed.note_written(entry(2, "held", 9));
-    for most in [1, 2, 10] {
-        let delta = feed.page(0, most, Scope::All);
-        assert_eq!(delta.revision, 5, "pages of {most}");
+    feed.record_put(entry(2, "held", 9));
+    for max_changes in [1, 2, 10] {
+        let delta = feed.page(0, max_changes, Scope::All);
+        assert_eq!(delta.revision, 5, "pages of {max_changes}");
     }
-    let delta = feed.since(5);
+    let delta = feed.changes_since(5);
     assert_eq!((delta.revision, delta.items.len()), (5, 1));
     let older = vec![entry(1, "ready", 5), entry(3, "ready", 7)];
     feed.replace(listing(older, 7), Millis::new(200));
-    let keys: Vec<String> =
-        feed.since(5).items.into_iter().map(|kv| kv.key).collect();
+    let keys: Vec<String> = feed
+        .changes_since(5)
+        .items
+        .into_iter()
+        .map(|kv| kv.key)
+        .collect();
     assert_eq!(keys, ["endpoints/3", "endpoints/2"]);
-    feed.note_deleted("endpoints/2".to_owned(), 11);
-    assert_eq!(feed.since(7).deleted, [("endpoints/2".to_owned(), 11)]);
+    feed.record_delete("endpoints/2".to_owned(), 11);
+    assert_eq!(
+        feed.changes_since(7).deleted,
+        [("endpoints/2".to_owned(), 11)]
+    );
 }
--- a/crates/node/tests/unit/feed_wire.rs
+++ b/crates/node/tests/unit/feed_wire.rs
@@ -4,20 +4,20 @@
 use kv::{GetReply, KeyValue};
 use yare::parameterized;
 
-use super::{EncodedPages, FeedCall, decode};
+use super::{EncodedPages, ParsedQuery, decode};
 use crate::feed::{Feed, Scope};
 
 const NOW: Millis = Millis::new(10_000);
 
 /// Creates a request for all keys after a revision.
-fn call(after: u64, most: usize) -> FeedCall {
-    FeedCall {
-        number: 0,
+fn query(after: u64, max_changes: usize) -> ParsedQuery {
+    ParsedQuery {
+        feed_number: 0,
         after,
-        most,
+        max_changes,
         scope: Scope::All,
         wait_ms: 0,
-        age_most_ms: 0,
+        max_age_ms: 0,
         age_ms: u64::MAX,
     }
 }
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn an_answer_is_read_as_it_was_written() {
+fn a_feed_response_round_trips() {
     let feed = feed(3);
     let pages = EncodedPages::default();
-    let bytes = pages.answer(&feed, call(1, usize::MAX), NOW);
+    let bytes = pages.respond(&feed, query(1, usize::MAX), NOW);
     let delta = decode(&bytes, NOW).expect("an answer");
     assert_eq!(delta.revision, 8);
     assert_eq!(delta.fresh_at, Some(Millis::new(9_000)));
-    assert!(!delta.whole && !delta.more);
+    assert!(!delta.is_full && !delta.has_more);
     let keys: Vec<_> = delta.items.iter().map(|kv| &kv.key).collect();
     assert_eq!(keys, ["e/2", "e/3"]);
 }
@@ -56,21 +56,21 @@
 /// fleet with three thousand endpoints served for three seconds, because each
 /// had to receive and decode the whole list before it could use any of it.
 #[test]
-fn a_node_that_starts_uses_the_first_page_and_gets_the_rest() {
+fn a_starting_node_uses_the_first_page_and_gets_the_remainder() {
     let (reader, node) = (
         feed(1_000),
         Feed::new("e/", Scope::All, "reader", |_, _| false),
     );
     let pages = EncodedPages::default();
-    let ask = |most| {
+    let fetch = |max_changes| {
         let after = node.status().revision;
-        let bytes = pages.answer(&reader, call(after, most), NOW);
+        let bytes = pages.respond(&reader, query(after, max_changes), NOW);
         node.merge(decode(&bytes, NOW).expect("an answer"));
     };
-    ask(300);
+    fetch(300);
     assert_eq!(node.all().items.len(), 300);
-    assert_eq!(node.status().fresh_at, None, "there is more");
-    ask(usize::MAX);
+    assert_eq!(node.status().fresh_at, None, "more pages follow");
+    fetch(usize::MAX);
     assert_eq!(node.all().items.len(), 1_000);
     assert_eq!(node.status().revision, 1_005);
     assert_eq!(node.status().fresh_at, Some(Millis::new(9_000)));
@@ -92,21 +92,21 @@
     };
     feed.replace(reply, NOW);
     let page = feed.page(0, 3, Scope::All);
-    assert_eq!((page.items.len(), page.more), (10, false));
+    assert_eq!((page.items.len(), page.has_more), (10, false));
 }
 
 #[test]
-fn one_page_is_encoded_once_for_all_who_ask() {
+fn a_page_is_encoded_once_for_all_requests() {
     let feed = feed(100);
     let pages = EncodedPages::default();
     for _ in 0..50 {
-        pages.answer(&feed, call(0, usize::MAX), NOW);
+        pages.respond(&feed, query(0, usize::MAX), NOW);
     }
     assert_eq!(pages.0.lock().expect("lock").len(), 1);
     for after in 1..50 {
-        pages.answer(&feed, call(after, usize::MAX), NOW);
+        pages.respond(&feed, query(after, usize::MAX), NOW);
     }
-    assert!(pages.0.lock().expect("lock").len() <= super::PAGES_KEPT);
+    assert!(pages.0.lock().expect("lock").len() <= super::MAX_CACHED_PAGES);
 }
 
 /// Guards against a malformed response that ends a node or makes it drop its
@@ -114,31 +114,31 @@
 #[parameterized(
     empty = { b"" },
     no_separator = { br#"{"revision":1,"whole":true,"more":false}"# },
-    no_json = { b"\xff\n\xff" },
+    not_json = { b"\xff\n\xff" },
     a_negative_revision = {
         b"{\"revision\":-1,\"whole\":true,\"more\":false,\"age_ms\":1,\"read_by\":0,\
         \"failed_age_ms\":null}\n{\"items\":[],\"deleted\":[]}"
     },
-    a_field_too_many = {
+    an_unknown_field = {
         b"{\"revision\":1,\"whole\":true,\"more\":false,\"age_ms\":1,\"read_by\":0,\
         \"failed_age_ms\":null,\"v\":2}\n{\"items\":[],\"deleted\":[]}"
     },
-    a_value_that_is_no_base64 = {
+    a_value_that_is_not_base64 = {
         b"{\"revision\":1,\"whole\":true,\"more\":false,\"age_ms\":1,\"read_by\":0,\
         \"failed_age_ms\":null}\n{\"items\":[{\"key\":\"a\",\"value\":\"%\",\
         \"create_revision\":1,\"mod_revision\":1,\"lease\":null}],\
         \"deleted\":[]}"
     },
 )]
-fn what_is_no_answer_is_not_taken(bytes: &[u8]) {
+fn a_malformed_feed_response_is_rejected(bytes: &[u8]) {
     assert!(decode(bytes, NOW).is_none());
 }
 
 /// Guards against truncated responses that are accepted or end the process.
 #[test]
-fn answers_that_are_cut_off_are_not_taken() {
+fn truncated_feed_responses_are_rejected() {
     let bytes =
-        EncodedPages::default().answer(&feed(3), call(0, usize::MAX), NOW);
+        EncodedPages::default().respond(&feed(3), query(0, usize::MAX), NOW);
     for end in 0..bytes.len() {
         assert!(decode(&bytes[..end], NOW).is_none(), "cut at {end}");
     }
@@ -150,7 +150,7 @@
     few_jobs = { 10 },
     many_jobs = { 1_000 },
 )]
-fn a_node_that_follows_no_heads_gets_none(jobs: u64) {
+fn a_node_that_follows_no_manifests_receives_none(jobs: u64) {
     let feed = Feed::new("jobs/", Scope::All, "reader", |_, _| false);
     let key = |at: u64| match at {
         1 => "jobs/n/front-1".to_owned(),
@@ -168,16 +168,17 @@
         kvs: kvs.collect(),
     };
     feed.replace(reply, NOW);
-    let without = FeedCall {
-        scope: Scope::WithoutHeads,
-        ..call(0, usize::MAX)
+    let without = ParsedQuery {
+        scope: Scope::WithoutManifests,
+        ..query(0, usize::MAX)
     };
-    let bytes = EncodedPages::default().answer(&feed, without, NOW);
+    let bytes = EncodedPages::default().respond(&feed, without, NOW);
     assert!(bytes.len() < 1_000, "{} bytes", bytes.len());
-    assert!(feed.has_news(0, Scope::WithoutHeads));
-    assert!(!feed.has_news(1, Scope::WithoutHeads));
-    assert!(feed.has_news(1, Scope::All));
-    let front = Feed::new("jobs/", Scope::WithoutHeads, "front", |_, _| false);
+    assert!(feed.has_changes(0, Scope::WithoutManifests));
+    assert!(!feed.has_changes(1, Scope::WithoutManifests));
+    assert!(feed.has_changes(1, Scope::All));
+    let front =
+        Feed::new("jobs/", Scope::WithoutManifests, "front", |_, _| false);
     front.merge(decode(&bytes, NOW).expect("an answer"));
     assert_eq!(front.all().items.len(), 1);
     assert_eq!(front.status().revision, jobs);
--- a/crates/node/tests/unit/job_heads.rs
+++ b/crates/node/tests/unit/job_manifests.rs
@@ -10,7 +10,7 @@
     StoredManifest,
 };
 
-use super::{HeadAnswers, PeerHeads, decode, encode};
+use super::{ManifestResponder, PeerManifests, decode, encode};
 
 fn worker(number: usize) -> NodeRecord {
     NodeRecord {
@@ -44,10 +44,10 @@
     }
 }
 
-fn heads(workers: usize) -> PeerHeads {
+fn manifests(workers: usize) -> PeerManifests {
     let view = JobView::default();
     view.seed_records((0..workers).map(worker).collect());
-    PeerHeads::new(view, Arc::new(SteppedClock::default()))
+    PeerManifests::new(view, Arc::new(SteppedClock::default()))
 }
 
 fn job() -> JobKey {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_head_arrives_as_it_was_sent() {
+fn a_manifest_round_trips() {
     let known = KnownManifest {
         stored: stored("worker-1", 7),
         age_ms: 120,
@@ -71,56 +71,56 @@
 /// wait for changes at a worker that receives them later than the one that
 /// lists the results.
 #[test]
-fn the_worker_that_runs_a_job_is_asked_first() {
+fn the_worker_that_runs_a_job_is_queried_first() {
     for workers in [3, 70, 1_000] {
-        let heads = heads(workers);
-        assert_eq!(heads.workers_for(&job()).len(), 2, "of {workers}");
-        heads.note(&job(), &stored("worker-1", 5));
-        let asked = heads.workers_for(&job());
-        assert_eq!(asked[0].node, "worker-1");
-        assert_eq!(asked.len(), 2);
+        let manifests = manifests(workers);
+        assert_eq!(manifests.workers_for(&job()).len(), 2, "of {workers}");
+        manifests.note(&job(), &stored("worker-1", 5));
+        let selected = manifests.workers_for(&job());
+        assert_eq!(selected[0].node, "worker-1");
+        assert_eq!(selected.len(), 2);
     }
-    assert!(heads(0).workers_for(&job()).is_empty());
+    assert!(manifests(0).workers_for(&job()).is_empty());
 }
 
 #[test]
-fn a_worker_that_does_not_answer_is_left_alone() {
-    let heads = heads(5);
-    heads.note(&job(), &stored("worker-1", 5));
-    heads.note_silent(&worker(1));
-    let asked = heads.workers_for(&job());
-    assert!(asked.iter().all(|known| known.node != "worker-1"));
+fn a_silent_worker_is_not_queried() {
+    let manifests = manifests(5);
+    manifests.note(&job(), &stored("worker-1", 5));
+    manifests.record_silence(&worker(1));
+    let selected = manifests.workers_for(&job());
+    assert!(selected.iter().all(|known| known.node != "worker-1"));
 }
 
 /// Guards against a cache of manifests that grows with the jobs of the fleet.
 #[test]
-fn few_heads_are_remembered_and_none_goes_back() {
-    let heads = heads(5);
-    heads.note(&job(), &stored("worker-1", 5));
-    heads.note(&job(), &stored("worker-2", 4));
-    assert_eq!(heads.workers_for(&job())[0].node, "worker-1");
+fn remembered_manifests_are_bounded_and_never_regress() {
+    let manifests = manifests(5);
+    manifests.note(&job(), &stored("worker-1", 5));
+    manifests.note(&job(), &stored("worker-2", 4));
+    assert_eq!(manifests.workers_for(&job())[0].node, "worker-1");
     for number in 0..2_000 {
         let key: JobKey = format!("other-{number}").parse().expect("a key");
-        heads.note(&key, &stored("worker-1", 5));
+        manifests.note(&key, &stored("worker-1", 5));
     }
-    let remembered = heads.lock().remembered.len();
+    let remembered = manifests.lock().remembered.len();
     assert!(remembered <= 256, "{remembered}");
 }
 
 /// Guards against callers that receive a result later than its worker.
 #[tokio::test(start_paused = true)]
-async fn a_question_is_answered_as_soon_as_there_is_news() {
+async fn a_request_returns_as_soon_as_the_manifest_changes() {
     let view = JobView::default();
     let clock = Arc::new(SteppedClock::default());
     view.update(&job(), &stored("worker-1", 5), Millis::new(0));
-    let answers = HeadAnswers::new(view.clone(), clock);
+    let responder = ManifestResponder::new(view.clone(), clock);
     let uri = "/head/job-1?wait_ms=900&after=5".parse().expect("a path");
-    let answered = tokio::spawn(answers.clone().answer(uri));
+    let response_task = tokio::spawn(responder.clone().respond(uri));
     tokio::task::yield_now().await;
-    assert!(!answered.is_finished());
+    assert!(!response_task.is_finished());
     view.update(&job(), &stored("worker-1", 6), Millis::new(1));
-    let response = answered.await.expect("task");
+    let response = response_task.await.expect("task");
     assert_eq!(response.status(), 200);
     let unknown = "/head/job-2?wait_ms=0".parse().expect("a path");
-    assert_eq!(answers.answer(unknown).await.status(), 404);
+    assert_eq!(responder.respond(unknown).await.status(), 404);
 }
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -9,7 +9,7 @@
 };
 use kv::{Kv, Memory};
 
-use super::PushedJobs;
+use super::PushReceiver;
 use crate::commit_wire;
 
 const VALUE_BYTES: usize = 1024 * 1024;
@@ -34,8 +34,8 @@
     }
 }
 
-fn pushed() -> PushedJobs {
-    PushedJobs {
+fn receiver() -> PushReceiver {
+    PushReceiver {
         view: JobView::default(),
         cache: Arc::default(),
         clock: Arc::new(SteppedClock::default()),
@@ -60,10 +60,10 @@
 /// Guards against a read of the key-value service for each new job. Load: a
 /// fleet in which each job has its own inputs.
 #[tokio::test]
-async fn a_worker_reads_nothing_of_a_job_that_is_sent_to_it() {
+async fn a_worker_reads_nothing_of_a_pushed_job() {
     let (stored, bytes) = accepted().await;
-    let worker = pushed();
-    worker.learn(&bytes, stored.revision).expect("taken");
+    let worker = receiver();
+    worker.apply(&bytes, stored.revision).expect("taken");
     let key = job().key;
     assert_eq!(worker.view.get(&key), Some(stored.clone()));
     // A ledger with an empty key-value service: what it reads comes from the
@@ -72,7 +72,7 @@
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
         .with_peers(worker.cache, Arc::new(NoPeers));
-    let inputs = ledger.inputs(&key, &stored.manifest).await.expect("there");
+    let inputs = ledger.inputs(&key, &stored.manifest).await.expect("inputs");
     assert_eq!(inputs, job().items);
 }
 
@@ -82,8 +82,8 @@
 async fn a_malformed_message_changes_nothing() {
     let (stored, bytes) = accepted().await;
     for length in 0..bytes.len() {
-        let worker = pushed();
-        assert!(worker.learn(&bytes[..length], stored.revision).is_none());
+        let worker = receiver();
+        assert!(worker.apply(&bytes[..length], stored.revision).is_none());
         assert_eq!(worker.view.get(&job().key), None);
     }
 }
--- a/crates/node/tests/unit/membership.rs
+++ b/crates/node/tests/unit/membership.rs
@@ -5,45 +5,45 @@
 use kv::{KeyValue, LeaseId};
 use yare::parameterized;
 
-use super::{FoundEntry, LEASE_MOST_S, LeaseTerms};
+use super::{LeaseTerms, MAX_LEASE_S, PreviousEntry};
 
 /// Guards against renewals that grow with the fleet. Load: idle fleets.
 #[parameterized(
     fronts = { false, 50 },
     workers = { true, 40 },
 )]
-fn all_nodes_together_renew_as_often_at_any_size(
+fn the_total_renewal_rate_does_not_grow_with_the_fleet(
     runs_items: bool,
-    at_once: usize,
+    nodes_at_min: usize,
 ) {
     let terms = LeaseTerms::new(runs_items, 1_000);
     let renewals_per_s =
         |count: usize| count as f64 * 3.0 / f64::from(terms.lease_s(count));
-    let few = renewals_per_s(at_once);
+    let few = renewals_per_s(nodes_at_min);
     for times in [2, 5, 7, 20] {
-        let many = renewals_per_s(times * at_once);
+        let many = renewals_per_s(times * nodes_at_min);
         assert!(many <= few * 1.2, "{times} times as many: {many} of {few}");
     }
 }
 
 #[test]
-fn small_fleets_have_the_shortest_time_that_the_service_grants() {
+fn small_fleets_use_the_shortest_granted_lease() {
     let terms = LeaseTerms::new(true, 1_000);
     assert_eq!(terms.lease_s(0), 3);
     assert_eq!(terms.lease_s(40), 3);
     assert_eq!(LeaseTerms::new(true, 7_500).lease_s(3), 8);
-    assert_eq!(terms.lease_s(1_000_000), LEASE_MOST_S);
+    assert_eq!(terms.lease_s(1_000_000), MAX_LEASE_S);
 }
 
 /// Guards against an entry that expires between two renewals because its lease
 /// was assumed to be longer, and against one that is renewed far too often.
 #[test]
-fn a_time_to_live_that_does_not_fit_is_noticed() {
+fn a_mismatched_time_to_live_is_detected() {
     let terms = LeaseTerms::new(false, 1_000);
-    assert!(terms.is_off(15, 5));
-    assert!(terms.is_off(3, 275));
-    assert!(!terms.is_off(15, 275));
-    assert!(!terms.is_off(3, 60));
+    assert!(terms.is_mismatched(15, 5));
+    assert!(terms.is_mismatched(3, 275));
+    assert!(!terms.is_mismatched(15, 275));
+    assert!(!terms.is_mismatched(3, 60));
 }
 
 fn record() -> NodeRecord {
@@ -69,7 +69,7 @@
 
 /// Guards against two calls of each node when all restart at once.
 #[test]
-fn the_lease_of_the_process_before_is_found() {
+fn the_lease_of_the_previous_process_is_found() {
     let written = NodeRecord {
         lease_s: 16,
         ..record()
@@ -79,24 +79,24 @@
         ..written.clone()
     };
     let entries = [entry(&other), entry(&written)];
-    let found = FoundEntry::among(&entries, "front-1");
+    let found = PreviousEntry::find(&entries, "front-1");
     assert_eq!(found.lease_of(&record()), Some((LeaseId(77), 16)));
-    let none = FoundEntry::among(&entries, "front-3");
+    let none = PreviousEntry::find(&entries, "front-3");
     assert_eq!(none.lease_of(&record()), None);
 }
 
 /// Guards against a node that others query at its former address.
 #[test]
-fn an_entry_that_says_something_else_is_not_taken_over() {
+fn a_different_entry_is_not_taken_over() {
     let moved = NodeRecord {
         address: Some(([127, 0, 0, 1], 8).into()),
         lease_s: 16,
         ..record()
     };
     let entries = [entry(&moved)];
-    let found = FoundEntry::among(&entries, "front-1");
+    let found = PreviousEntry::find(&entries, "front-1");
     assert_eq!(found.lease_of(&record()), None);
     let unknown = [entry(&record())];
-    let found = FoundEntry::among(&unknown, "front-1");
-    assert_eq!(found.lease_of(&record()), None, "of unknown length");
+    let found = PreviousEntry::find(&unknown, "front-1");
+    assert_eq!(found.lease_of(&record()), None, "unknown time to live");
 }
--- a/crates/node/tests/unit/peer.rs
+++ b/crates/node/tests/unit/peer.rs
@@ -2,7 +2,7 @@
 
 use yare::parameterized;
 
-use super::away_pause_ms;
+use super::outage_interval_ms;
 
 /// Guards against calls during an outage that grow with the fleet, all of
 /// which fail and are charged. Load: a key-value service that is unavailable
@@ -12,15 +12,16 @@
     twice = { 80 },
     four_times = { 160 },
 )]
-fn an_outage_costs_as_many_calls_at_any_size(nodes: usize) {
-    let calls_per_s =
-        |nodes: usize| nodes as f64 * 1_000.0 / away_pause_ms(nodes) as f64;
+fn calls_in_an_outage_do_not_grow_with_the_fleet(nodes: usize) {
+    let calls_per_s = |nodes: usize| {
+        nodes as f64 * 1_000.0 / outage_interval_ms(nodes) as f64
+    };
     assert!(calls_per_s(nodes) <= calls_per_s(32) * 1.01);
 }
 
 #[test]
-fn small_fleets_notice_the_return_at_once() {
-    assert_eq!(away_pause_ms(3), 400);
-    assert_eq!(away_pause_ms(32), 400);
-    assert_eq!(away_pause_ms(10_000), 2_000);
+fn small_fleets_use_the_shortest_outage_interval() {
+    assert_eq!(outage_interval_ms(3), 400);
+    assert_eq!(outage_interval_ms(32), 400);
+    assert_eq!(outage_interval_ms(10_000), 2_000);
 }
--- a/crates/node/tests/unit/siblings.rs
+++ b/crates/node/tests/unit/peer_bulk.rs
@@ -9,9 +9,9 @@
 use tokio::task::JoinSet;
 use yare::parameterized;
 
-use super::BulkAnswers;
+use super::BulkResponder;
 
-async fn answers(key: &str) -> (Memory, BulkAnswers) {
+async fn responder(key: &str) -> (Memory, BulkResponder) {
     let kv = Memory::default();
     let put = Op::Put {
         key: key.to_owned(),
@@ -27,7 +27,7 @@
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(Arc::new(kv.clone()), timer, 1_000_000)
         .with_peers(cache.clone(), Arc::new(NoPeers));
-    (kv, BulkAnswers::new(cache, ledger))
+    (kv, BulkResponder::new(cache, ledger))
 }
 
 /// Guards against a read of the key-value service for each front that serves
@@ -38,14 +38,14 @@
     many = { 100 },
 )]
 #[test_macro(tokio::test)]
-async fn a_value_is_read_once_for_all_that_ask(fronts: usize) {
-    let (kv, answers) = answers("bulk/out/a").await;
-    let mut asked = JoinSet::new();
+async fn a_value_is_read_once_for_all_requests(fronts: usize) {
+    let (kv, responder) = responder("bulk/out/a").await;
+    let mut requests = JoinSet::new();
     for _ in 0..fronts {
-        let answers = answers.clone();
-        asked.spawn(async move { answers.value("bulk/out/a").await });
+        let responder = responder.clone();
+        requests.spawn(async move { responder.value("bulk/out/a").await });
     }
-    for found in asked.join_all().await {
+    for found in requests.join_all().await {
         assert_eq!(found.as_deref(), Some(&b"value".to_vec()));
     }
     assert_eq!(kv.counts().reads, 1);
@@ -54,8 +54,8 @@
 /// Guards against other nodes that read arbitrary keys through this one.
 #[tokio::test]
 async fn only_values_of_jobs_are_read_for_others() {
-    let (kv, answers) = answers("orders/config").await;
-    assert_eq!(answers.value("orders/config").await, None);
+    let (kv, responder) = responder("orders/config").await;
+    assert_eq!(responder.value("orders/config").await, None);
     assert_eq!(kv.counts().reads, 0);
-    assert_eq!(answers.value("bulk/out/none").await, None);
+    assert_eq!(responder.value("bulk/out/none").await, None);
 }
--- a/crates/node/tests/unit/tree.rs
+++ b/crates/node/tests/unit/tree.rs
@@ -5,7 +5,7 @@
 use jobs::{NodeRecord, Roster};
 use yare::parameterized;
 
-use super::{TreeNodes, sources, start_list};
+use super::{TreeNodes, bootstrap_list, sources};
 
 fn fleet(nodes: usize, domains: usize) -> Vec<NodeRecord> {
     let node = |at: usize| NodeRecord {
@@ -21,9 +21,9 @@
 
 /// Returns for each node how many others may query it, and the nodes that read
 /// the key-value service themselves.
-fn askers(nodes: &[NodeRecord]) -> (IndexMap<String, usize>, Vec<String>) {
+fn queries(nodes: &[NodeRecord]) -> (IndexMap<String, usize>, Vec<String>) {
     let roster = Roster::new(nodes);
-    let mut asked: IndexMap<String, usize> = IndexMap::new();
+    let mut queried: IndexMap<String, usize> = IndexMap::new();
     let mut roots = Vec::new();
     for node in nodes {
         let sources = sources(&roster, &node.node, &node.failure_domain);
@@ -31,10 +31,10 @@
             roots.push(node.node.clone());
         }
         for source in sources {
-            *asked.entry(source.node).or_default() += 1;
+            *queried.entry(source.node).or_default() += 1;
         }
     }
-    (asked, roots)
+    (queried, roots)
 }
 
 /// Guards against two readers that serve all other nodes: in a large fleet
@@ -42,17 +42,17 @@
 /// called the key-value service at the same moment.
 #[parameterized(
     small = { 9, 4 },
-    a_day_s_size = { 88, 6 },
+    dozens = { 88, 6 },
     hundreds = { 300, 6 },
     a_thousand = { 1_000, 6 },
     many_domains = { 1_000, 40 },
     one_domain = { 500, 1 },
 )]
 fn no_node_serves_more_than_a_fixed_number(nodes: usize, domains: usize) {
-    let (asked, roots) = askers(&fleet(nodes, domains));
+    let (queried, roots) = queries(&fleet(nodes, domains));
     assert_eq!(roots.len(), 2);
-    let most = asked.values().max().copied().unwrap_or_default();
-    assert!(most <= 34, "a node is asked by {most} others");
+    let max = queried.values().max().copied().unwrap_or_default();
+    assert!(max <= 34, "a node is queried by {max} others");
 }
 
 #[parameterized(
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn most_news_stay_in_a_failure_domain() {
+fn most_queries_stay_in_a_failure_domain() {
     let all = fleet(300, 6);
     let roster = Roster::new(&all);
     let crossing = all.iter().filter(|node| {
@@ -92,7 +92,7 @@
 fn the_roots_are_of_different_failure_domains() {
     for nodes in [5, 20, 100] {
         let all = fleet(nodes, 3);
-        let (_, roots) = askers(&all);
+        let (_, roots) = queries(&all);
         let domain = |name: &String| {
             let node = all.iter().find(|node| node.node == *name);
             node.map(|node| node.failure_domain.clone())
@@ -102,20 +102,20 @@
 }
 
 #[test]
-fn a_node_that_is_not_listed_yet_asks_the_roots() {
+fn an_unlisted_node_queries_the_roots() {
     let all = fleet(50, 3);
-    let (_, roots) = askers(&all);
-    let asked = sources(&Roster::new(&all), "stranger", "elsewhere");
-    let mut asked: Vec<String> =
-        asked.into_iter().map(|node| node.node).collect();
-    asked.sort();
+    let (_, roots) = queries(&all);
+    let queried = sources(&Roster::new(&all), "unlisted", "elsewhere");
+    let mut queried: Vec<String> =
+        queried.into_iter().map(|node| node.node).collect();
+    queried.sort();
     let mut roots = roots;
     roots.sort();
-    assert_eq!(asked, roots);
+    assert_eq!(queried, roots);
 }
 
 #[test]
-fn a_node_that_knows_nobody_reads_the_service() {
+fn a_node_that_knows_no_other_reads_the_key_value_service() {
     assert!(sources(&Roster::default(), "alone", "east").is_empty());
     let all = fleet(1, 1);
     assert!(sources(&Roster::new(&all), "node-0", "domain-0").is_empty());
@@ -125,9 +125,9 @@
 /// nodes while a whole fleet starts. Load: a fleet of which all processes are
 /// killed at once.
 #[test]
-fn what_a_start_reads_is_as_long_at_any_size() {
+fn the_bootstrap_list_does_not_grow_with_the_fleet() {
     for nodes in [200, 1_000, 4_000] {
-        let list = start_list(&Roster::new(&fleet(nodes, 6)));
+        let list = bootstrap_list(&Roster::new(&fleet(nodes, 6)));
         assert!(list.len() <= 2 + 6 * 8, "{} of {nodes}", list.len());
     }
 }
@@ -137,47 +137,50 @@
     hundreds = { 347, 6 },
     a_thousand = { 1_000, 6 },
 )]
-fn starting_nodes_ask_nodes_of_their_own_domain(nodes: usize, domains: usize) {
+fn starting_nodes_query_their_own_failure_domain(
+    nodes: usize,
+    domains: usize,
+) {
     let all = fleet(nodes, domains);
-    let list = start_list(&Roster::new(&all));
+    let list = bootstrap_list(&Roster::new(&all));
     let started = Roster::new(&list);
-    let mut asked: IndexMap<String, usize> = IndexMap::new();
+    let mut queried: IndexMap<String, usize> = IndexMap::new();
     for node in &all {
         for source in sources(&started, &node.node, &node.failure_domain) {
-            *asked.entry(source.node).or_default() += 1;
+            *queried.entry(source.node).or_default() += 1;
         }
     }
-    let most = asked.values().max().copied().unwrap_or_default();
+    let max = queried.values().max().copied().unwrap_or_default();
     let each = nodes / domains / 4;
-    assert!(most <= 2 * each, "one is asked by {most}");
+    assert!(max <= 2 * each, "a node is queried by {max} others");
 }
 
 /// Guards against nodes that all read the key-value service because their
 /// entries have expired in an outage of it, though the nodes are alive.
 #[test]
-fn nodes_whose_entries_lapse_at_once_are_asked_on() {
+fn nodes_whose_entries_expire_at_once_stay_in_the_tree() {
     let all = fleet(100, 4);
     let mut nodes = TreeNodes::default();
     let full = Roster::new(&all);
-    nodes.follow(full.clone(), Millis::new(1_000));
+    nodes.update(full.clone(), Millis::new(1_000));
     let empty = Roster::default();
-    let lapsed = nodes.follow(empty.clone(), Millis::new(2_000));
+    let lapsed = nodes.update(empty.clone(), Millis::new(2_000));
     assert!(lapsed.is_same(&full));
     // Some entries have returned.
     let some = Roster::new(&all[..30]);
-    assert!(nodes.follow(some, Millis::new(3_000)).is_same(&full));
-    let most = Roster::new(&all[..70]);
-    let back = nodes.follow(most.clone(), Millis::new(4_000));
-    assert!(back.is_same(&most));
+    assert!(nodes.update(some, Millis::new(3_000)).is_same(&full));
+    let majority = Roster::new(&all[..70]);
+    let back = nodes.update(majority.clone(), Millis::new(4_000));
+    assert!(back.is_same(&majority));
 }
 
 /// Guards against a tree of nodes that are gone for good.
 #[test]
-fn nodes_that_stay_away_are_not_asked_for_ever() {
+fn nodes_that_do_not_return_are_removed_from_the_tree() {
     let mut nodes = TreeNodes::default();
-    nodes.follow(Roster::new(&fleet(100, 4)), Millis::new(1_000));
+    nodes.update(Roster::new(&fleet(100, 4)), Millis::new(1_000));
     let few = Roster::new(&fleet(10, 4));
-    nodes.follow(few.clone(), Millis::new(2_000));
-    let later = nodes.follow(few.clone(), Millis::new(22_000));
+    nodes.update(few.clone(), Millis::new(2_000));
+    let later = nodes.update(few.clone(), Millis::new(22_000));
     assert!(later.is_same(&few));
 }
--- a/crates/node/tests/unit/turns.rs
+++ b/crates/node/tests/unit/turns.rs
@@ -3,12 +3,12 @@
 use base::Millis;
 use yare::parameterized;
 
-use super::Place;
+use super::RoundRobinSlot;
 
 const PERIOD_MS: u64 = 600;
 
 /// Time until all readers have what one of them has read, in milliseconds.
-const SPREAD_MS: u64 = 15;
+const PROPAGATION_MS: u64 = 15;
 
 /// The time up to which a reader knows all changes, and the reader that read
 /// them.
@@ -16,14 +16,14 @@
 
 /// Simulates a minute, in which the first `lost` readers stop at 20 s. Returns
 /// the number of reads of each reader and the maximum age of the data.
-fn play(readers: usize, lost: usize) -> (Vec<usize>, u64) {
+fn simulate(readers: usize, lost: usize) -> (Vec<usize>, u64) {
     let mut known: Vec<Known> = vec![None; readers];
-    let mut news: Vec<(u64, (Millis, usize))> = Vec::new();
+    let mut in_transit: Vec<(u64, (Millis, usize))> = Vec::new();
     let mut reads = vec![0; readers];
-    let mut oldest_ms = 0;
+    let mut max_age_ms = 0;
     for now_ms in 1_000..61_000 {
         let now = Millis::new(now_ms);
-        news.retain(|(at_ms, read)| {
+        in_transit.retain(|(at_ms, read)| {
             if *at_ms <= now_ms {
                 for known in &mut known {
                     *known = (*known).max(Some(*read));
@@ -36,8 +36,8 @@
             false => lost,
         };
         for reader in first..readers {
-            let place = Place {
-                at: reader,
+            let place = RoundRobinSlot {
+                index: reader,
                 readers,
             };
             let wait_ms = known[reader].map_or(0, |(fresh_at, last)| {
@@ -46,7 +46,7 @@
             if wait_ms == 0 {
                 known[reader] = Some((now, reader));
                 reads[reader] += 1;
-                news.push((now_ms + SPREAD_MS, (now, reader)));
+                in_transit.push((now_ms + PROPAGATION_MS, (now, reader)));
             }
         }
         if now_ms > 3_000 {
@@ -55,10 +55,10 @@
                 now.saturating_ms_since(at.unwrap_or_default())
             };
             let ages = known[first..].iter().map(age);
-            oldest_ms = ages.max().unwrap_or(0).max(oldest_ms);
+            max_age_ms = ages.max().unwrap_or(0).max(max_age_ms);
         }
     }
-    (reads, oldest_ms)
+    (reads, max_age_ms)
 }
 
 /// Guards against calls that grow with the number of readers, and against one
@@ -71,12 +71,12 @@
     eight = { 8 },
 )]
 fn readers_share_the_reads_of_one(readers: usize) {
-    let (reads, oldest_ms) = play(readers, 0);
+    let (reads, max_age_ms) = simulate(readers, 0);
     let total: usize = reads.iter().sum();
     assert!((98..=110).contains(&total), "{reads:?}");
-    let most = reads.iter().max().copied().unwrap_or(0);
-    assert!(most <= total / readers + 4, "{reads:?}");
-    assert!(oldest_ms <= PERIOD_MS + SPREAD_MS, "{oldest_ms} ms");
+    let max = reads.iter().max().copied().unwrap_or(0);
+    assert!(max <= total / readers + 4, "{reads:?}");
+    assert!(max_age_ms <= PERIOD_MS + PROPAGATION_MS, "{max_age_ms} ms");
 }
 
 /// Guards against stale data when the reader whose turn it is is lost.
@@ -85,25 +85,25 @@
     four_of_five = { 5, 4 },
     half_of_eight = { 8, 4 },
 )]
-fn lost_readers_cost_a_moment_each(readers: usize, lost: usize) {
-    let (_, oldest_ms) = play(readers, lost);
-    let most_ms = PERIOD_MS + lost as u64 * 100 + SPREAD_MS;
-    assert!(oldest_ms <= most_ms, "{oldest_ms} ms");
+fn each_lost_reader_delays_reads_by_one_turn(readers: usize, lost: usize) {
+    let (_, max_age_ms) = simulate(readers, lost);
+    let limit_ms = PERIOD_MS + lost as u64 * 100 + PROPAGATION_MS;
+    assert!(max_age_ms <= limit_ms, "{max_age_ms} ms");
 }
 
 /// Guards against readers that wait for each other while another one reads.
 #[test]
-fn all_others_ask_the_reader_that_is_next() {
+fn all_others_query_the_next_reader() {
     for readers in 1..=8 {
         for last in 0..readers {
-            let place = |at| Place { at, readers };
-            let asked =
-                (0..readers).map(|at| place(at).turn_of(Some(last), 0));
-            let mut asked: Vec<usize> = asked.collect();
-            asked.dedup();
-            assert_eq!(asked.len(), 1);
+            let place = |index| RoundRobinSlot { index, readers };
+            let queried =
+                (0..readers).map(|at| place(at).nth_reader(Some(last), 0));
+            let mut queried: Vec<usize> = queried.collect();
+            queried.dedup();
+            assert_eq!(queried.len(), 1);
             let now = Millis::new(9_000);
-            let next = place(asked[0]);
+            let next = place(queried[0]);
             let wait_ms = next.wait_ms(Some(last), PERIOD_MS, now, now);
             assert_eq!(wait_ms, PERIOD_MS);
         }
