--- a/crates/node/tests/readers.rs
+++ b/crates/node/tests/readers.rs
@@ -20,12 +20,12 @@
 
 /// Between the second that a change takes at most around a disconnected reader
 /// and the 3.5 s for which its last confirmation counts.
-const LATE: Duration = Duration::from_millis(2_600);
+const MAX_PROPAGATION: Duration = Duration::from_millis(2_600);
 
 /// Between the 0.75 s for which a reader's confirmation counts in these tests,
 /// where changes have a second to propagate, and the 2.5 s for which it
 /// counted before.
-const LATE_BY_BOTH: Duration = Duration::from_millis(1_700);
+const MAX_PROPAGATION_BOTH_CUT: Duration = Duration::from_millis(1_700);
 
 async fn fronts(kv: &Memory) -> Vec<Node> {
     let mut nodes = Vec::new();
@@ -44,10 +44,10 @@
 async fn cuttable_fronts(kv: &Memory) -> Vec<(Node, Cuttable)> {
     let mut nodes = Vec::new();
     for number in 0..NODES {
-        let way = Cuttable::new(kv);
+        let connection = Cuttable::new(kv);
         let name = format!("front-{number}");
-        let node = start_by(Arc::new(way.clone()), &name, false).await;
-        nodes.push((node, way));
+        let node = start_by(Arc::new(connection.clone()), &name, false).await;
+        nodes.push((node, connection));
     }
     for (node, _) in &nodes {
         ready(node).await;
@@ -96,7 +96,7 @@
 /// the nodes that read for all others, because they keep querying the lost
 /// ones.
 #[tokio::test]
-async fn the_loss_of_readers_stops_no_news() {
+async fn changes_propagate_after_the_loss_of_readers() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     furnish(&kv, &engine).await;
@@ -130,7 +130,7 @@
         for node in &nodes {
             let called =
                 common::call(node.front, "POST", "/new/1", "r", "1").await;
-            assert_eq!(called.0, 200, "the route is there since long");
+            assert_eq!(called.0, 200, "the route was added earlier");
         }
     }
 }
@@ -141,7 +141,7 @@
 /// configuration changes, and the node keeps querying the same reader, whose
 /// last confirmation counts for 3.5 s.
 #[tokio::test]
-async fn news_pass_by_a_reader_that_is_cut_off() {
+async fn changes_propagate_around_a_disconnected_reader() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     furnish(&kv, &engine).await;
@@ -160,7 +160,11 @@
                 serves(node, &prefix).await;
             }
         }
-        assert!(changed.elapsed() < LATE, "{:?}", changed.elapsed());
+        assert!(
+            changed.elapsed() < MAX_PROPAGATION,
+            "{:?}",
+            changed.elapsed()
+        );
         nodes[cut].1.set_cut(false);
     }
 }
@@ -170,20 +174,20 @@
 /// once, then the configuration changes, and the others wait at each reader in
 /// turn and accept a confirmation that is 3.5 s old.
 #[tokio::test]
-async fn news_pass_by_both_readers_when_both_are_cut_off() {
+async fn changes_propagate_around_two_disconnected_readers() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     furnish(&kv, &engine).await;
     let nodes = cuttable_fronts(&kv).await;
-    for one in 0..NODES {
-        for two in one + 1..NODES {
-            let cut = [one, two];
-            add_route(&kv, &format!("/before-{one}-{two}/")).await;
+    for first in 0..NODES {
+        for second in first + 1..NODES {
+            let cut = [first, second];
+            add_route(&kv, &format!("/before-{first}-{second}/")).await;
             for (node, _) in &nodes {
-                serves(node, &format!("/before-{one}-{two}/")).await;
+                serves(node, &format!("/before-{first}-{second}/")).await;
             }
             cut.iter().for_each(|at| nodes[*at].1.set_cut(true));
-            let prefix = format!("/after-{one}-{two}/");
+            let prefix = format!("/after-{first}-{second}/");
             add_route(&kv, &prefix).await;
             let changed = Instant::now();
             for (at, (node, _)) in nodes.iter().enumerate() {
@@ -192,7 +196,7 @@
                 }
             }
             assert!(
-                changed.elapsed() < LATE_BY_BOTH,
+                changed.elapsed() < MAX_PROPAGATION_BOTH_CUT,
                 "{:?}",
                 changed.elapsed()
             );
@@ -210,17 +214,17 @@
 /// Calls a second that the readers of such a fleet need: a watch of operators'
 /// keys by each of the first two, a watch of jobs by one, and 1.5 reads of
 /// endpoints.
-const CALLS_PER_S: u64 = 15;
+const MAX_CALLS_PER_S: u64 = 15;
 
 /// Guards against a fleet whose nodes all read the key-value service because
 /// the readers leave the turn to each other. Load: endpoints that all write
 /// their entries all the time, and nothing else.
 #[tokio::test(flavor = "multi_thread")]
-async fn many_nodes_leave_the_service_to_few_readers() {
+async fn few_readers_read_the_key_value_service_for_a_large_fleet() {
     let kv = Memory::default();
     let engine = Engine::start().await;
     furnish(&kv, &engine).await;
-    let beats = kv.clone();
+    let writer = kv.clone();
     let record = engine.record("e1");
     tokio::spawn(async move {
         loop {
@@ -230,12 +234,12 @@
                     ..record.clone()
                 };
                 let value = serde_json::to_vec(&record).expect("json");
-                put(&beats, &format!("endpoints/e{number}"), value).await;
+                put(&writer, &format!("endpoints/e{number}"), value).await;
             }
             // Watches of the in-memory service return nothing while nothing
             // changes, where those of a real one send confirmations.
-            put(&beats, "orders/beat", b"{}".to_vec()).await;
-            put(&beats, "jobs/beat", b"{}".to_vec()).await;
+            put(&writer, "orders/beat", b"{}".to_vec()).await;
+            put(&writer, "jobs/beat", b"{}".to_vec()).await;
             sleep(Duration::from_millis(300)).await;
         }
     });
@@ -249,7 +253,10 @@
     for second in 0..12 {
         let before = calls(&kv);
         sleep(Duration::from_secs(1)).await;
-        let made = calls(&kv) - before;
-        assert!(made <= CALLS_PER_S, "{made} calls in second {second}");
+        let call_count = calls(&kv) - before;
+        assert!(
+            call_count <= MAX_CALLS_PER_S,
+            "{call_count} calls in second {second}"
+        );
     }
 }
