--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -45,7 +45,7 @@
         item: String,
     },
     /// Cancels the job.
-    End {
+    Cancel {
         /// The job.
         job: JobKey,
     },
@@ -96,7 +96,10 @@
     /// # Errors
     ///
     /// Returns [`DialectError`] if the entry is malformed.
-    fn endpoint(&self, kv: &KeyValue) -> Result<EndpointRecord, DialectError>;
+    fn decode_endpoint(
+        &self,
+        kv: &KeyValue,
+    ) -> Result<EndpointRecord, DialectError>;
 
     /// Returns the prefix of the keys that operators write.
     fn orders_prefix(&self) -> &'static str;
@@ -106,11 +109,14 @@
     /// # Errors
     ///
     /// Returns [`DialectError`] if the value is malformed.
-    fn order(&self, kv: &KeyValue) -> Result<OperatorOrder, DialectError>;
+    fn decode_order(
+        &self,
+        kv: &KeyValue,
+    ) -> Result<OperatorOrder, DialectError>;
 
     /// Returns the key and value that report to operators how far a node is
     /// drained.
-    fn vacate_status(
+    fn encode_vacate_status(
         &self,
         node: &str,
         state: VacateState,
@@ -122,7 +128,7 @@
     /// # Errors
     ///
     /// Returns [`DialectError`] if the request is malformed.
-    fn job_call(
+    fn decode_job_call(
         &self,
         method: &Method,
         uri: &Uri,
@@ -134,10 +140,13 @@
     /// # Errors
     ///
     /// Returns [`DialectError`] if the body is malformed.
-    fn items(&self, body: &[u8]) -> Result<Vec<ItemInput>, DialectError>;
+    fn decode_items(
+        &self,
+        body: &[u8],
+    ) -> Result<Vec<ItemInput>, DialectError>;
 
     /// Encodes a page of results.
-    fn page(&self, page: &Page) -> Vec<u8>;
+    fn encode_page(&self, page: &Page) -> Vec<u8>;
 
     /// Returns the path that load balancers use as a readiness check.
     fn ready_path(&self) -> &'static str;
@@ -147,5 +156,5 @@
 
     /// Decodes a load report from that path. Reports do not contain the number
     /// of slots, which the caller passes.
-    fn load(&self, body: &[u8], slots: u32) -> Option<LoadReport>;
+    fn decode_load(&self, body: &[u8], slots: u32) -> Option<LoadReport>;
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -195,9 +195,11 @@
         let (mut parts, body) = request.into_parts();
         let keys = &self.forwarder.names().keys;
         let arrived = Arrived::from_headers(&mut parts.headers, keys);
-        let call =
-            self.dialect
-                .job_call(&parts.method, &parts.uri, &parts.headers);
+        let call = self.dialect.decode_job_call(
+            &parts.method,
+            &parts.uri,
+            &parts.headers,
+        );
         match call {
             Ok(Some(call)) => {
                 return match self.identify_job_call(arrived) {
@@ -415,7 +417,7 @@
                 "the id cannot name a job",
             )
         })?;
-        let items = self.dialect.items(body).map_err(|error| {
+        let items = self.dialect.decode_items(body).map_err(|error| {
             log::info!(request_id = id, error:%; "a job is malformed");
             Refusal::improper(StatusCode::BAD_REQUEST, "the job is malformed")
         })?;
@@ -451,7 +453,7 @@
                 let page = self.pages.page(&job, customer, after, wait_ms);
                 let page = page.await;
                 let page = page.map(|page| {
-                    json(StatusCode::OK, self.dialect.page(&page))
+                    json(StatusCode::OK, self.dialect.encode_page(&page))
                 });
                 (job, page)
             }
@@ -462,7 +464,7 @@
                 });
                 (job, body)
             }
-            JobCall::End { job } => {
+            JobCall::Cancel { job } => {
                 let end = self.ledger.cancel(&job, customer).await;
                 log::info!(request_id = job.as_str(), done = end.is_ok();
                     "a job is to end");
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -42,7 +42,7 @@
             let wait = Duration::from_millis(PROBE_TIMEOUT_MS);
             let fetch = pool.fetch(&endpoint, request, PROBE_MOST_BYTES);
             let body = time::timeout(wait, fetch).await.ok()??;
-            dialect.load(&body, record.slots)
+            dialect.decode_load(&body, record.slots)
         })
     }
 }
--- a/crates/node/src/vacate.rs
+++ b/crates/node/src/vacate.rs
@@ -124,7 +124,7 @@
     state: VacateState,
     only_new: bool,
 ) {
-    let (key, value) = dialect.vacate_status(node, state);
+    let (key, value) = dialect.encode_vacate_status(node, state);
     let absent = Compare::ModRevision {
         key: key.clone(),
         equals: 0,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -260,7 +260,10 @@
     if before.value == after.value {
         return true;
     }
-    match (dialect.endpoint(before), dialect.endpoint(after)) {
+    match (
+        dialect.decode_endpoint(before),
+        dialect.decode_endpoint(after),
+    ) {
         (Ok(before), Ok(after)) => before == after,
         _ => false,
     }
@@ -293,7 +296,7 @@
             update.removed.extend(self.ids.swap_remove(key));
         }
         for kv in &delta.items {
-            match dialect.endpoint(kv) {
+            match dialect.decode_endpoint(kv) {
                 Ok(record) => {
                     self.ids.insert(kv.key.clone(), record.id.clone());
                     update.records.push(record);
@@ -326,7 +329,7 @@
     cluster: ClusterState,
     orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 ) {
-    let apply_order = |kv: &KeyValue| match dialect.order(kv) {
+    let apply_order = |kv: &KeyValue| match dialect.decode_order(kv) {
         Ok(OperatorOrder::Config(config)) => cluster.take_config(*config),
         Ok(OperatorOrder::Vacate(order)) => {
             if let Some(orders) = &orders {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -72,7 +72,10 @@
         "endpoints/"
     }
 
-    fn endpoint(&self, kv: &KeyValue) -> Result<EndpointRecord, DialectError> {
+    fn decode_endpoint(
+        &self,
+        kv: &KeyValue,
+    ) -> Result<EndpointRecord, DialectError> {
         serde_json::from_slice(&kv.value).map_err(DialectError::new)
     }
 
@@ -80,7 +83,10 @@
         "orders/"
     }
 
-    fn order(&self, kv: &KeyValue) -> Result<OperatorOrder, DialectError> {
+    fn decode_order(
+        &self,
+        kv: &KeyValue,
+    ) -> Result<OperatorOrder, DialectError> {
         if let Some(node) = kv.key.strip_prefix("orders/empty/") {
             return Ok(OperatorOrder::Vacate(VacateOrder {
                 node: node.to_owned(),
@@ -102,7 +108,7 @@
         })))
     }
 
-    fn vacate_status(
+    fn encode_vacate_status(
         &self,
         node: &str,
         state: VacateState,
@@ -110,7 +116,7 @@
         (format!("emptied/{node}"), format!("{state:?}").into_bytes())
     }
 
-    fn job_call(
+    fn decode_job_call(
         &self,
         method: &Method,
         uri: &Uri,
@@ -122,7 +128,7 @@
         let query = uri.query().unwrap_or_default();
         let job = rest.parse().map_err(DialectError::new)?;
         if *method == Method::DELETE {
-            return Ok(Some(JobCall::End { job }));
+            return Ok(Some(JobCall::Cancel { job }));
         }
         if let Some(item) = query.strip_prefix("item=") {
             return Ok(Some(JobCall::Body {
@@ -138,7 +144,10 @@
         }))
     }
 
-    fn items(&self, body: &[u8]) -> Result<Vec<ItemInput>, DialectError> {
+    fn decode_items(
+        &self,
+        body: &[u8],
+    ) -> Result<Vec<ItemInput>, DialectError> {
         let bodies: Vec<String> =
             serde_json::from_slice(body).map_err(DialectError::new)?;
         let items = bodies.into_iter().enumerate();
@@ -153,7 +162,7 @@
             .collect())
     }
 
-    fn page(&self, page: &Page) -> Vec<u8> {
+    fn encode_page(&self, page: &Page) -> Vec<u8> {
         let mut text = format!("{} {}", page.total, page.next);
         for result in &page.results {
             let state = match result.state {
@@ -174,7 +183,7 @@
         "/load"
     }
 
-    fn load(&self, _body: &[u8], slots: u32) -> Option<LoadReport> {
+    fn decode_load(&self, _body: &[u8], slots: u32) -> Option<LoadReport> {
         Some(LoadReport {
             running: 0,
             waiting: 0,
