--- a/crates/jobs/src/run.rs
+++ b/crates/jobs/src/run.rs
@@ -210,7 +210,7 @@
                     return RunOutcome::Complete;
                 }
                 Ok(None) => {
-                    exchange.cut_off();
+                    exchange.mark_interrupted();
                     return RunOutcome::Broken;
                 }
                 Ok(Some(Err(_))) | Err(_) => return RunOutcome::Broken,
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -25,7 +25,7 @@
     GetReply, Kv, KvError, KvFuture, LeaseId, Txn, TxnReply, Watcher,
     batch::{self, GroupCommit, TxnResult},
 };
-use pass::{AnswerBody, Counters, Fetch, Pool, read_body};
+use pass::{CallOutcome, Counters, Pool, ResponseBody, read_body};
 use tokio::time;
 
 use crate::{
@@ -160,19 +160,21 @@
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(txn)?;
         Counters::add(&self.counters.commits_shared);
-        let exchange = self.pool.exchange(&peer, request, MAX_RESPONSE_BYTES);
+        let exchange = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
         let timeout =
             Duration::from_millis(max_delay_ms + RESPONSE_TIMEOUT_MS);
         match time::timeout(timeout, exchange).await {
-            Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, body))
+                if head.status.is_success() =>
+            {
                 let outcome = commit_wire::decode_outcome(&body);
                 Some(outcome.into_result(txn))
             }
-            Ok(Fetch::Answered(..) | Fetch::NotSent) => {
+            Ok(CallOutcome::Answered(..) | CallOutcome::NotSent) => {
                 self.record_silence(worker);
                 None
             }
-            Ok(Fetch::Broken) | Err(_) => {
+            Ok(CallOutcome::Broken) | Err(_) => {
                 self.record_silence(worker);
                 let report = Report::new(KvError::Unknown);
                 Some(Err(report.attach("the collector does not respond")))
@@ -263,7 +265,7 @@
 pub(crate) async fn receive(
     group_commit: GroupCommit,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let path = request.uri().path();
     let max_delay = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
     let max_delay_ms: Option<u64> = max_delay.parse().ok();
@@ -283,8 +285,8 @@
     respond(StatusCode::OK, commit_wire::encode_outcome(&outcome))
 }
 
-fn respond(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::own(body));
+fn respond(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/node/src/job_manifests.rs
+++ b/crates/node/src/job_manifests.rs
@@ -20,7 +20,7 @@
     NodeRecord, StoredManifest, ViewManifests, decode_manifest,
     encode_manifest,
 };
-use pass::{AnswerBody, Fetch, Pool};
+use pass::{CallOutcome, Pool, ResponseBody};
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
@@ -71,7 +71,7 @@
         Self(ViewManifests::new(view, clock))
     }
 
-    pub(crate) async fn respond(self, uri: Uri) -> Response<AnswerBody> {
+    pub(crate) async fn respond(self, uri: Uri) -> Response<ResponseBody> {
         let job = uri.path().strip_prefix(MANIFEST_PATH).unwrap_or_default();
         let wait_ms = query_number(&uri, "wait_ms").unwrap_or(0);
         let after = query_number(&uri, "after");
@@ -81,7 +81,7 @@
             }
             Err(_) => None,
         };
-        let mut response = Response::new(AnswerBody::own(
+        let mut response = Response::new(ResponseBody::from_bytes(
             known.as_ref().and_then(encode).unwrap_or_default(),
         ));
         if known.is_none() {
@@ -204,13 +204,15 @@
         let after = after.unwrap_or_default();
         let path = format!("{MANIFEST_PATH}{job}?wait_ms={wait_ms}{after}");
         let request = peer::new_request(&peer, &path).ok_or(())?;
-        let exchange = self.pool.exchange(&peer, request, MAX_MANIFEST_BYTES);
+        let exchange = self.pool.call(&peer, request, MAX_MANIFEST_BYTES);
         let timeout = Duration::from_millis(wait_ms + RESPONSE_TIMEOUT_MS);
         match time::timeout(timeout, exchange).await {
-            Ok(Fetch::Answered(head, body)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, body))
+                if head.status.is_success() =>
+            {
                 decode(&body).map(Some).ok_or(())
             }
-            Ok(Fetch::Answered(..)) => Ok(None),
+            Ok(CallOutcome::Answered(..)) => Ok(None),
             _ => Err(()),
         }
     }
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -14,7 +14,7 @@
     BulkCache, JobKey, JobView, Ledger, StoredManifest, decode_manifest_row,
 };
 use kv::Op;
-use pass::{AnswerBody, Fetch, Pool, read_body};
+use pass::{CallOutcome, Pool, ResponseBody, read_body};
 use tokio::time;
 
 use crate::{commit_wire, commits::MAX_REQUEST_BYTES, peer};
@@ -75,10 +75,10 @@
         let mut request = peer::new_request(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(&rows)?;
-        let exchange = self.pool.exchange(&peer, request, MAX_RESPONSE_BYTES);
+        let exchange = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
         let timeout = Duration::from_millis(PUSH_TIMEOUT_MS);
         match time::timeout(timeout, exchange).await {
-            Ok(Fetch::Answered(head, _)) if head.status.is_success() => {
+            Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
                 Some(())
             }
             _ => None,
@@ -99,7 +99,7 @@
     pub(crate) async fn receive(
         self,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let path = request.uri().path();
         let revision = path.strip_prefix(PUSH_PATH).unwrap_or_default();
         let revision: Option<u64> = revision.parse().ok();
@@ -117,7 +117,8 @@
                     StatusCode::BAD_REQUEST
                 }
             };
-        let mut response = Response::new(AnswerBody::own(bytes::Bytes::new()));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(bytes::Bytes::new()));
         *response.status_mut() = status;
         response
     }
--- a/crates/node/src/peer_bulk.rs
+++ b/crates/node/src/peer_bulk.rs
@@ -13,7 +13,7 @@
     BulkCache, BulkFuture, BulkPeers, BulkValue, JobKey, JobManifest, JobView,
     Ledger, NodeRecord,
 };
-use pass::{AnswerBody, Fetch, Pool};
+use pass::{CallOutcome, Pool, ResponseBody};
 use tokio::time;
 
 use crate::peer;
@@ -130,12 +130,12 @@
     let Some(request) = peer::new_request(&peer, &path) else {
         return FetchOutcome::Missing;
     };
-    match pool.exchange(&peer, request, MAX_VALUE_BYTES).await {
-        Fetch::Answered(head, body) if head.status.is_success() => {
+    match pool.call(&peer, request, MAX_VALUE_BYTES).await {
+        CallOutcome::Answered(head, body) if head.status.is_success() => {
             FetchOutcome::Found(Arc::new(body.to_vec()))
         }
-        Fetch::Answered(..) => FetchOutcome::Missing,
-        Fetch::NotSent | Fetch::Broken => FetchOutcome::Silent,
+        CallOutcome::Answered(..) => FetchOutcome::Missing,
+        CallOutcome::NotSent | CallOutcome::Broken => FetchOutcome::Silent,
     }
 }
 
@@ -163,12 +163,13 @@
         }
     }
 
-    pub(crate) async fn respond(self, key: String) -> Response<AnswerBody> {
+    pub(crate) async fn respond(self, key: String) -> Response<ResponseBody> {
         if let Some(value) = self.value(&key).await {
             let bytes = Bytes::copy_from_slice(&value);
-            return Response::new(AnswerBody::own(bytes));
+            return Response::new(ResponseBody::from_bytes(bytes));
         }
-        let mut response = Response::new(AnswerBody::own(Bytes::new()));
+        let mut response =
+            Response::new(ResponseBody::from_bytes(Bytes::new()));
         *response.status_mut() = StatusCode::NOT_FOUND;
         response
     }
--- a/crates/pass/src/exchange.rs
+++ b/crates/pass/src/exchange.rs
@@ -10,12 +10,13 @@
 use http_body::Body;
 use hyper::body::Incoming;
 
-use crate::{BrokenAnswer, Pool, Run, channel::Channel};
+use crate::{IncompleteResponse, Pool, Run, channel::Channel};
 
-/// An answer of an endpoint that is being read.
+/// A response of an endpoint that is being read.
 ///
-/// Dropping it before the end closes the connection, so that the endpoint
-/// stops its work; after the end the connection is used again.
+/// Dropping the exchange before the response is complete closes the
+/// connection, so that the endpoint stops its work. After a complete response
+/// the connection is reused.
 #[derive(Debug)]
 pub struct Exchange {
     head: Option<Parts>,
@@ -25,10 +26,10 @@
     run: Run,
     pool: Arc<Pool>,
     reusable: bool,
-    whole: bool,
-    /// Whether the end of the answer can be told from a loss of the
+    is_complete: bool,
+    /// Whether the end of the response can be distinguished from a lost
     /// connection.
-    framed: bool,
+    is_framed: bool,
 }
 
 impl Exchange {
@@ -42,9 +43,9 @@
     ) -> Self {
         Self {
             status: head.status,
-            framed: is_framed(&head.headers),
+            is_framed: is_framed(&head.headers),
             head: Some(head),
-            whole: body.is_end_stream(),
+            is_complete: body.is_end_stream(),
             body,
             channel: Some(channel),
             run,
@@ -59,12 +60,12 @@
         self.status
     }
 
-    /// Returns the headers, unless the head was taken.
+    /// Returns the headers, or `None` after the head was taken.
     pub fn headers(&self) -> Option<&HeaderMap> {
         self.head.as_ref().map(|head| &head.headers)
     }
 
-    /// Returns the head once.
+    /// Takes the head; later calls return `None`.
     pub(crate) fn take_head(&mut self) -> Option<Parts> {
         self.head.take()
     }
@@ -75,26 +76,25 @@
         self.run.endpoint()
     }
 
-    /// Tells whether the answer is read to its end.
+    /// Returns whether the response was read to its end.
     #[inline]
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
-    /// Takes note of how much of the answer has arrived, see
-    /// [`Run::reached`].
+    /// Records how much of the response has arrived, see [`Run::reached`].
     pub fn advance_to(&mut self, reached: u64) {
         self.run.advance_to(reached);
     }
 
-    /// Takes note that the answer has ended before it was whole, which its
-    /// reader sees by its content.
-    pub fn cut_off(&mut self) {
-        self.run.cut_off();
+    /// Records that the response ended before it was complete, which its
+    /// consumer detects from the content.
+    pub fn mark_interrupted(&mut self) {
+        self.run.mark_interrupted();
     }
 
-    pub(crate) fn note_if_whole(&mut self) {
-        if self.whole && self.framed {
+    pub(crate) fn report_if_complete(&mut self) {
+        if self.is_complete && self.is_framed {
             self.run.answered();
         }
     }
@@ -104,11 +104,11 @@
         self.body.size_hint().exact()
     }
 
-    /// Reads on; `None` is the end of a whole answer.
+    /// Reads the next bytes; `None` marks the end of a complete response.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         loop {
             let frame = match Pin::new(&mut self.body).poll_frame(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -116,18 +116,20 @@
             };
             match frame {
                 None => {
-                    self.whole = true;
-                    self.note_if_whole();
+                    self.is_complete = true;
+                    self.report_if_complete();
                     return Poll::Ready(None);
                 }
                 Some(Err(error)) => {
-                    log::debug!(error:%; "an answer broke off");
-                    self.run.cut_off();
-                    return Poll::Ready(Some(Err(BrokenAnswer::Endpoint)));
+                    log::debug!(error:%; "a response was interrupted");
+                    self.run.mark_interrupted();
+                    return Poll::Ready(Some(Err(
+                        IncompleteResponse::Endpoint,
+                    )));
                 }
                 Some(Ok(frame)) => {
-                    self.whole = self.body.is_end_stream();
-                    self.note_if_whole();
+                    self.is_complete = self.body.is_end_stream();
+                    self.report_if_complete();
                     if let Ok(data) = frame.into_data() {
                         return Poll::Ready(Some(Ok(data)));
                     }
@@ -148,8 +150,8 @@
         let Some(channel) = self.channel.take() else {
             return;
         };
-        if self.whole && self.reusable {
-            self.pool.give_back(self.run.endpoint(), channel);
+        if self.is_complete && self.reusable {
+            self.pool.release(self.run.endpoint(), channel);
         } else {
             channel.abort();
         }
