--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -160,10 +160,10 @@
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(txn)?;
         Counters::add(&self.counters.commits_shared);
-        let exchange = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
+        let call = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
         let timeout =
             Duration::from_millis(max_delay_ms + RESPONSE_TIMEOUT_MS);
-        match time::timeout(timeout, exchange).await {
+        match time::timeout(timeout, call).await {
             Ok(CallOutcome::Answered(head, body))
                 if head.status.is_success() =>
             {
@@ -257,8 +257,8 @@
     }
 }
 
-/// Maximum delay of a write of another node, in milliseconds, whatever it asks
-/// for.
+/// Maximum delay of a write of another node, in milliseconds, regardless of
+/// the delay that it allows.
 const MAX_DELAY_MS: u64 = 2_000;
 
 /// Commits a write of another node and responds when its outcome is known.
--- a/crates/node/src/feed_wire.rs
+++ b/crates/node/src/feed_wire.rs
@@ -32,8 +32,8 @@
 /// feed.
 const FEED_PATH: &str = "/feed/";
 
-/// Maximum time that a request waits for a change, in milliseconds, whatever
-/// it asks for.
+/// Maximum time that a request waits for a change, in milliseconds, regardless
+/// of the time that it asks for.
 const MAX_WAIT_MS: u64 = 10_000;
 
 /// Maximum body size: all keys of a large fleet.
--- a/crates/node/src/job_manifests.rs
+++ b/crates/node/src/job_manifests.rs
@@ -204,9 +204,9 @@
         let after = after.unwrap_or_default();
         let path = format!("{MANIFEST_PATH}{job}?wait_ms={wait_ms}{after}");
         let request = peer::new_request(&peer, &path).ok_or(())?;
-        let exchange = self.pool.call(&peer, request, MAX_MANIFEST_BYTES);
+        let call = self.pool.call(&peer, request, MAX_MANIFEST_BYTES);
         let timeout = Duration::from_millis(wait_ms + RESPONSE_TIMEOUT_MS);
-        match time::timeout(timeout, exchange).await {
+        match time::timeout(timeout, call).await {
             Ok(CallOutcome::Answered(head, body))
                 if head.status.is_success() =>
             {
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -75,9 +75,9 @@
         let mut request = peer::new_request(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(&rows)?;
-        let exchange = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
+        let call = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
         let timeout = Duration::from_millis(PUSH_TIMEOUT_MS);
-        match time::timeout(timeout, exchange).await {
+        match time::timeout(timeout, call).await {
             Ok(CallOutcome::Answered(head, _)) if head.status.is_success() => {
                 Some(())
             }
--- a/crates/node/src/turns.rs
+++ b/crates/node/src/turns.rs
@@ -3,8 +3,8 @@
 use base::Millis;
 
 /// Delay between the turns of consecutive readers, in milliseconds, if the
-/// earlier one misses its turn. What one node has read has to reach the others
-/// within it, or they read as well.
+/// earlier one misses its turn. A read has to reach the other readers within
+/// this time, or they read as well.
 const TURN_DELAY_MS: u64 = 100;
 
 /// A position in the round robin of readers: the nodes that read the key-value
--- a/crates/node/tests/readers.rs
+++ b/crates/node/tests/readers.rs
@@ -18,13 +18,14 @@
 
 const NODES: usize = 6;
 
-/// Between the second that a change takes at most around a disconnected reader
-/// and the 3.5 s for which its last confirmation counts.
+/// Limit for the propagation around a disconnected reader: between the second
+/// that a change takes at most and the 3.5 s for which the reader's last
+/// confirmation counts.
 const MAX_PROPAGATION: Duration = Duration::from_millis(2_600);
 
-/// Between the 0.75 s for which a reader's confirmation counts in these tests,
-/// where changes have a second to propagate, and the 2.5 s for which it
-/// counted before.
+/// Limit when both readers are disconnected: between the 0.75 s for which a
+/// reader's confirmation counts in these tests, where changes have a second to
+/// propagate, and the 2.5 s for which it counted before.
 const MAX_PROPAGATION_BOTH_CUT: Duration = Duration::from_millis(1_700);
 
 async fn fronts(kv: &Memory) -> Vec<Node> {
@@ -217,7 +218,7 @@
 const MAX_CALLS_PER_S: u64 = 15;
 
 /// Guards against a fleet whose nodes all read the key-value service because
-/// the readers leave the turn to each other. Load: endpoints that all write
+/// each reader leaves the turn to another. Load: endpoints that all write
 /// their entries all the time, and nothing else.
 #[tokio::test(flavor = "multi_thread")]
 async fn few_readers_read_the_key_value_service_for_a_large_fleet() {
--- a/crates/node/tests/unit/feed_wire.rs
+++ b/crates/node/tests/unit/feed_wire.rs
@@ -44,7 +44,7 @@
     let feed = feed(3);
     let pages = EncodedPages::default();
     let bytes = pages.respond(&feed, query(1, usize::MAX), NOW);
-    let delta = decode(&bytes, NOW).expect("an answer");
+    let delta = decode(&bytes, NOW).expect("a response");
     assert_eq!(delta.revision, 8);
     assert_eq!(delta.fresh_at, Some(Millis::new(9_000)));
     assert!(!delta.is_full && !delta.has_more);
@@ -65,7 +65,7 @@
     let fetch = |max_changes| {
         let after = node.status().revision;
         let bytes = pages.respond(&reader, query(after, max_changes), NOW);
-        node.merge(decode(&bytes, NOW).expect("an answer"));
+        node.merge(decode(&bytes, NOW).expect("a response"));
     };
     fetch(300);
     assert_eq!(node.all().items.len(), 300);
@@ -179,7 +179,7 @@
     assert!(feed.has_changes(1, Scope::All));
     let front =
         Feed::new("jobs/", Scope::WithoutManifests, "front", |_, _| false);
-    front.merge(decode(&bytes, NOW).expect("an answer"));
+    front.merge(decode(&bytes, NOW).expect("a response"));
     assert_eq!(front.all().items.len(), 1);
     assert_eq!(front.status().revision, jobs);
     assert!(!front.scope().covers(Scope::All));
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -63,11 +63,11 @@
 async fn a_worker_reads_nothing_of_a_pushed_job() {
     let (stored, bytes) = accepted().await;
     let worker = receiver();
-    worker.apply(&bytes, stored.revision).expect("taken");
+    worker.apply(&bytes, stored.revision).expect("applied");
     let key = job().key;
     assert_eq!(worker.view.get(&key), Some(stored.clone()));
-    // A ledger with an empty key-value service: what it reads comes from the
-    // cache.
+    // A ledger with an empty key-value service, so that it reads from the
+    // cache only.
     let kv: Arc<dyn Kv> = Arc::new(Memory::default());
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
--- a/crates/node/tests/unit/turns.rs
+++ b/crates/node/tests/unit/turns.rs
@@ -7,7 +7,7 @@
 
 const PERIOD_MS: u64 = 600;
 
-/// Time until all readers have what one of them has read, in milliseconds.
+/// Time in which a read of one reader reaches all others, in milliseconds.
 const PROPAGATION_MS: u64 = 15;
 
 /// The time up to which a reader knows all changes, and the reader that read
@@ -36,12 +36,12 @@
             false => lost,
         };
         for reader in first..readers {
-            let place = RoundRobinSlot {
+            let slot = RoundRobinSlot {
                 index: reader,
                 readers,
             };
             let wait_ms = known[reader].map_or(0, |(fresh_at, last)| {
-                place.wait_ms(Some(last), PERIOD_MS, fresh_at, now)
+                slot.wait_ms(Some(last), PERIOD_MS, fresh_at, now)
             });
             if wait_ms == 0 {
                 known[reader] = Some((now, reader));
@@ -79,7 +79,7 @@
     assert!(max_age_ms <= PERIOD_MS + PROPAGATION_MS, "{max_age_ms} ms");
 }
 
-/// Guards against stale data when the reader whose turn it is is lost.
+/// Guards against stale data after the loss of the reader that is next.
 #[parameterized(
     one_of_two = { 2, 1 },
     four_of_five = { 5, 4 },
@@ -96,14 +96,14 @@
 fn all_others_query_the_next_reader() {
     for readers in 1..=8 {
         for last in 0..readers {
-            let place = |index| RoundRobinSlot { index, readers };
-            let queried =
-                (0..readers).map(|at| place(at).nth_reader(Some(last), 0));
+            let slot = |index| RoundRobinSlot { index, readers };
+            let queried = (0..readers)
+                .map(|index| slot(index).nth_reader(Some(last), 0));
             let mut queried: Vec<usize> = queried.collect();
             queried.dedup();
             assert_eq!(queried.len(), 1);
             let now = Millis::new(9_000);
-            let next = place(queried[0]);
+            let next = slot(queried[0]);
             let wait_ms = next.wait_ms(Some(last), PERIOD_MS, now, now);
             assert_eq!(wait_ms, PERIOD_MS);
         }
