--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -295,8 +295,7 @@
                 .any(|(key, _)| scope.includes(key))
     }
 
-    /// Returns the first changes after a revision, about `max` of
-    /// them.
+    /// Returns the first changes after a revision, about `max` of them.
     ///
     /// The list of endpoints of a large fleet takes a third of a second to
     /// reach a node with a slow link. With the first few hundred of them the
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -238,7 +238,7 @@
             }
         }
         if !changes.is_empty() {
-            pool.retain(|life| directory.has_incarnation(life));
+            pool.retain(|key| directory.has_incarnation(key));
         }
     }
 }
