--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -10,7 +10,7 @@
 impl fmt::Display for NodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            NodeError::Listen => "the node cannot bind its address",
+            NodeError::Listen => "the node cannot listen on its address",
         })
     }
 }
