--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -8,18 +8,19 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    Check, ConfError, Findings, Location, PROBLEMS_MAX, Problem, de, load,
+    Check, ConfError, Findings, Location, MAX_PROBLEMS, Problem, de, load,
 };
 
-/// Longest document, in bytes: what the key-value service holds in a value.
-pub const DOCUMENT_MAX_BYTES: usize = 1 << 20;
+/// Maximum length of a document in bytes, which is the largest value that
+/// the key-value service stores.
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Parses a document.
 ///
 /// # Errors
 ///
-/// Syntax, a second document, duplicate or unknown keys, missing keys and
-/// values of a wrong type, each with its place; up to 20 problems.
+/// Syntax errors, a second document, duplicate, unknown or missing keys and
+/// values of a wrong type, each with its location; up to [`MAX_PROBLEMS`].
 ///
 /// # Example
 ///
@@ -49,11 +50,11 @@
     parse_with(source_name, text, |_, _| ())
 }
 
-/// Parses a document and checks what it means.
+/// Parses a document and runs its semantic checks.
 ///
 /// # Errors
 ///
-/// As of [`parse`], and what [`Check::check`] reports.
+/// As for [`parse`], and every problem that [`Check::check`] reports.
 pub fn parse_checked<T: DeserializeOwned + Check>(
     source_name: &str,
     text: &str,
@@ -65,8 +66,8 @@
 ///
 /// # Errors
 ///
-/// As of [`parse`], and if the file cannot be read, is not UTF-8 or is
-/// longer than [`DOCUMENT_MAX_BYTES`].
+/// As for [`parse`], and if the file cannot be read, is not UTF-8 or is
+/// longer than [`MAX_DOCUMENT_BYTES`].
 pub fn read<T: DeserializeOwned>(
     path: impl AsRef<Path>,
 ) -> Result<T, Report<ConfError>> {
@@ -74,11 +75,11 @@
     parse(&name, &text)
 }
 
-/// Reads a document from a file and checks what it means.
+/// Reads a document from a file and runs its semantic checks.
 ///
 /// # Errors
 ///
-/// As of [`read`], and what [`Check::check`] reports.
+/// As for [`read`], and every problem that [`Check::check`] reports.
 pub fn read_checked<T: DeserializeOwned + Check>(
     path: impl AsRef<Path>,
 ) -> Result<T, Report<ConfError>> {
@@ -96,16 +97,17 @@
         let message = format!("cannot be read: {error}");
         fail(Location::default(), message)
     })?;
-    // One byte more than is allowed was read; `parse` reports the length.
+    // `read_bytes` reads one byte beyond the limit, so that `parse` reports
+    // a document that is too long.
     match String::from_utf8(bytes) {
         Ok(text) => Ok((name, text)),
-        Err(error) if error.as_bytes().len() > DOCUMENT_MAX_BYTES => {
+        Err(error) if error.as_bytes().len() > MAX_DOCUMENT_BYTES => {
             let text = String::from_utf8_lossy(error.as_bytes()).into_owned();
             Ok((name, text))
         }
         Err(error) => {
-            let good = error.utf8_error().valid_up_to();
-            let text = String::from_utf8_lossy(&error.as_bytes()[..good]);
+            let valid_len = error.utf8_error().valid_up_to();
+            let text = String::from_utf8_lossy(&error.as_bytes()[..valid_len]);
             Err(fail(Location::after(&text), "is not UTF-8".to_owned()))
         }
     }
@@ -113,7 +115,7 @@
 
 fn read_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    let limit = DOCUMENT_MAX_BYTES as u64 + 1;
+    let limit = MAX_DOCUMENT_BYTES as u64 + 1;
     File::open(path)?.take(limit).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
@@ -135,12 +137,13 @@
         check(value, &mut findings);
         problems.extend(findings.into_problems());
     }
-    problems.truncate(PROBLEMS_MAX);
+    problems.truncate(MAX_PROBLEMS);
     match (ConfError::from_problems(problems), value) {
         (None, Some(value)) => Ok(value),
         (Some(error), _) => Err(Report::new(error)),
         (None, None) => {
-            let message = "is wrong in a way that could not be located";
+            let message =
+                "is invalid, but the location of the problem is unknown";
             let problem = Problem::new(file, root.location, "", message);
             Err(Report::new(problem.into()))
         }
@@ -148,11 +151,11 @@
 }
 
 fn check_length(file: &str, text: &str) -> Result<(), Problem> {
-    if text.len() <= DOCUMENT_MAX_BYTES {
+    if text.len() <= MAX_DOCUMENT_BYTES {
         return Ok(());
     }
-    let bytes = &text.as_bytes()[..DOCUMENT_MAX_BYTES];
+    let bytes = &text.as_bytes()[..MAX_DOCUMENT_BYTES];
     let location = Location::after(&String::from_utf8_lossy(bytes));
-    let message = format!("is longer than {DOCUMENT_MAX_BYTES} bytes");
+    let message = format!("is longer than {MAX_DOCUMENT_BYTES} bytes");
     Err(Problem::new(file, location, "", message))
 }
--- a/crates/node/src/bootstrap_list.rs
+++ b/crates/node/src/bootstrap_list.rs
@@ -66,7 +66,7 @@
         }],
         ..Txn::default()
     };
-    match kv.txn_within(txn, MAX_DELAY_MS).await {
+    match kv.txn_batched(txn, MAX_DELAY_MS).await {
         Ok(_) => {
             log::info!(nodes = list.len();
                 "the bootstrap list is written");
--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -134,7 +134,7 @@
         let Some(worker) = self.collector() else {
             return self.kv.txn(txn).await;
         };
-        if !batch::can_share(&txn) {
+        if !batch::is_batchable(&txn) {
             return self.kv.txn(txn).await;
         }
         if worker.node == self.node {
@@ -228,7 +228,7 @@
         self.kv.txn(txn)
     }
 
-    fn txn_within(
+    fn txn_batched(
         &self,
         txn: Txn,
         max_delay_ms: u64,
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -234,7 +234,7 @@
     ) -> Result<(), Report<KvError>> {
         let sent_at = self.clock.now();
         self.kv.lease_keep_alive(held.lease.id()).await?;
-        held.lease.renewed(sent_at);
+        held.lease.record_renewal(sent_at);
         Ok(())
     }
 
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -88,7 +88,7 @@
             // node that is itself disconnected sees no other node.
             if !peers.is_empty() {
                 paths.set_peers(peers);
-                paths.set_away_pause_ms(outage_interval_ms(roster.len()));
+                paths.set_outage_interval_ms(outage_interval_ms(roster.len()));
             }
             known = Some(roster);
         }
--- a/crates/store/tests/full.rs
+++ b/crates/store/tests/full.rs
@@ -1,14 +1,14 @@
 //! Quotas, full disks and failing syncs.
 //!
-//! Symptom: a put is refused with "nothing was stored", but the blob is
-//! there later; or an acknowledged blob is gone because another put found
-//! the disk full. Sequence: the disk fills up or a sync fails at some point
-//! of a put. Cause, if it fails: a batch that failed was not undone, or the
-//! index was lost for want of space.
+//! Guards against a rejected put whose blob exists later although the error
+//! said that nothing was stored, and against acknowledged blobs that are lost
+//! because another put found the disk full. The disk fills up or a sync fails
+//! at some point of a put. A failure means that a failed batch was not rolled
+//! back, or that the index was lost for lack of space.
 
 mod common;
 
-use pomeloslip_store::{Put, Store, StoreError, sim::SimDisk};
+use pomeloslip_store::{PutOutcome, Store, StoreError, sim::SimDisk};
 use yare::parameterized;
 
 use crate::common::{body, get, id, open, options, put, reopen};
@@ -32,8 +32,8 @@
     let again = put(&store, &refused, &content);
     assert_eq!(again, Err(StoreError::QuotaExceeded));
     assert!(store.stat().expect("a sum").disk_bytes <= 20_000);
-    // What is there already needs no space.
-    assert_eq!(put(&store, "a/00", &content), Ok(Put::AlreadySame));
+    // Blobs that are already stored need no space.
+    assert_eq!(put(&store, "a/00", &content), Ok(PutOutcome::AlreadySame));
     assert_eq!(get(&store, &refused), Ok(None));
     disk.crash();
     let (store, report) = reopen(&disk);
@@ -54,9 +54,9 @@
         .map(|result| result.map_err(|e| *e.current_context()))
         .collect();
     let full = Err(StoreError::QuotaExceeded);
-    let expected = [Ok(Put::Stored), Ok(Put::Stored), full];
+    let expected = [Ok(PutOutcome::Stored), Ok(PutOutcome::Stored), full];
     assert_eq!(results[..3], expected);
-    assert_eq!(results[3], Ok(Put::AlreadySame));
+    assert_eq!(results[3], Ok(PutOutcome::AlreadySame));
 }
 
 #[test]
@@ -65,11 +65,15 @@
     let quota_bytes = 40_000;
     let store = quota_store(&disk, quota_bytes);
     let content = body("x", 900);
-    // Far more than the quota goes through, while every fourth blob stays
-    // for a while and lies between the others.
+    // Far more bytes than the quota are written in total, while every fourth
+    // blob is kept for a while between the others.
     for n in 0..400 {
         let name = format!("{}/{n:03}", n % 4);
-        assert_eq!(put(&store, &name, &content), Ok(Put::Stored), "{name}");
+        assert_eq!(
+            put(&store, &name, &content),
+            Ok(PutOutcome::Stored),
+            "{name}"
+        );
         if n >= 4 {
             let old = n - if n % 4 == 0 { 40 } else { 4 };
             if old >= 0 {
@@ -87,24 +91,24 @@
     assert_eq!(store.list("0/", None, 99).expect("a list").len(), 10);
 }
 
-/// The disk is full after a number of further bytes, one after the other.
+/// Runs with a range of remaining disk capacities.
 #[parameterized(
     small = { 100, 4_400, 61 },
     large = { 9_000, 40_000, 997 },
 )]
 fn a_full_disk_loses_and_doubles_nothing(
     bytes: usize,
-    most_room: usize,
+    max_free_bytes: usize,
     step: usize,
 ) {
-    for room in (0..most_room).step_by(step) {
-        let disk = SimDisk::new(room as u64);
+    for free_bytes in (0..max_free_bytes).step_by(step) {
+        let disk = SimDisk::new(free_bytes as u64);
         let store = open(&disk);
         for n in 0..40 {
             let name = format!("old/{n:02}");
             put(&store, &name, &body(&name, 300)).expect("stored");
         }
-        let capacity = disk.used_bytes() + room as u64;
+        let capacity = disk.used_bytes() + free_bytes as u64;
         disk.set_capacity_bytes(Some(capacity));
         let mut stored = Vec::new();
         let mut refused = Vec::new();
@@ -114,15 +118,22 @@
                 Ok(_) => stored.push(name),
                 Err(error) => {
                     let full = error == StoreError::DiskFull;
-                    assert!(full || error == StoreError::NotDone, "{error}");
+                    assert!(
+                        full || error == StoreError::NotApplied,
+                        "{error}"
+                    );
                     refused.push(name);
                 }
             }
         }
-        assert!(!refused.is_empty(), "{room}: the disk never filled up");
-        // With room again the same store goes on, or one after a crash.
+        assert!(
+            !refused.is_empty(),
+            "{free_bytes}: the disk never filled up"
+        );
+        // With free space again, either the same store continues or it is
+        // reopened after a crash.
         disk.set_capacity_bytes(None);
-        let store = if room % 2 == 0 {
+        let store = if free_bytes % 2 == 0 {
             store
         } else {
             disk.crash();
@@ -130,16 +141,20 @@
         };
         for name in &stored {
             let content = Some(body(name, bytes));
-            assert_eq!(get(&store, name), Ok(content), "{room}: {name}");
+            assert_eq!(get(&store, name), Ok(content), "{free_bytes}: {name}");
         }
         for name in &refused {
-            assert_eq!(get(&store, name), Ok(None), "{room}: {name}");
+            assert_eq!(get(&store, name), Ok(None), "{free_bytes}: {name}");
             put(&store, name, &body(name, bytes)).expect("stored");
         }
         for n in 0..40 {
             let name = format!("old/{n:02}");
             let content = Some(body(&name, 300));
-            assert_eq!(get(&store, &name), Ok(content), "{room}: {name}");
+            assert_eq!(
+                get(&store, &name),
+                Ok(content),
+                "{free_bytes}: {name}"
+            );
         }
     }
 }
@@ -151,7 +166,7 @@
     for n in 0..100 {
         put(&store, &format!("a/{n}"), b"x").expect("stored");
     }
-    // Without a clean end the index lags behind and has to grow.
+    // Without a clean shutdown the index is behind the log and has to grow.
     disk.crash();
     drop(store);
     disk.set_capacity_bytes(Some(disk.used_bytes()));
@@ -167,12 +182,12 @@
     put(&store, "first", b"1").expect("stored");
     disk.fail_syncs(1);
     let failed = put(&store, "second", b"2");
-    assert_eq!(failed, Err(StoreError::NotDone));
+    assert_eq!(failed, Err(StoreError::NotApplied));
     assert_eq!(get(&store, "second"), Ok(None));
     disk.fail_syncs(2);
     let unknown = put(&store, "second", b"2");
-    assert_eq!(unknown, Err(StoreError::Unknown));
-    assert_eq!(put(&store, "second", b"2"), Ok(Put::Stored));
+    assert_eq!(unknown, Err(StoreError::OutcomeUnknown));
+    assert_eq!(put(&store, "second", b"2"), Ok(PutOutcome::Stored));
     disk.crash();
     let store = open(&disk);
     assert_eq!(get(&store, "first"), Ok(Some(b"1".to_vec())));
