--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -42,7 +42,7 @@
             let timeout = Duration::from_millis(PROBE_TIMEOUT_MS);
             let fetch = pool.fetch(&endpoint, request, MAX_PROBE_BYTES);
             let body = time::timeout(timeout, fetch).await.ok()??;
-            dialect.load(&body, record.slots)
+            dialect.decode_load(&body, record.slots)
         })
     }
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,5 @@
-//! Turns what is followed into cluster.
+//! Applies the feeds to the state of the node: endpoints, configuration, jobs
+//! and quarantine.
 
 use std::sync::Arc;
 
@@ -14,66 +15,66 @@
     ClusterState, Dialect, NodeSettings, OperatorOrder, VacateOrder,
     feed::{Delta, Feed, FeedStatus, Scope},
     follow::Follower,
-    membership::FoundEntry,
-    readers::{Pace, Readers, Reading},
-    tree::PAIR,
+    membership::PreviousEntry,
+    readers::{QueryTiming, ReadMode, Readers},
+    tree::PAIR_SIZE,
 };
 
-/// Time between two listings of the endpoints, as a part of the time in
-/// which a leaving one must get no new work: a listing that has to be
-/// repeated and its way to the other nodes fit in it.
+/// Number of listings of the endpoints in the time within which a leaving
+/// endpoint must stop receiving work: a listing that has to be repeated and
+/// its propagation to the other nodes fit in it.
 const LISTINGS_PER_DRAIN: u64 = 4;
 
-/// Longest pause between listings, in milliseconds: less than half of the age
-/// up to which nodes rely on each other, so that a lost reader makes nobody
-/// read the service itself.
-const LISTING_MOST_MS: u64 = 600;
+/// Maximum interval between listings, in milliseconds: less than half of the
+/// age up to which nodes accept each other's data, so that the loss of a
+/// reader makes no node read the key-value service itself.
+const MAX_LISTING_INTERVAL_MS: u64 = 600;
 
-/// Pause between two deliveries of the changes of jobs, in milliseconds.
-/// Each delivery is a call; what comes meanwhile arrives together.
-const JOBS_PAUSE_MS: u64 = 300;
+/// Interval between two deliveries of job changes, in milliseconds. Each
+/// delivery is a call; changes in between arrive together.
+const JOB_BATCH_INTERVAL_MS: u64 = 300;
 
-/// Nodes that watch the jobs for all others. Nothing has a time by which all
-/// must know a change of them, so that the next one reads only where this
+/// Number of nodes that watch the jobs for all others. No change of a job has
+/// a time limit for reaching all nodes, so the next node reads only when this
 /// one is lost.
 const JOB_READERS: usize = 1;
 
-/// Number of the feed of jobs, of nodes and of requests that crash endpoints.
+/// Number of the feed of jobs, nodes and poison requests.
 pub(crate) const JOB_FEED: usize = 2;
 
-/// All that a node follows.
+/// Everything that a node follows.
 pub(crate) struct Watches {
     pub(crate) kv: Arc<dyn Kv>,
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) cluster: ClusterState,
     pub(crate) view: JobView,
     pub(crate) quarantine: Quarantine,
-    /// Connections to endpoints; those of ended ones are dropped.
+    /// Connections to endpoints; those of removed ones are dropped.
     pub(crate) pool: Arc<Pool>,
     pub(crate) counters: Arc<Counters>,
-    /// Turns true when the entry of this node is written.
-    pub(crate) entered: watch::Receiver<bool>,
-    /// Receives the entry of this node as it is found at the start.
-    pub(crate) found: watch::Sender<Option<FoundEntry>>,
-    /// What this node follows of jobs.
+    /// Becomes true when the entry of this node is written.
+    pub(crate) registered: watch::Receiver<bool>,
+    /// Receives the entry of this node as found at the start.
+    pub(crate) previous: watch::Sender<Option<PreviousEntry>>,
+    /// Which keys of the job feed this node follows.
     pub(crate) job_scope: Scope,
-    /// Who carries out orders to empty a node.
+    /// Receives orders to drain a node.
     pub(crate) orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 }
 
 impl Watches {
-    /// Starts all tasks and returns the feeds, for other nodes to ask.
+    /// Starts all tasks and returns the feeds, which other nodes query.
     pub(crate) fn start(self, settings: &NodeSettings) -> Arc<Vec<Arc<Feed>>> {
         let listing_ms = settings.drain_ms / LISTINGS_PER_DRAIN;
         let dialect = self.dialect.clone();
         let same_endpoint = move |before: &KeyValue, after: &KeyValue| {
             is_same_endpoint(&*dialect, before, after)
         };
-        // Each write of a job counts: its revision is what the next write
-        // compares with.
-        let never = |_: &KeyValue, _: &KeyValue| false;
+        // Each write of a job counts: the next write compares with its
+        // revision.
+        let never_equivalent = |_: &KeyValue, _: &KeyValue| false;
         let node = settings.node.as_str();
-        let followed = [
+        let feed_modes = [
             (
                 Feed::new(
                     self.dialect.endpoints_prefix(),
@@ -81,25 +82,30 @@
                     node,
                     same_endpoint,
                 ),
-                Reading::InTurn(listing_ms.min(LISTING_MOST_MS)),
+                ReadMode::RoundRobin(listing_ms.min(MAX_LISTING_INTERVAL_MS)),
             ),
             (
                 Feed::new(
                     self.dialect.orders_prefix(),
                     Scope::All,
                     node,
-                    never,
+                    never_equivalent,
                 ),
-                Reading::Watching {
-                    readers: PAIR,
+                ReadMode::Watch {
+                    readers: PAIR_SIZE,
                     pause_ms: 0,
                 },
             ),
             (
-                Feed::new(WATCHED_PREFIX, self.job_scope, node, never),
-                Reading::Watching {
+                Feed::new(
+                    WATCHED_PREFIX,
+                    self.job_scope,
+                    node,
+                    never_equivalent,
+                ),
+                ReadMode::Watch {
                     readers: JOB_READERS,
-                    pause_ms: JOBS_PAUSE_MS,
+                    pause_ms: JOB_BATCH_INTERVAL_MS,
                 },
             ),
         ];
@@ -109,21 +115,25 @@
             self.view.clone(),
         );
         let readers = Arc::new(readers);
-        let (seeded, kv) = (readers.clone(), self.kv.clone());
-        let entered = self.entered.clone();
-        let found = self.found;
-        tokio::spawn(async move { seeded.seed(&*kv, entered, found).await });
+        let (seeder, kv) = (readers.clone(), self.kv.clone());
+        let registered = self.registered.clone();
+        let previous = self.previous;
+        tokio::spawn(
+            async move { seeder.seed(&*kv, registered, previous).await },
+        );
         let pool = Arc::new(Pool::default());
-        let pace = Pace::new(settings.propagation_ms());
+        let timing = QueryTiming::new(settings.propagation_ms());
         let mut feeds = Vec::new();
-        for (number, (feed, reading)) in followed.into_iter().enumerate() {
+        for (feed_number, (feed, read_mode)) in
+            feed_modes.into_iter().enumerate()
+        {
             let feed = Arc::new(feed);
             feeds.push(feed.clone());
             let follower = Follower {
-                number,
+                feed_number,
                 feed,
-                reading,
-                pace,
+                read_mode,
+                timing,
                 kv: self.kv.clone(),
                 readers: readers.clone(),
                 pool: pool.clone(),
@@ -147,7 +157,7 @@
             cluster.clone(),
             pool,
         ));
-        let followed_cluster = cluster.clone();
+        let job_cluster = cluster.clone();
         tokio::spawn(follow_operators(
             feeds[1].clone(),
             dialect,
@@ -158,16 +168,16 @@
             feeds[JOB_FEED].clone(),
             view,
             quarantine,
-            followed_cluster,
+            job_cluster,
         ));
         Arc::new(feeds)
     }
 }
 
-/// Subscribes to a feed so that what it holds already counts as a change.
+/// Subscribes to a feed so that existing items already count as a change.
 ///
-/// Without that, a task that starts after the first read waits for the
-/// second, and a node whose configuration does not change never has one.
+/// Otherwise a task that starts after the first read waits for the second one,
+/// which never comes on a node whose configuration does not change.
 fn subscribe(feed: &Feed) -> watch::Receiver<u64> {
     let mut changes = feed.subscribe();
     changes.mark_changed();
@@ -192,21 +202,22 @@
         if status.revision == 0 {
             continue;
         }
-        // What is kept without an entry may have to go by now.
-        let is_known =
-            directory.has_listing() && known.content == status.content;
+        // Endpoints that are retained without an entry may have to be removed
+        // by now.
+        let is_known = directory.has_listing()
+            && known.content_version == status.content_version;
         if is_known && !directory.retains_missing() {
             confirm_endpoints(&cluster, status.revision);
             continue;
         }
-        let delta = feed.since(known.revision);
+        let delta = feed.changes_since(known.revision);
         known = FeedStatus {
             revision: delta.revision,
             ..status
         };
         let update = entries.decode(&delta, &*dialect);
         let now = cluster.clock().now();
-        let changes = match delta.whole {
+        let changes = match delta.is_full {
             true => directory.reconcile(
                 Listing {
                     revision: update.revision,
@@ -227,20 +238,20 @@
             }
         }
         if !changes.is_empty() {
-            pool.retain(|life| directory.has_incarnation(life));
+            pool.retain(|key| directory.has_incarnation(key));
         }
     }
 }
 
-/// Takes note that the endpoints are the same as of a later revision.
+/// Records that the endpoints are unchanged as of a later revision.
 fn confirm_endpoints(cluster: &ClusterState, revision: u64) {
     let table = cluster.endpoints.load().table.clone();
     cluster.endpoints.publish(DirectoryView { table, revision });
 }
 
-/// Tells whether two entries say the same of an endpoint. The beats by which
-/// it shows that it lives are no news; the service removes the entry if they
-/// end.
+/// Reports whether two entries describe the same state of an endpoint.
+/// Heartbeats of an endpoint do not count as changes; the key-value service
+/// removes the entry when they stop.
 fn is_same_endpoint(
     dialect: &dyn Dialect,
     before: &KeyValue,
@@ -249,19 +260,22 @@
     if before.value == after.value {
         return true;
     }
-    match (dialect.endpoint(before), dialect.endpoint(after)) {
+    match (
+        dialect.decode_endpoint(before),
+        dialect.decode_endpoint(after),
+    ) {
         (Ok(before), Ok(after)) => before == after,
         _ => false,
     }
 }
 
-/// Decodes the entries that name an endpoint to use.
+/// Decodes the entries of usable endpoints.
 ///
-/// An entry may come from another writer. It names no endpoint then, and is
-/// logged once for each change of it.
+/// An entry that another program wrote may be malformed. It counts as no
+/// endpoint, and each change of it is logged once.
 #[derive(Default)]
 struct EntryDecoder {
-    /// Ids of the endpoints that entries name, by key.
+    /// Ids of the endpoints, by the key of their entry.
     ids: IndexMap<String, String>,
 }
 
@@ -275,14 +289,14 @@
             revision: delta.revision,
             ..ListingUpdate::default()
         };
-        if delta.whole {
+        if delta.is_full {
             self.ids.clear();
         }
         for (key, _) in &delta.deleted {
             update.removed.extend(self.ids.swap_remove(key));
         }
         for kv in &delta.items {
-            match dialect.endpoint(kv) {
+            match dialect.decode_endpoint(kv) {
                 Ok(record) => {
                     self.ids.insert(kv.key.clone(), record.id.clone());
                     update.records.push(record);
@@ -315,7 +329,7 @@
     cluster: ClusterState,
     orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 ) {
-    let take = |kv: &KeyValue| match dialect.order(kv) {
+    let apply_order = |kv: &KeyValue| match dialect.decode_order(kv) {
         Ok(OperatorOrder::Config(config)) => cluster.apply_config(*config),
         Ok(OperatorOrder::Vacate(order)) => {
             if let Some(orders) = &orders {
@@ -325,15 +339,17 @@
         Ok(OperatorOrder::Other) => {}
         Err(error) => {
             log::warn!(key = kv.key.as_str(), error:%;
-                "what an operator wrote cannot be read");
+                "an operator's value is malformed and is ignored");
         }
     };
     let mut changes = subscribe(&feed);
     let mut after = 0;
     while changes.changed().await.is_ok() {
-        let delta = feed.since(after);
+        let delta = feed.changes_since(after);
         let newer = delta.items.iter();
-        newer.filter(|kv| kv.mod_revision > after).for_each(&take);
+        newer
+            .filter(|kv| kv.mod_revision > after)
+            .for_each(&apply_order);
         after = delta.revision;
         if let Some(at) = delta.fresh_at {
             cluster.confirm_config(at);
@@ -350,7 +366,7 @@
     let mut changes = subscribe(&feed);
     let mut after = 0;
     while changes.changed().await.is_ok() {
-        let delta = feed.since(after);
+        let delta = feed.changes_since(after);
         let Some(at) = delta.fresh_at else {
             continue;
         };
@@ -358,19 +374,19 @@
             &delta.items,
             &delta.deleted,
             delta.revision,
-            delta.whole,
+            delta.is_full,
         );
         cluster.mark_quarantine_loaded();
-        if after == 0 || delta.whole {
+        if after == 0 || delta.is_full {
             view.replace(&delta.items, at);
         } else {
-            let gone = delta.deleted.into_iter();
-            let gone = gone.map(|(key, mod_revision)| Event::Delete {
+            let deleted = delta.deleted.into_iter();
+            let deleted = deleted.map(|(key, mod_revision)| Event::Delete {
                 key,
                 mod_revision,
             });
             let put = delta.items.into_iter().map(Event::Put);
-            let events: Vec<Event> = put.chain(gone).collect();
+            let events: Vec<Event> = put.chain(deleted).collect();
             view.apply(&events, at);
         }
         after = delta.revision;
--- a/crates/node/tests/unit/commit_wire.rs
+++ b/crates/node/tests/unit/commit_wire.rs
@@ -1,4 +1,4 @@
-//! Writes between nodes, whole and malformed.
+//! Tests of writes between nodes, complete and malformed.
 
 use kv::{Compare, LeaseId, Op, Txn};
 
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn a_write_arrives_as_it_was_sent() {
+fn a_write_round_trips() {
     let bytes = encode(&txn()).expect("encoded");
     assert_eq!(decode(&bytes), Some(txn()));
 }
 
-/// Guards against a write that is carried out in part since its bytes were
-/// cut, or that takes more than its own.
+/// Guards against a write that is partly applied because its bytes were
+/// truncated, or that contains bytes beyond its own.
 #[test]
-fn a_malformed_write_is_none() {
+fn a_malformed_write_is_rejected() {
     let bytes = encode(&txn()).expect("encoded");
     for length in 0..bytes.len() {
         assert_eq!(decode(&bytes[..length]), None, "{length} bytes");
@@ -47,8 +47,8 @@
     assert_eq!(decode(&longer), None);
 }
 
-/// Guards against a key that outlives its lease since the lease was lost on
-/// the way.
+/// Guards against a key that outlives its lease because the lease was lost in
+/// transit.
 #[test]
 fn a_write_under_a_lease_is_not_sent() {
     let mut leased = txn();
@@ -60,14 +60,14 @@
     assert!(encode(&leased).is_none());
 }
 
-/// Guards against a write that counts as failed since its outcome could not
-/// be read.
+/// Guards against a write that counts as failed because its outcome could not
+/// be decoded.
 #[test]
-fn an_outcome_that_cannot_be_read_is_open() {
+fn a_malformed_outcome_is_unknown() {
     for outcome in [
-        WireOutcome::Done(3),
-        WireOutcome::Overtaken(4),
-        WireOutcome::NotDone,
+        WireOutcome::Applied(3),
+        WireOutcome::Conflict(4),
+        WireOutcome::NotApplied,
         WireOutcome::Unknown,
         WireOutcome::Invalid,
     ] {
--- a/crates/node/tests/unit/job_push.rs
+++ b/crates/node/tests/unit/job_push.rs
@@ -1,4 +1,4 @@
-//! What a worker learns of a job that another node has accepted.
+//! Tests of jobs that another node has accepted and pushed to a worker.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 };
 use kv::{Kv, Memory};
 
-use super::PushedJobs;
+use super::PushReceiver;
 use crate::commit_wire;
 
 const VALUE_BYTES: usize = 1024 * 1024;
@@ -34,15 +34,15 @@
     }
 }
 
-fn pushed() -> PushedJobs {
-    PushedJobs {
+fn receiver() -> PushReceiver {
+    PushReceiver {
         view: JobView::default(),
         cache: Arc::default(),
         clock: Arc::new(SteppedClock::default()),
     }
 }
 
-/// Accepts a job and returns what its front sends to the worker.
+/// Accepts a job and returns the message that its front sends to the worker.
 async fn accepted() -> (StoredManifest, Vec<u8>) {
     let kv = Memory::default();
     let timer = Timer::new(kv.clock().clone());
@@ -57,32 +57,33 @@
     (stored, bytes.to_vec())
 }
 
-/// Guards against a read of the key-value service for each new job: load
-/// pattern of a fleet in which each job has inputs of its own.
+/// Guards against a read of the key-value service for each new job. Load: a
+/// fleet in which each job has its own inputs.
 #[tokio::test]
-async fn a_worker_reads_nothing_of_a_job_that_is_sent_to_it() {
+async fn a_worker_reads_nothing_of_a_pushed_job() {
     let (stored, bytes) = accepted().await;
-    let worker = pushed();
-    worker.learn(&bytes, stored.revision).expect("taken");
+    let worker = receiver();
+    worker.apply(&bytes, stored.revision).expect("applied");
     let key = job().key;
     assert_eq!(worker.view.get(&key), Some(stored.clone()));
-    // A ledger before an empty service: what it reads comes from the cache.
+    // A ledger with an empty key-value service, so that it reads from the
+    // cache only.
     let kv: Arc<dyn Kv> = Arc::new(Memory::default());
     let timer = Timer::new(Arc::new(SteppedClock::default()));
     let ledger = Ledger::new(kv, timer, VALUE_BYTES)
         .with_peers(worker.cache, Arc::new(NoPeers));
-    let inputs = ledger.inputs(&key, &stored.manifest).await.expect("there");
+    let inputs = ledger.inputs(&key, &stored.manifest).await.expect("inputs");
     assert_eq!(inputs, job().items);
 }
 
-/// Guards against a job that is taken up in part, or not at all, since the
-/// message about it was cut.
+/// Guards against a job that is started in part, or not at all, because the
+/// message about it was truncated.
 #[tokio::test]
 async fn a_malformed_message_changes_nothing() {
     let (stored, bytes) = accepted().await;
     for length in 0..bytes.len() {
-        let worker = pushed();
-        assert!(worker.learn(&bytes[..length], stored.revision).is_none());
+        let worker = receiver();
+        assert!(worker.apply(&bytes[..length], stored.revision).is_none());
         assert_eq!(worker.view.get(&job().key), None);
     }
 }
