--- a/crates/node/src/base.rs
+++ b/crates/node/src/base.rs
@@ -89,8 +89,8 @@
         let pool = Arc::new(Pool::default());
         let view = JobView::default();
         let clock = context.cluster.clock().clone();
-        let (entered, has_entered) = watch::channel(false);
-        let (found, has_found) = watch::channel(None);
+        let (registered, has_registered) = watch::channel(false);
+        let (previous, has_previous) = watch::channel(None);
         let crash_record_writes = WriteThroughKv::new(context.kv.clone());
         let quarantine = Quarantine::new(
             Arc::new(crash_record_writes.clone()),
@@ -106,8 +106,8 @@
             view: view.clone(),
             quarantine: quarantine.clone(),
             pool: pool.clone(),
-            registered: has_entered,
-            previous: found,
+            registered: has_registered,
+            previous,
             counters: context.counters.clone(),
             job_scope: match runs_items {
                 true => Scope::All,
@@ -120,11 +120,11 @@
         let cache: Arc<BulkCache> = Arc::default();
         let peer_bulk =
             PeerBulk::new(&settings.node, view.clone(), clock.clone());
-        let group =
+        let group_commit =
             GroupCommit::start(context.kv.clone(), BatchLimits::default());
         let commits = SharedCommits::new(
             context.kv.clone(),
-            group.clone(),
+            group_commit.clone(),
             &settings.node,
             view.clone(),
             clock.clone(),
@@ -147,7 +147,7 @@
         );
         tokio::spawn(usage::log_usage(context.counters.clone()));
         let spooled_jobs = spool.as_ref().map(|spool| spool.count());
-        let pushed = PushReceiver {
+        let push_receiver = PushReceiver {
             view: view.clone(),
             cache: cache.clone(),
             clock: clock.clone(),
@@ -159,9 +159,9 @@
             counters: context.counters.clone(),
             bulk: BulkResponder::new(cache, ledger.clone()),
             spool,
-            group_commit: group,
+            group_commit,
             manifests: ManifestResponder::new(view.clone(), clock.clone()),
-            push_receiver: pushed,
+            push_receiver,
             clock: clock.clone(),
         };
         peer::serve(settings.peer, handler)?;
@@ -191,7 +191,7 @@
             context.counters.clone(),
         );
         tokio::spawn(detector.run());
-        let (remove_entry, left) = watch::channel(false);
+        let (remove_entry, shutdown) = watch::channel(false);
         let record = NodeRecord {
             node: settings.node.clone(),
             failure_domain: settings.failure_domain.clone(),
@@ -200,17 +200,17 @@
             limits: Some(settings.limits),
             lease_s: 0,
         };
-        let keeper = NodeRegistration {
+        let registration = NodeRegistration {
             kv: context.kv.clone(),
             record,
             terms: LeaseTerms::new(runs_items, settings.min_lease_ms),
             view: view.clone(),
             clock,
         };
-        tokio::spawn(keeper.run(RegistrationSignals {
-            registered: entered,
-            shutdown: left,
-            previous: has_found,
+        tokio::spawn(registration.run(RegistrationSignals {
+            registered,
+            shutdown,
+            previous: has_previous,
         }));
         let assignments = Assignments::new(
             &settings.node,
