--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -20,7 +20,7 @@
 
 use super::guard::Authenticated;
 use crate::{
-    claim::{self, Served, WholeAnswer},
+    claim::{self, BufferedResponse, Served},
     exchange::Exchange,
     filter::{self, Incoming, Routed},
     forward::{self, Started},
@@ -141,7 +141,9 @@
     let (compiled, customer) = (&in_force.compiled, &exchange.customer);
     let places = shared.customers.admit(compiled, customer, &limits, now);
     let served = match places {
-        Ok(places) => send(shared, exchange, admitted.under(places)).await,
+        Ok(places) => {
+            send(shared, exchange, admitted.with_limit_permits(places)).await
+        }
         Err(problem) => Err(problem),
     };
     if let Err(problem) = &served {
@@ -211,7 +213,7 @@
     response
 }
 
-fn respond_whole<'r>(id: &str, whole: WholeAnswer) -> Response<'r> {
+fn respond_whole<'r>(id: &str, whole: BufferedResponse) -> Response<'r> {
     let mut response = head(id, whole.status, whole.headers);
     if whole.replayed {
         response.raw_header("idempotency-replayed", "true");
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,4 @@
-//! Turns the frames of an answer into the body of a response.
+//! Converts the frames of an endpoint's response into an HTTP body.
 
 use std::{
     io,
@@ -18,32 +18,33 @@
 
 use crate::{
     fleet::Flight,
-    forward::{self, Again, Answering, Resume},
+    forward::{self, Resume, ResumedStream, StreamingReply},
     shared::Admitted,
 };
 
-/// Learns how an answer ended.
-pub(crate) type OnEnd = Box<dyn FnOnce(&Ended) + Send>;
+/// Callback that receives how the body ended.
+pub(crate) type OnEnd = Box<dyn FnOnce(&BodyEnd) + Send>;
 
-/// How the body of an answer ended.
+/// How a response body ended.
 #[derive(Debug)]
-pub(crate) enum Ended {
-    /// Whole.
+pub(crate) enum BodyEnd {
+    /// The body is complete.
     Complete,
-    /// With this outcome, or with none when the link broke.
-    Broken(Option<Outcome>),
-    /// The caller left.
-    Left,
+    /// The body is incomplete: the outcome of the run, or `None` if the link
+    /// broke.
+    Interrupted(Option<Outcome>),
+    /// The caller disconnected.
+    CallerLeft,
 }
 
-impl Ended {
-    /// Says for people how the answer ended.
+impl BodyEnd {
+    /// Describes the end in a form for people.
     pub(crate) fn detail(&self) -> &str {
         match self {
-            Ended::Complete => "whole",
-            Ended::Broken(Some(outcome)) => &outcome.detail,
-            Ended::Broken(None) => "the link broke",
-            Ended::Left => "the caller left",
+            BodyEnd::Complete => "whole",
+            BodyEnd::Interrupted(Some(outcome)) => &outcome.detail,
+            BodyEnd::Interrupted(None) => "the link broke",
+            BodyEnd::CallerLeft => "the caller left",
         }
     }
 }
@@ -51,27 +52,30 @@
 enum State {
     Idle(Box<Run>),
     Waiting(BoxFuture<'static, (Box<Run>, Option<Frame>)>),
-    Resuming(BoxFuture<'static, Option<(Box<Resume>, Again)>>, Ended),
+    Resuming(
+        BoxFuture<'static, Option<(Box<Resume>, ResumedStream)>>,
+        BodyEnd,
+    ),
     Done,
 }
 
-/// How a caller learns that an answer is not whole.
+/// How an incomplete response is reported to the caller.
 ///
 /// The server library ends a body of unknown length cleanly even when it
-/// fails, so that half an answer would look like a whole one.
+/// fails, so half a response would look complete.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Framing {
-    /// An event stream: a last event tells the error, and the end mark is
+    /// An event stream: a final event reports the error, and the end mark is
     /// missing.
     Events,
-    /// The length went before the body: the connection is cut.
+    /// The length was sent before the body: the connection is closed early.
     Sized,
 }
 
-/// Reads an answer frame by frame.
-pub(crate) struct AnswerBody {
+/// Response body that is read frame by frame.
+pub(crate) struct ResponseBody {
     state: State,
-    rest: Bytes,
+    pending: Bytes,
     next_seq: u32,
     on_end: Option<OnEnd>,
     on_chunk: Arc<dyn Fn(u32) + Send + Sync>,
@@ -81,43 +85,47 @@
     resume: Option<Box<Resume>>,
 }
 
-impl AnswerBody {
-    /// Makes the body of an answer that has begun; with `resume` it goes on
-    /// elsewhere when it breaks.
+impl ResponseBody {
+    /// Creates the body of a response that has started. With `resume`, an
+    /// interrupted stream is resumed at another endpoint.
     pub(crate) fn new(
-        answer: Answering,
+        reply: StreamingReply,
         on_chunk: Arc<dyn Fn(u32) + Send + Sync>,
         on_end: OnEnd,
         mut resume: Option<Box<Resume>>,
     ) -> Self {
-        let Some(first) = answer.first else {
-            return Self::whole(Bytes::new(), on_end, answer.flight);
+        let Some(first) = reply.first else {
+            return Self::complete(Bytes::new(), on_end, reply.flight);
         };
         if let Some(resume) = &mut resume {
-            // The first event of a first attempt always goes to the caller.
-            let _ = resume.pass(first.clone());
+            // The first event of the first attempt always goes to the caller.
+            let _ = resume.filter_event(first.clone());
         }
         Self {
-            state: State::Idle(Box::new(answer.run)),
-            rest: first,
-            next_seq: answer.next_seq,
+            state: State::Idle(Box::new(reply.run)),
+            pending: first,
+            next_seq: reply.next_seq,
             on_end: Some(on_end),
             on_chunk,
             admitted: None,
-            flight: Some(answer.flight),
-            framing: answer.framing,
+            flight: Some(reply.flight),
+            framing: reply.framing,
             resume,
         }
     }
 
-    /// Makes a body of bytes that are all here.
-    pub(crate) fn whole(bytes: Bytes, on_end: OnEnd, flight: Flight) -> Self {
-        flight.completed();
+    /// Creates a body from bytes that are already complete.
+    pub(crate) fn complete(
+        bytes: Bytes,
+        on_end: OnEnd,
+        flight: Flight,
+    ) -> Self {
+        flight.record_completion();
         drop(flight);
-        on_end(&Ended::Complete);
+        on_end(&BodyEnd::Complete);
         Self {
             state: State::Done,
-            rest: bytes,
+            pending: bytes,
             next_seq: 0,
             on_end: None,
             on_chunk: Arc::new(|_| ()),
@@ -128,17 +136,17 @@
         }
     }
 
-    /// Keeps the place of the call until the answer has ended.
-    pub(crate) fn hold(&mut self, admitted: Admitted) {
+    /// Holds the admission permits until the body has ended.
+    pub(crate) fn hold_admission(&mut self, admitted: Admitted) {
         self.admitted = Some(admitted);
     }
 
-    fn finish(&mut self, ended: &Ended) {
+    fn finish(&mut self, ended: &BodyEnd) {
         self.state = State::Done;
         self.admitted = None;
         let flight = self.flight.take();
-        if let (Some(flight), Ended::Complete) = (&flight, ended) {
-            flight.completed();
+        if let (Some(flight), BodyEnd::Complete) = (&flight, ended) {
+            flight.record_completion();
         }
         drop(flight);
         if let Some(on_end) = self.on_end.take() {
@@ -146,8 +154,8 @@
         }
     }
 
-    /// Takes a frame; `Ok(false)` is the end.
-    fn take(&mut self, frame: Option<Frame>) -> io::Result<bool> {
+    /// Handles a frame; `Ok(false)` means the end of the body.
+    fn handle_frame(&mut self, frame: Option<Frame>) -> io::Result<bool> {
         match frame {
             Some(Frame::Chunk { seq, bytes }) if seq == self.next_seq => {
                 self.next_seq += 1;
@@ -155,71 +163,71 @@
                     flight.advance_to(self.next_seq);
                 }
                 let bytes = match &mut self.resume {
-                    Some(resume) => resume.pass(bytes),
+                    Some(resume) => resume.filter_event(bytes),
                     None => Some(bytes),
                 };
                 if let Some(bytes) = bytes {
                     (self.on_chunk)(seq);
-                    self.rest = bytes;
+                    self.pending = bytes;
                 }
                 Ok(true)
             }
-            Some(Frame::End(outcome)) if self.is_whole(&outcome) => {
-                self.finish(&Ended::Complete);
+            Some(Frame::End(outcome)) if self.is_complete(&outcome) => {
+                self.finish(&BodyEnd::Complete);
                 Ok(false)
             }
-            Some(Frame::End(outcome)) => self.broke(Some(outcome)),
-            // A gap or a second head: frames of this answer are lost.
-            _ => self.broke(None),
+            Some(Frame::End(outcome)) => self.interrupted(Some(outcome)),
+            // A gap in the sequence or a second head: frames were lost.
+            _ => self.interrupted(None),
         }
     }
 
-    fn is_whole(&self, outcome: &Outcome) -> bool {
+    fn is_complete(&self, outcome: &Outcome) -> bool {
         outcome.kind == OutcomeKind::Complete
             && outcome.chunks == self.next_seq
     }
 
-    /// Goes on elsewhere if that is possible.
-    fn broke(&mut self, outcome: Option<Outcome>) -> io::Result<bool> {
+    /// Resumes the stream at another endpoint if possible.
+    fn interrupted(&mut self, outcome: Option<Outcome>) -> io::Result<bool> {
         let kind = outcome.as_ref().map(|outcome| outcome.kind);
-        let ended = Ended::Broken(outcome);
+        let ended = BodyEnd::Interrupted(outcome);
         let Some(flight) = self.flight.take() else {
             return self.fail(&ended);
         };
         let Some(resume) = self.resume.take() else {
-            forward::note_end(&flight, kind);
+            forward::record_incomplete(&flight, kind);
             return self.fail(&ended);
         };
-        let why = ended.detail().to_owned();
-        // The broken attempt ends before another begins.
+        let reason = ended.detail().to_owned();
+        // The interrupted attempt is closed before another starts.
         self.state = State::Done;
-        let again = Box::pin(resume.again(flight, kind, why));
-        self.state = State::Resuming(again, ended);
+        let resumed = Box::pin(resume.resume(flight, kind, reason));
+        self.state = State::Resuming(resumed, ended);
         Ok(true)
     }
 
-    fn resumed(
+    fn continue_with(
         &mut self,
-        again: Option<(Box<Resume>, Again)>,
-        ended: &Ended,
+        resumed: Option<(Box<Resume>, ResumedStream)>,
+        ended: &BodyEnd,
     ) -> io::Result<bool> {
-        let Some((resume, again)) = again else {
+        let Some((resume, resumed)) = resumed else {
             return self.fail(ended);
         };
-        self.state = State::Idle(Box::new(again.run));
-        self.rest = again.first.unwrap_or_default();
-        self.next_seq = again.next_seq;
-        self.flight = Some(again.flight);
+        self.state = State::Idle(Box::new(resumed.run));
+        self.pending = resumed.first.unwrap_or_default();
+        self.next_seq = resumed.next_seq;
+        self.flight = Some(resumed.flight);
         self.resume = Some(resume);
         Ok(true)
     }
 
-    fn fail(&mut self, ended: &Ended) -> io::Result<bool> {
+    fn fail(&mut self, ended: &BodyEnd) -> io::Result<bool> {
         let detail = ended.detail().to_owned();
         self.finish(ended);
         match self.framing {
             Framing::Events => {
-                self.rest = error_event(&detail);
+                self.pending = error_event(&detail);
                 Ok(true)
             }
             Framing::Sized => Err(io::Error::other(detail)),
@@ -227,24 +235,24 @@
     }
 }
 
-/// Returns the event by which a broken stream tells its caller.
+/// Returns the event that reports an interrupted stream to the caller.
 fn error_event(detail: &str) -> Bytes {
     let problem = Problem::new(ProblemKind::AnswerLost, detail);
     let error = problem.ran(Ran::Unknown).to_json();
     format!("data: {}\n\n", serde_json::json!({ "error": error })).into()
 }
 
-impl AsyncRead for AnswerBody {
+impl AsyncRead for ResponseBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if !self.rest.is_empty() {
-                let count = self.rest.len().min(buf.remaining());
-                buf.put_slice(&self.rest[..count]);
-                self.rest.advance(count);
+            if !self.pending.is_empty() {
+                let count = self.pending.len().min(buf.remaining());
+                buf.put_slice(&self.pending[..count]);
+                self.pending.advance(count);
                 return Poll::Ready(Ok(()));
             }
             match std::mem::replace(&mut self.state, State::Done) {
@@ -263,20 +271,20 @@
                         }
                         Poll::Ready((run, frame)) => {
                             self.state = State::Idle(run);
-                            if !self.take(frame)? {
+                            if !self.handle_frame(frame)? {
                                 return Poll::Ready(Ok(()));
                             }
                         }
                     }
                 }
-                State::Resuming(mut again, ended) => {
-                    match again.as_mut().poll(cx) {
+                State::Resuming(mut resumed, ended) => {
+                    match resumed.as_mut().poll(cx) {
                         Poll::Pending => {
-                            self.state = State::Resuming(again, ended);
+                            self.state = State::Resuming(resumed, ended);
                             return Poll::Pending;
                         }
-                        Poll::Ready(again) => {
-                            if !self.resumed(again, &ended)? {
+                        Poll::Ready(resumed) => {
+                            if !self.continue_with(resumed, &ended)? {
                                 return Poll::Ready(Ok(()));
                             }
                         }
@@ -287,8 +295,8 @@
     }
 }
 
-impl Drop for AnswerBody {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.finish(&Ended::Left);
+        self.finish(&BodyEnd::CallerLeft);
     }
 }
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,4 +1,5 @@
-//! Calls that run at most once, also when their callers send them again.
+//! At-most-once execution of calls that carry an idempotency key, even when
+//! callers retry them.
 //!
 //! See `docs/design/at-most-once.md`.
 
@@ -12,54 +13,53 @@
 
 use crate::{
     claim_record::{
-        ANSWER_KEPT_MAX_BYTES, ClaimRecord, ClaimState, KeptAnswer,
+        ClaimRecord, ClaimState, MAX_STORED_RESPONSE_BYTES, StoredResponse,
         fingerprint,
     },
-    claim_store::{Claim, Taken},
+    claim_store::{Claim, ClaimOutcome},
     exchange::Exchange,
     forward::{self, Started},
     shared::{Admitted, Shared},
 };
 
-/// Time that a call without a deadline may run before its claim counts as
-/// lost, in milliseconds.
-const RUN_MAX_MS: u64 = 600_000;
+/// Maximum run time of a call without a deadline, in milliseconds; after it
+/// the outcome counts as response_lost.
+const MAX_RUN_MS: u64 = 600_000;
 
-/// Time that the clocks of two entries may differ by, in milliseconds.
+/// Maximum clock difference between two entries, in milliseconds.
 const CLOCK_MARGIN_MS: u64 = 30_000;
 
-/// When a caller may come back while the first call runs, in milliseconds.
+/// Retry-after while the first call runs, in milliseconds.
 const RUNNING_RETRY_AFTER_MS: u64 = 1_000;
 
-/// When a caller may come back if a claim cannot be recorded, in
-/// milliseconds.
-const DOWN_RETRY_AFTER_MS: u64 = 5_000;
+/// Retry-after when a claim cannot be recorded, in milliseconds.
+const UNAVAILABLE_RETRY_AFTER_MS: u64 = 5_000;
 
-/// The answer to a call.
+/// The response to a call.
 pub(crate) enum Served {
-    /// It comes from an endpoint.
+    /// A response that is streamed from an endpoint.
     Started(Started),
-    /// It is here.
-    Whole(WholeAnswer),
+    /// A response that is buffered in full.
+    Whole(BufferedResponse),
 }
 
-/// An answer that is all here.
-pub(crate) struct WholeAnswer {
+/// A response that is buffered in full.
+pub(crate) struct BufferedResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
-    /// Whether it is that of an earlier call.
+    /// Whether this is the stored response of an earlier call.
     pub(crate) replayed: bool,
 }
 
-/// Serves a call that carries an idempotency key and may not be repeated.
+/// Serves a call that carries an idempotency key and is not repeatable.
 ///
-/// The work is a task of its own: if the caller leaves in the middle, a
-/// claim without an end would block the key until the call's deadline.
+/// The call runs in its own task: if the caller disconnected midway, a claim
+/// without a final state would block the key until the deadline.
 ///
 /// # Errors
 ///
-/// A problem document that says whether the call ran.
+/// A problem document that states whether the call ran.
 pub(crate) async fn serve(
     shared: &Arc<Shared>,
     key: String,
@@ -68,51 +68,57 @@
 ) -> Result<Served, Problem> {
     let shared = shared.clone();
     let task = tokio::spawn(async move {
-        // A planned stop waits for the record, not only for the answer.
+        // A graceful shutdown waits for the new_record as well as for the
+        // response.
         let _active = shared.state.begin();
-        claimed(&shared, &key, exchange, admitted).await
+        run_once(&shared, &key, exchange, admitted).await
     });
     task.await.unwrap_or_else(|_| {
-        let why = "the call failed inside";
-        Err(Problem::new(ProblemKind::Internal, why).ran(Ran::Unknown))
+        let reason = "the call failed inside";
+        Err(Problem::new(ProblemKind::Internal, reason).ran(Ran::Unknown))
     })
 }
 
-async fn claimed(
+async fn run_once(
     shared: &Arc<Shared>,
     key: &str,
     exchange: Exchange,
     admitted: Admitted,
 ) -> Result<Served, Problem> {
-    let record = record(shared, &exchange);
-    let wanted = record.fingerprint.clone();
-    let taken = shared.claims.take(&exchange.customer, key, record).await;
-    match taken {
-        Ok(Taken::New(claim)) => run(shared, claim, &exchange, admitted).await,
-        Ok(Taken::Found(found)) => {
-            replay(found, &wanted, shared.timer.clock().unix())
+    let new_record = new_record(shared, &exchange);
+    let fingerprint_of_call = new_record.fingerprint.clone();
+    let outcome = shared
+        .claims
+        .acquire(&exchange.customer, key, new_record)
+        .await;
+    match outcome {
+        Ok(ClaimOutcome::Acquired(claim)) => {
+            run(shared, claim, &exchange, admitted).await
         }
-        Ok(Taken::Released) => {
-            let why = "an earlier call with this key just ended unsent";
-            Err(still_running(why).ran(Ran::No))
+        Ok(ClaimOutcome::Existing(found)) => {
+            replay(found, &fingerprint_of_call, shared.timer.clock().unix())
+        }
+        Ok(ClaimOutcome::Released) => {
+            let reason = "an earlier call with this key just ended unsent";
+            Err(still_running(reason).ran(Ran::No))
         }
         Err(report) => {
             log::warn!(error:? = report; "a claim cannot be recorded");
-            let why = "that this call runs once cannot be recorded now";
-            Err(Problem::new(ProblemKind::PlatformDown, why)
+            let reason = "that this call runs once cannot be recorded now";
+            Err(Problem::new(ProblemKind::PlatformDown, reason)
                 .ran(Ran::No)
-                .retry_after_ms(DOWN_RETRY_AFTER_MS))
+                .retry_after_ms(UNAVAILABLE_RETRY_AFTER_MS))
         }
     }
 }
 
-fn record(shared: &Shared, exchange: &Exchange) -> ClaimRecord {
-    let runs_ms = match exchange.plan.deadline_ms {
-        0 => RUN_MAX_MS,
+fn new_record(shared: &Shared, exchange: &Exchange) -> ClaimRecord {
+    let max_run_ms = match exchange.plan.deadline_ms {
+        0 => MAX_RUN_MS,
         ms => ms,
     };
     let now = shared.timer.clock().unix();
-    let until_unix_ms = now.as_ms() + runs_ms + CLOCK_MARGIN_MS;
+    let until_unix_ms = now.as_ms() + max_run_ms + CLOCK_MARGIN_MS;
     let operation: u128 = rand::random();
     ClaimRecord {
         operation: format!("{operation:032x}"),
@@ -129,12 +135,12 @@
 ) -> Result<Served, Problem> {
     let claims = &shared.claims;
     let ended = match forward::forward(shared, exchange, admitted).await {
-        Ok(started) => keep(shared, started).await,
+        Ok(started) => buffer_if_small(shared, started).await,
         Err(problem) => Err(problem),
     };
     match &ended {
         Ok(served) => {
-            let answer = kept(served);
+            let answer = stored_response(served);
             claims.settle(claim, ClaimState::Answered { answer }).await;
         }
         Err(problem) if problem.ran_said() == Some(Ran::No) => {
@@ -148,11 +154,14 @@
     ended
 }
 
-/// Reads an answer that is small enough to be kept.
-async fn keep(shared: &Shared, started: Started) -> Result<Served, Problem> {
-    let small = length(&started.headers)
-        .is_some_and(|bytes| bytes <= ANSWER_KEPT_MAX_BYTES);
-    if !small {
+/// Buffers a response that is is_small enough to be stored.
+async fn buffer_if_small(
+    shared: &Shared,
+    started: Started,
+) -> Result<Served, Problem> {
+    let is_small = content_length(&started.headers)
+        .is_some_and(|bytes| bytes <= MAX_STORED_RESPONSE_BYTES);
+    if !is_small {
         return Ok(Served::Started(started));
     }
     let limit = Duration::from_millis(shared.timeouts.first_byte_ms);
@@ -163,73 +172,78 @@
     } = started;
     let mut bytes = Vec::new();
     match timeout(limit, body.read_to_end(&mut bytes)).await {
-        Ok(Ok(_)) => Ok(Served::Whole(WholeAnswer {
+        Ok(Ok(_)) => Ok(Served::Whole(BufferedResponse {
             status,
             headers,
             body: bytes.into(),
             replayed: false,
         })),
-        Ok(Err(error)) => Err(lost(&format!("the answer broke: {error}"))),
-        Err(_) => Err(lost("the answer went silent")),
+        Ok(Err(error)) => {
+            Err(response_lost(&format!("the answer broke: {error}")))
+        }
+        Err(_) => Err(response_lost("the answer went silent")),
     }
 }
 
-fn length(headers: &[Header]) -> Option<u64> {
+fn content_length(headers: &[Header]) -> Option<u64> {
     let found = headers.iter().find(|h| h.name == "content-length")?;
     found.value.parse().ok()
 }
 
-fn kept(served: &Served) -> Option<KeptAnswer> {
+fn stored_response(served: &Served) -> Option<StoredResponse> {
     match served {
         Served::Started(_) => None,
         Served::Whole(whole) => {
-            let WholeAnswer {
+            let BufferedResponse {
                 status,
                 headers,
                 body,
                 ..
             } = whole;
-            Some(KeptAnswer::new(*status, headers, body))
+            Some(StoredResponse::new(*status, headers, body))
         }
     }
 }
 
-/// Answers a further caller of a key.
+/// Responds to a later call with the same key.
 fn replay(
     found: ClaimRecord,
-    wanted: &str,
+    fingerprint_of_call: &str,
     now: UnixMillis,
 ) -> Result<Served, Problem> {
-    if found.fingerprint != wanted {
-        let why = "this key was used for another call";
-        return Err(Problem::new(ProblemKind::KeyReused, why).ran(Ran::No));
+    if found.fingerprint != fingerprint_of_call {
+        let reason = "this key was used for another call";
+        return Err(Problem::new(ProblemKind::KeyReused, reason).ran(Ran::No));
     }
     match found.state {
         ClaimState::Running { until_unix_ms }
             if now.as_ms() < until_unix_ms =>
         {
-            let why = "the first call with this key still runs";
-            Err(still_running(why).ran(Ran::Unknown))
+            let reason = "the first call with this key still runs";
+            Err(still_running(reason).ran(Ran::Unknown))
         }
-        ClaimState::Running { .. } => Err(lost(
+        ClaimState::Running { .. } => Err(response_lost(
             "the entry that ran this call did not say how it ended",
         )),
-        ClaimState::Lost { detail } => Err(lost(&detail)),
-        ClaimState::Answered { answer } => replay_answer(answer),
+        ClaimState::Lost { detail } => Err(response_lost(&detail)),
+        ClaimState::Answered { answer } => replay_stored(answer),
     }
 }
 
-fn replay_answer(answer: Option<KeptAnswer>) -> Result<Served, Problem> {
+fn replay_stored(answer: Option<StoredResponse>) -> Result<Served, Problem> {
     let Some(answer) = answer else {
-        let why = "the first call with this key ran; its answer is not kept";
-        return Err(Problem::new(ProblemKind::Conflict, why)
+        let reason =
+            "the first call with this key ran; its answer is not kept";
+        return Err(Problem::new(ProblemKind::Conflict, reason)
             .ran(Ran::Unknown)
             .with("completed", true));
     };
     let body = answer.body().ok_or_else(|| {
-        lost("the first call with this key ran; its kept answer is broken")
+        response_lost(
+            "the first call with this key ran; its kept answer is broken",
+        )
     })?;
-    Ok(Served::Whole(WholeAnswer {
+    Ok(Served::Whole(BufferedResponse {
         status: answer.status,
         headers: answer.headers().collect(),
         body,
@@ -237,11 +251,11 @@
     }))
 }
 
-fn still_running(why: &str) -> Problem {
-    Problem::new(ProblemKind::StillRunning, why)
+fn still_running(reason: &str) -> Problem {
+    Problem::new(ProblemKind::StillRunning, reason)
         .retry_after_ms(RUNNING_RETRY_AFTER_MS)
 }
 
-fn lost(why: &str) -> Problem {
-    Problem::new(ProblemKind::AnswerLost, why).ran(Ran::Unknown)
+fn response_lost(reason: &str) -> Problem {
+    Problem::new(ProblemKind::AnswerLost, reason).ran(Ran::Unknown)
 }
--- a/crates/entry/src/claim_record.rs
+++ b/crates/entry/src/claim_record.rs
@@ -1,4 +1,4 @@
-//! What a claim says.
+//! Contents of a claim.
 
 use base64::{Engine, prelude::BASE64_STANDARD};
 use bytes::Bytes;
@@ -8,50 +8,49 @@
 
 use crate::exchange::Exchange;
 
-/// Largest answer that is kept, in bytes.
-pub(crate) const ANSWER_KEPT_MAX_BYTES: u64 = 64 << 10;
+/// Maximum size of a stored response, in bytes.
+pub(crate) const MAX_STORED_RESPONSE_BYTES: u64 = 64 << 10;
 
-/// The value of a claim.
+/// The stored value of a claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ClaimRecord {
-    /// Id of the call that made the claim, by which a write whose answer
-    /// was lost is found again.
+    /// Id of the call that wrote the claim; identifies a write whose response
+    /// was lost.
     pub(crate) operation: String,
-    /// Digest of what the call asks for.
+    /// Digest of the request.
     pub(crate) fingerprint: String,
     pub(crate) state: ClaimState,
 }
 
-/// How far the call of a claim is.
+/// State of the claimed call.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub(crate) enum ClaimState {
-    /// It may be running; after `until_unix_ms` nobody will say how it
-    /// ended.
+    /// The call may be running; after `until_unix_ms` its outcome is lost.
     Running { until_unix_ms: u64 },
-    /// It ran; the answer is left out if it is not kept.
-    Answered { answer: Option<KeptAnswer> },
-    /// It may have run.
+    /// The call ran; `None` if the response is not stored.
+    Answered { answer: Option<StoredResponse> },
+    /// The call may have run.
     Lost { detail: String },
 }
 
-/// An answer that further callers of the same key get.
+/// A response that is replayed to later callers of the same key.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct StoredResponse {
     pub(crate) status: u16,
-    headers: Vec<KeptHeader>,
+    headers: Vec<StoredHeader>,
     body_base64: String,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-struct KeptHeader {
+struct StoredHeader {
     name: String,
     value: String,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     pub(crate) fn new(status: u16, headers: &[Header], body: &[u8]) -> Self {
-        let headers = headers.iter().map(|header| KeptHeader {
+        let headers = headers.iter().map(|header| StoredHeader {
             name: header.name.clone(),
             value: header.value.clone(),
         });
@@ -69,19 +68,19 @@
         })
     }
 
-    /// Returns the body, `None` if the value is broken.
+    /// Returns the body, or `None` if the stored value is corrupt.
     pub(crate) fn body(&self) -> Option<Bytes> {
         let decoded = BASE64_STANDARD.decode(&self.body_base64);
         decoded.ok().map(Bytes::from)
     }
 }
 
-/// Digests what a call asks for, so that another call under the same key is
-/// found out.
+/// Returns a digest of a request, which detects a different request with the
+/// same key.
 pub(crate) fn fingerprint(exchange: &Exchange) -> String {
     let mut digest = Sha256::new();
     for part in [&exchange.method, &exchange.path] {
-        // With its length, so that no two lists of parts read alike.
+        // Length-prefixed, so that different lists of parts never hash alike.
         digest.update((part.len() as u64).to_be_bytes());
         digest.update(part);
     }
@@ -89,7 +88,7 @@
     hex(&digest.finalize())
 }
 
-/// Digests a key; what callers choose as keys may be secret or long.
+/// Returns the digest of a key; keys of callers may be secret or long.
 pub(crate) fn key_hash(key: &str) -> String {
     hex(&Sha256::digest(key))
 }
--- a/crates/entry/src/claim_store.rs
+++ b/crates/entry/src/claim_store.rs
@@ -1,4 +1,4 @@
-//! Claims in the key-value service.
+//! Claims of idempotency keys, stored in the key-value service.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,32 +11,35 @@
 
 use crate::claim_record::{ClaimRecord, ClaimState, key_hash};
 
-/// Longest time for taking a claim; the caller waits for it.
-const TAKE_GIVE_UP_MS: u64 = 1_500;
+/// Time limit of acquiring a claim, in milliseconds; the caller waits
+/// meanwhile.
+const ACQUIRE_TIMEOUT_MS: u64 = 1_500;
 
-/// Longest time for recording how a call ended; nobody waits for it.
-const SETTLE_GIVE_UP_MS: u64 = 600_000;
+/// Time limit of recording how a call ended, in milliseconds; no caller waits
+/// for it.
+const SETTLE_TIMEOUT_MS: u64 = 600_000;
 
-/// Time that an answer waits for its record.
+/// Time that a response waits for its record.
 const SETTLE_WAIT: Duration = Duration::from_millis(500);
 
-/// Time to live of the leases: a claim lives at least a day.
+/// Time to live of the leases; every claim is kept for at least a day.
 const LEASE_TTL_S: u32 = 25 * 3_600;
 
-/// Age at which a lease is replaced by a new one for further claims.
-const LEASE_AGE_MAX_MS: u64 = 3_600_000;
+/// Age at which new claims switch to a new lease, in milliseconds.
+const MAX_LEASE_AGE_MS: u64 = 3_600_000;
 
-/// Pause between looks for a claim that may yet appear, in milliseconds.
-const UNDO_PAUSE_MS: u64 = 2_000;
+/// Interval of reads for a claim that may still appear, in milliseconds.
+const UNDO_POLL_MS: u64 = 2_000;
 
-/// Looks that must not find a claim before it counts as never made: longer
-/// together than any request to the service is on its way.
-const UNDO_LOOKS: u32 = 8;
+/// Number of consecutive reads without the claim after which the write counts
+/// as never applied. Together they last longer than any request to the
+/// key-value service can be in transit.
+const UNDO_ABSENT_READS: u32 = 8;
 
-/// Longest time for removing a claim that may have been made.
-const UNDO_GIVE_UP_MS: u64 = 600_000;
+/// Time limit of removing a claim that may have been written, in milliseconds.
+const UNDO_TIMEOUT_MS: u64 = 600_000;
 
-/// Keeps claims.
+/// Acquires, settles and releases claims.
 #[derive(Clone)]
 pub(crate) struct Claims(Arc<Inner>);
 
@@ -44,19 +47,19 @@
     kv: Arc<dyn Kv>,
     prefix: String,
     timer: Timer,
-    take: Writer,
-    settle: Writer,
+    acquire_writer: Writer,
+    settle_writer: Writer,
     lease: Snapshot<Option<SharedLease>>,
 }
 
-/// The lease of the claims of about an hour.
+/// The lease that the claims of about an hour share.
 #[derive(Clone, Copy, Debug)]
 struct SharedLease {
     id: LeaseId,
     granted: Millis,
 }
 
-/// A claim that this call made.
+/// A claim acquired by this call.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     key: String,
@@ -65,14 +68,14 @@
     mod_revision: u64,
 }
 
-/// What came of taking a claim.
+/// Outcome of acquiring a claim.
 #[derive(Debug)]
-pub(crate) enum Taken {
-    /// The claim is this call's.
-    New(Claim),
-    /// An earlier call has it.
-    Found(ClaimRecord),
-    /// An earlier call had it and gave it up just now.
+pub(crate) enum ClaimOutcome {
+    /// This call acquired the claim.
+    Acquired(Claim),
+    /// An earlier call has the claim.
+    Existing(ClaimRecord),
+    /// An earlier call had the claim and released it just now.
     Released,
 }
 
@@ -81,63 +84,67 @@
         Self(Arc::new(Inner {
             kv,
             prefix: format!("{prefix}claims/"),
-            take: Writer::new(timer.clone(), TAKE_GIVE_UP_MS),
-            settle: Writer::new(timer.clone(), SETTLE_GIVE_UP_MS),
+            acquire_writer: Writer::new(timer.clone(), ACQUIRE_TIMEOUT_MS),
+            settle_writer: Writer::new(timer.clone(), SETTLE_TIMEOUT_MS),
             timer,
             lease: Snapshot::new(None),
         }))
     }
 
-    /// Makes a claim, or finds the one that is there.
+    /// Acquires a claim, or returns the existing one.
     ///
     /// # Errors
     ///
-    /// Any error means that the call must not be sent. A claim that may
-    /// have been made all the same is removed later.
-    pub(crate) async fn take(
+    /// Any error means that the call must not be sent. A claim that may have
+    /// been written nevertheless is removed later.
+    pub(crate) async fn acquire(
         &self,
         customer: &Customer,
         idempotency_key: &str,
         record: ClaimRecord,
-    ) -> Result<Taken, Report<KvError>> {
+    ) -> Result<ClaimOutcome, Report<KvError>> {
         let hash = key_hash(idempotency_key);
         let key = format!("{}{customer}/{hash}", self.0.prefix);
         let mut lease = self.lease().await?;
-        let mut made = self.put(&key, &record, lease).await;
-        if matches!(&made, Err(report)
+        let mut written = self.put(&key, &record, lease).await;
+        if matches!(&written, Err(report)
             if *report.current_context() == KvError::LeaseGone)
         {
-            // Somebody revoked it; nothing was written.
+            // The lease was revoked; nothing was written.
             self.0.lease.publish(None);
             lease = self.lease().await?;
-            made = self.put(&key, &record, lease).await;
+            written = self.put(&key, &record, lease).await;
         }
-        match made {
-            Ok(Outcome::Done(mod_revision)) => Ok(Taken::New(Claim {
-                key,
-                record,
-                lease,
-                mod_revision,
-            })),
-            Ok(Outcome::Superseded) => self.find(&key).await,
+        match written {
+            Ok(Outcome::Done(mod_revision)) => {
+                Ok(ClaimOutcome::Acquired(Claim {
+                    key,
+                    record,
+                    lease,
+                    mod_revision,
+                }))
+            }
+            Ok(Outcome::Superseded) => self.read_existing(&key).await,
             Err(report) => {
                 if *report.current_context() == KvError::Unknown {
-                    tokio::spawn(self.clone().undo(key, record.operation));
+                    tokio::spawn(
+                        self.clone().remove_uncertain(key, record.operation),
+                    );
                 }
                 Err(report)
             }
         }
     }
 
-    /// Records how the call of a claim ended. Returns after half a second
-    /// at most; the write goes on.
+    /// Records how the call of a claim ended. Returns after at most half a
+    /// second; the write continues in the background.
     pub(crate) async fn settle(&self, claim: Claim, state: ClaimState) {
         let claims = self.clone();
         self.in_background(async move { claims.write(claim, state).await })
             .await;
     }
 
-    /// Removes the claim of a call that certainly did not run, as
+    /// Removes the claim of a call that did not run; waits as
     /// [`Claims::settle`] does.
     pub(crate) async fn release(&self, claim: Claim) {
         let claims = self.clone();
@@ -153,28 +160,29 @@
     ) {
         let task = tokio::spawn(async move {
             if let Err(error) = work.await {
-                // The next caller of the key is told "unknown".
+                // Later callers of the key get the outcome "unknown".
                 log::warn!(error:?; "the end of a claim is not recorded");
             }
         });
         let _ = tokio::time::timeout(SETTLE_WAIT, task).await;
     }
 
-    /// Returns a lease that lives for a day or more.
+    /// Returns a lease that lives for at least a day.
     ///
-    /// Two calls at the same moment may grant one each, which costs a call
-    /// to the service; a lock would hold up all calls behind a slow one.
+    /// Two concurrent calls may each grant a lease, which costs one extra
+    /// request to the key-value service; a lock would delay all calls behind a
+    /// slow one.
     async fn lease(&self) -> Result<LeaseId, Report<KvError>> {
         let now = self.0.timer.now();
         if let Some(lease) = **self.0.lease.load()
-            && now.saturating_ms_since(lease.granted) < LEASE_AGE_MAX_MS
+            && now.saturating_ms_since(lease.granted) < MAX_LEASE_AGE_MS
         {
             return Ok(lease.id);
         }
-        let granting = self.0.kv.lease_grant(LEASE_TTL_S);
+        let grant = self.0.kv.lease_grant(LEASE_TTL_S);
         let id = tokio::select! {
-            id = granting => id?,
-            () = self.0.timer.subscribe_in_ms(TAKE_GIVE_UP_MS) => {
+            id = grant => id?,
+            () = self.0.timer.subscribe_in_ms(ACQUIRE_TIMEOUT_MS) => {
                 return Err(Report::new(KvError::NotDone))
                     .attach("granting a lease for claims");
             }
@@ -190,9 +198,9 @@
         record: &ClaimRecord,
         lease: LeaseId,
     ) -> Result<Outcome<u64>, Report<KvError>> {
-        let txn = guarded(key, 0, put(key, record, lease)?);
+        let txn = guarded_txn(key, 0, put_op(key, record, lease)?);
         self.0
-            .take
+            .acquire_writer
             .commit(
                 self.0.kv.as_ref(),
                 txn,
@@ -201,7 +209,7 @@
                 },
                 |reply| reply.revision,
                 |found| match found.kvs.first() {
-                    Some(kv) if is_of(kv, &record.operation) => {
+                    Some(kv) if belongs_to(kv, &record.operation) => {
                         Verdict::Done(kv.mod_revision)
                     }
                     Some(_) => Verdict::Superseded,
@@ -212,17 +220,20 @@
             .await
     }
 
-    async fn find(&self, key: &str) -> Result<Taken, Report<KvError>> {
+    async fn read_existing(
+        &self,
+        key: &str,
+    ) -> Result<ClaimOutcome, Report<KvError>> {
         let found = tokio::select! {
             found = self.0.kv.get(key) => found?,
-            () = self.0.timer.subscribe_in_ms(TAKE_GIVE_UP_MS) => {
+            () = self.0.timer.subscribe_in_ms(ACQUIRE_TIMEOUT_MS) => {
                 return Err(Report::new(KvError::NotDone))
                     .attach("reading a claim");
             }
         };
         match found.kvs.first() {
-            None => Ok(Taken::Released),
-            Some(kv) => parse(kv).map(Taken::Found),
+            None => Ok(ClaimOutcome::Released),
+            Some(kv) => parse_record(kv).map(ClaimOutcome::Existing),
         }
     }
 
@@ -236,9 +247,12 @@
             ..claim.record
         };
         let key = &claim.key;
-        let txn =
-            guarded(key, claim.mod_revision, put(key, &record, claim.lease)?);
-        // Only this call writes to its claim, so a change of it is ours.
+        let txn = guarded_txn(
+            key,
+            claim.mod_revision,
+            put_op(key, &record, claim.lease)?,
+        );
+        // Only this call writes its claim, so any change is its own.
         self.commit(key, txn, claim.mod_revision).await
     }
 
@@ -250,7 +264,7 @@
         let delete = Op::Delete {
             key: key.to_owned(),
         };
-        let txn = guarded(key, mod_revision, delete);
+        let txn = guarded_txn(key, mod_revision, delete);
         self.commit(key, txn, mod_revision).await
     }
 
@@ -269,40 +283,41 @@
         };
         let kv = self.0.kv.as_ref();
         self.0
-            .settle
+            .settle_writer
             .commit(kv, txn, read, |_| (), decide, rand::random)
             .await
             .map(|_| ())
     }
 
-    /// Removes a claim that may have been made for a call that was refused
-    /// as not run. Without this, a second try would be told for the rest of
-    /// the call's deadline that the first one runs, and then that it is
-    /// lost, though it never ran.
-    async fn undo(self, key: String, operation: String) {
+    /// Removes a claim that may have been written for a call that was refused
+    /// as not run. Otherwise a retry would be told until the call's deadline
+    /// that the first call is running, and then that it is lost, although it
+    /// never ran.
+    async fn remove_uncertain(self, key: String, operation: String) {
         let timer = &self.0.timer;
-        let end = timer.now().saturating_add_ms(UNDO_GIVE_UP_MS);
+        let end = timer.now().saturating_add_ms(UNDO_TIMEOUT_MS);
         let mut absent = 0;
-        while timer.now() < end && absent < UNDO_LOOKS {
+        while timer.now() < end && absent < UNDO_ABSENT_READS {
             match self.0.kv.get(&key).await {
                 Ok(found) => match found.kvs.first() {
-                    Some(kv) if is_of(kv, &operation) => {
+                    Some(kv) if belongs_to(kv, &operation) => {
                         if self.remove(&key, kv.mod_revision).await.is_ok() {
                             return;
                         }
                     }
                     Some(_) => return,
-                    // It may still be on its way to the service.
+                    // The write may still be in transit to the key-value
+                    // service.
                     None => absent += 1,
                 },
                 Err(_) => absent = 0,
             }
-            timer.subscribe_in_ms(UNDO_PAUSE_MS).await;
+            timer.subscribe_in_ms(UNDO_POLL_MS).await;
         }
     }
 }
 
-fn put(
+fn put_op(
     key: &str,
     record: &ClaimRecord,
     lease: LeaseId,
@@ -315,7 +330,7 @@
     })
 }
 
-fn guarded(key: &str, mod_revision: u64, op: Op) -> Txn {
+fn guarded_txn(key: &str, mod_revision: u64, op: Op) -> Txn {
     Txn {
         compares: vec![Compare::ModRevision {
             key: key.to_owned(),
@@ -326,12 +341,12 @@
     }
 }
 
-fn parse(kv: &KeyValue) -> Result<ClaimRecord, Report<KvError>> {
+fn parse_record(kv: &KeyValue) -> Result<ClaimRecord, Report<KvError>> {
     serde_json::from_slice(&kv.value)
         .change_context(KvError::Invalid)
         .attach_with(|| format!("the claim at {} is broken", kv.key))
 }
 
-fn is_of(kv: &KeyValue, operation: &str) -> bool {
-    parse(kv).is_ok_and(|record| record.operation == operation)
+fn belongs_to(kv: &KeyValue, operation: &str) -> bool {
+    parse_record(kv).is_ok_and(|record| record.operation == operation)
 }
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,19 +1,19 @@
 use std::fmt;
 
-/// Says why an entry cannot run or do something.
+/// Error of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntryError {
-    /// The settings lack something that this role needs.
+    /// The settings lack a value that this role requires.
     Settings,
     /// A listener, client or thread could not be started.
     Start,
-    /// The configuration cannot be read or is not valid.
+    /// The configuration cannot be read or is invalid.
     Config,
-    /// The key-value service did not do what was asked.
+    /// The key-value service did not apply the request.
     Platform,
-    /// The platform may or may not have done what was asked.
+    /// The platform may or may not have applied the request.
     Unknown,
-    /// The data VMs did not store or give what was asked.
+    /// The data VMs did not store or return the data.
     Storage,
 }
 
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,20 +1,20 @@
-//! One request on its way through the filters.
+//! A request and the data that the filters attach to it.
 
 use base::{Class, Customer, Millis, RequestDigest, RequestId};
 use bytes::Bytes;
 use obs::CustomerMetrics;
 use wire::message::Header;
 
-/// What a request asks for.
+/// The target of a request: a model or a plain service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Subject {
-    /// A model of an engine.
+    /// A model served by an engine.
     Model(String),
     /// A plain service.
     Service(String),
 }
 
-/// A request with all that the filters have found out.
+/// A request with everything that the filters derived from it.
 #[derive(Clone)]
 pub(crate) struct Exchange {
     pub(crate) request_id: RequestId,
@@ -23,26 +23,26 @@
     pub(crate) metrics: CustomerMetrics,
     pub(crate) class: Class,
     pub(crate) method: String,
-    /// Path and query towards the endpoint.
+    /// Path and query sent to the endpoint.
     pub(crate) path: String,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
-    /// What all tries of a caller share.
+    /// Digest that is the same for every attempt of a caller.
     pub(crate) digest: RequestDigest,
     pub(crate) plan: Plan,
 }
 
-/// How a request is served; the rules decide it.
+/// How a request is served, as decided by the rules.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Plan {
-    /// Pools in the order in which they are tried.
+    /// Pools in order of preference.
     pub(crate) pools: Vec<String>,
-    /// Time for the whole request, in milliseconds; 0 is no limit.
+    /// Time limit of the whole request, in milliseconds; 0 means no limit.
     pub(crate) deadline_ms: u64,
-    /// Time for the first token, in milliseconds; 0 is no limit.
+    /// Time limit of the first token, in milliseconds; 0 means no limit.
     pub(crate) first_token_ms: u64,
-    /// Attempts after the first.
+    /// Maximum number of attempts after the first.
     pub(crate) retries: u32,
-    /// Whether running it twice does no harm.
+    /// Whether running the request twice is harmless.
     pub(crate) repeatable: bool,
 }
--- a/crates/entry/src/filter/head.rs
+++ b/crates/entry/src/filter/head.rs
@@ -1,4 +1,4 @@
-//! What is checked before the body is read.
+//! Checks that precede reading the body.
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 
 const BEARER: &str = "Bearer ";
 
-/// Headers that are the entry's own business and go no further.
-const OWN_HEADERS: [&str; 8] = [
+/// Headers that the entry consumes and does not forward.
+const STRIPPED_HEADERS: [&str; 8] = [
     "authorization",
     "host",
     "connection",
@@ -24,26 +24,27 @@
     "accept-encoding",
 ];
 
-/// A caller whose key is known.
+/// An authenticated caller.
 pub(crate) struct Caller {
     pub(crate) customer: Customer,
     pub(crate) metrics: CustomerMetrics,
     pub(crate) in_force: Arc<InForce>,
 }
 
-/// Finds the customer of the bearer key.
+/// Returns the customer of the bearer key.
 pub(crate) fn authenticate(
     shared: &Shared,
     headers: &HeaderMap<'_>,
 ) -> Result<Caller, Problem> {
     let in_force = shared.config.current().ok_or_else(|| {
-        let why = "no configuration was found yet";
-        Problem::new(ProblemKind::PlatformDown, why)
+        let reason = "no configuration was found yet";
+        Problem::new(ProblemKind::PlatformDown, reason)
             .ran(Ran::No)
             .retry_after_ms(1_000)
     })?;
-    let unknown =
-        |why: &str| Problem::new(ProblemKind::Unauthorized, why).ran(Ran::No);
+    let unknown = |reason: &str| {
+        Problem::new(ProblemKind::Unauthorized, reason).ran(Ran::No)
+    };
     let header = headers
         .get_one("authorization")
         .ok_or_else(|| unknown("send `Authorization: Bearer KEY`"))?;
@@ -64,40 +65,41 @@
     })
 }
 
-/// Checks the headers against the limits and returns those for the endpoint.
+/// Checks the headers against the limits and returns those to forward to the
+/// endpoint.
 pub(crate) fn check_headers(
     shared: &Shared,
     headers: &HeaderMap<'_>,
 ) -> Result<Vec<Header>, Problem> {
     let limits = &shared.limits;
-    let too_large = |why: String| {
-        Problem::new(ProblemKind::HeadersTooLarge, why).ran(Ran::No)
+    let too_large = |reason: String| {
+        Problem::new(ProblemKind::HeadersTooLarge, reason).ran(Ran::No)
     };
     if headers.len() > limits.headers_max as usize {
-        let why = format!("more than {} headers", limits.headers_max);
-        return Err(too_large(why));
+        let reason = format!("more than {} headers", limits.headers_max);
+        return Err(too_large(reason));
     }
-    let mut onward = Vec::with_capacity(headers.len());
+    let mut forwarded = Vec::with_capacity(headers.len());
     for header in headers.iter() {
         let bytes = header.name().as_str().len() + header.value().len();
         if bytes as u64 > limits.header_max_bytes {
-            let why = format!(
+            let reason = format!(
                 "header {} is over {} bytes",
                 header.name(),
                 limits.header_max_bytes
             );
-            return Err(too_large(why));
+            return Err(too_large(reason));
         }
         let name = header.name().as_str().to_ascii_lowercase();
-        if !OWN_HEADERS.contains(&name.as_str()) {
+        if !STRIPPED_HEADERS.contains(&name.as_str()) {
             let value = header.value().to_owned();
-            onward.push(Header { name, value });
+            forwarded.push(Header { name, value });
         }
     }
-    Ok(onward)
+    Ok(forwarded)
 }
 
-/// Takes the caller's request id if it is well formed, else draws one.
+/// Returns the caller's request id if it is well formed, otherwise a new one.
 pub(crate) fn request_id(headers: &HeaderMap<'_>) -> RequestId {
     let given = headers.get_one("x-request-id");
     given
--- a/crates/entry/src/filter/key.rs
+++ b/crates/entry/src/filter/key.rs
@@ -1,21 +1,22 @@
-//! The caller's name for a call that may not be repeated.
+//! The idempotency key of a call that is not repeatable.
 
 use web::{Problem, ProblemKind, Ran};
 
 use crate::exchange::Exchange;
 
-/// Header that names the call.
+/// Header of the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Longest key, in bytes.
-const KEY_MAX_BYTES: usize = 255;
+/// Maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// Returns the idempotency key of a call that needs one; calls that may be
-/// repeated need none.
+/// Returns the idempotency key of a call that is not repeatable; repeatable
+/// calls need none.
 ///
 /// # Errors
 ///
-/// A refusal if the key is empty, too long, not plain text or there twice.
+/// A bad_request request if the key is empty, too long, not printable ASCII or sent
+/// more than once.
 pub(crate) fn idempotency_key(
     exchange: &Exchange,
 ) -> Result<Option<String>, Problem> {
@@ -27,16 +28,18 @@
         return Ok(None);
     };
     if keys.next().is_some() {
-        return Err(bad("send one Idempotency-Key"));
+        return Err(bad_request("send one Idempotency-Key"));
     }
     let key = key.value.trim();
-    let plain = key.bytes().all(|b| (b' '..=b'~').contains(&b));
-    if key.is_empty() || key.len() > KEY_MAX_BYTES || !plain {
-        return Err(bad("an Idempotency-Key has 1 to 255 ASCII characters"));
+    let is_printable = key.bytes().all(|b| (b' '..=b'~').contains(&b));
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_printable {
+        return Err(bad_request(
+            "an Idempotency-Key has 1 to 255 ASCII characters",
+        ));
     }
     Ok(Some(key.to_owned()))
 }
 
-fn bad(why: &str) -> Problem {
-    Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
+fn bad_request(reason: &str) -> Problem {
+    Problem::new(ProblemKind::BadRequest, reason).ran(Ran::No)
 }
--- a/crates/entry/src/filter/limit.rs
+++ b/crates/entry/src/filter/limit.rs
@@ -1,8 +1,8 @@
 //! Limits of customers and rules.
 //!
-//! A limit holds over the fleet; each entry gives out its share of it
-//! without a message per request. A refused request is told when to come
-//! back and never waits here.
+//! A limit applies to the fleet_limit fleet; each entry enforces its share without a
+//! message per request. A refused request gets a retry-after and is never
+//! queued here.
 
 use std::{
     collections::HashMap,
@@ -20,57 +20,57 @@
 use rules::{CompiledConfig, CustomerEntry};
 use web::{Problem, ProblemKind, Ran};
 
-/// Time for which fewer entries must be seen before the others take over
+/// Time for which fewer entries must be observed before the others take over
 /// their share, in milliseconds.
-const FEWER_HOLD_MS: u64 = 30_000;
+const SHRINK_DELAY_MS: u64 = 30_000;
 
-/// The limits of the rule that decided on a request.
+/// The limits of the rule that matched a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct RuleLimits {
-    /// Name of the rule, else its number.
+    /// Name of the rule, or its number.
     pub(crate) rule: String,
     pub(crate) rate_per_s: Option<f64>,
     pub(crate) concurrent: Option<u32>,
 }
 
-/// The places of a request under its limits, free again when dropped.
+/// The permits of a request under its limits, released when dropped.
 #[derive(Debug)]
-pub(crate) struct Places {
+pub(crate) struct LimitPermits {
     _customer: Option<Admission>,
     _rule: Option<Permit>,
 }
 
-/// The limits at one entry.
+/// The limits enforced by one entry.
 pub(crate) struct Limits {
-    /// Entries that are live, this one included; who follows the machines
-    /// stores it here.
+    /// Number of live entries, including this one; updated by the code that
+    /// follows the VM list.
     live_entries: Arc<AtomicU32>,
     inner: Mutex<Inner>,
 }
 
 struct Inner {
-    /// Configuration that the rows are of.
+    /// Configuration revision of the limits.
     revision: Option<Revision>,
     entries: EntryCount,
     customers: LimitTable,
-    rules: HashMap<String, RuleRow>,
+    rules: HashMap<String, RuleState>,
 }
 
-/// What is left of the limits of one rule.
+/// State of the limits of one rule.
 #[derive(Debug, Default)]
-struct RuleRow {
-    set: Option<(RuleLimits, LimitShare)>,
+struct RuleState {
+    applied: Option<(RuleLimits, LimitShare)>,
     bucket: Option<TokenBucket>,
     concurrent: Option<ConcurrencyLimit>,
 }
 
 impl Limits {
-    /// Shares the limits with the other live entries.
+    /// Creates the limits, shared with the other live entries.
     pub(crate) fn new(live_entries: Arc<AtomicU32>) -> Self {
         let live = live_entries.load(Ordering::Relaxed);
         let inner = Mutex::new(Inner {
             revision: None,
-            entries: EntryCount::new(live, FEWER_HOLD_MS),
+            entries: EntryCount::new(live, SHRINK_DELAY_MS),
             customers: LimitTable::new(LimitShare::new(live)),
             rules: HashMap::new(),
         });
@@ -80,43 +80,43 @@
         }
     }
 
-    /// Lets a request run, or not at once.
+    /// Admits a request or refuses it at once.
     ///
     /// # Errors
     ///
-    /// A refusal that says which limit is reached and when to come back.
+    /// A problem document that names the exceeded limit and the retry-after.
     pub(crate) fn admit(
         &self,
         compiled: &CompiledConfig,
         customer: &Customer,
         rule: &RuleLimits,
         now: Millis,
-    ) -> Result<Places, Problem> {
+    ) -> Result<LimitPermits, Problem> {
         let mut inner = self.lock();
         inner.observe(self.live_entries.load(Ordering::Relaxed), now);
         inner.configure(compiled, now);
-        let rule_place = inner
+        let rule_permit = inner
             .admit_rule(rule, now)
             .map_err(|over| refusal(&format!("rule {}", rule.rule), over))?;
-        // A customer that is not in the table was just removed; its next call
-        // is refused by its key.
+        // A customer missing from the table was just removed; the next call
+        // fails authentication.
         let key = inner.customers.key(customer);
         let admitted = key
             .map(|key| inner.customers.try_admit(key, now))
             .transpose();
         match admitted {
-            Ok(customer) => Ok(Places {
+            Ok(customer) => Ok(LimitPermits {
                 _customer: customer,
-                _rule: rule_place,
+                _rule: rule_permit,
             }),
             Err(over) => {
-                inner.give_back(rule);
+                inner.refund_rule(rule);
                 Err(refusal(&format!("tenant {customer}"), over))
             }
         }
     }
 
-    /// A panic elsewhere leaves counts that are still good enough.
+    /// Counts remain usable after a panic elsewhere.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -133,20 +133,20 @@
         self.customers.set_share(share, now);
     }
 
-    /// Takes a new configuration with the first request that it decides on.
-    /// A request that was decided on just before by an older one changes
-    /// nothing.
+    /// Applies a new configuration on the first request that it decides. A
+    /// request that an older configuration decided changes nothing.
     fn configure(&mut self, compiled: &CompiledConfig, now: Millis) {
         if self.revision >= Some(compiled.revision()) {
             return;
         }
         self.revision = Some(compiled.revision());
         let customers = compiled.customers();
-        let limits = customers.map(|entry| (entry.customer(), fleet(entry)));
+        let limits =
+            customers.map(|entry| (entry.customer(), fleet_limits(entry)));
         self.customers.configure(limits, now);
-        // Rows of rules that are gone go with the last request under them;
-        // those that stay keep what they have counted.
-        self.rules.retain(|_, row| row.is_used());
+        // The state of a removed rule is dropped once its last request has
+        // ended; rules that remain keep their counts.
+        self.rules.retain(|_, state| state.is_used());
     }
 
     fn admit_rule(
@@ -158,28 +158,28 @@
             return Ok(None);
         }
         let share = self.share();
-        let row = self.rules.entry(rule.rule.clone()).or_default();
-        row.configure(rule, share, now);
-        let concurrent = row.concurrent.as_ref();
+        let state = self.rules.entry(rule.rule.clone()).or_default();
+        state.configure(rule, share, now);
+        let concurrent = state.concurrent.as_ref();
         let permit = concurrent.map(ConcurrencyLimit::try_acquire);
         let permit = permit.transpose()?;
-        if let Some(bucket) = &mut row.bucket {
+        if let Some(bucket) = &mut state.bucket {
             bucket.try_take(now)?;
         }
         Ok(permit)
     }
 
-    /// Undoes what a request took from its rule's rate; its place is freed
-    /// by dropping it.
-    fn give_back(&mut self, rule: &RuleLimits) {
-        let row = self.rules.get_mut(&rule.rule);
-        if let Some(bucket) = row.and_then(|row| row.bucket.as_mut()) {
+    /// Refunds the token of a request to the rate limit of its rule. Dropping
+    /// the permit releases the concurrency slot.
+    fn refund_rule(&mut self, rule: &RuleLimits) {
+        let state = self.rules.get_mut(&rule.rule);
+        if let Some(bucket) = state.and_then(|state| state.bucket.as_mut()) {
             bucket.refund();
         }
     }
 }
 
-impl RuleRow {
+impl RuleState {
     fn is_used(&self) -> bool {
         let concurrent = self.concurrent.as_ref();
         self.bucket.is_some() || concurrent.is_some_and(|c| c.running() > 0)
@@ -192,13 +192,13 @@
         now: Millis,
     ) {
         let wanted = Some((rule.clone(), share));
-        if self.set == wanted {
+        if self.applied == wanted {
             return;
         }
-        self.set = wanted;
-        self.bucket = rule.rate_per_s.map(|whole| {
-            let rate = share.rate(whole);
-            let burst = share.count(whole.ceil().max(1.0) as u32);
+        self.applied = wanted;
+        self.bucket = rule.rate_per_s.map(|fleet_limit| {
+            let rate = share.rate(fleet_limit);
+            let burst = share.count(fleet_limit.ceil().max(1.0) as u32);
             match self.bucket.take() {
                 Some(mut bucket) => {
                     bucket.set(rate, burst, now);
@@ -207,8 +207,8 @@
                 None => TokenBucket::new(rate, burst, now),
             }
         });
-        self.concurrent = rule.concurrent.map(|whole| {
-            let limit = share.count(whole);
+        self.concurrent = rule.concurrent.map(|fleet_limit| {
+            let limit = share.count(fleet_limit);
             match self.concurrent.take() {
                 Some(concurrent) => {
                     concurrent.set(limit);
@@ -220,7 +220,7 @@
     }
 }
 
-fn fleet(entry: &CustomerEntry) -> FleetLimits {
+fn fleet_limits(entry: &CustomerEntry) -> FleetLimits {
     let limits = entry.limits();
     FleetLimits {
         requests_per_s: limits.requests_per_s,
@@ -229,9 +229,9 @@
     }
 }
 
-fn refusal(whose: &str, over: OverLimit) -> Problem {
-    let why = format!("{whose} is over its limit");
-    Problem::new(ProblemKind::RateLimited, why)
+fn refusal(subject: &str, over: OverLimit) -> Problem {
+    let reason = format!("{subject} is over its limit");
+    Problem::new(ProblemKind::RateLimited, reason)
         .ran(Ran::No)
         .retry_after_ms(over.retry_after_ms())
 }
--- a/crates/entry/src/filter/route.rs
+++ b/crates/entry/src/filter/route.rs
@@ -1,4 +1,4 @@
-//! What is decided once the body is known.
+//! Routing decisions, which need the body.
 
 use base::{
     Class, Millis, RequestContent, RequestDigest, RequestId, UnixMillis,
@@ -15,10 +15,10 @@
     shared::Shared,
 };
 
-/// Start of the paths of plain services.
+/// Prefix of the paths of plain services.
 const SERVICE_PREFIX: &str = "/svc/";
 
-/// Header by which a caller marks work that nobody waits for.
+/// Header that marks batch work, which no user waits for.
 const CLASS_HEADER: &str = "x-pomeloslip-class";
 
 /// A request whose body has been read.
@@ -26,25 +26,25 @@
     pub(crate) request_id: RequestId,
     pub(crate) received: Millis,
     pub(crate) method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub(crate) target: String,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
 }
 
-/// What the entry needs to know of an OpenAI body.
+/// Fields of an OpenAI request body that the entry reads.
 #[derive(Deserialize)]
 struct ModelBody {
     model: String,
 }
 
-/// What the rules decided on a request.
+/// The outcome of the rules for a request.
 pub(crate) struct Routed {
     pub(crate) exchange: Exchange,
     pub(crate) limits: RuleLimits,
 }
 
-/// Finds out what a request asks for and lets the rules decide on it.
+/// Determines the target of a request and applies the rules.
 pub(crate) fn route(
     shared: &Shared,
     caller: Caller,
@@ -77,8 +77,8 @@
     Ok(Routed { exchange, limits })
 }
 
-fn bad(why: impl Into<String>) -> Problem {
-    Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
+fn bad_request(reason: impl Into<String>) -> Problem {
+    Problem::new(ProblemKind::BadRequest, reason).ran(Ran::No)
 }
 
 fn subject(incoming: &Incoming) -> Result<(Subject, String), Problem> {
@@ -88,7 +88,7 @@
         return Ok((service, format!("/{path}")));
     }
     let body: ModelBody = serde_json::from_slice(&incoming.body)
-        .map_err(|error| bad(format!("the body: {error}")))?;
+        .map_err(|error| bad_request(format!("the body: {error}")))?;
     Ok((Subject::Model(body.model), incoming.target.clone()))
 }
 
@@ -102,13 +102,13 @@
         None | Some("online") => Ok(Class::Online),
         Some("batch") => Ok(Class::Batch),
         Some(other) => {
-            let why = format!("{CLASS_HEADER}: {other:?} is no class");
-            Err(bad(why))
+            let reason = format!("{CLASS_HEADER}: {other:?} is no class");
+            Err(bad_request(reason))
         }
     }
 }
 
-/// Headers of a request as the rules look them up.
+/// Headers of a request, as looked up by the rules.
 struct HeaderFacts<'a>(&'a [Header]);
 
 impl Facts for HeaderFacts<'_> {
@@ -145,7 +145,7 @@
             let limits = rule_limits(&decision, route);
             Ok((plan(compiled, route, repeatable), limits))
         }
-        action => Err(refused(&action)),
+        action => Err(rejection(&action)),
     }
 }
 
@@ -170,19 +170,19 @@
     }
 }
 
-fn refused(action: &Action<'_>) -> Problem {
+fn rejection(action: &Action<'_>) -> Problem {
     let problem = match action {
         Action::Refuse(refusal) => {
             Problem::new(ProblemKind::RefusedByRule, refusal.detail())
                 .status(refusal.status())
         }
         Action::Shed => {
-            let why = "a rule sheds this load for now";
-            Problem::new(ProblemKind::Overloaded, why)
+            let reason = "a rule sheds this load for now";
+            Problem::new(ProblemKind::Overloaded, reason)
         }
         _ => {
-            let why = "no rule covers this request";
-            Problem::new(ProblemKind::NoRule, why)
+            let reason = "no rule covers this request";
+            Problem::new(ProblemKind::NoRule, reason)
         }
     };
     let problem = problem.ran(Ran::No);
--- a/crates/entry/src/fleet/flight.rs
+++ b/crates/entry/src/fleet/flight.rs
@@ -7,22 +7,22 @@
 
 use super::{Fleet, Target};
 
-/// A call that is counted at its endpoint until this is dropped.
+/// A call in flight; counted at its endpoint until dropped.
 #[derive(Debug)]
 pub(crate) struct Flight {
     fleet: Arc<Fleet>,
     key: EndpointKey,
     target: Arc<Target>,
     sent: Millis,
-    call: Option<Box<Call>>,
+    call: Option<Box<FlightRequest>>,
 }
 
-/// The request of a flight, as far as crashes of its endpoint concern it.
+/// The request of a call in flight, for crash records.
 #[derive(Debug)]
-struct Call {
+struct FlightRequest {
     quarantine: Quarantine,
     digest: RequestDigest,
-    began: Millis,
+    started: Millis,
     resumed_after: u64,
     reached: u64,
 }
@@ -51,7 +51,8 @@
         &self.target
     }
 
-    /// Notes which request is sent, and after how many parts of its answer.
+    /// Records the request that is sent and the number of response chunks
+    /// before it.
     pub(crate) fn begin(
         &mut self,
         quarantine: &Quarantine,
@@ -59,32 +60,32 @@
         offset: u32,
     ) {
         let resumed_after = u64::from(offset);
-        self.call = Some(Box::new(Call {
+        self.call = Some(Box::new(FlightRequest {
             quarantine: quarantine.clone(),
             digest,
-            began: self.fleet.timer.now(),
+            started: self.fleet.timer.now(),
             resumed_after,
             reached: resumed_after,
         }));
     }
 
-    /// Notes how many parts of the answer have come.
-    pub(crate) fn advance_to(&mut self, parts: u32) {
+    /// Records the number of response chunks received.
+    pub(crate) fn advance_to(&mut self, chunks: u32) {
         if let Some(call) = &mut self.call {
-            call.reached = call.resumed_after + u64::from(parts);
+            call.reached = call.resumed_after + u64::from(chunks);
         }
     }
 
-    /// Notes that the answer is whole.
-    pub(crate) fn completed(&self) {
+    /// Records that the response is complete.
+    pub(crate) fn record_completion(&self) {
         if let Some(call) = &self.call {
             call.quarantine
                 .record_response(|| call.digest, call.resumed_after);
         }
     }
 
-    /// Notes that the endpoint crashed while it ran the call.
-    pub(crate) fn crashed(&self) {
+    /// Records that the endpoint crashed while running the call.
+    pub(crate) fn record_crash(&self) {
         let Some(call) = &self.call else {
             return;
         };
@@ -92,7 +93,7 @@
         log::warn!(endpoint = name, digest:% = call.digest;
             "an endpoint crashed while it ran a request");
         let ended_at = call.quarantine.now();
-        let ran_ms = self.fleet.timer.now().saturating_ms_since(call.began);
+        let ran_ms = self.fleet.timer.now().saturating_ms_since(call.started);
         let crash = Crash {
             endpoint: CrashedEndpoint::named(name),
             began_at: ended_at.saturating_sub_ms(ran_ms),
@@ -103,20 +104,20 @@
         call.quarantine.record_crash(call.digest, crash);
     }
 
-    /// Notes the load that came with the reply to the call. If it comes from
-    /// a new life of the companion, the call counts there.
-    pub(crate) fn reported(&mut self, load: &Load) {
+    /// Records the load that was reported with the reply. If the companion has
+    /// a new incarnation, the call is counted there.
+    pub(crate) fn record_load(&mut self, load: &Load) {
         let now = self.fleet.timer.now();
-        let report = report(load);
-        let key = self.fleet.reported(self.key, &report, now);
+        let report = endpoint_report(load);
+        let key = self.fleet.record_load(self.key, &report, now);
         if key != self.key {
             self.key = key;
             self.fleet.router().sent(key, now);
         }
     }
 
-    /// Notes that the endpoint did not take the call.
-    pub(crate) fn refused(&self, kind: RefusalKind) {
+    /// Records that the endpoint refused the call.
+    pub(crate) fn record_refusal(&self, kind: RefusalKind) {
         let why = match kind {
             RefusalKind::Full => Refusal::Full,
             RefusalKind::Leaving => Refusal::Leaving,
@@ -128,14 +129,14 @@
         self.fleet.router().refused(self.key, why, now);
     }
 
-    /// Notes that the call failed.
-    pub(crate) fn failed(&self, failure: Failure) {
+    /// Records that the call failed.
+    pub(crate) fn record_failure(&self, failure: Failure) {
         let now = self.fleet.timer.now();
         self.fleet.router().failed(self.key, failure, now);
     }
 
-    /// Notes that the first part of the answer has come.
-    pub(crate) fn answered(&self) {
+    /// Records the arrival of the first response chunk.
+    pub(crate) fn record_first_chunk(&self) {
         let now = self.fleet.timer.now();
         let ms = now.saturating_ms_since(self.sent);
         self.fleet.router().answered(self.key, Some(ms), now);
@@ -148,9 +149,9 @@
     }
 }
 
-/// Returns what a router needs of a load. Batch items give way at once, so
-/// they do not count.
-pub(super) fn report(load: &Load) -> EndpointReport {
+/// Converts a load to the router's report. Batch items are preempted at once,
+/// so they are not counted.
+pub(super) fn endpoint_report(load: &Load) -> EndpointReport {
     EndpointReport {
         running: load.running.saturating_sub(load.batch_running),
         waiting: load.waiting,
--- a/crates/entry/src/fleet/mod.rs
+++ b/crates/entry/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The endpoints that this entry knows.
+//! The endpoints known to this entry.
 //!
-//! Which one a request goes to is decided by a [`Router`], which does no
-//! I/O; see `docs/design/routing.md`. Here are the addresses, the probes and
-//! the platform's list.
+//! The [`Router`] chooses the endpoint of a request and performs no I/O; see
+//! `docs/design/routing.md`. This module holds the addresses, the probes and
+//! the platform's list of VMs.
 
 mod flight;
 mod target;
@@ -31,13 +31,12 @@
     target::{Route, Target},
 };
 
-/// Pause between looks at which endpoints are to be probed, in
-/// milliseconds.
-const TICK_MS: u64 = 250;
+/// Interval of checks for endpoints to probe, in milliseconds.
+const PROBE_INTERVAL_MS: u64 = 250;
 
 type Targets = SecondaryMap<EndpointKey, Arc<Target>>;
 
-/// What `/status` shows of an endpoint.
+/// Status of an endpoint in `/status`.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointStatus {
     pub(crate) target: Arc<Target>,
@@ -45,15 +44,15 @@
     pub(crate) open: bool,
 }
 
-/// The endpoints that this entry knows.
+/// The endpoints known to this entry.
 pub(crate) struct Fleet {
-    /// Each lock lasts for one decision of some microseconds and is never
-    /// held over a wait. An entry decides some hundreds of times a second;
-    /// counts in atomics were rejected, for a choice and its count would
-    /// then come apart and a burst would meet one endpoint.
+    /// The lock is held for one decision of a few microseconds and never
+    /// across an await. An entry makes some hundreds of decisions a second.
+    /// Atomic counters would separate a choice from its count, so a burst
+    /// would go to one endpoint.
     router: Mutex<Router>,
     targets: Snapshot<Targets>,
-    here: FailureDomain,
+    failure_domain: FailureDomain,
     links: Links,
     timer: Timer,
 }
@@ -65,7 +64,7 @@
 }
 
 impl Fleet {
-    /// Starts with the endpoints of the settings.
+    /// Creates the fleet with the endpoints of the settings.
     pub(crate) fn try_new(
         settings: &Settings,
         links: Links,
@@ -76,7 +75,7 @@
         let fleet = Self {
             router: Mutex::new(Router::new(entry, options)),
             targets: Snapshot::new(Targets::new()),
-            here: settings.failure_domain.clone(),
+            failure_domain: settings.failure_domain.clone(),
             links,
             timer,
         };
@@ -85,7 +84,7 @@
             .iter()
             .map(|known| Target::of_settings(known, &settings.timeouts))
             .collect::<Result<Vec<_>, _>>()?;
-        fleet.list(targets);
+        fleet.replace_endpoints(targets);
         Ok(Arc::new(fleet))
     }
 
@@ -93,9 +92,8 @@
         self.router.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the list of all endpoints; those that stay keep what is
-    /// known of them.
-    pub(crate) fn list(&self, targets: Vec<Target>) {
+    /// Replaces the list of all endpoints; those that remain keep their state.
+    pub(crate) fn replace_endpoints(&self, targets: Vec<Target>) {
         let mut pools: IndexMap<String, Vec<Arc<Target>>> = IndexMap::new();
         let mut names = HashSet::new();
         for target in targets {
@@ -113,7 +111,7 @@
         let mut now = Targets::clone(&before);
         for (pool, targets) in &pools {
             let listed: Vec<ListedEndpoint> =
-                targets.iter().map(|one| self.listed(one)).collect();
+                targets.iter().map(|one| self.to_listed(one)).collect();
             let pool = router.pool(pool);
             let ListChanges { added, removed } = router.list(pool, &listed);
             for key in removed {
@@ -123,18 +121,17 @@
                 now.insert(key, targets[at].clone());
             }
         }
-        // Published under the lock: who gets a key finds its target.
+        // Published under the lock, so that every key has a target.
         self.targets.publish(now);
     }
 
-    fn listed(&self, target: &Target) -> ListedEndpoint {
-        let near = target.failure_domain == self.here;
+    fn to_listed(&self, target: &Target) -> ListedEndpoint {
+        let near = target.failure_domain == self.failure_domain;
         let address = target.route.address();
         ListedEndpoint::new(target.name.clone(), near, &address)
     }
 
-    /// Chooses an endpoint of a pool that was not tried and counts a call
-    /// there.
+    /// Chooses an untried endpoint of a pool and counts a call there.
     pub(crate) fn choose(
         self: &Arc<Self>,
         pool: &str,
@@ -157,7 +154,8 @@
         Some(Flight::new(self.clone(), choice.endpoint, target, now))
     }
 
-    /// Takes a retry out of a pool's budget and tells whether there was one.
+    /// Takes a retry from the budget of a pool; returns whether one was
+    /// available.
     pub(crate) fn try_retry(&self, pool: &str) -> bool {
         let now = self.timer.now();
         let mut router = self.router();
@@ -165,7 +163,7 @@
         pool.is_some_and(|pool| router.try_retry(pool, now))
     }
 
-    fn reported(
+    fn record_load(
         &self,
         key: EndpointKey,
         report: &router::EndpointReport,
@@ -173,13 +171,13 @@
     ) -> EndpointKey {
         let mut router = self.router();
         let after = router.reported(key, report, now);
-        self.renewed(key, after);
+        self.move_target(key, after);
         after
     }
 
-    /// Gives the new life of an endpoint the address of the last one; the
-    /// router is locked meanwhile.
-    fn renewed(&self, before: EndpointKey, after: EndpointKey) {
+    /// Moves the target of an endpoint to the key of its new incarnation. The
+    /// caller holds the router lock.
+    fn move_target(&self, before: EndpointKey, after: EndpointKey) {
         if before == after {
             return;
         }
@@ -192,8 +190,8 @@
         });
     }
 
-    /// Notes that a life of a companion takes no new work.
-    pub(crate) fn note_leaving(&self, incarnation: Incarnation) {
+    /// Marks an incarnation of a companion as taking no new work.
+    pub(crate) fn mark_leaving(&self, incarnation: Incarnation) {
         self.router().mark_leaving(incarnation);
     }
 
@@ -211,19 +209,19 @@
         views.collect()
     }
 
-    /// Probes endpoints that could come back, until the process ends.
-    pub(crate) async fn tend(self: Arc<Self>) {
+    /// Probes endpoints that may be readmitted, until the process ends.
+    pub(crate) async fn run_probes(self: Arc<Self>) {
         loop {
             let now = self.timer.now();
             let due = self.router().tick(now);
             for key in due {
                 self.probe(key);
             }
-            self.timer.subscribe_in_ms(TICK_MS).await;
+            self.timer.subscribe_in_ms(PROBE_INTERVAL_MS).await;
         }
     }
 
-    /// Asks a companion for its load in the background.
+    /// Requests the load of a companion in the background.
     fn probe(self: &Arc<Self>, key: EndpointKey) {
         let Some(target) = self.targets.load().get(key).cloned() else {
             return;
@@ -246,9 +244,9 @@
             let mut router = fleet.router();
             match answer {
                 Ok(load) => {
-                    let report = flight::report(&load);
+                    let report = flight::endpoint_report(&load);
                     let after = router.probed(key, &report, now);
-                    fleet.renewed(key, after);
+                    fleet.move_target(key, after);
                 }
                 Err(report) => {
                     router.probe_failed(key);
--- a/crates/entry/src/fleet/target.rs
+++ b/crates/entry/src/fleet/target.rs
@@ -12,12 +12,12 @@
 pub(crate) enum Route {
     /// Through its companion.
     Companion(SocketAddr),
-    /// Directly, for one that has no companion.
+    /// Directly, for an endpoint without a companion.
     Direct(Box<EndpointClient>),
 }
 
 impl Route {
-    /// Returns what tells two addresses of one name apart.
+    /// Returns a text that distinguishes addresses of the same name.
     pub(super) fn address(&self) -> String {
         match self {
             Route::Companion(address) => format!("peer {address}"),
@@ -26,14 +26,14 @@
     }
 }
 
-/// Where an endpoint is.
+/// Name and address of an endpoint.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) name: EndpointName,
     pub(crate) pool: String,
     pub(crate) failure_domain: FailureDomain,
     pub(crate) route: Route,
-    /// Set while a probe is under way; a second one would tell nothing.
+    /// Set while a probe is running; a second one would add no information.
     pub(super) probing: AtomicBool,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Makes the target of an endpoint in the settings.
+    /// Creates the target of an endpoint in the settings.
     pub(super) fn of_settings(
         known: &StaticEndpoint,
         timeouts: &TimeoutSettings,
--- a/crates/entry/src/fleet/vm_list.rs
+++ b/crates/entry/src/fleet/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, which lags and is only a hint.
+//! The platform's list of VMs, which lags behind and serves only as a hint.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -15,15 +15,15 @@
 use super::{Route, Target};
 use crate::{EntryError, shared::Shared};
 
-/// Longest wait for the whole list.
+/// Timeout of reading the whole list.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// State of a machine that takes work. Others, also ones that are not known
-/// here yet, get none.
-const LIVE: &str = "live";
+/// State of a VM that takes work. All other states, including unknown ones,
+/// get none.
+const LIVE_STATE: &str = "live";
 
-/// The list; its elements are read one by one, so that one that is not
-/// understood does not hide the others.
+/// The list. Its elements are parsed one by one, so that an unsupported
+/// element does not hide the others.
 #[derive(Deserialize)]
 struct VmList {
     vms: Vec<serde_json::Value>,
@@ -41,23 +41,23 @@
 
 #[derive(Deserialize)]
 struct VmPorts {
-    /// 0 for a machine without a companion.
+    /// 0 for a VM without a companion.
     #[serde(default)]
     peer: u16,
     #[serde(default)]
     http: u16,
 }
 
-/// Reads the list again and again until the process ends.
+/// Polls the list until the process ends.
 ///
-/// The last list stays in force if the list cannot be read or has no live
-/// machine of our pools: a platform that has lost its list would otherwise
-/// stop all serving, while the endpoints themselves still live.
+/// The last list stays in force if the list cannot be read or has no live VM
+/// of the configured pools: otherwise a platform that loses its list would
+/// stop all serving while the endpoints are still up.
 pub(crate) async fn follow(shared: Arc<Shared>, settings: VmListSettings) {
     let client = reqwest::Client::new();
     let url = settings.address.join("/v1/vms");
     loop {
-        match read(&client, &url).await {
+        match read_list(&client, &url).await {
             Ok(records) => apply(&shared, records),
             Err(report) => {
                 log::warn!(error:? = report; "the VM list cannot be read");
@@ -67,7 +67,7 @@
     }
 }
 
-async fn read(
+async fn read_list(
     client: &reqwest::Client,
     url: &str,
 ) -> Result<Vec<VmRecord>, Report<EntryError>> {
@@ -80,10 +80,10 @@
         .and_then(reqwest::Response::error_for_status)
         .change_context(failed)?;
     let list: VmList = reply.json().await.change_context(failed)?;
-    Ok(list.vms.into_iter().filter_map(record).collect())
+    Ok(list.vms.into_iter().filter_map(parse_record).collect())
 }
 
-fn record(value: serde_json::Value) -> Option<VmRecord> {
+fn parse_record(value: serde_json::Value) -> Option<VmRecord> {
     match serde_json::from_value(value) {
         Ok(record) => Some(record),
         Err(error) => {
@@ -103,17 +103,17 @@
     };
     let targets: Vec<Target> = records
         .into_iter()
-        .filter(|record| record.state == LIVE && is_pool(&record.pool))
-        .filter_map(|record| target(record, &shared.timeouts))
+        .filter(|record| record.state == LIVE_STATE && is_pool(&record.pool))
+        .filter_map(|record| to_target(record, &shared.timeouts))
         .collect();
     if targets.is_empty() {
         log::warn!("the VM list is empty; the last one stays in force");
         return;
     }
-    shared.fleet.list(targets);
+    shared.fleet.replace_endpoints(targets);
 }
 
-fn target(record: VmRecord, timeouts: &TimeoutSettings) -> Option<Target> {
+fn to_target(record: VmRecord, timeouts: &TimeoutSettings) -> Option<Target> {
     let VmPorts { peer, http } = record.ports;
     let route = match (peer, http) {
         (0, 0) => return None,
@@ -124,7 +124,7 @@
         }
         (peer, _) => Route::Companion(SocketAddr::new(record.ip, peer)),
     };
-    // Both kinds of names have the same form.
+    // VM ids and endpoint names have the same form.
     let name = record.vm.as_str().parse().ok()?;
     let domain = record.failure_domain;
     Some(Target::new(name, record.pool, domain, route))
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -20,55 +20,55 @@
     shared::Shared,
 };
 
-/// What became of one attempt.
+/// Outcome of one attempt.
 pub(super) enum Attempt {
     Begun(Box<Reply>),
-    /// It did not run; another endpoint may be tried.
+    /// The request did not run; another endpoint may be tried.
     NotRun {
         why: String,
         retry_after_ms: Option<u64>,
     },
-    /// It may have run; it is tried again only if it is repeatable.
+    /// The request may have run; it is retried only if repeatable.
     Lost {
         why: String,
         kind: ProblemKind,
     },
 }
 
-/// What one attempt sends, and why it may.
-pub(super) struct Attempted {
+/// Parameters of one attempt.
+pub(super) struct AttemptParams {
     /// Number of the attempt.
     pub(super) number: u32,
-    /// Time that is left, in milliseconds; 0 is no limit.
-    pub(super) left_ms: u64,
-    /// Parts of the answer that the caller has already.
+    /// Remaining time, in milliseconds; 0 means no limit.
+    pub(super) remaining_ms: u64,
+    /// Number of response chunks that the caller already has.
     pub(super) offset: u32,
-    /// Says that the request may be sent.
-    pub(super) cleared: SendPermit,
+    /// Proof that the quarantine permits the request.
+    pub(super) permit: SendPermit,
 }
 
-/// An answer that has begun.
+/// A response that has started.
 pub(crate) enum Reply {
-    /// It is passed on as it comes.
-    Streaming(Answering),
-    /// It is all here.
-    Whole(Whole),
+    /// The response is forwarded as it arrives.
+    Streaming(StreamingReply),
+    /// The response is buffered in full.
+    Buffered(BufferedReply),
 }
 
-/// An answer whose first part has come.
-pub(crate) struct Answering {
+/// A response whose first chunk has arrived.
+pub(crate) struct StreamingReply {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) framing: Framing,
     pub(crate) run: Run,
-    /// The first part; `None` for an answer without a body.
+    /// The first chunk; `None` for a response without a body.
     pub(crate) first: Option<Bytes>,
     pub(crate) next_seq: u32,
     pub(crate) flight: Flight,
 }
 
-/// An answer that is all here.
-pub(crate) struct Whole {
+/// A response that is buffered in full.
+pub(crate) struct BufferedReply {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
@@ -79,31 +79,32 @@
     shared: &Arc<Shared>,
     exchange: &Exchange,
     mut flight: Flight,
-    attempted: Attempted,
+    params: AttemptParams,
 ) -> Attempt {
-    let Attempted {
+    let AttemptParams {
         number,
-        left_ms,
+        remaining_ms,
         offset,
-        cleared: SendPermit { .. },
-    } = attempted;
+        permit: SendPermit { .. },
+    } = params;
     flight.begin(&shared.quarantine, exchange.digest, offset);
     let target = flight.target().clone();
-    let request = request(exchange, &flight, number, left_ms, offset);
+    let request = request(exchange, &flight, number, remaining_ms, offset);
     let address = match &target.route {
         Route::Companion(address) => *address,
         Route::Direct(client) => {
-            return direct(shared, exchange, client, request, flight).await;
+            return run_direct(shared, exchange, client, request, flight)
+                .await;
         }
     };
     match shared.links.run(address, request).await {
         Ok(RunReply::Accepted { run, load }) => {
-            flight.reported(&load);
+            flight.record_load(&load);
             start(shared, exchange, run, flight).await
         }
         Ok(RunReply::Refused { refusal, load }) => {
-            flight.reported(&load);
-            flight.refused(refusal.kind);
+            flight.record_load(&load);
+            flight.record_refusal(refusal.kind);
             let after = u64::from(refusal.retry_after_ms);
             Attempt::NotRun {
                 why: refusal.detail,
@@ -112,20 +113,20 @@
         }
         Err(report) => {
             let why = format!("{}: {report}", target.name);
-            not_answered(&flight, *report.current_context(), why)
+            link_failed(&flight, *report.current_context(), why)
         }
     }
 }
 
-fn not_answered(flight: &Flight, error: LinkError, why: String) -> Attempt {
+fn link_failed(flight: &Flight, error: LinkError, why: String) -> Attempt {
     match error {
         LinkError::Unknown => {
-            flight.failed(Failure::Lost);
+            flight.record_failure(Failure::Lost);
             let kind = ProblemKind::AnswerLost;
             Attempt::Lost { why, kind }
         }
         LinkError::NotSent | LinkError::Refused(_) => {
-            flight.failed(Failure::Unreachable);
+            flight.record_failure(Failure::Unreachable);
             Attempt::NotRun {
                 why,
                 retry_after_ms: None,
@@ -143,7 +144,7 @@
 ) -> Request {
     let body = match offset {
         0 => exchange.body.clone(),
-        offset => resume::body_from(&exchange.body, offset),
+        offset => resume::resumed_body(&exchange.body, offset),
     };
     Request {
         request_id: exchange.request_id.clone(),
@@ -161,8 +162,8 @@
     }
 }
 
-/// Calls an endpoint that has no companion.
-async fn direct(
+/// Sends the request to an endpoint without a companion.
+async fn run_direct(
     shared: &Arc<Shared>,
     exchange: &Exchange,
     client: &EndpointClient,
@@ -177,29 +178,29 @@
     start(shared, exchange, Run::local(frames), flight).await
 }
 
-pub(super) fn broke(flight: &Flight, why: &str) -> Attempt {
-    flight.failed(Failure::Lost);
+pub(super) fn interrupted(flight: &Flight, why: &str) -> Attempt {
+    flight.record_failure(Failure::Lost);
     Attempt::Lost {
         why: why.to_owned(),
         kind: ProblemKind::AnswerLost,
     }
 }
 
-pub(super) fn ended_early(flight: &Flight, outcome: Outcome) -> Attempt {
+pub(super) fn ended_incomplete(flight: &Flight, outcome: Outcome) -> Attempt {
     let why = outcome.detail;
     if !outcome.ran {
-        // A companion watches its endpoint itself and says `not sent` for
-        // calls that waited too long, too.
+        // A companion monitors its endpoint itself and also reports `not sent`
+        // for calls that waited too long.
         let is_direct = matches!(flight.target().route, Route::Direct(_));
         if is_direct && outcome.kind == OutcomeKind::NotSent {
-            flight.failed(Failure::Unreachable);
+            flight.record_failure(Failure::Unreachable);
         }
         return Attempt::NotRun {
             why,
             retry_after_ms: None,
         };
     }
-    note_end(flight, Some(outcome.kind));
+    record_incomplete(flight, Some(outcome.kind));
     let kind = match outcome.kind {
         OutcomeKind::TimedOut => ProblemKind::TimedOut,
         _ => ProblemKind::AnswerLost,
@@ -207,16 +208,16 @@
     Attempt::Lost { why, kind }
 }
 
-/// Notes an answer that is not whole, `None` for a broken link.
+/// Records an incomplete response; `None` means a broken link.
 ///
-/// A deadline that passed says as much of the caller as of the endpoint:
-/// counted as a failure, an overload would take endpoints out and grow.
-pub(crate) fn note_end(flight: &Flight, kind: Option<OutcomeKind>) {
-    let innocent = [OutcomeKind::Cancelled, OutcomeKind::TimedOut];
+/// A missed deadline may be due to the caller as much as to the endpoint. If
+/// it counted as a failure, overload would remove endpoints and so increase.
+pub(crate) fn record_incomplete(flight: &Flight, kind: Option<OutcomeKind>) {
+    let not_failures = [OutcomeKind::Cancelled, OutcomeKind::TimedOut];
     if kind == Some(OutcomeKind::Crashed) {
-        flight.crashed();
+        flight.record_crash();
     }
-    if !kind.is_some_and(|kind| innocent.contains(&kind)) {
-        flight.failed(Failure::Lost);
+    if !kind.is_some_and(|kind| not_failures.contains(&kind)) {
+        flight.record_failure(Failure::Lost);
     }
 }
--- a/crates/entry/src/forward/tries.rs
+++ b/crates/entry/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, one endpoint after the other.
+//! The attempts of one request, at one endpoint after the other.
 
 use std::sync::Arc;
 
@@ -8,59 +8,58 @@
 use web::{Problem, ProblemKind, Ran};
 
 use super::{
-    attempt::{Attempt, Attempted, Reply, attempt},
+    attempt::{Attempt, AttemptParams, Reply, attempt},
     prefix,
 };
 use crate::{exchange::Exchange, fleet::Flight, shared::Shared};
 
-/// Endpoints that may refuse a request before the caller hears of it. A
-/// refusal costs a millisecond and is always safe to try elsewhere.
-const REFUSALS_MAX: u32 = 8;
+/// Maximum number of refusals before the caller gets an error. A refusal costs
+/// a millisecond, and the request can always be tried elsewhere.
+const MAX_REFUSALS: u32 = 8;
 
-/// When a caller may come back if no endpoint took the request, in
-/// milliseconds.
+/// Retry-after when no endpoint took the request, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the attempts of a request have come to.
-pub(crate) struct Tries {
+/// State of the attempts of a request.
+pub(crate) struct Attempts {
     tried: Vec<EndpointKey>,
     prefix: Option<u64>,
     refusals: u32,
     retries: u32,
     repeatable: bool,
     may_have_run: bool,
-    last: String,
+    last_reason: String,
     retry_after_ms: Option<u64>,
 }
 
-impl Tries {
+impl Attempts {
     pub(crate) fn new(exchange: &Exchange) -> Self {
         Self {
             tried: Vec::new(),
-            prefix: prefix::of(&exchange.path, &exchange.body),
+            prefix: prefix::hash_of(&exchange.path, &exchange.body),
             refusals: 0,
             retries: 0,
             repeatable: exchange.plan.repeatable,
             may_have_run: false,
-            last: "no endpoint is known".to_owned(),
+            last_reason: "no endpoint is known".to_owned(),
             retry_after_ms: None,
         }
     }
 
-    /// Tries endpoints until one has begun an answer that goes on after
+    /// Attempts endpoints until one has started a response that continues after
     /// `offset` content events.
     ///
     /// # Errors
     ///
-    /// A problem document that says whether the request ran.
+    /// A problem document that states whether the request ran.
     pub(crate) async fn next(
         &mut self,
         shared: &Arc<Shared>,
         exchange: &Exchange,
         offset: u32,
     ) -> Result<Reply, Problem> {
-        while self.refusals < REFUSALS_MAX {
-            let left_ms = time_left_ms(shared, exchange)
+        while self.refusals < MAX_REFUSALS {
+            let remaining_ms = remaining_time_ms(shared, exchange)
                 .ok_or_else(|| self.timed_out())?;
             let Some(flight) = self.choose(shared, exchange) else {
                 break;
@@ -68,36 +67,39 @@
             self.tried.push(flight.key());
             let pool = flight.target().pool.clone();
             let admitted = shared.quarantine.admit(|| exchange.digest).await;
-            let attempted = Attempted {
+            let params = AttemptParams {
                 number: self.refusals + self.retries,
-                left_ms,
+                remaining_ms,
                 offset,
-                cleared: admitted.map_err(|held| self.held(exchange, held))?,
+                permit: admitted.map_err(|quarantined| {
+                    self.quarantined(exchange, quarantined)
+                })?,
             };
-            match attempt(shared, exchange, flight, attempted).await {
+            match attempt(shared, exchange, flight, params).await {
                 Attempt::Begun(reply) => return Ok(*reply),
                 Attempt::NotRun {
                     why,
                     retry_after_ms,
                 } => {
                     self.refusals += 1;
-                    self.last = why;
+                    self.last_reason = why;
                     self.retry_after_ms =
                         self.retry_after_ms.max(retry_after_ms);
                 }
                 Attempt::Lost { why, kind } => {
-                    self.lost(shared, exchange, &pool, why, kind)?;
+                    self.record_lost(shared, exchange, &pool, why, kind)?;
                 }
             }
         }
         Err(self.exhausted())
     }
 
-    /// Notes a lost attempt; fails if there may be no other.
+    /// Records a record_lost attempt; fails if no retry is allowed.
     ///
-    /// In a brown-out every request would be sent three times; the pool's
-    /// budget keeps retries a small share of its requests.
-    fn lost(
+    /// Without the pool's retry budget, a partial outage would multiply the
+    /// load by the number of attempts. The budget keeps retries a small share
+    /// of a pool's requests.
+    fn record_lost(
         &mut self,
         shared: &Shared,
         exchange: &Exchange,
@@ -107,20 +109,20 @@
     ) -> Result<(), Problem> {
         self.may_have_run = true;
         let plan = &exchange.plan;
-        let may = plan.repeatable && self.retries < plan.retries;
-        self.last = why;
-        if !may || !shared.fleet.try_retry(pool) {
-            return Err(self.gave_up(kind));
+        let may_retry = plan.repeatable && self.retries < plan.retries;
+        self.last_reason = why;
+        if !may_retry || !shared.fleet.try_retry(pool) {
+            return Err(self.outcome_unknown(kind));
         }
         self.retries += 1;
         exchange.metrics.count(Counter::Retried, exchange.class, 1);
         Ok(())
     }
 
-    /// Notes that an answer broke off after its start and tells whether it
-    /// may go on elsewhere. Endpoints that refused before may be asked
-    /// again; only the one that broke may not.
-    pub(super) fn broke_off(
+    /// Records that a response was interrupted after its start and reports
+    /// whether it may_retry be resumed. Endpoints that refused earlier may_retry be tried
+    /// again; only the interrupted one may_retry not.
+    pub(super) fn record_interruption(
         &mut self,
         shared: &Shared,
         exchange: &Exchange,
@@ -131,9 +133,9 @@
         self.refusals = 0;
         let kind = ProblemKind::AnswerLost;
         let pool = &flight.target().pool;
-        time_left_ms(shared, exchange).is_some()
+        remaining_time_ms(shared, exchange).is_some()
             && self
-                .lost(shared, exchange, pool, why.to_owned(), kind)
+                .record_lost(shared, exchange, pool, why.to_owned(), kind)
                 .is_ok()
     }
 
@@ -146,39 +148,43 @@
             .find_map(|pool| shared.fleet.choose(pool, prefix, tried))
     }
 
-    /// Refuses a request that crashes endpoints.
-    fn held(&self, exchange: &Exchange, held: Quarantined) -> Problem {
+    /// Refuses a poison request, one that crashes endpoints.
+    fn quarantined(
+        &self,
+        exchange: &Exchange,
+        quarantined: Quarantined,
+    ) -> Problem {
         log::info!(
             request_id = exchange.request_id.as_str(),
             digest:% = exchange.digest,
-            crashes = held.crashes,
-            for_ms = held.for_ms;
+            crashes = quarantined.crashes,
+            for_ms = quarantined.for_ms;
             "a request is held"
         );
         exchange.metrics.count(Counter::Refused, exchange.class, 1);
         if self.may_have_run {
-            return self.gave_up(ProblemKind::AnswerLost);
+            return self.outcome_unknown(ProblemKind::AnswerLost);
         }
-        let why = format!("endpoints crashed: {}", held.crashes);
+        let why = format!("endpoints crashed: {}", quarantined.crashes);
         Problem::new(ProblemKind::EndpointCrashes, why)
             .ran(Ran::No)
-            .retry_after_ms(held.for_ms)
+            .retry_after_ms(quarantined.for_ms)
     }
 
     fn exhausted(&self) -> Problem {
         if self.may_have_run {
-            return self.gave_up(ProblemKind::AnswerLost);
+            return self.outcome_unknown(ProblemKind::AnswerLost);
         }
-        let last = self.last.clone();
+        let last_reason = self.last_reason.clone();
         let after = self.retry_after_ms.unwrap_or(RETRY_AFTER_MS);
-        Problem::new(ProblemKind::NoEndpoint, last)
+        Problem::new(ProblemKind::NoEndpoint, last_reason)
             .ran(Ran::No)
             .retry_after_ms(after)
     }
 
     fn timed_out(&self) -> Problem {
         if self.may_have_run {
-            return self.gave_up(ProblemKind::TimedOut);
+            return self.outcome_unknown(ProblemKind::TimedOut);
         }
         let why = "the deadline has passed";
         Problem::new(ProblemKind::TimedOut, why)
@@ -186,10 +192,11 @@
             .retry_after_ms(RETRY_AFTER_MS)
     }
 
-    /// Ends a request that may have run. Only a caller whose request may run
-    /// twice is told when to come back.
-    fn gave_up(&self, kind: ProblemKind) -> Problem {
-        let problem = Problem::new(kind, self.last.clone()).ran(Ran::Unknown);
+    /// Returns the problem of a request that may_retry have run. Only callers of a
+    /// repeatable request get a retry-after.
+    fn outcome_unknown(&self, kind: ProblemKind) -> Problem {
+        let problem =
+            Problem::new(kind, self.last_reason.clone()).ran(Ran::Unknown);
         match self.repeatable {
             true => problem.retry_after_ms(RETRY_AFTER_MS),
             false => problem,
@@ -197,8 +204,9 @@
     }
 }
 
-/// Returns what is left of the deadline, 0 for none, `None` if it passed.
-fn time_left_ms(shared: &Shared, exchange: &Exchange) -> Option<u64> {
+/// Returns the time left until the deadline, 0 if there is none, `None` if it
+/// has passed.
+fn remaining_time_ms(shared: &Shared, exchange: &Exchange) -> Option<u64> {
     if exchange.plan.deadline_ms == 0 {
         return Some(0);
     }
--- a/crates/entry/src/forward/event.rs
+++ b/crates/entry/src/forward/event.rs
@@ -1,27 +1,27 @@
-//! Events of the OpenAI API's streams, as far as resuming needs them.
+//! Events of OpenAI API streams, as far as resuming needs them.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
 const DATA: &[u8] = b"data:";
-const END_MARK: &[u8] = b"[DONE]";
+const DONE_MARK: &[u8] = b"[DONE]";
 
-/// What an event carries.
+/// Content of an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Kind {
-    /// A comment, by which an engine shows that it lives.
+pub(super) enum EventKind {
+    /// A comment, which an engine sends as a keep-alive.
     Comment,
-    /// A part of the answer, which may be its last.
+    /// A part of the text, possibly the last.
     Content { ends: bool },
-    /// The role of the message, without a part of it.
+    /// The role of the message, without text.
     Role,
-    /// The reason of the end, without a part of the answer.
+    /// The finish reason, without text.
     Finish,
-    /// The counts of tokens.
+    /// The token counts.
     Usage,
     /// The end mark.
     Done,
-    /// Anything else, after which the stream cannot be resumed.
+    /// Any other event, after which the stream cannot be resumed.
     Other,
 }
 
@@ -55,51 +55,53 @@
     tool_calls: Option<&'a RawValue>,
 }
 
-/// Returns the data of an event of one data line.
+/// Returns the data of an event that has a single data line.
 pub(super) fn data(event: &[u8]) -> Option<&[u8]> {
     let data = event.strip_prefix(DATA)?.trim_ascii();
     (!data.contains(&b'\n')).then_some(data)
 }
 
-/// Says what an event carries.
-pub(super) fn kind(event: &[u8]) -> Kind {
+/// Classifies an event.
+pub(super) fn classify(event: &[u8]) -> EventKind {
     if event.first() == Some(&b':') {
-        return Kind::Comment;
+        return EventKind::Comment;
     }
     let Some(data) = data(event) else {
-        return Kind::Other;
+        return EventKind::Other;
     };
-    if data == END_MARK {
-        return Kind::Done;
+    if data == DONE_MARK {
+        return EventKind::Done;
     }
     let Ok(chunk) = serde_json::from_slice::<Chunk<'_>>(data) else {
-        return Kind::Other;
+        return EventKind::Other;
     };
     match chunk.choices.as_slice() {
-        [] if says(chunk.usage) => Kind::Usage,
-        [choice] if choice.index == 0 => kind_of(choice),
-        _ => Kind::Other,
+        [] if is_non_empty(chunk.usage) => EventKind::Usage,
+        [choice] if choice.index == 0 => classify_choice(choice),
+        _ => EventKind::Other,
     }
 }
 
-fn kind_of(choice: &Choice<'_>) -> Kind {
+fn classify_choice(choice: &Choice<'_>) -> EventKind {
     let delta = choice.delta.as_ref();
-    if says(delta.and_then(|delta| delta.tool_calls)) {
-        return Kind::Other;
+    if is_non_empty(delta.and_then(|delta| delta.tool_calls)) {
+        return EventKind::Other;
     }
-    let ends = says(choice.finish_reason);
+    let ends = is_non_empty(choice.finish_reason);
     let content = delta.and_then(|delta| delta.content).or(choice.text);
-    if says(content) {
-        return Kind::Content { ends };
+    if is_non_empty(content) {
+        return EventKind::Content { ends };
     }
     match ends {
-        true => Kind::Finish,
-        false if says(delta.and_then(|delta| delta.role)) => Kind::Role,
-        false => Kind::Other,
+        true => EventKind::Finish,
+        false if is_non_empty(delta.and_then(|delta| delta.role)) => {
+            EventKind::Role
+        }
+        false => EventKind::Other,
     }
 }
 
-/// Tells whether a value is there, not null and not an empty text.
-fn says(value: Option<&RawValue>) -> bool {
+/// Reports whether a value is present, not null and not an empty string.
+fn is_non_empty(value: Option<&RawValue>) -> bool {
     value.is_some_and(|value| !matches!(value.get(), "null" | "\"\""))
 }
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -1,11 +1,11 @@
-//! Sends a request to an endpoint and starts its answer.
+//! Forwards a request to an endpoint and starts its response.
 
 mod attempt;
+mod attempts;
 mod event;
 mod prefix;
 mod resume;
 mod start;
-mod tries;
 
 use std::sync::Arc;
 
@@ -13,59 +13,63 @@
 use web::Problem;
 use wire::message::Header;
 
-pub(crate) use self::{
-    attempt::{Answering, note_end},
-    resume::{Again, Resume},
-};
 use self::{
-    attempt::{Reply, Whole},
-    tries::Tries,
+    attempt::{BufferedReply, Reply},
+    attempts::Attempts,
+};
+pub(crate) use self::{
+    attempt::{StreamingReply, record_incomplete},
+    resume::{Resume, ResumedStream},
 };
 use crate::{
-    body::{AnswerBody, Ended, Framing, OnEnd},
+    body::{BodyEnd, Framing, OnEnd, ResponseBody},
     exchange::Exchange,
     shared::{Admitted, Shared},
 };
 
-/// The start of an answer.
+/// A response that has started.
 pub(crate) struct Started {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
 }
 
 /// Serves a request from the pools of its plan.
 ///
 /// # Errors
 ///
-/// A problem document that says whether the request ran.
+/// A problem document that states whether the request ran.
 pub(crate) async fn forward(
     shared: &Arc<Shared>,
     exchange: &Exchange,
     admitted: Admitted,
 ) -> Result<Started, Problem> {
-    let mut tries = Tries::new(exchange);
-    let reply = tries.next(shared, exchange, 0).await?;
-    note_first(shared, exchange);
+    let mut attempts = Attempts::new(exchange);
+    let reply = attempts.next(shared, exchange, 0).await?;
+    record_first_token(shared, exchange);
     let on_end = on_end(shared, exchange);
     let (status, headers, mut body) = match reply {
-        Reply::Whole(whole) => {
-            let Whole {
+        Reply::Buffered(whole) => {
+            let BufferedReply {
                 status,
                 headers,
                 body,
                 flight,
             } = whole;
-            (status, headers, AnswerBody::whole(body, on_end, flight))
+            (
+                status,
+                headers,
+                ResponseBody::complete(body, on_end, flight),
+            )
         }
         Reply::Streaming(answer) => {
             let status = answer.status;
             let headers = answer.headers.clone();
-            let body = body(shared, exchange, tries, answer, on_end);
+            let body = body(shared, exchange, attempts, answer, on_end);
             (status, headers, body)
         }
     };
-    body.hold(admitted);
+    body.hold_admission(admitted);
     Ok(Started {
         status,
         headers,
@@ -76,21 +80,21 @@
 fn body(
     shared: &Arc<Shared>,
     exchange: &Exchange,
-    tries: Tries,
-    answer: Answering,
+    attempts: Attempts,
+    answer: StreamingReply,
     on_end: OnEnd,
-) -> AnswerBody {
+) -> ResponseBody {
     let metrics = exchange.metrics.clone();
     let class = exchange.class;
     let on_chunk = Arc::new(move |_| metrics.count(Counter::Tokens, class, 1));
     let resume = match (answer.status, answer.framing) {
-        (200, Framing::Events) => Resume::of(shared, exchange, tries),
+        (200, Framing::Events) => Resume::try_new(shared, exchange, attempts),
         _ => None,
     };
-    AnswerBody::new(answer, on_chunk, on_end, resume)
+    ResponseBody::new(answer, on_chunk, on_end, resume)
 }
 
-fn note_first(shared: &Shared, exchange: &Exchange) {
+fn record_first_token(shared: &Shared, exchange: &Exchange) {
     let now = shared.timer.now();
     let ms = now.saturating_ms_since(exchange.received);
     exchange
@@ -104,13 +108,13 @@
     let received = exchange.received;
     let timer = shared.timer.clone();
     let request_id = exchange.request_id.clone();
-    Box::new(move |ended: &Ended| {
+    Box::new(move |ended: &BodyEnd| {
         let ms = timer.now().saturating_ms_since(received);
         metrics.record(Series::TotalMs, class, ms);
         let counter = match ended {
-            Ended::Complete => Counter::Completed,
-            Ended::Broken(_) => Counter::Failed,
-            Ended::Left => Counter::Cancelled,
+            BodyEnd::Complete => Counter::Completed,
+            BodyEnd::Interrupted(_) => Counter::Failed,
+            BodyEnd::CallerLeft => Counter::Cancelled,
         };
         metrics.count(counter, class, 1);
         let detail = ended.detail();
--- a/crates/entry/src/forward/resume.rs
+++ b/crates/entry/src/forward/resume.rs
@@ -1,4 +1,4 @@
-//! Goes on with a broken event stream at another endpoint.
+//! Resumes an interrupted event stream at another endpoint.
 
 use std::sync::Arc;
 
@@ -8,29 +8,29 @@
 use wire::{Run, message::OutcomeKind};
 
 use super::{
-    attempt::{Answering, Reply, note_end},
-    event::{self, Kind},
-    tries::Tries,
+    attempt::{Reply, StreamingReply, record_incomplete},
+    attempts::Attempts,
+    event::{self, EventKind},
 };
 use crate::{
     body::Framing, exchange::Exchange, fleet::Flight, shared::Shared,
 };
 
-/// Field of a body that says how many parts of the answer are there.
+/// Field of a request body with the number of content events to skip.
 const OFFSET_FIELD: &str = "resume_offset";
 
-/// What the caller's body says of the stream.
+/// Stream parameters in the caller's body.
 #[derive(Deserialize)]
-struct Asked {
+struct StreamParams {
     #[serde(default)]
     stream: bool,
     n: Option<u32>,
 }
 
-/// What went to the caller so far.
+/// Events that were forwarded to the caller so far.
 #[derive(Debug, Default)]
-struct Passed {
-    /// Parts of the answer.
+struct Forwarded {
+    /// Number of content events.
     content: u32,
     role: bool,
     finish: bool,
@@ -42,24 +42,24 @@
     head: Option<(Value, Value)>,
 }
 
-/// A stream that can go on at another endpoint when it breaks.
+/// A stream that can be resumed at another endpoint.
 ///
-/// A caller would otherwise get half an answer for each worker that dies.
-/// Starting again from the beginning would double what it already has, so
-/// the next attempt begins after the parts that were passed on.
+/// Otherwise each worker that dies would leave callers with half a response. A
+/// restart from the beginning would repeat text that the caller has, so the
+/// next attempt starts after the content events that were forwarded.
 pub(crate) struct Resume {
     shared: Arc<Shared>,
     exchange: Exchange,
-    tries: Tries,
-    passed: Passed,
-    /// Whether the present attempt is a later one.
+    attempts: Attempts,
+    forwarded: Forwarded,
+    /// Whether the current attempt is a resumed one.
     resumed: bool,
-    /// Parts that it was told to leave out.
+    /// Number of content events that the current attempt skips.
     offset: u32,
 }
 
-/// A stream that goes on.
-pub(crate) struct Again {
+/// A resumed stream.
+pub(crate) struct ResumedStream {
     pub(crate) run: Run,
     pub(crate) first: Option<Bytes>,
     pub(crate) next_seq: u32,
@@ -67,75 +67,80 @@
 }
 
 impl Resume {
-    /// Prepares to resume an answer; `None` if that is not possible for its
-    /// request.
-    pub(super) fn of(
+    /// Prepares to resume a response; `None` if its request does not allow it.
+    pub(super) fn try_new(
         shared: &Arc<Shared>,
         exchange: &Exchange,
-        tries: Tries,
+        attempts: Attempts,
     ) -> Option<Box<Self>> {
         if !exchange.plan.repeatable {
             return None;
         }
-        let asked: Asked = serde_json::from_slice(&exchange.body).ok()?;
-        if !asked.stream || asked.n.is_some_and(|n| n != 1) {
+        let params: StreamParams =
+            serde_json::from_slice(&exchange.body).ok()?;
+        if !params.stream || params.n.is_some_and(|n| n != 1) {
             return None;
         }
         Some(Box::new(Self {
             shared: shared.clone(),
             exchange: exchange.clone(),
-            tries,
-            passed: Passed::default(),
+            attempts,
+            forwarded: Forwarded::default(),
             resumed: false,
             offset: 0,
         }))
     }
 
-    /// Notes an event and returns what goes to the caller; `None` for what
-    /// the caller already has.
-    pub(crate) fn pass(&mut self, event: Bytes) -> Option<Bytes> {
-        let kind = event::kind(&event);
-        let passed = &mut self.passed;
+    /// Records an event and returns the form that is forwarded to the caller;
+    /// `None` if the caller already has it.
+    pub(crate) fn filter_event(&mut self, event: Bytes) -> Option<Bytes> {
+        let kind = event::classify(&event);
+        let forwarded = &mut self.forwarded;
         if !self.resumed {
-            passed.note(kind, &event);
+            forwarded.record(kind, &event);
             return Some(event);
         }
-        if passed.has(kind) {
+        if forwarded.is_redundant(kind) {
             return None;
         }
-        let event = passed.as_one(event, self.offset);
-        passed.note(kind, &event);
+        let event = forwarded.rewrite(event, self.offset);
+        forwarded.record(kind, &event);
         Some(event)
     }
 
-    /// Tries to go on elsewhere after `why`; gives itself back for the next
-    /// time, and nothing if that was all.
-    pub(crate) async fn again(
+    /// Attempts to resume at another endpoint after `why`. Returns itself for the
+    /// next interruption, or `None` if the stream cannot be resumed.
+    pub(crate) async fn resume(
         mut self: Box<Self>,
-        broken: Flight,
+        interrupted: Flight,
         kind: Option<OutcomeKind>,
         why: String,
-    ) -> Option<(Box<Self>, Again)> {
-        note_end(&broken, kind);
-        if self.passed.other || self.passed.done {
+    ) -> Option<(Box<Self>, ResumedStream)> {
+        record_incomplete(&interrupted, kind);
+        if self.forwarded.other || self.forwarded.done {
             return None;
         }
         let (shared, exchange) = (&self.shared, &self.exchange);
-        if !self.tries.broke_off(shared, exchange, &broken, &why) {
+        if !self.attempts.record_interruption(
+            shared,
+            exchange,
+            &interrupted,
+            &why,
+        ) {
             return None;
         }
-        drop(broken);
+        drop(interrupted);
         self.resumed = true;
-        self.offset = self.passed.content;
+        self.offset = self.forwarded.content;
         let offset = self.offset;
-        let next = self.tries.next(shared, exchange, offset).await;
+        let next = self.attempts.next(shared, exchange, offset).await;
         let answer = match next {
             Ok(Reply::Streaming(answer)) => answer,
-            Ok(Reply::Whole(_)) | Err(_) => return None,
+            Ok(Reply::Buffered(_)) | Err(_) => return None,
         };
         let id = exchange.request_id.as_str();
         log::info!(request_id = id, offset, why; "an answer is resumed");
-        let Answering {
+        let StreamingReply {
             status: 200,
             framing: Framing::Events,
             run,
@@ -147,44 +152,44 @@
         else {
             return None;
         };
-        let first = first.and_then(|first| self.pass(first));
-        let again = Again {
+        let first = first.and_then(|first| self.filter_event(first));
+        let resumed_stream = ResumedStream {
             run,
             first,
             next_seq,
             flight,
         };
-        Some((self, again))
+        Some((self, resumed_stream))
     }
 }
 
-impl Passed {
-    /// Tells whether the caller has had the only event of this kind, or
+impl Forwarded {
+    /// Reports whether the caller already has the only event of this kind, or
     /// does not need it.
-    fn has(&self, kind: Kind) -> bool {
+    fn is_redundant(&self, kind: EventKind) -> bool {
         match kind {
-            Kind::Comment => true,
-            Kind::Role => self.role,
-            Kind::Finish => self.finish,
-            Kind::Usage => self.usage,
-            Kind::Done => self.done,
-            Kind::Content { .. } | Kind::Other => false,
+            EventKind::Comment => true,
+            EventKind::Role => self.role,
+            EventKind::Finish => self.finish,
+            EventKind::Usage => self.usage,
+            EventKind::Done => self.done,
+            EventKind::Content { .. } | EventKind::Other => false,
         }
     }
 
-    fn note(&mut self, kind: Kind, event: &[u8]) {
+    fn record(&mut self, kind: EventKind, event: &[u8]) {
         match kind {
-            Kind::Comment => return,
-            Kind::Content { ends } => {
+            EventKind::Comment => return,
+            EventKind::Content { ends } => {
                 self.content = self.content.saturating_add(1);
                 self.role = true;
                 self.finish |= ends;
             }
-            Kind::Role => self.role = true,
-            Kind::Finish => self.finish = true,
-            Kind::Usage => self.usage = true,
-            Kind::Done => self.done = true,
-            Kind::Other => self.other = true,
+            EventKind::Role => self.role = true,
+            EventKind::Finish => self.finish = true,
+            EventKind::Usage => self.usage = true,
+            EventKind::Done => self.done = true,
+            EventKind::Other => self.other = true,
         }
         if self.head.is_none()
             && let Some(mut event) = parse(event)
@@ -196,9 +201,9 @@
         }
     }
 
-    /// Makes an event of a later attempt look like one of the first: the
-    /// caller asked once and sees one answer.
-    fn as_one(&self, event: Bytes, offset: u32) -> Bytes {
+    /// Rewrites an event of a resumed attempt to match the first one, since
+    /// the caller sees one response.
+    fn rewrite(&self, event: Bytes, offset: u32) -> Bytes {
         let (Some((id, created)), Some(mut value)) =
             (&self.head, parse(&event))
         else {
@@ -207,8 +212,8 @@
         value.insert("id".to_owned(), id.clone());
         value.insert("created".to_owned(), created.clone());
         if let Some(Value::Object(usage)) = value.get_mut("usage") {
-            add(usage, "completion_tokens", offset);
-            add(usage, "total_tokens", offset);
+            add_offset(usage, "completion_tokens", offset);
+            add_offset(usage, "total_tokens", offset);
         }
         if let Some(delta) = value
             .get_mut("choices")
@@ -223,8 +228,8 @@
     }
 }
 
-/// Adds the parts of earlier attempts to a count of the last one.
-fn add(usage: &mut Map<String, Value>, name: &str, offset: u32) {
+/// Adds the content events of earlier attempts to a count of the last one.
+fn add_offset(usage: &mut Map<String, Value>, name: &str, offset: u32) {
     if let Some(count) = usage.get(name).and_then(Value::as_u64) {
         usage.insert(name.to_owned(), json!(count + u64::from(offset)));
     }
@@ -234,8 +239,8 @@
     serde_json::from_slice(event::data(event)?).ok()
 }
 
-/// Returns the body of a call that goes on after `offset` parts.
-pub(super) fn body_from(body: &Bytes, offset: u32) -> Bytes {
+/// Returns the body of a request that resumes after `offset` content events.
+pub(super) fn resumed_body(body: &Bytes, offset: u32) -> Bytes {
     let Ok(mut fields) = serde_json::from_slice::<Map<String, Value>>(body)
     else {
         return body.clone();
--- a/crates/entry/src/forward/start.rs
+++ b/crates/entry/src/forward/start.rs
@@ -1,4 +1,4 @@
-//! The start of an answer.
+//! The start of a response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,31 +11,39 @@
 };
 
 use super::{
-    attempt::{Answering, Attempt, Reply, Whole, broke, ended_early},
+    attempt::{
+        Attempt, BufferedReply, Reply, StreamingReply, ended_incomplete,
+        interrupted,
+    },
     prefix,
 };
 use crate::{
     body::Framing, exchange::Exchange, fleet::Flight, shared::Shared,
 };
 
-/// Waits for the head and, for a stream, for the first chunk: until then
-/// nothing went to the caller and a repeatable request can go elsewhere.
+/// Waits for the head and, for a stream, for the first chunk. Until then
+/// nothing was sent to the caller, so a repeatable request can go to another
+/// endpoint.
 pub(super) async fn start(
     shared: &Arc<Shared>,
     exchange: &Exchange,
     mut run: Run,
     flight: Flight,
 ) -> Attempt {
-    let silence = Duration::from_millis(shared.timeouts.first_byte_ms);
-    let (status, headers) = match timeout(silence, run.next()).await {
+    let idle_timeout = Duration::from_millis(shared.timeouts.first_byte_ms);
+    let (status, headers) = match timeout(idle_timeout, run.next()).await {
         Ok(Some(Frame::Head { status, headers })) => (status, headers),
-        Ok(Some(Frame::End(outcome))) => return ended_early(&flight, outcome),
-        Ok(_) => return broke(&flight, "the link to the companion broke"),
-        Err(_) => return broke(&flight, "the companion went silent"),
+        Ok(Some(Frame::End(outcome))) => {
+            return ended_incomplete(&flight, outcome);
+        }
+        Ok(_) => {
+            return interrupted(&flight, "the link to the companion broke");
+        }
+        Err(_) => return interrupted(&flight, "the companion went silent"),
     };
     let mut next_seq = 0;
     let first = loop {
-        match timeout(silence, run.next()).await {
+        match timeout(idle_timeout, run.next()).await {
             Ok(Some(Frame::Chunk { seq, bytes })) if seq == next_seq => {
                 next_seq += 1;
                 if !is_comment(&bytes) {
@@ -46,18 +54,18 @@
                 if outcome.kind == OutcomeKind::Complete {
                     break None;
                 }
-                return ended_early(&flight, outcome);
+                return ended_incomplete(&flight, outcome);
             }
             Ok(_) => {
                 let why = "the answer broke before its first part";
-                return broke(&flight, why);
+                return interrupted(&flight, why);
             }
-            Err(_) => return broke(&flight, "the answer went silent"),
+            Err(_) => return interrupted(&flight, "the answer went silent"),
         }
     };
-    flight.answered();
+    flight.record_first_chunk();
     let framing = framing(&headers);
-    let answer = Answering {
+    let answer = StreamingReply {
         status,
         headers,
         framing: framing.unwrap_or(Framing::Sized),
@@ -72,15 +80,15 @@
     }
 }
 
-/// Tells whether a chunk is an event stream's comment, which an engine sends
-/// to show that it lives. Passing it on would start the answer, after which
-/// the call cannot go to another endpoint any more.
+/// Reports whether a chunk is a comment of an event stream, which an engine
+/// sends as a keep-alive. Forwarding it would start the response, after which
+/// the call can no longer go to another endpoint.
 fn is_comment(chunk: &[u8]) -> bool {
     chunk.first() == Some(&b':')
 }
 
-/// Returns how a break of the answer can be told once it has begun; `None`
-/// if it cannot.
+/// Returns how an interruption can be reported once the response has started;
+/// `None` if it cannot.
 fn framing(headers: &[Header]) -> Option<Framing> {
     let find = |name: &str| headers.iter().find(|h| h.name == name);
     let events = |h: &Header| h.value.starts_with("text/event-stream");
@@ -90,14 +98,14 @@
     find("content-length").map(|_| Framing::Sized)
 }
 
-/// Reads an answer of unknown length to its end before any of it goes out,
-/// because a break in the middle could not be told to the caller.
+/// Buffers a response of unknown length before any of it is sent, because an
+/// interruption could not be reported to the caller.
 async fn collect(
     shared: &Arc<Shared>,
     exchange: &Exchange,
-    answer: Answering,
+    answer: StreamingReply,
 ) -> Attempt {
-    let Answering {
+    let StreamingReply {
         status,
         mut headers,
         mut run,
@@ -106,17 +114,17 @@
         mut flight,
         ..
     } = answer;
-    let silence = Duration::from_millis(shared.timeouts.between_bytes_ms);
+    let idle_timeout = Duration::from_millis(shared.timeouts.between_bytes_ms);
     let limit = shared.limits.body_max_bytes;
-    let mut all = BytesMut::from(first.unwrap_or_default());
+    let mut buffered = BytesMut::from(first.unwrap_or_default());
     loop {
-        match timeout(silence, run.next()).await {
+        match timeout(idle_timeout, run.next()).await {
             Ok(Some(Frame::Chunk { seq, bytes })) if seq == next_seq => {
                 next_seq += 1;
                 flight.advance_to(next_seq);
-                all.extend_from_slice(&bytes);
-                if all.len() as u64 > limit {
-                    return too_long(&flight);
+                buffered.extend_from_slice(&bytes);
+                if buffered.len() as u64 > limit {
+                    return over_limit(&flight);
                 }
             }
             Ok(Some(Frame::End(outcome))) => {
@@ -125,21 +133,23 @@
                 {
                     break;
                 }
-                return ended_early(&flight, outcome);
+                return ended_incomplete(&flight, outcome);
             }
-            Ok(_) => return broke(&flight, "the answer broke"),
-            Err(_) => return broke(&flight, "the answer went silent"),
+            Ok(_) => return interrupted(&flight, "the answer broke"),
+            Err(_) => return interrupted(&flight, "the answer went silent"),
         }
     }
-    if prefix::is_model_call(&exchange.path) && is_cut(&headers, &all) {
-        return broke(&flight, "the answer ended within its JSON");
+    if prefix::is_model_call(&exchange.path)
+        && is_truncated(&headers, &buffered)
+    {
+        return interrupted(&flight, "the answer ended within its JSON");
     }
     headers.push(Header {
         name: "content-length".to_owned(),
-        value: all.len().to_string(),
+        value: buffered.len().to_string(),
     });
-    let body: Bytes = all.freeze();
-    Attempt::Begun(Box::new(Reply::Whole(Whole {
+    let body: Bytes = buffered.freeze();
+    Attempt::Begun(Box::new(Reply::Buffered(BufferedReply {
         status,
         headers,
         body,
@@ -147,9 +157,9 @@
     })))
 }
 
-/// Tells whether a JSON answer stops before its end. An engine that gives up
-/// in the middle may still end its chunks as if all were there.
-fn is_cut(headers: &[Header], body: &[u8]) -> bool {
+/// Reports whether a JSON response is truncated. An engine that fails midway
+/// may still end its chunked body cleanly.
+fn is_truncated(headers: &[Header], body: &[u8]) -> bool {
     let is_json = headers.iter().any(|header| {
         header.name == "content-type"
             && header.value.starts_with("application/json")
@@ -157,8 +167,8 @@
     is_json && serde_json::from_slice::<IgnoredAny>(body).is_err()
 }
 
-fn too_long(flight: &Flight) -> Attempt {
-    broke(
+fn over_limit(flight: &Flight) -> Attempt {
+    interrupted(
         flight,
         "the answer is over the limit of a body without a length",
     )
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,9 @@
 //! The entry role: caller API, routing and batch partitions.
 //!
-//! Requests pass a chain of filters ([`filter`](self)) and are forwarded to
-//! an endpoint; controllers keep the configuration, the endpoints and the
-//! batch partitions up to date. What a request reads on its way is a
-//! snapshot, replaced whole by the controllers.
+//! Requests pass a chain of filters ([`filter`](self)) and are forwarded to an
+//! endpoint. Controllers keep the configuration, the endpoints and the batch
+//! partitions up to date. Each request reads immutable snapshots, which the
+//! controllers replace as a whole.
 
 mod api;
 mod batch;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -24,17 +24,17 @@
     filter::Limits,
     fleet::{Fleet, vm_list},
     orders::Orders,
-    peers::Peers,
+    peers::PeerHandler,
     shared::Shared,
 };
 
-/// Pause between looks for the first configuration, in milliseconds.
-const READY_LOOK_MS: u64 = 50;
+/// Interval of checks for the first configuration, in milliseconds.
+const READY_POLL_MS: u64 = 50;
 
-/// Pause before the requests that are held are read again, in milliseconds.
-const QUARANTINE_AGAIN_MS: u64 = 1_000;
+/// Backoff before quarantined requests are read again, in milliseconds.
+const QUARANTINE_RETRY_MS: u64 = 1_000;
 
-/// A running entry.
+/// A running entry node.
 pub struct Entry {
     shared: Arc<Shared>,
     peer: Server,
@@ -43,15 +43,15 @@
 }
 
 impl Entry {
-    /// Starts an entry and returns once it listens. It is ready as soon as
-    /// it has found a configuration.
+    /// Starts an entry and returns once it listens. The entry becomes ready
+    /// when it has found a configuration.
     ///
-    /// `data` is the data role of the same process, if it has one.
+    /// `data` is the data role of the same process, if any.
     ///
     /// # Errors
     ///
-    /// [`EntryError::Settings`] without a `key_value` section,
-    /// [`EntryError::Start`] if an address cannot be listened on.
+    /// [`EntryError::Settings`] if the `key_value` section is missing,
+    /// [`EntryError::Start`] if an address cannot be bound.
     pub async fn start(
         settings: &Settings,
         metrics: Metrics,
@@ -115,10 +115,10 @@
             claims,
             quarantine,
             orders,
-            customers: Limits::new(Arc::new(entries(settings))),
+            customers: Limits::new(Arc::new(entry_count(settings))),
         });
         let handlers = Handlers {
-            entry: Some(Arc::new(Peers(shared.clone()))),
+            entry: Some(Arc::new(PeerHandler(shared.clone()))),
             data,
             companion: None,
         };
@@ -127,8 +127,8 @@
             .await
             .change_context(start)?;
         let http = launch(settings, &shared).await?;
-        let mut tasks = spawn(&shared, timer.clone());
-        tasks.push(tokio::spawn(shared.fleet.clone().tend()));
+        let mut tasks = spawn_tasks(&shared, timer.clone());
+        tasks.push(tokio::spawn(shared.fleet.clone().run_probes()));
         if let Some(list) = settings.vm_list.clone() {
             let follow = vm_list::follow(shared.clone(), list);
             tasks.push(tokio::spawn(follow));
@@ -154,32 +154,32 @@
         })
     }
 
-    /// Returns the address for callers.
+    /// Returns the HTTP address for callers.
     #[inline]
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Returns the address for other processes.
+    /// Returns the address for other nodes.
     #[inline]
     pub fn peer_address(&self) -> SocketAddr {
         self.peer.address()
     }
 
-    /// Returns how many endpoints the entry knows.
+    /// Returns the number of known endpoints.
     pub fn endpoints(&self) -> usize {
         self.shared.fleet.all().len()
     }
 
-    /// Waits until the entry takes work.
+    /// Waits until the entry is ready to serve.
     pub async fn ready(&self) {
         while !self.shared.state.is_ready() {
-            self.shared.timer.subscribe_in_ms(READY_LOOK_MS).await;
+            self.shared.timer.subscribe_in_ms(READY_POLL_MS).await;
         }
     }
 
-    /// Stops as planned: `/readyz` turns first, new calls are refused as not
-    /// run, running ones end.
+    /// Shuts down gracefully: `/readyz` fails first, new calls are refused as
+    /// not run, and running calls may finish within the drain time.
     pub async fn drain(self) {
         let state = &self.shared.state;
         state.set(Phase::Draining);
@@ -195,8 +195,9 @@
     }
 }
 
-/// Counts the entries that share the limits, as far as the settings tell.
-fn entries(settings: &Settings) -> AtomicU32 {
+/// Returns the number of entries that share the limits, according to the
+/// settings.
+fn entry_count(settings: &Settings) -> AtomicU32 {
     let others = settings.entries.len();
     let others = u32::try_from(others).unwrap_or(u32::MAX);
     AtomicU32::new(others.saturating_add(1))
@@ -228,16 +229,17 @@
         .change_context(EntryError::Start)
 }
 
-/// Learns which requests other entries hold, once the service answers.
+/// Reads the requests that other entries have quarantined, retrying until the
+/// key-value service responds.
 async fn read_quarantine(shared: Arc<Shared>) {
     while let Err(report) = shared.quarantine.read().await {
         log::info!(error:% = report.current_context();
             "the requests that are held cannot be read yet");
-        shared.timer.subscribe_in_ms(QUARANTINE_AGAIN_MS).await;
+        shared.timer.subscribe_in_ms(QUARANTINE_RETRY_MS).await;
     }
 }
 
-fn spawn(shared: &Arc<Shared>, timer: Timer) -> Vec<JoinHandle<()>> {
+fn spawn_tasks(shared: &Arc<Shared>, timer: Timer) -> Vec<JoinHandle<()>> {
     let follow = shared.clone();
     let ready = shared.clone();
     vec![
@@ -248,7 +250,7 @@
         tokio::spawn(read_quarantine(shared.clone())),
         tokio::spawn(async move {
             while ready.config.current().is_none() {
-                ready.timer.subscribe_in_ms(READY_LOOK_MS).await;
+                ready.timer.subscribe_in_ms(READY_POLL_MS).await;
             }
             ready.state.set(Phase::Ready);
         }),
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders for endpoints, with fencing numbers.
+//! Orders to endpoints, with fencing tokens.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,19 +9,19 @@
 
 use crate::{EntryError, batch::platform};
 
-/// Order that an endpoint take no new work and finish what runs.
+/// Order to take no new work and to finish running work.
 const DRAIN: &str = "drain";
 
-/// Why an order was not given.
+/// Why an order failed.
 #[derive(Debug)]
 pub(crate) enum OrderError {
-    /// No fencing number could be had, or the companion was not reached.
+    /// No fencing token was available, or the companion was unreachable.
     Failed(Report<EntryError>),
-    /// The companion refused it.
+    /// The companion refused the order.
     Refused(String),
 }
 
-/// Gives orders to endpoints through their companions.
+/// Sends orders to endpoints through their companions.
 pub(crate) struct Orders {
     kv: Arc<dyn Kv>,
     prefix: String,
@@ -34,18 +34,25 @@
         Self { kv, prefix, links }
     }
 
-    /// Orders the endpoint behind a companion to drain.
+    /// Orders the endpoint of a companion to drain.
     pub(crate) async fn drain(
         &self,
         endpoint: &str,
         companion: SocketAddr,
     ) -> Result<(), OrderError> {
-        let fence = self.fence(endpoint).await.map_err(OrderError::Failed)?;
+        let fencing_token = self
+            .fencing_token(endpoint)
+            .await
+            .map_err(OrderError::Failed)?;
         let kind = DRAIN.to_owned();
         let body = Bytes::from_static(b"{}");
-        let order = Order { fence, kind, body };
-        let given = self.links.order(companion, order).await;
-        given.map_err(|report| match report.current_context() {
+        let order = Order {
+            fence: fencing_token,
+            kind,
+            body,
+        };
+        let sent = self.links.order(companion, order).await;
+        sent.map_err(|report| match report.current_context() {
             LinkError::Refused(_) => OrderError::Refused(format!("{report}")),
             LinkError::NotSent => {
                 OrderError::Failed(report.change_context(EntryError::Platform))
@@ -56,9 +63,13 @@
         })
     }
 
-    /// Draws a fencing number: the revision of a write, which rises over
-    /// all entries. A clock was rejected, two entries' clocks differ.
-    async fn fence(&self, endpoint: &str) -> Result<u64, Report<EntryError>> {
+    /// Returns a new fencing token: the revision of a write, which increases
+    /// across all entries. The clocks of two entries differ, so a timestamp
+    /// would not do.
+    async fn fencing_token(
+        &self,
+        endpoint: &str,
+    ) -> Result<u64, Report<EntryError>> {
         let put = Op::Put {
             key: format!("{}{endpoint}", self.prefix),
             value: DRAIN.as_bytes().to_vec(),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What an entry does for other processes.
+//! Requests of other nodes to an entry.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 
 use crate::{config::to_neighbour, shared::Shared};
 
-/// Answers companions and other entries.
-pub(crate) struct Peers(pub(crate) Arc<Shared>);
+/// Handles requests of companions and of other entries.
+pub(crate) struct PeerHandler(pub(crate) Arc<Shared>);
 
-impl EntryHandler for Peers {
+impl EntryHandler for PeerHandler {
     fn pull(&self, pull: Pull) -> BoxFuture<'static, PullReply> {
         let shared = self.0.clone();
         async move { shared.batch.owner().pull(pull).await }.boxed()
@@ -28,7 +28,7 @@
 
     fn leaving(&self, vm: VmId, incarnation: Incarnation) {
         log::info!(vm = vm.as_str(); "an endpoint leaves");
-        self.0.fleet.note_leaving(incarnation);
+        self.0.fleet.mark_leaving(incarnation);
     }
 
     fn config(&self, have: Revision) -> ConfigReply {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry share.
+//! State shared by the parts of an entry.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
     batch::Batch,
     claim_store::Claims,
     config::ConfigStore,
-    filter::{Limits, Places},
+    filter::{LimitPermits, Limits},
     fleet::Fleet,
     orders::Orders,
 };
 
-/// What the parts of an entry share.
+/// State shared by the parts of an entry.
 pub(crate) struct Shared {
     pub(crate) incarnation: Incarnation,
     pub(crate) timer: Timer,
@@ -39,42 +39,45 @@
     pub(crate) customers: Limits,
 }
 
-/// The place of a call, held until its answer has ended.
+/// The admission permits of a call, held until its response has ended.
 #[derive(Debug)]
 pub(crate) struct Admitted {
     _permit: OwnedSemaphorePermit,
     _active: Active,
-    places: Option<Places>,
+    limit_permits: Option<LimitPermits>,
 }
 
 impl Admitted {
-    /// Keeps the places under the limits of customer and rule, too.
-    pub(crate) fn under(mut self, places: Places) -> Self {
-        self.places = Some(places);
+    /// Adds the permits for the limits of the customer and the rule.
+    pub(crate) fn with_limit_permits(
+        mut self,
+        limit_permits: LimitPermits,
+    ) -> Self {
+        self.limit_permits = Some(limit_permits);
         self
     }
 }
 
-/// When a caller may come back to an entry that is full, in milliseconds.
+/// Retry-after of an entry at capacity, in milliseconds.
 const FULL_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Shared {
-    /// Takes one of the places for calls, held until the answer has ended.
+    /// Acquires one of the slots for calls, held until the response has ended.
     ///
-    /// Without a bound, a burst would fill the memory of a thin VM and end
-    /// all calls at once instead of refusing some.
+    /// Without this bound, a burst would exhaust the memory of a small VM and
+    /// abort all calls instead of refusing some.
     pub(crate) fn admit(&self) -> Result<Admitted, Problem> {
         let permit = self.streams.clone().try_acquire_owned();
         let permit = permit.map_err(|_| {
-            let why = "this entry serves as many calls as it may";
-            Problem::new(ProblemKind::Overloaded, why)
+            let reason = "this entry serves as many calls as it may";
+            Problem::new(ProblemKind::Overloaded, reason)
                 .ran(Ran::No)
                 .retry_after_ms(FULL_RETRY_AFTER_MS)
         })?;
         Ok(Admitted {
             _permit: permit,
             _active: self.state.begin(),
-            places: None,
+            limit_permits: None,
         })
     }
 }
