--- a/crates/entry/src/claim_store.rs
+++ b/crates/entry/src/claim_store.rs
@@ -161,7 +161,7 @@
         let task = tokio::spawn(async move {
             if let Err(error) = work.await {
                 // Later callers of the key get the outcome "unknown".
-                log::warn!(error:?; "the end of a claim is not recorded");
+                log::warn!(error:?; "the outcome of a claim cannot be recorded");
             }
         });
         let _ = tokio::time::timeout(SETTLE_WAIT, task).await;
@@ -344,7 +344,7 @@
 fn parse_record(kv: &KeyValue) -> Result<ClaimRecord, Report<KvError>> {
     serde_json::from_slice(&kv.value)
         .change_context(KvError::Invalid)
-        .attach_with(|| format!("the claim at {} is broken", kv.key))
+        .attach_with(|| format!("the claim at {} is corrupt", kv.key))
 }
 
 fn belongs_to(kv: &KeyValue, operation: &str) -> bool {
--- a/crates/entry/src/fleet/vm_list.rs
+++ b/crates/entry/src/fleet/vm_list.rs
@@ -88,7 +88,7 @@
         Ok(record) => Some(record),
         Err(error) => {
             let error = error.to_string();
-            log::warn!(error; "an element of the VM list is left out");
+            log::warn!(error; "an invalid element of the VM list is ignored");
             None
         }
     }
@@ -107,7 +107,9 @@
         .filter_map(|record| to_target(record, &shared.timeouts))
         .collect();
     if targets.is_empty() {
-        log::warn!("the VM list is empty; the last one stays in force");
+        log::warn!(
+            "the VM list has no usable VM; the previous list stays in force"
+        );
         return;
     }
     shared.fleet.replace_endpoints(targets);
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -119,6 +119,6 @@
         metrics.count(counter, class, 1);
         let detail = ended.detail();
         let id = request_id.as_str();
-        log::debug!(request_id = id, total_ms = ms, detail; "answer ended");
+        log::debug!(request_id = id, total_ms = ms, detail; "response ended");
     })
 }
--- a/crates/entry/src/forward/resume.rs
+++ b/crates/entry/src/forward/resume.rs
@@ -139,7 +139,7 @@
             Ok(Reply::Buffered(_)) | Err(_) => return None,
         };
         let id = exchange.request_id.as_str();
-        log::info!(request_id = id, offset, why; "an answer is resumed");
+        log::info!(request_id = id, offset, why; "a stream is resumed at another endpoint");
         let StreamingReply {
             status: 200,
             framing: Framing::Events,
--- a/crates/entry/src/forward/start.rs
+++ b/crates/entry/src/forward/start.rs
@@ -37,9 +37,14 @@
             return ended_incomplete(&flight, outcome);
         }
         Ok(_) => {
-            return interrupted(&flight, "the link to the companion broke");
+            return interrupted(&flight, "the link to the companion was lost");
+        }
+        Err(_) => {
+            return interrupted(
+                &flight,
+                "the companion sent no response head in time",
+            );
         }
-        Err(_) => return interrupted(&flight, "the companion went silent"),
     };
     let mut next_seq = 0;
     let first = loop {
@@ -57,10 +62,16 @@
                 return ended_incomplete(&flight, outcome);
             }
             Ok(_) => {
-                let why = "the answer broke before its first part";
+                let why =
+                    "the response was interrupted before its first chunk";
                 return interrupted(&flight, why);
             }
-            Err(_) => return interrupted(&flight, "the answer went silent"),
+            Err(_) => {
+                return interrupted(
+                    &flight,
+                    "the endpoint sent no chunk in time",
+                );
+            }
         }
     };
     flight.record_first_chunk();
@@ -135,14 +146,21 @@
                 }
                 return ended_incomplete(&flight, outcome);
             }
-            Ok(_) => return interrupted(&flight, "the answer broke"),
-            Err(_) => return interrupted(&flight, "the answer went silent"),
+            Ok(_) => {
+                return interrupted(&flight, "the response was interrupted");
+            }
+            Err(_) => {
+                return interrupted(
+                    &flight,
+                    "the endpoint sent no chunk in time",
+                );
+            }
         }
     }
     if prefix::is_model_call(&exchange.path)
         && is_truncated(&headers, &buffered)
     {
-        return interrupted(&flight, "the answer ended within its JSON");
+        return interrupted(&flight, "the response ended within its JSON");
     }
     headers.push(Header {
         name: "content-length".to_owned(),
@@ -170,6 +188,6 @@
 fn over_limit(flight: &Flight) -> Attempt {
     interrupted(
         flight,
-        "the answer is over the limit of a body without a length",
+        "the response is over the limit of a body without a length",
     )
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -144,7 +144,7 @@
         log::info!(
             http = http.address().to_string().as_str(),
             peer = peer.address().to_string().as_str();
-            "the entry is up"
+            "the entry is started"
         );
         Ok(Self {
             shared,
@@ -234,7 +234,7 @@
 async fn read_quarantine(shared: Arc<Shared>) {
     while let Err(report) = shared.quarantine.read().await {
         log::info!(error:% = report.current_context();
-            "the requests that are held cannot be read yet");
+            "the quarantined requests cannot be read yet");
         shared.timer.subscribe_in_ms(QUARANTINE_RETRY_MS).await;
     }
 }
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -84,7 +84,7 @@
             .txn(txn)
             .await
             .map_err(platform)
-            .attach("drawing a fencing number")?;
+            .attach("drawing a fencing token")?;
         Ok(reply.revision)
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -27,7 +27,7 @@
     }
 
     fn leaving(&self, vm: VmId, incarnation: Incarnation) {
-        log::info!(vm = vm.as_str(); "an endpoint leaves");
+        log::info!(vm = vm.as_str(); "an endpoint is shutting down");
         self.0.fleet.mark_leaving(incarnation);
     }
 
--- a/crates/entry/tests/claim.rs
+++ b/crates/entry/tests/claim.rs
@@ -1,17 +1,17 @@
-//! Calls that run at most once though their callers send them again.
+//! Calls that run at most once although callers retry them.
 #![allow(clippy::unwrap_used)]
 
 mod claim_common;
 
 use claim_common::{
-    KEY, OTHER_KEY, Reply, SURELY, Service, claims, down, entry, keyed,
-    platform, post,
+    EVENT_TIMEOUT, KEY, OTHER_KEY, Reply, Service, claims, entry, keyed,
+    platform, post, stop_key_value_service,
 };
 use standin::kv::KvFaults;
 
-/// Symptom: a holder is rebooked twice. Sequence: the call runs; its answer
-/// is lost on the way; the caller sends it again. Cause: nothing tells the
-/// second call from a new one.
+/// Guards against rebooking twice. The call runs, its response is lost in
+/// transit and the caller retries. The fault was that the retry could not be
+/// told from a new call.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resent_call_gets_the_first_answer() {
     let platform = platform("", "").await;
@@ -30,10 +30,10 @@
     assert_eq!(claims(&platform).await.len(), 1);
 }
 
-/// Symptom: a call runs twice at the same time. Sequence: the caller gives
-/// up waiting and sends it again, through another entry, while the first
-/// still runs. Cause: the claim was recorded with the answer, not before
-/// the send.
+/// Guards against running a call twice concurrently. The caller times out and
+/// retries through another entry while the first call is still running. The
+/// fault was to record the claim with the response instead of before sending
+/// the call.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_still_runs_is_not_run_again() {
     let platform = platform("", "").await;
@@ -85,35 +85,37 @@
     assert_eq!(service.ran(), 2);
 }
 
-/// Symptom: a call is refused as not run, and ran. Sequence: the key-value
-/// service is down, a call with a key comes. Cause: without the record
-/// nothing keeps a second copy from running, so it must not be sent.
+/// Guards against refusing a call as not run although it ran. A call with a
+/// key arrives while the key-value service is stop_key_value_service. Without the record nothing
+/// prevents a second run, so the call must not be sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_record_a_keyed_call_does_not_run() {
     let platform = platform("", "").await;
     let service = Service::start(10).await;
     let entry = entry(&platform, service.address).await;
-    down(&platform);
+    stop_key_value_service(&platform);
     let refused = Reply::of(keyed(&entry, "k-1", "seat 4")).await;
     assert_eq!(refused.status, 503);
     assert!(refused.retry_after_s.is_some());
     refused.is_problem("platform-down", "no");
     assert_eq!(service.ran(), 0);
-    // Its caller has chosen to live with an answer that is lost.
+    // A caller without a key accepts that a response may be lost.
     assert_eq!(Reply::of(post(&entry, KEY, "seat 4")).await.status, 201);
     platform.set_faults(KvFaults::default()).unwrap();
     assert_eq!(Reply::of(keyed(&entry, "k-1", "seat 4")).await.status, 201);
 }
 
-/// Symptom: a call is refused though its claim was recorded, or runs twice.
-/// Sequence: each write to the key-value service takes effect and its answer
-/// is lost. Cause: a lost answer was taken for a failure or a success.
+/// Guards against refusing a call whose claim was recorded, and against
+/// running it twice. Each write to the key-value service takes effect and its
+/// response is lost. The fault was to take a lost response for a failure or a
+/// success.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_answer_was_lost_is_found_again() {
     let platform = platform("", "").await;
     let service = Service::start(10).await;
     let entry = entry(&platform, service.address).await;
-    // The first call also grants the lease, whose loss it cannot mend.
+    // The first call also grants the lease; a call cannot recover from losing
+    // that response.
     Reply::of(keyed(&entry, "k-0", "seat 3")).await;
     let faults = KvFaults {
         lose_answer: 1.0,
@@ -126,15 +128,15 @@
     assert_eq!(service.ran(), 2);
 }
 
-/// Symptom: after a refusal as not run, the next try is told that the call
-/// runs. Sequence: no endpoint takes the call. Cause: the claim of a call
-/// that certainly did not run was left behind.
+/// Guards against a retry that is told that the call is running after a
+/// refusal as not run. No endpoint takes the call. The fault was to leave the
+/// claim of a call that did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_claim_of_a_call_that_did_not_run_is_released() {
     let platform = platform("", "").await;
     let service = Service::start(10).await;
-    let nowhere = Service::start(10).await;
-    let closed = nowhere_address().await;
+    let unused = Service::start(10).await;
+    let closed = unused_address().await;
     let broken = entry(&platform, closed).await;
     let refused = Reply::of(keyed(&broken, "k-1", "seat 4")).await;
     assert_eq!(refused.status, 503);
@@ -142,18 +144,18 @@
     assert!(claims(&platform).await.is_empty());
     let entry = entry(&platform, service.address).await;
     assert_eq!(Reply::of(keyed(&entry, "k-1", "seat 4")).await.status, 201);
-    assert_eq!((service.ran(), nowhere.ran()), (1, 0));
+    assert_eq!((service.ran(), unused.ran()), (1, 0));
 }
 
-/// Returns an address that nobody listens on.
-async fn nowhere_address() -> std::net::SocketAddr {
+/// Returns an address without a listener.
+async fn unused_address() -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
     listener.unwrap().local_addr().unwrap()
 }
 
-/// Symptom: a call whose answer was lost runs again. Sequence: the service
-/// runs it and its connection breaks; the caller tries the key again. Cause:
-/// a lost answer was taken for a call that did not run.
+/// Guards against repeating a call whose response was lost. The service runs
+/// the call and its connection breaks; the caller retries with the same key.
+/// The fault was to take a lost response for a call that did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_call_stays_lost() {
     let platform = platform("", "").await;
@@ -165,7 +167,7 @@
         reply.is_problem("answer-lost", "unknown");
     }
     assert_eq!(service.ran(), 1);
-    // Without a key it is tried once, too.
+    // Without a key the call is sent only once as well.
     let reply = Reply::of(post(&entry, KEY, "drop")).await;
     reply.is_problem("answer-lost", "unknown");
     assert_eq!(service.ran(), 2);
@@ -184,9 +186,9 @@
     assert_eq!(service.ran(), 1);
 }
 
-/// Symptom: a key is blocked until the deadline of its call. Sequence: the
-/// caller leaves while the call runs. Cause: the end of the call was to be
-/// recorded by the task that went away with the caller.
+/// Guards against blocking a key until the deadline of its call. The caller
+/// disconnects while the call is running. The fault was to record the outcome
+/// in the task that ends with the caller's connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_caller_left_is_recorded() {
     let platform = platform("", "").await;
@@ -204,7 +206,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(SURELY, replayed).await.unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, replayed).await.unwrap();
     assert_eq!(service.ran(), 1);
 }
 
--- a/crates/entry/tests/claim_common/mod.rs
+++ b/crates/entry/tests/claim_common/mod.rs
@@ -1,4 +1,4 @@
-//! An entry before a plain service, with the platform's stand-ins.
+//! An entry with a plain service as endpoint, and the platform's stand-ins.
 #![allow(dead_code)]
 
 use std::{
@@ -27,10 +27,10 @@
 pub(crate) const KEY: &str = "key-of-taevakorv";
 pub(crate) const OTHER_KEY: &str = "key-of-alama";
 
-/// Time in which something that is to happen happens, on any machine.
-pub(crate) const SURELY: Duration = Duration::from_secs(30);
+/// Timeout for expected events, generous enough for slow machines.
+pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A service that counts its calls, and answers when it is told to.
+/// A service that counts its calls and can delay its responses.
 pub(crate) struct Service {
     pub(crate) address: SocketAddr,
     ran: Arc<AtomicU32>,
@@ -71,11 +71,12 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(SURELY, wait).await.unwrap();
+        tokio::time::timeout(EVENT_TIMEOUT, wait).await.unwrap();
     }
 }
 
-/// Answers one request and closes, or drops it if its body says so.
+/// Responds to one request and closes the connection; drops it without a
+/// response if the body asks for that.
 async fn answer(
     mut stream: TcpStream,
     ran: Arc<AtomicU32>,
@@ -116,8 +117,8 @@
     body.len() >= length.unwrap_or(0)
 }
 
-/// Starts the key-value service with a configuration whose customers and rule
-/// have these limits.
+/// Starts the key-value service with a configuration that sets these limits
+/// for the customer and the rule.
 pub(crate) async fn platform(customer: &str, rule: &str) -> KvServiceHandle {
     let service = KvService::start(KvServiceSettings::default());
     let service = service.await.unwrap();
@@ -168,7 +169,7 @@
     found.kvs.into_iter().map(|kv| kv.key).collect()
 }
 
-pub(crate) fn down(service: &KvServiceHandle) {
+pub(crate) fn stop_key_value_service(service: &KvServiceHandle) {
     let faults = KvFaults {
         down_ms: 3_600_000,
         ..KvFaults::default()
@@ -183,7 +184,7 @@
     entry_at(platform.address(), service).await
 }
 
-/// Starts an entry that reaches the key-value service at an address.
+/// Starts an entry that uses the key-value service at an address.
 pub(crate) async fn entry_at(
     platform: SocketAddr,
     service: SocketAddr,
@@ -210,21 +211,21 @@
     entry
 }
 
-/// A call that may not be repeated.
+/// Returns a call that is not repeatable.
 pub(crate) fn post(entry: &Entry, key: &str, body: &str) -> RequestBuilder {
     let address = entry.http_address();
     let url = format!("http://{address}/svc/vautsher-app/rebook");
-    let client = reqwest::Client::builder().timeout(SURELY).build();
+    let client = reqwest::Client::builder().timeout(EVENT_TIMEOUT).build();
     let call = client.unwrap().post(url).bearer_auth(key);
     call.body(body.to_owned())
 }
 
-/// The same with an idempotency key.
+/// Returns such a call with an idempotency key.
 pub(crate) fn keyed(entry: &Entry, name: &str, body: &str) -> RequestBuilder {
     post(entry, KEY, body).header("Idempotency-Key", name)
 }
 
-/// What a caller gets.
+/// A response as received by its caller.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
@@ -250,8 +251,7 @@
         }
     }
 
-    /// Asserts a problem by the last part of its type and what it says of
-    /// the run.
+    /// Asserts a problem by the last part of its type and its `ran` field.
     #[track_caller]
     pub(crate) fn is_problem(&self, slug: &str, ran: &str) {
         let json: Value = serde_json::from_str(&self.body).unwrap();
--- a/crates/entry/tests/claim_limits.rs
+++ b/crates/entry/tests/claim_limits.rs
@@ -7,14 +7,14 @@
     KEY, OTHER_KEY, Reply, Service, entry, keyed, platform, post,
 };
 
-/// Rate so low that no token comes in while a test runs.
-const SLOW: f64 = 0.001;
+/// Rate so low that no token is added during a test.
+const SLOW_RATE_PER_S: f64 = 0.001;
 
-/// Symptom: one customer's loop takes the service from all others. Sequence:
-/// it sends more than its limit. Cause: nobody counted.
+/// Guards against one customer taking the service from all others by sending
+/// more than its limit. The fault was that requests were not counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_customer_over_its_rate_is_told_when_to_come_back() {
-    let limits = format!("requests_per_s: {SLOW}, burst: 3");
+    let limits = format!("requests_per_s: {SLOW_RATE_PER_S}, burst: 3");
     let platform = platform(&limits, "").await;
     let service = Service::start(10).await;
     let entry = entry(&platform, service.address).await;
@@ -26,7 +26,7 @@
     assert!(refused.retry_after_s.unwrap() > 900);
     refused.is_problem("rate-limited", "no");
     assert_eq!(service.ran(), 3);
-    // The other customer has no part in it.
+    // The limit does not apply to the other customer.
     assert_eq!(Reply::of(post(&entry, OTHER_KEY, "x")).await.status, 201);
 }
 
@@ -51,8 +51,8 @@
         refused.is_problem("rate-limited", "no");
         service.release();
         assert_eq!(running.await.unwrap().status, 201);
-        // The place goes with the last bytes, which the caller may have
-        // before it is freed.
+        // The slot is released with the last bytes, which the caller may
+        // receive before that.
         let mut last = 429;
         for _ in 0..1_000 {
             last = Reply::of(post(&entry, KEY, "x")).await.status;
@@ -67,7 +67,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rule_has_a_rate_of_its_own() {
-    let rule = format!(", rate_per_s: {SLOW}");
+    let rule = format!(", rate_per_s: {SLOW_RATE_PER_S}");
     let platform = platform("", &rule).await;
     let service = Service::start(10).await;
     let entry = entry(&platform, service.address).await;
@@ -80,9 +80,9 @@
     assert_eq!(service.ran(), 1);
 }
 
-/// Symptom: a refused call with a key can never run. Sequence: the call is
-/// over a limit; its caller comes back later. Cause: the claim was made
-/// before the limit was looked at.
+/// Guards against a refused call with a key that can never run. The call is
+/// over a limit and its caller retries later. The fault was to acquire the
+/// claim before checking the limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_call_leaves_no_claim() {
     let platform = platform("concurrent: 1", "").await;
--- a/crates/entry/tests/crash_common/mod.rs
+++ b/crates/entry/tests/crash_common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine that a call can crash, and that starts again.
+//! An engine that a call can crash and that restarts.
 #![allow(dead_code)]
 
 use std::{
@@ -18,17 +18,17 @@
     time::sleep,
 };
 
-/// Time between a crash and the next start.
-const RESTARTED_AFTER: Duration = Duration::from_millis(200);
+/// Time between a crash and the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// Time between the head of an answer and the crash.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+/// Time between the head of a response and the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// Time between two events of an answer.
-const STEP: Duration = Duration::from_millis(10);
+/// Time between two events of a response.
+const EVENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answers each chat with events; a body with `[[crash]]` ends it with all
-/// of its connections.
+/// Responds to each chat with events; a body with `[[crash]]` crashes the
+/// engine with all of its connections.
 pub(crate) struct CrashableEngine {
     crashes: Arc<AtomicUsize>,
     crash: watch::Sender<u64>,
@@ -57,19 +57,19 @@
                 crashes.fetch_add(1, Ordering::SeqCst);
                 drop(listener);
                 drop(connections);
-                sleep(RESTARTED_AFTER).await;
+                sleep(RESTART_DELAY).await;
                 listener = listen(address).await;
             }
         });
         engine
     }
 
-    /// Ends the engine for a moment, whatever it runs.
+    /// Crashes the engine, whatever it is running.
     pub(crate) fn crash(&self) {
         self.crash.send_modify(|count| *count += 1);
     }
 
-    /// Returns how often it has crashed.
+    /// Returns the number of crashes.
     pub(crate) fn crashes(&self) -> usize {
         self.crashes.load(Ordering::SeqCst)
     }
@@ -79,7 +79,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => sleep(STEP).await,
+            Err(_) => sleep(EVENT_INTERVAL).await,
         }
     }
 }
@@ -99,7 +99,7 @@
             return;
         }
         if body.contains("[[crash]]") {
-            sleep(CRASH_AFTER).await;
+            sleep(CRASH_DELAY).await;
             crash.send_modify(|count| *count += 1);
             return std::future::pending().await;
         }
@@ -112,7 +112,7 @@
             if stream.write_all(chunk.as_bytes()).await.is_err() {
                 return;
             }
-            sleep(STEP).await;
+            sleep(EVENT_INTERVAL).await;
         }
         if stream.write_all(b"0\r\n\r\n").await.is_err() {
             return;
@@ -121,7 +121,7 @@
 }
 
 /// Number of content events of an answer.
-const EVENTS: usize = 30;
+const CONTENT_EVENTS: usize = 30;
 
 fn events() -> Vec<String> {
     let event = |text: &str| {
@@ -130,8 +130,9 @@
              \"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n"
         )
     };
-    let mut events: Vec<String> =
-        (0..EVENTS).map(|at| event(&format!("t{at} "))).collect();
+    let mut events: Vec<String> = (0..CONTENT_EVENTS)
+        .map(|at| event(&format!("t{at} ")))
+        .collect();
     events.push("data: [DONE]\n\n".to_owned());
     events
 }
--- a/crates/entry/tests/faults.rs
+++ b/crates/entry/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Claims of calls while connections lose what is sent on them.
+//! Claims of calls on connections that lose data.
 #![allow(clippy::unwrap_used)]
 
 mod claim_common;
@@ -6,22 +6,22 @@
 use std::time::Duration;
 
 use claim_common::{
-    Reply, SURELY, Service, claims, entry_at, keyed, platform,
+    EVENT_TIMEOUT, Reply, Service, claims, entry_at, keyed, platform,
 };
 use faultproxy::{Direction, Fault, FaultProxy, Rule};
 
-/// Symptom: a call that was refused as "did not run" cannot be tried again:
-/// its key is answered as running, later as lost. Sequence: the claim is
-/// written; the connection to the key-value service has gone half-open and
-/// the answer disappears; the call is refused, which is true. Cause: nobody
-/// took back the claim that the refused call had left.
+/// Guards against a key that stays blocked after a call was refused as not
+/// run: retries are told that the call is running, later that it is lost. The
+/// claim is written; the connection to the key-value service is half-open, so
+/// the response is lost and the call is refused, which is correct. The fault
+/// was that the claim of the refused call was never removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_left_by_a_refused_call_is_taken_back() {
     let platform = platform("", "").await;
     let service = Service::start(10).await;
     let proxy = FaultProxy::start(platform.address(), 1).await.unwrap();
     let entry = entry_at(proxy.address(), service.address).await;
-    // This call also gets the lease that the next claim uses.
+    // This call also grants the lease that the next claim uses.
     let first = Reply::of(keyed(&entry, "k-0", "seat 3")).await;
     assert_eq!(first.status, 201);
     let half_open = Rule::new(Fault::Silence).direction(Direction::ToClient);
@@ -42,15 +42,16 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let again = tokio::time::timeout(2 * SURELY, runs).await.unwrap();
+    let again = tokio::time::timeout(2 * EVENT_TIMEOUT, runs).await.unwrap();
     assert!(!again.replayed);
     assert_eq!(service.ran(), 2);
 }
 
-/// Symptom: a caller waits for its answer although the call has ended.
-/// Sequence: the call runs; then the connection to the key-value service
-/// goes silent. Cause: the answer waited for the record of its end. What is
-/// lost with the record is only the copy: the key does not run again.
+/// Guards against a caller that waits although its call has ended. The call
+/// runs, then the connection to the key-value service goes silent. The fault
+/// was a response that waits for the record of the outcome. Only the stored
+/// copy is lost with the record: the call does not run again under the same
+/// key.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_does_not_wait_for_its_record() {
     let platform = platform("", "").await;
@@ -62,7 +63,7 @@
     service.has_run(1).await;
     proxy.handle().set(vec![Rule::new(Fault::Silence)]);
     service.release();
-    let reply = tokio::time::timeout(SURELY, running).await.unwrap();
+    let reply = tokio::time::timeout(EVENT_TIMEOUT, running).await.unwrap();
     assert_eq!(reply.unwrap().status, 201);
     let other = claim_common::entry(&platform, service.address).await;
     let again = Reply::of(keyed(&other, "k-1", "seat 4")).await;
--- a/crates/entry/tests/forward.rs
+++ b/crates/entry/tests/forward.rs
@@ -1,4 +1,5 @@
-//! Answers that go on elsewhere, and endpoints that come and go.
+//! Streams that are resumed at another endpoint, and endpoints that start and
+//! stop.
 #![allow(clippy::unwrap_used)]
 
 mod forward_common;
@@ -6,8 +7,8 @@
 use std::time::Duration;
 
 use forward_common::{
-    Events, MODEL, behind, call, chat, companion, direct, engine, entry,
-    platform, reserve, stream, until_served,
+    Events, MODEL, call, chat, companion, engine, entry, platform, reserve,
+    stream, until_served, with_companion, without_companion,
 };
 use serde_json::{Value, json};
 use standin::{
@@ -17,8 +18,8 @@
 };
 use yare::parameterized;
 
-/// Pause between two looks at what is awaited.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval of polling for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn expected(prompt: &str) -> String {
     let messages = json!([{"role": "user", "content": prompt}]);
@@ -34,16 +35,16 @@
     let mut lines = "endpoints:\n".to_owned();
     for at in 0..count {
         let engine = engine().await;
-        lines.push_str(&direct(&format!("korv-lm-{at}"), &engine));
+        lines.push_str(&without_companion(&format!("korv-lm-{at}"), &engine));
         engines.push(engine);
     }
     (engines, lines)
 }
 
-/// Symptom: half an answer, or one with words twice. Sequence: each of two
-/// engines ends its first stream to this prompt half way, without the end
-/// mark; the first then gives the rest. Cause would be an attempt that is
-/// passed on from its beginning, or one that is not made.
+/// Guards against half a response or repeated text. Each of two engines drops
+/// its first stream for this prompt halfway, without the end mark; the first
+/// engine then sends the remainder. The fault would be an attempt that is
+/// forwarded from its beginning, or one that is not made.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_chat_goes_on_elsewhere_as_one_answer() {
     let platform = platform("").await;
@@ -74,8 +75,8 @@
     events.is_one_answer(&answer::text(MODEL, prompt, 9));
 }
 
-/// A stream that may not go on ends with an error event and without the end
-/// mark, so that nobody takes it for whole.
+/// A stream that may not be resumed ends with an error event and without the
+/// end mark, so that no client takes it for complete.
 #[parameterized(
     not_repeatable = { ", repeatable: false", 1 },
     no_retries = { ", retries: 0", 1 },
@@ -94,9 +95,9 @@
     assert_eq!(calls(&engines), attempts);
 }
 
-/// Symptom: half an answer that looks whole. Sequence: the only engine drops
-/// a stream of two choices, whose events belong to either. Cause would be a
-/// count of events that mixes the two.
+/// Guards against half a response that looks complete. An engine drops a
+/// stream of two choices, whose events belong to either choice. The fault
+/// would be an event count that mixes the two.
 #[tokio::test(flavor = "multi_thread")]
 async fn several_choices_are_not_resumed() {
     let platform = platform("").await;
@@ -109,23 +110,24 @@
     assert_eq!(calls(&engines), 1);
 }
 
-/// Symptom: answers cut short on the days when VMs are lost. Sequence: two
-/// companions serve; the one with the stream ends in the middle of it; the
-/// link breaks without an end of the answer. Cause would be that only ends
-/// that a companion tells are resumed.
+/// Guards against truncated responses when VMs are lost. Two companions serve;
+/// the one with the stream stops midway, and the link breaks without an end of
+/// the response. The fault would be to resume only after an end that a
+/// companion reports.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_outlives_its_companion() {
     let platform = platform("").await;
     let addresses = reserve::<2>();
     let names = ["korv-lm-1", "korv-lm-2"];
     let lines = names.iter().zip(addresses);
-    let lines: String = lines.map(|(name, at)| behind(name, at)).collect();
+    let lines: String =
+        lines.map(|(name, at)| with_companion(name, at)).collect();
     let entry = entry(&platform, &format!("endpoints:\n{lines}")).await;
-    let told = [entry.peer_address()];
+    let entries = [entry.peer_address()];
     let (mut engines, mut companions) = (Vec::new(), Vec::new());
     for (name, address) in names.into_iter().zip(addresses) {
         let engine = Engine::start(EngineSettings::default()).await.unwrap();
-        let one = companion(name, address, &engine, &told).await;
+        let one = companion(name, address, &engine, &entries).await;
         companions.push(one);
         engines.push(engine);
     }
@@ -170,11 +172,11 @@
     assert_eq!(calls(&engines), 6);
 }
 
-/// Symptom: half of a JSON text with status 200. Sequence: an engine gives up
-/// in the middle of an answer without a length and ends its chunks cleanly.
-/// Cause: the end of the chunks was taken for the end of the answer. The
-/// caller hears at once that the answer is lost, and when to come back if
-/// sending the call again does no harm.
+/// Guards against half of a JSON text with status 200. An engine fails midway
+/// through a response without a length and ends its chunks cleanly; the end of
+/// the chunks was taken for the end of the response. The caller must learn at
+/// once that the response is lost, and gets a retry-after if the call may be
+/// repeated.
 #[parameterized(
     repeatable = { ", retries: 0", true },
     not_repeatable = { ", repeatable: false", false },
@@ -206,19 +208,20 @@
     assert_eq!(calls(&engines), 10);
 }
 
-/// Symptom: calls at an endpoint that leaves, or none at its successor.
-/// Sequence: the companion leaves and says so; the settings still have its
-/// address; later a new companion lives there. Cause would be one record
-/// for both lives.
+/// Guards against calls to an endpoint that is shutting down, or none to its
+/// successor. The companion announces its shutdown while the settings still
+/// have its address; later a new companion starts there. The fault would be
+/// one record for both incarnations.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_companion_gets_nothing_and_its_successor_does() {
     let platform = platform("").await;
     let engine = engine().await;
     let [address] = reserve();
-    let lines = format!("endpoints:\n{}", behind("korv-lm-1", address));
+    let lines =
+        format!("endpoints:\n{}", with_companion("korv-lm-1", address));
     let entry = entry(&platform, &lines).await;
-    let told = [entry.peer_address()];
-    let first = companion("korv-lm-1", address, &engine, &told).await;
+    let entries = [entry.peer_address()];
+    let first = companion("korv-lm-1", address, &engine, &entries).await;
     until_served(&entry).await;
     let before = engine.counters().calls;
 
@@ -229,13 +232,12 @@
     assert_eq!(problem["ran"], "no", "{problem}");
     assert_eq!(engine.counters().calls, before);
 
-    let _second = companion("korv-lm-1", address, &engine, &told).await;
+    let _second = companion("korv-lm-1", address, &engine, &entries).await;
     until_served(&entry).await;
 }
 
-/// Symptom: a whole fleet out of service. Sequence: the platform's list is
-/// empty for a while, then cannot be read. Cause would be a list that is
-/// believed whatever it says.
+/// Guards against losing the whole fleet. The platform's list is empty for a
+/// while, then cannot be read. The fault would be to apply such a list.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_last_list_stays_when_there_is_none() {
     let platform = platform("").await;
@@ -265,7 +267,7 @@
     list.remove(&vm.vm);
     let after = list.reads() + 3;
     while list.reads() < after {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     stream(&entry, &chat("hello"))
         .await
--- a/crates/entry/tests/forward_common/mod.rs
+++ b/crates/entry/tests/forward_common/mod.rs
@@ -1,4 +1,4 @@
-//! An entry before stand-in engines, directly or behind companions.
+//! An entry with stand-in engines as endpoints, with or without companions.
 #![allow(dead_code)]
 
 use std::{
@@ -21,10 +21,10 @@
 pub(crate) const KEY: &str = "key-of-taevakorv";
 pub(crate) const MODEL: &str = "korv-lm";
 
-/// Time in which something that is to happen happens, on any machine.
-pub(crate) const SURELY: Duration = Duration::from_secs(30);
+/// Timeout for expected events, generous enough for slow machines.
+pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts the key-value service; `then` adds to the rule for the model.
+/// Starts the key-value service; `then` is appended to the rule for the model.
 pub(crate) async fn platform(then: &str) -> KvServiceHandle {
     let service = KvService::start(KvServiceSettings::default());
     let service = service.await.unwrap();
@@ -56,9 +56,9 @@
     service
 }
 
-/// Finds addresses that this process listens on later. Companions and the
-/// entry need to know each other's before either starts. Nobody else uses
-/// this loopback address, so that the ports stay free meanwhile.
+/// Reserves addresses that this process listens on later, since companions and
+/// the entry need each other's address before either starts. No other process
+/// uses this loopback address, so the ports stay free meanwhile.
 pub(crate) fn reserve<const COUNT: usize>() -> [SocketAddr; COUNT] {
     let [.., high, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, 77, high, low.max(1));
@@ -71,8 +71,8 @@
     Engine::start(EngineSettings::instant()).await.unwrap()
 }
 
-/// Returns a line of settings for an engine without a companion.
-pub(crate) fn direct(name: &str, engine: &EngineHandle) -> String {
+/// Returns a settings line for an engine without a companion.
+pub(crate) fn without_companion(name: &str, engine: &EngineHandle) -> String {
     format!(
         "  - {{endpoint: {name}, pool: korv-lm, failure_domain: tallinn-a, \
          http: '{}'}}\n",
@@ -80,15 +80,15 @@
     )
 }
 
-/// Returns a line of settings for an endpoint with a companion.
-pub(crate) fn behind(name: &str, peer: SocketAddr) -> String {
+/// Returns a settings line for an endpoint with a companion.
+pub(crate) fn with_companion(name: &str, peer: SocketAddr) -> String {
     format!(
         "  - {{endpoint: {name}, pool: korv-lm, failure_domain: tallinn-a, \
          peer: '{peer}'}}\n"
     )
 }
 
-/// Starts an entry; `more` is the rest of its settings.
+/// Starts an entry; `more` holds the remaining settings.
 pub(crate) async fn entry(platform: &KvServiceHandle, more: &str) -> Entry {
     entry_named("entry-1", platform, more).await
 }
@@ -127,7 +127,7 @@
     companion_of(name, listen, &engine.url(), entries).await
 }
 
-/// Starts a companion of whatever listens at a URL.
+/// Starts a companion of the server at a URL.
 pub(crate) async fn companion_of(
     name: &str,
     listen: SocketAddr,
@@ -154,7 +154,7 @@
     companion.await.unwrap()
 }
 
-/// Sends a chat whose answer streams, and returns the events.
+/// Sends a streaming request and returns the events.
 pub(crate) async fn stream(entry: &Entry, body: &Value) -> Events {
     let path = match body.get("prompt") {
         Some(_) => "/v1/completions",
@@ -171,7 +171,7 @@
     body: &Value,
 ) -> reqwest::Response {
     let url = format!("http://{}{path}", entry.http_address());
-    let client = reqwest::Client::builder().timeout(SURELY).build();
+    let client = reqwest::Client::builder().timeout(EVENT_TIMEOUT).build();
     let call = client.unwrap().post(url).bearer_auth(KEY);
     call.json(body).send().await.unwrap()
 }
@@ -186,7 +186,7 @@
     })
 }
 
-/// Calls until one is answered.
+/// Repeats a call until it succeeds.
 pub(crate) async fn until_served(entry: &Entry) {
     let serve = async {
         loop {
@@ -198,10 +198,10 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(SURELY, serve).await.unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, serve).await.unwrap();
 }
 
-/// A stream as its caller sees it.
+/// A stream as received by its caller.
 #[derive(Debug)]
 pub(crate) struct Events {
     pub(crate) json: Vec<Value>,
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Returns the text of the answer, whichever form it has.
+    /// Returns the text of the response, for chats and completions.
     pub(crate) fn text(&self) -> String {
         let parts = self.json.iter().filter_map(|event| {
             let choice = &event["choices"][0];
@@ -237,7 +237,7 @@
         self.json.iter().filter(|event| has(event)).count()
     }
 
-    /// Asserts that this is one whole answer.
+    /// Asserts that this is one complete response.
     #[track_caller]
     pub(crate) fn is_one_answer(&self, text: &str) {
         assert_eq!(self.text(), text);
--- a/crates/entry/tests/link_lost.rs
+++ b/crates/entry/tests/link_lost.rs
@@ -1,4 +1,5 @@
-//! What a caller is told when the link to a companion breaks under its call.
+//! The response to a caller when the link to a companion breaks during the
+//! call.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,14 +24,14 @@
 
 const KEY: &str = "key-of-taevakorv";
 
-/// Takes each call, says that it did, and never answers.
+/// Companion that accepts every call and never responds.
 #[derive(Default)]
-struct Silent {
+struct SilentCompanion {
     calls: AtomicU32,
     called: Notify,
 }
 
-struct Handler(Arc<Silent>);
+struct Handler(Arc<SilentCompanion>);
 
 impl CompanionHandler for Handler {
     fn run(
@@ -59,8 +60,8 @@
     }
 }
 
-async fn silent_companion() -> (Server, Arc<Silent>) {
-    let silent = Arc::new(Silent::default());
+async fn silent_companion() -> (Server, Arc<SilentCompanion>) {
+    let silent = Arc::new(SilentCompanion::default());
     let handlers = Handlers {
         companion: Some(Arc::new(Handler(silent.clone()))),
         ..Handlers::default()
@@ -135,11 +136,11 @@
     entry
 }
 
-/// Symptom: a billed filing runs twice, or its caller is told that it did
-/// not run though it did. Sequence: a call that may not be repeated is
-/// handed to a companion; the companion's process dies before it answers.
-/// Cause: the broken link counted as a call that was not sent, so that it
-/// went to the next endpoint or was refused as not run.
+/// Guards against running a billed filing twice, and against reporting that it
+/// did not run although it did. A call that is not repeatable is sent to a
+/// companion, whose process dies before it responds. The fault was to treat
+/// the broken link as a call that was not sent, so that the call went to the
+/// next endpoint or was refused as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_whose_link_breaks_is_unknown_and_goes_nowhere_else() {
     let service = platform().await;
@@ -161,6 +162,6 @@
     let (status, problem) = call.await.unwrap();
     assert_eq!(status, 502, "{problem}");
     assert_eq!(problem["ran"], "unknown", "{problem}");
-    let calls = |seen: &Silent| seen.calls.load(Ordering::SeqCst);
+    let calls = |seen: &SilentCompanion| seen.calls.load(Ordering::SeqCst);
     assert_eq!(calls(&first_seen) + calls(&second_seen), 1);
 }
--- a/crates/entry/tests/property_promises.rs
+++ b/crates/entry/tests/property_promises.rs
@@ -1,7 +1,7 @@
-//! Promises whose mechanism no other test would miss.
+//! Promises whose mechanisms no other test covers.
 //!
-//! Each test here was written after its mechanism was taken out by hand and
-//! every test still passed; see `docs/PROMISES.md`.
+//! Each test was written after removing its mechanism made no other test fail;
+//! see `docs/PROMISES.md`.
 #![allow(clippy::unwrap_used)]
 
 mod batch_common;
@@ -22,11 +22,11 @@
 
 use self::{
     batch_common::{Ground, MODEL, Player},
-    claim_common::{KEY, Reply, SURELY, Service, client, platform},
+    claim_common::{EVENT_TIMEOUT, KEY, Reply, Service, client, platform},
 };
 
-/// Starts an entry before two instances of the service.
-async fn entry_of_two(platform: &KvServiceHandle, two: &[Service]) -> Entry {
+/// Starts an entry with two instances of the service as endpoints.
+async fn entry_with_two(platform: &KvServiceHandle, two: &[Service]) -> Entry {
     let line = |service: &Service| {
         let address = service.address;
         let name = address.port();
@@ -55,10 +55,11 @@
     entry
 }
 
-/// Symptom: a filing is billed twice. Sequence: an instance of the service
-/// runs a call and the connection breaks before its answer; another instance
-/// is there. Cause: the call was tried again although it may have run. With
-/// one instance only, nothing is left to try and the fault hides.
+/// Guards against billing a filing twice. An instance of the service runs a
+/// call and its connection breaks before the response, while another instance
+/// is available. The fault was to retry the call although it may have run.
+/// With a single instance there is no other endpoint to try, which hides the
+/// fault.
 #[parameterized(
     post = { Method::POST, None, "", 1 },
     put = { Method::PUT, None, "", 1 },
@@ -78,10 +79,13 @@
 ) {
     let platform = platform("", rule).await;
     let two = [Service::start(10).await, Service::start(10).await];
-    let entry = entry_of_two(&platform, &two).await;
+    let entry = entry_with_two(&platform, &two).await;
     let address = entry.http_address();
     let url = format!("http://{address}/svc/vautsher-app/rebook");
-    let http = reqwest::Client::builder().timeout(SURELY).build().unwrap();
+    let http = reqwest::Client::builder()
+        .timeout(EVENT_TIMEOUT)
+        .build()
+        .unwrap();
     let mut call = http.request(method, url).bearer_auth(KEY).body("drop");
     if let Some(key) = key {
         call = call.header("Idempotency-Key", key);
@@ -91,12 +95,12 @@
     assert_eq!(two[0].ran() + two[1].ran(), runs);
 }
 
-/// Symptom: an item is committed by an entry that no longer owns its
-/// partition. Sequence: the owner is paused; its lease lapses and another
-/// entry takes the partitions; the paused one goes on with results that it
-/// has. Cause: its transaction does not compare the creation revision of the
-/// owner's key. The revision of the record alone does not help as long as
-/// the new owner has not written it.
+/// Guards against commits by an entry that no longer owns the partition. The
+/// owner is paused, its lease expires and another entry takes over its
+/// partitions; the paused entry then continues with results that it has. The
+/// fault was a transaction that does not compare the creation revision of the
+/// owner key. The revision of the record alone does not help until the new
+/// owner has written it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_former_owner_commits_nothing() {
     let ground = Ground::start().await;
@@ -112,12 +116,12 @@
     assert!(!owners.is_empty());
     for owner in owners {
         let key = owner.key;
-        let gone = Txn {
+        let delete = Txn {
             success: vec![Op::Delete { key: key.clone() }],
             ..Txn::default()
         };
-        kv.txn(gone).await.unwrap();
-        let taken = Txn {
+        kv.txn(delete).await.unwrap();
+        let take_over = Txn {
             success: vec![Op::Put {
                 key,
                 value: b"another".to_vec(),
@@ -125,11 +129,11 @@
             }],
             ..Txn::default()
         };
-        kv.txn(taken).await.unwrap();
+        kv.txn(take_over).await.unwrap();
     }
     player.answer(entry.peer(), &items, 10).await;
-    // By then it has met the other owner.
-    let gave_up = async {
+    // The list is empty once the entry has found the other owner.
+    let released = async {
         loop {
             let status = entry.get("/status").await;
             if status["partitions"].as_array().unwrap().is_empty() {
@@ -138,7 +142,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(SURELY, gave_up).await.unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, released).await.unwrap();
     let job: Value = entry.job(&id).await;
     assert_eq!(job["request_counts"]["completed"], 0, "{job}");
     assert_eq!(job["request_counts"]["failed"], 0, "{job}");
@@ -169,9 +173,9 @@
     status["blobs"].as_u64().unwrap()
 }
 
-/// Symptom: the input of a job is gone with one machine. Sequence: an upload
-/// is acknowledged, and the data VM that has it is lost right after. Cause:
-/// the acknowledgement came before a second failure domain had a copy.
+/// Guards against losing the input of a job with one machine. An upload is
+/// acknowledged, and the data VM that stores it is lost right after. The fault
+/// was an acknowledgement before a second failure domain had a copy.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_acknowledged_upload_is_in_two_failure_domains() {
     let platform = platform("", "").await;
@@ -201,7 +205,10 @@
     let entry = Entry::start(&settings, Metrics::default(), None);
     let entry = entry.await.unwrap();
     entry.ready().await;
-    let http = reqwest::Client::builder().timeout(SURELY).build().unwrap();
+    let http = reqwest::Client::builder()
+        .timeout(EVENT_TIMEOUT)
+        .build()
+        .unwrap();
     for at in 1..=8 {
         let line = format!(
             r#"{{"custom_id":"{at}","url":"/v1/completions","body":{{}}}}"#
@@ -217,15 +224,16 @@
         let kind = "multipart/form-data; boundary=cut";
         let reply = call.header("content-type", kind).send().await.unwrap();
         assert!(reply.status().is_success(), "{}", reply.status());
-        // As soon as it is acknowledged, whichever of the first two it is.
+        // Holds as soon as the upload is acknowledged, whichever of the first
+        // two VMs stores it.
         assert_eq!(blobs(&one).await + blobs(&near).await, at);
         assert_eq!(blobs(&other).await, at);
     }
 }
 
-/// Symptom: a planned stop cuts an answer. Sequence: a call runs at its
-/// service; the entry is stopped as planned; the service answers after that.
-/// Cause: the stop did not wait for what runs.
+/// Guards against a graceful shutdown that aborts a response. A call runs at
+/// its service; the entry shuts down gracefully; the service responds after
+/// that. The fault was a shutdown that does not wait for running calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_waits_for_the_call_that_runs() {
     let platform = platform("", "").await;
@@ -237,18 +245,23 @@
     service.has_run(1).await;
     let ready = format!("http://{}/readyz", entry.http_address());
     let stop = tokio::spawn(entry.drain());
-    let turned = async {
-        // Refused or no longer there: no new work is taken.
+    let not_ready = async {
+        // Refused or unreachable: no new work is take_over.
         while reqwest::get(&ready).await.is_ok_and(|r| r.status() == 200) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(SURELY, turned).await.unwrap();
-    // Long enough for a stop that does not wait; one that does needs none.
+    tokio::time::timeout(EVENT_TIMEOUT, not_ready)
+        .await
+        .unwrap();
+    // Long enough for a shutdown that does not wait to finish.
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(!stop.is_finished());
     service.release();
-    let reply = tokio::time::timeout(SURELY, caller).await.unwrap();
+    let reply = tokio::time::timeout(EVENT_TIMEOUT, caller).await.unwrap();
     assert_eq!(reply.unwrap().status, 201);
-    tokio::time::timeout(SURELY, stop).await.unwrap().unwrap();
+    tokio::time::timeout(EVENT_TIMEOUT, stop)
+        .await
+        .unwrap()
+        .unwrap();
 }
--- a/crates/entry/tests/quarantine.rs
+++ b/crates/entry/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the endpoints that run them, sent again by callers.
+//! Poison requests, which crash the endpoints that run them and are retried by
+//! callers.
 #![allow(clippy::unwrap_used)]
 
 mod crash_common;
@@ -8,8 +9,8 @@
 
 use crash_common::CrashableEngine;
 use forward_common::{
-    behind, call, chat, companion_of, entry_named, platform, reserve,
-    until_served,
+    call, chat, companion_of, entry_named, platform, reserve, until_served,
+    with_companion,
 };
 use pomeloslip_entry::Entry;
 use serde_json::json;
@@ -19,31 +20,31 @@
 };
 use yare::parameterized;
 
-/// Times that a request may be sent again once it has crashed three
-/// endpoints and all entries have had the time to hear of it.
-const RETRIES_MOST: usize = 3;
+/// Maximum number of sends of a request that has crashed three endpoints, once
+/// all entries had time to learn of it.
+const MAX_SENDS_AFTER_QUARANTINE: usize = 3;
 
-/// Crashes after which a request is not to be sent any more.
-const CRASHES_MOST: usize = 3;
+/// Number of crashes after which a request must not be sent.
+const QUARANTINE_CRASHES: usize = 3;
 
-/// Time in which all entries hear of a third crash.
-const SPREAD: Duration = Duration::from_secs(3);
+/// Time in which all entries learn of a third crash.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
-/// Time for which the request comes again and again.
-const REPEATED: Duration = Duration::from_secs(9);
+/// Time for which the request is repeated.
+const REPEAT_TIME: Duration = Duration::from_secs(9);
 
-fn direct_at(name: &str, address: SocketAddr) -> String {
+fn without_companion_at(name: &str, address: SocketAddr) -> String {
     format!(
         "  - {{endpoint: {name}, pool: korv-lm, failure_domain: tallinn-a, \
          http: 'http://{address}'}}\n"
     )
 }
 
-/// Tries of a caller whose call was cut off or refused.
-const TRIES: usize = 4;
+/// Attempts of a caller whose call was aborted or refused.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Guards against calls that are refused since they ran at endpoints that
-/// were killed.
+/// Guards against refusing calls only because they ran at endpoints that were
+/// killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_at_killed_endpoints_are_served() {
     let platform = platform(", retries: 2").await;
@@ -52,7 +53,7 @@
     let mut engines = Vec::new();
     for (at, address) in addresses.into_iter().enumerate() {
         engines.push(CrashableEngine::start(address).await);
-        lines += &direct_at(&format!("korv-{at}"), address);
+        lines += &without_companion_at(&format!("korv-{at}"), address);
     }
     let entry = Arc::new(entry_named("entry-1", &platform, &lines).await);
     until_served(&entry).await;
@@ -60,17 +61,17 @@
     for caller in 0..6 {
         let entry = entry.clone();
         callers.spawn(async move {
-            let until = Instant::now() + REPEATED;
+            let until = Instant::now() + REPEAT_TIME;
             let mut served = 0;
             while Instant::now() < until {
-                // Half of the callers send what the others send, too.
+                // Half of the callers send the same requests as the others.
                 let prompt = format!("caller {}", caller % 3);
                 served += usize::from(is_served(&entry, &prompt).await);
             }
             served
         });
     }
-    let until = Instant::now() + REPEATED - Duration::from_secs(1);
+    let until = Instant::now() + REPEAT_TIME - Duration::from_secs(1);
     let mut number = 0;
     while Instant::now() < until {
         sleep(Duration::from_millis(400)).await;
@@ -81,24 +82,24 @@
     assert!(served > 50, "the callers were busy: {served}");
 }
 
-/// Sends a call until it is served; fails if it never is.
+/// Retries a call until it is served; panics if it never is.
 async fn is_served(entry: &Entry, prompt: &str) -> bool {
     let mut last = String::new();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let path = "/v1/chat/completions";
         let reply = call(entry, path, &chat(prompt)).await;
         last = reply.text().await.unwrap_or_default();
         if last.contains("[DONE]") {
             return true;
         }
-        assert!(!last.contains("endpoint-crashes"), "held: {last}");
+        assert!(!last.contains("endpoint-crashes"), "quarantined: {last}");
         sleep(Duration::from_millis(100)).await;
     }
-    panic!("not served in {TRIES} tries: {last}");
+    panic!("not served in {MAX_ATTEMPTS} attempts: {last}");
 }
 
-/// Guards against a call that crashes one endpoint after the other as its
-/// caller sends it again, to any entry.
+/// Guards against a call that crashes one endpoint after another while its
+/// caller retries it at any entry.
 #[parameterized(
     direct = { false, true },
     behind_companions = { true, true },
@@ -113,18 +114,19 @@
     let addresses = reserve::<5>();
     let peers = reserve::<5>();
     let mut engines = Vec::new();
-    let mut kept = Vec::new();
+    let mut companions_running = Vec::new();
     let mut lines = "endpoints:\n".to_owned();
     for (at, address) in addresses.into_iter().enumerate() {
         let name = format!("korv-{at}");
         engines.push(CrashableEngine::start(address).await);
         lines += &match companions {
-            true => behind(&name, peers[at]),
-            false => direct_at(&name, address),
+            true => with_companion(&name, peers[at]),
+            false => without_companion_at(&name, address),
         };
         if companions {
             let url = format!("http://{address}");
-            kept.push(companion_of(&name, peers[at], &url, &peers).await);
+            companions_running
+                .push(companion_of(&name, peers[at], &url, &peers).await);
         }
     }
     let first = entry_named("entry-1", &platform, &lines).await;
@@ -139,15 +141,15 @@
     let began = Instant::now();
     let mut third = None;
     let (mut before, mut sent) = (None, 0);
-    while began.elapsed() < REPEATED {
+    while began.elapsed() < REPEAT_TIME {
         let entry = &entries[sent % entries.len()];
         call(entry, "/v1/chat/completions", &body).await;
         sent += 1;
         let crashes: usize = engines.iter().map(|e| e.crashes()).sum();
-        if crashes >= CRASHES_MOST {
+        if crashes >= QUARANTINE_CRASHES {
             third.get_or_insert(Instant::now());
         }
-        if third.is_some_and(|third| third.elapsed() >= SPREAD) {
+        if third.is_some_and(|third| third.elapsed() >= PROPAGATION_TIME) {
             before.get_or_insert(crashes);
         }
         sleep(Duration::from_millis(100)).await;
@@ -156,5 +158,8 @@
     let before = before.expect("three crashes");
     assert!(sent > 20, "the call came again: {sent}");
     let after = crashes - before;
-    assert!(after <= RETRIES_MOST, "sent {after} times more");
+    assert!(
+        after <= MAX_SENDS_AFTER_QUARANTINE,
+        "sent {after} more times"
+    );
 }
