--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -142,7 +142,7 @@
     let places = shared.customers.admit(compiled, customer, &limits, now);
     let served = match places {
         Ok(places) => {
-            send(shared, exchange, admitted.with_limit_permits(places)).await
+            send(shared, exchange, admitted.with_limits(places)).await
         }
         Err(problem) => Err(problem),
     };
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -95,7 +95,7 @@
         mut resume: Option<Box<Resume>>,
     ) -> Self {
         let Some(first) = reply.first else {
-            return Self::complete(Bytes::new(), on_end, reply.flight);
+            return Self::full(Bytes::new(), on_end, reply.flight);
         };
         if let Some(resume) = &mut resume {
             // The first event of the first attempt always goes to the caller.
@@ -115,11 +115,7 @@
     }
 
     /// Creates a body from bytes that are already complete.
-    pub(crate) fn complete(
-        bytes: Bytes,
-        on_end: OnEnd,
-        flight: Flight,
-    ) -> Self {
+    pub(crate) fn full(bytes: Bytes, on_end: OnEnd, flight: Flight) -> Self {
         flight.record_completion();
         drop(flight);
         on_end(&BodyEnd::Complete);
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -136,7 +136,7 @@
 ) -> Result<Served, Problem> {
     let claims = &shared.claims;
     let ended = match forward::forward(shared, exchange, admitted).await {
-        Ok(started) => buffer_if_small(shared, started).await,
+        Ok(started) => buffer(shared, started).await,
         Err(problem) => Err(problem),
     };
     match &ended {
@@ -156,10 +156,7 @@
 }
 
 /// Buffers a response that is is_small enough to be stored.
-async fn buffer_if_small(
-    shared: &Shared,
-    started: Started,
-) -> Result<Served, Problem> {
+async fn buffer(shared: &Shared, started: Started) -> Result<Served, Problem> {
     let is_small = content_length(&started.headers)
         .is_some_and(|bytes| bytes <= MAX_STORED_RESPONSE_BYTES);
     if !is_small {
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -178,7 +178,7 @@
     start(shared, exchange, Run::local(frames), flight).await
 }
 
-pub(super) fn interrupted(flight: &Flight, why: &str) -> Attempt {
+pub(super) fn lost(flight: &Flight, why: &str) -> Attempt {
     flight.record_failure(Failure::Lost);
     Attempt::Lost {
         why: why.to_owned(),
@@ -186,7 +186,7 @@
     }
 }
 
-pub(super) fn ended_incomplete(flight: &Flight, outcome: Outcome) -> Attempt {
+pub(super) fn incomplete(flight: &Flight, outcome: Outcome) -> Attempt {
     let why = outcome.detail;
     if !outcome.ran {
         // A companion monitors its endpoint itself and also reports `not sent`
--- a/crates/entry/src/forward/attempts.rs
+++ b/crates/entry/src/forward/attempts.rs
@@ -71,9 +71,8 @@
                 number: self.refusals + self.retries,
                 remaining_ms,
                 offset,
-                permit: admitted.map_err(|quarantined| {
-                    self.quarantined(exchange, quarantined)
-                })?,
+                permit: admitted
+                    .map_err(|error| self.refuse(exchange, error))?,
             };
             match attempt(shared, exchange, flight, params).await {
                 Attempt::Begun(reply) => return Ok(*reply),
@@ -149,26 +148,22 @@
     }
 
     /// Refuses a poison request, one that crashes endpoints.
-    fn quarantined(
-        &self,
-        exchange: &Exchange,
-        quarantined: Quarantined,
-    ) -> Problem {
+    fn refuse(&self, exchange: &Exchange, error: Quarantined) -> Problem {
         log::info!(
             request_id = exchange.request_id.as_str(),
             digest:% = exchange.digest,
-            crashes = quarantined.crashes,
-            for_ms = quarantined.for_ms;
+            crashes = error.crashes,
+            for_ms = error.for_ms;
             "a request is held"
         );
         exchange.metrics.count(Counter::Refused, exchange.class, 1);
         if self.may_have_run {
             return self.outcome_unknown(ProblemKind::AnswerLost);
         }
-        let why = format!("endpoints crashed: {}", quarantined.crashes);
+        let why = format!("endpoints crashed: {}", error.crashes);
         Problem::new(ProblemKind::EndpointCrashes, why)
             .ran(Ran::No)
-            .retry_after_ms(quarantined.for_ms)
+            .retry_after_ms(error.for_ms)
     }
 
     fn exhausted(&self) -> Problem {
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -56,11 +56,7 @@
                 body,
                 flight,
             } = whole;
-            (
-                status,
-                headers,
-                ResponseBody::complete(body, on_end, flight),
-            )
+            (status, headers, ResponseBody::full(body, on_end, flight))
         }
         Reply::Streaming(answer) => {
             let status = answer.status;
--- a/crates/entry/src/forward/start.rs
+++ b/crates/entry/src/forward/start.rs
@@ -12,8 +12,7 @@
 
 use super::{
     attempt::{
-        Attempt, BufferedReply, Reply, StreamingReply, ended_incomplete,
-        interrupted,
+        Attempt, BufferedReply, Reply, StreamingReply, incomplete, lost,
     },
     prefix,
 };
@@ -33,18 +32,9 @@
     let idle_timeout = Duration::from_millis(shared.timeouts.first_byte_ms);
     let (status, headers) = match timeout(idle_timeout, run.next()).await {
         Ok(Some(Frame::Head { status, headers })) => (status, headers),
-        Ok(Some(Frame::End(outcome))) => {
-            return ended_incomplete(&flight, outcome);
-        }
-        Ok(_) => {
-            return interrupted(&flight, "the link to the companion was lost");
-        }
-        Err(_) => {
-            return interrupted(
-                &flight,
-                "the companion sent no response head in time",
-            );
-        }
+        Ok(Some(Frame::End(outcome))) => return incomplete(&flight, outcome),
+        Ok(_) => return lost(&flight, "the link to the companion was lost"),
+        Err(_) => return lost(&flight, "the companion sent no head in time"),
     };
     let mut next_seq = 0;
     let first = loop {
@@ -59,19 +49,14 @@
                 if outcome.kind == OutcomeKind::Complete {
                     break None;
                 }
-                return ended_incomplete(&flight, outcome);
+                return incomplete(&flight, outcome);
             }
             Ok(_) => {
                 let why =
                     "the response was interrupted before its first chunk";
-                return interrupted(&flight, why);
-            }
-            Err(_) => {
-                return interrupted(
-                    &flight,
-                    "the endpoint sent no chunk in time",
-                );
+                return lost(&flight, why);
             }
+            Err(_) => return lost(&flight, "no chunk arrived in time"),
         }
     };
     flight.record_first_chunk();
@@ -144,23 +129,16 @@
                 {
                     break;
                 }
-                return ended_incomplete(&flight, outcome);
-            }
-            Ok(_) => {
-                return interrupted(&flight, "the response was interrupted");
-            }
-            Err(_) => {
-                return interrupted(
-                    &flight,
-                    "the endpoint sent no chunk in time",
-                );
+                return incomplete(&flight, outcome);
             }
+            Ok(_) => return lost(&flight, "the response was interrupted"),
+            Err(_) => return lost(&flight, "no chunk arrived in time"),
         }
     }
     if prefix::is_model_call(&exchange.path)
         && is_truncated(&headers, &buffered)
     {
-        return interrupted(&flight, "the response ended within its JSON");
+        return lost(&flight, "the response ended within its JSON");
     }
     headers.push(Header {
         name: "content-length".to_owned(),
@@ -186,7 +164,7 @@
 }
 
 fn over_limit(flight: &Flight) -> Attempt {
-    interrupted(
+    lost(
         flight,
         "the response is over the limit of a body without a length",
     )
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -44,16 +44,13 @@
 pub(crate) struct Admitted {
     _permit: OwnedSemaphorePermit,
     _active: Active,
-    limit_permits: Option<LimitPermits>,
+    permits: Option<LimitPermits>,
 }
 
 impl Admitted {
     /// Adds the permits for the limits of the customer and the rule.
-    pub(crate) fn with_limit_permits(
-        mut self,
-        limit_permits: LimitPermits,
-    ) -> Self {
-        self.limit_permits = Some(limit_permits);
+    pub(crate) fn with_limits(mut self, permits: LimitPermits) -> Self {
+        self.permits = Some(permits);
         self
     }
 }
@@ -77,7 +74,7 @@
         Ok(Admitted {
             _permit: permit,
             _active: self.state.begin(),
-            limit_permits: None,
+            permits: None,
         })
     }
 }
