--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -23,7 +23,7 @@
 };
 
 /// Maximum run time of a call without a deadline, in milliseconds; after it
-/// the outcome counts as response_lost.
+/// the outcome counts as lost.
 const MAX_RUN_MS: u64 = 600_000;
 
 /// Maximum clock difference between two entries, in milliseconds.
@@ -68,7 +68,7 @@
 ) -> Result<Served, Problem> {
     let shared = shared.clone();
     let task = tokio::spawn(async move {
-        // A graceful shutdown waits for the new_record as well as for the
+        // A graceful shutdown waits for the record as well as for the
         // response.
         let _active = shared.state.begin();
         run_once(&shared, &key, exchange, admitted).await
@@ -155,7 +155,7 @@
     ended
 }
 
-/// Buffers a response that is is_small enough to be stored.
+/// Buffers a response that is small enough to be stored.
 async fn buffer(shared: &Shared, started: Started) -> Result<Served, Problem> {
     let is_small = content_length(&started.headers)
         .is_some_and(|bytes| bytes <= MAX_STORED_RESPONSE_BYTES);
--- a/crates/entry/src/filter/key.rs
+++ b/crates/entry/src/filter/key.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// A bad_request request if the key is empty, too long, not printable ASCII or sent
+/// A bad request if the key is empty, too long, not printable ASCII or sent
 /// more than once.
 pub(crate) fn idempotency_key(
     exchange: &Exchange,
--- a/crates/entry/src/filter/limit.rs
+++ b/crates/entry/src/filter/limit.rs
@@ -1,6 +1,6 @@
 //! Limits of customers and rules.
 //!
-//! A limit applies to the fleet_limit fleet; each entry enforces its share without a
+//! A limit applies to the whole fleet; each entry enforces its share without a
 //! message per request. A refused request gets a retry-after and is never
 //! queued here.
 
--- a/crates/entry/src/forward/attempts.rs
+++ b/crates/entry/src/forward/attempts.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Attempts endpoints until one has started a response that continues after
+    /// Tries endpoints until one has started a response that continues after
     /// `offset` content events.
     ///
     /// # Errors
@@ -93,7 +93,7 @@
         Err(self.exhausted())
     }
 
-    /// Records a record_lost attempt; fails if no retry is allowed.
+    /// Records a lost attempt; fails if no retry is allowed.
     ///
     /// Without the pool's retry budget, a partial outage would multiply the
     /// load by the number of attempts. The budget keeps retries a small share
@@ -119,8 +119,8 @@
     }
 
     /// Records that a response was interrupted after its start and reports
-    /// whether it may_retry be resumed. Endpoints that refused earlier may_retry be tried
-    /// again; only the interrupted one may_retry not.
+    /// whether it may be resumed. Endpoints that refused earlier may be tried
+    /// again; only the interrupted one may not.
     pub(super) fn record_interruption(
         &mut self,
         shared: &Shared,
@@ -187,7 +187,7 @@
             .retry_after_ms(RETRY_AFTER_MS)
     }
 
-    /// Returns the problem of a request that may_retry have run. Only callers of a
+    /// Returns the problem of a request that may have run. Only callers of a
     /// repeatable request get a retry-after.
     fn outcome_unknown(&self, kind: ProblemKind) -> Problem {
         let problem =
--- a/crates/entry/src/forward/resume.rs
+++ b/crates/entry/src/forward/resume.rs
@@ -108,7 +108,7 @@
         Some(event)
     }
 
-    /// Attempts to resume at another endpoint after `why`. Returns itself for the
+    /// Tries to resume at another endpoint after `why`. Returns itself for the
     /// next interruption, or `None` if the stream cannot be resumed.
     pub(crate) async fn resume(
         mut self: Box<Self>,
--- a/crates/entry/tests/claim.rs
+++ b/crates/entry/tests/claim.rs
@@ -86,7 +86,7 @@
 }
 
 /// Guards against refusing a call as not run although it ran. A call with a
-/// key arrives while the key-value service is stop_key_value_service. Without the record nothing
+/// key arrives while the key-value service is down. Without the record nothing
 /// prevents a second run, so the call must not be sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_record_a_keyed_call_does_not_run() {
--- a/crates/entry/tests/crash_common/mod.rs
+++ b/crates/entry/tests/crash_common/mod.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Number of content events of an answer.
+/// Number of content events of a response.
 const CONTENT_EVENTS: usize = 30;
 
 fn events() -> Vec<String> {
--- a/crates/entry/tests/property_promises.rs
+++ b/crates/entry/tests/property_promises.rs
@@ -246,7 +246,7 @@
     let ready = format!("http://{}/readyz", entry.http_address());
     let stop = tokio::spawn(entry.drain());
     let not_ready = async {
-        // Refused or unreachable: no new work is take_over.
+        // Refused or unreachable: no new work is taken.
         while reqwest::get(&ready).await.is_ok_and(|r| r.status() == 200) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
