--- a/crates/entry/tests/forward.rs
+++ b/crates/entry/tests/forward.rs
@@ -83,7 +83,7 @@
     too_few_retries = { ", retries: 1", 2 },
 )]
 #[test_macro(tokio::test(flavor = "multi_thread"))]
-async fn what_may_not_go_on_is_no_whole_answer(then: &str, attempts: u64) {
+async fn a_stream_not_resumed_ends_in_an_error(then: &str, attempts: u64) {
     let platform = platform(then).await;
     let (engines, lines) = engines(2).await;
     let entry = entry(&platform, &lines).await;
@@ -115,7 +115,7 @@
 /// the response. The fault would be to resume only after an end that a
 /// companion reports.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_outlives_its_companion() {
+async fn a_stream_resumes_after_its_companion_stops() {
     let platform = platform("").await;
     let addresses = reserve::<2>();
     let names = ["korv-lm-1", "korv-lm-2"];
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_engine_is_passed_over() {
+async fn a_stopped_engine_is_skipped() {
     let platform = platform("").await;
     let (mut engines, lines) = engines(2).await;
     let entry = entry(&platform, &lines).await;
