--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -196,7 +196,7 @@
 fn respond<'r>(id: &str, served: Served) -> Response<'r> {
     match served {
         Served::Started(started) => respond_streamed(id, started),
-        Served::Whole(whole) => respond_whole(id, whole),
+        Served::Buffered(whole) => respond_whole(id, whole),
     }
 }
 
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -40,7 +40,7 @@
     /// A response that is streamed from an endpoint.
     Started(Started),
     /// A response that is buffered in full.
-    Whole(BufferedResponse),
+    Buffered(BufferedResponse),
 }
 
 /// A response that is buffered in full.
@@ -170,7 +170,7 @@
     } = started;
     let mut bytes = Vec::new();
     match timeout(limit, body.read_to_end(&mut bytes)).await {
-        Ok(Ok(_)) => Ok(Served::Whole(BufferedResponse {
+        Ok(Ok(_)) => Ok(Served::Buffered(BufferedResponse {
             status,
             headers,
             body: bytes.into(),
@@ -191,13 +191,13 @@
 fn stored_response(served: &Served) -> Option<StoredResponse> {
     match served {
         Served::Started(_) => None,
-        Served::Whole(whole) => {
+        Served::Buffered(buffered) => {
             let BufferedResponse {
                 status,
                 headers,
                 body,
                 ..
-            } = whole;
+            } = buffered;
             Some(StoredResponse::new(*status, headers, body))
         }
     }
@@ -241,7 +241,7 @@
             "the first call with this key ran; its stored response is corrupt",
         )
     })?;
-    Ok(Served::Whole(BufferedResponse {
+    Ok(Served::Buffered(BufferedResponse {
         status: answer.status,
         headers: answer.headers().collect(),
         body,
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -22,15 +22,15 @@
 
 /// Outcome of one attempt.
 pub(super) enum Attempt {
-    Begun(Box<Reply>),
+    Started(Box<Reply>),
     /// The request did not run; another endpoint may be tried.
     NotRun {
-        why: String,
+        reason: String,
         retry_after_ms: Option<u64>,
     },
     /// The request may have run; it is retried only if repeatable.
     Lost {
-        why: String,
+        reason: String,
         kind: ProblemKind,
     },
 }
@@ -107,28 +107,28 @@
             flight.record_refusal(refusal.kind);
             let after = u64::from(refusal.retry_after_ms);
             Attempt::NotRun {
-                why: refusal.detail,
+                reason: refusal.detail,
                 retry_after_ms: Some(after).filter(|ms| *ms > 0),
             }
         }
         Err(report) => {
-            let why = format!("{}: {report}", target.name);
-            link_failed(&flight, *report.current_context(), why)
+            let reason = format!("{}: {report}", target.name);
+            link_failed(&flight, *report.current_context(), reason)
         }
     }
 }
 
-fn link_failed(flight: &Flight, error: LinkError, why: String) -> Attempt {
+fn link_failed(flight: &Flight, error: LinkError, reason: String) -> Attempt {
     match error {
         LinkError::Unknown => {
             flight.record_failure(Failure::Lost);
             let kind = ProblemKind::AnswerLost;
-            Attempt::Lost { why, kind }
+            Attempt::Lost { reason, kind }
         }
         LinkError::NotSent | LinkError::Refused(_) => {
             flight.record_failure(Failure::Unreachable);
             Attempt::NotRun {
-                why,
+                reason,
                 retry_after_ms: None,
             }
         }
@@ -178,16 +178,16 @@
     start(shared, exchange, Run::local(frames), flight).await
 }
 
-pub(super) fn lost(flight: &Flight, why: &str) -> Attempt {
+pub(super) fn lost(flight: &Flight, reason: &str) -> Attempt {
     flight.record_failure(Failure::Lost);
     Attempt::Lost {
-        why: why.to_owned(),
+        reason: reason.to_owned(),
         kind: ProblemKind::AnswerLost,
     }
 }
 
 pub(super) fn incomplete(flight: &Flight, outcome: Outcome) -> Attempt {
-    let why = outcome.detail;
+    let reason = outcome.detail;
     if !outcome.ran {
         // A companion monitors its endpoint itself and also reports `not sent`
         // for calls that waited too long.
@@ -196,7 +196,7 @@
             flight.record_failure(Failure::Unreachable);
         }
         return Attempt::NotRun {
-            why,
+            reason,
             retry_after_ms: None,
         };
     }
@@ -205,7 +205,7 @@
         OutcomeKind::TimedOut => ProblemKind::TimedOut,
         _ => ProblemKind::AnswerLost,
     };
-    Attempt::Lost { why, kind }
+    Attempt::Lost { reason, kind }
 }
 
 /// Records an incomplete response; `None` means a broken link.
--- a/crates/entry/src/forward/attempts.rs
+++ b/crates/entry/src/forward/attempts.rs
@@ -75,18 +75,18 @@
                     .map_err(|error| self.refuse(exchange, error))?,
             };
             match attempt(shared, exchange, flight, params).await {
-                Attempt::Begun(reply) => return Ok(*reply),
+                Attempt::Started(reply) => return Ok(*reply),
                 Attempt::NotRun {
-                    why,
+                    reason,
                     retry_after_ms,
                 } => {
                     self.refusals += 1;
-                    self.last_reason = why;
+                    self.last_reason = reason;
                     self.retry_after_ms =
                         self.retry_after_ms.max(retry_after_ms);
                 }
-                Attempt::Lost { why, kind } => {
-                    self.record_lost(shared, exchange, &pool, why, kind)?;
+                Attempt::Lost { reason, kind } => {
+                    self.record_lost(shared, exchange, &pool, reason, kind)?;
                 }
             }
         }
@@ -103,13 +103,13 @@
         shared: &Shared,
         exchange: &Exchange,
         pool: &str,
-        why: String,
+        reason: String,
         kind: ProblemKind,
     ) -> Result<(), Problem> {
         self.may_have_run = true;
         let plan = &exchange.plan;
         let may_retry = plan.repeatable && self.retries < plan.retries;
-        self.last_reason = why;
+        self.last_reason = reason;
         if !may_retry || !shared.fleet.try_retry(pool) {
             return Err(self.outcome_unknown(kind));
         }
@@ -126,7 +126,7 @@
         shared: &Shared,
         exchange: &Exchange,
         flight: &Flight,
-        why: &str,
+        reason: &str,
     ) -> bool {
         self.tried = vec![flight.key()];
         self.refusals = 0;
@@ -134,7 +134,7 @@
         let pool = &flight.target().pool;
         remaining_time_ms(shared, exchange).is_some()
             && self
-                .record_lost(shared, exchange, pool, why.to_owned(), kind)
+                .record_lost(shared, exchange, pool, reason.to_owned(), kind)
                 .is_ok()
     }
 
@@ -160,8 +160,8 @@
         if self.may_have_run {
             return self.outcome_unknown(ProblemKind::AnswerLost);
         }
-        let why = format!("endpoints crashed: {}", error.crashes);
-        Problem::new(ProblemKind::EndpointCrashes, why)
+        let reason = format!("endpoints crashed: {}", error.crashes);
+        Problem::new(ProblemKind::EndpointCrashes, reason)
             .ran(Ran::No)
             .retry_after_ms(error.for_ms)
     }
@@ -181,8 +181,8 @@
         if self.may_have_run {
             return self.outcome_unknown(ProblemKind::TimedOut);
         }
-        let why = "the deadline has passed";
-        Problem::new(ProblemKind::TimedOut, why)
+        let reason = "the deadline has passed";
+        Problem::new(ProblemKind::TimedOut, reason)
             .ran(Ran::No)
             .retry_after_ms(RETRY_AFTER_MS)
     }
--- a/crates/entry/src/forward/mod.rs
+++ b/crates/entry/src/forward/mod.rs
@@ -49,13 +49,13 @@
     record_first_token(shared, exchange);
     let on_end = on_end(shared, exchange);
     let (status, headers, mut body) = match reply {
-        Reply::Buffered(whole) => {
+        Reply::Buffered(buffered) => {
             let BufferedReply {
                 status,
                 headers,
                 body,
                 flight,
-            } = whole;
+            } = buffered;
             (status, headers, ResponseBody::full(body, on_end, flight))
         }
         Reply::Streaming(answer) => {
--- a/crates/entry/src/forward/start.rs
+++ b/crates/entry/src/forward/start.rs
@@ -52,9 +52,9 @@
                 return incomplete(&flight, outcome);
             }
             Ok(_) => {
-                let why =
+                let reason =
                     "the response was interrupted before its first chunk";
-                return lost(&flight, why);
+                return lost(&flight, reason);
             }
             Err(_) => return lost(&flight, "no chunk arrived in time"),
         }
@@ -71,7 +71,7 @@
         flight,
     };
     match framing {
-        Some(_) => Attempt::Begun(Box::new(Reply::Streaming(answer))),
+        Some(_) => Attempt::Started(Box::new(Reply::Streaming(answer))),
         None => collect(shared, exchange, answer).await,
     }
 }
@@ -145,7 +145,7 @@
         value: buffered.len().to_string(),
     });
     let body: Bytes = buffered.freeze();
-    Attempt::Begun(Box::new(Reply::Buffered(BufferedReply {
+    Attempt::Started(Box::new(Reply::Buffered(BufferedReply {
         status,
         headers,
         body,
