--- a/crates/node/src/commits.rs
+++ b/crates/node/src/commits.rs
@@ -1,15 +1,14 @@
-//! Writes that share calls to the key-value service with those of other
-//! nodes.
+//! Batches writes of several nodes into shared calls to the key-value service.
 //!
-//! One worker of many collects the writes that can wait a little and sends
-//! them together ([`GroupCommit`]). What is urgent goes to the service
-//! directly, and so does everything while the collecting worker does not
-//! answer.
+//! One worker of many, the collector, batches the writes that can be delayed
+//! ([`GroupCommit`]). Urgent writes are sent to the key-value service
+//! directly, and so are all writes while the collector does not respond.
 //!
-//! Rejected: one collecting worker in each failure domain. It saves bytes
-//! between them, but six calls go out for each that one worker makes, and
-//! calls are the dearer ones. And longer pauses between the writes of each
-//! node: results would be read later, and calls still grow with the nodes.
+//! Rejected: a collector in each failure domain. It saves bytes between the
+//! domains, but makes six calls for each one of a single collector, and calls
+//! cost more. Also rejected: longer intervals between the writes of each node.
+//! Results would be readable later, and calls would still grow with the number
+//! of nodes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -34,60 +33,60 @@
     peer,
 };
 
-/// Path at which a node takes the writes of others; the time that one can
-/// wait follows, in milliseconds.
+/// Path prefix at which a node receives the writes of others, followed by the
+/// maximum delay of the write in milliseconds.
 pub(crate) const COMMIT_PATH: &str = "/commit/";
 
-/// Workers whose writes one of them collects. Ten thousand rows a second
-/// would be too many for one; this many workers write some hundred.
-const WORKERS_OF_ONE: usize = 128;
+/// Number of workers for each collector. Ten thousand rows a second would be
+/// too many for one; this many workers write some hundred.
+const WORKERS_PER_COLLECTOR: usize = 128;
 
-/// Tells the choice of collecting workers from others that go by the same
-/// hashes, so that one worker does not have all special tasks.
-const CHOICE: u64 = 0x636f_6d6d_6974;
+/// Salt that separates the choice of collectors from others by the same
+/// hashes, so that one worker does not get all special tasks.
+const COLLECTOR_SALT: u64 = 0x636f_6d6d_6974;
 
-/// Collecting workers that a node tries one after the other.
-const CANDIDATES: usize = 2;
+/// Number of collectors that a node tries, one after the other.
+const MAX_CANDIDATES: usize = 2;
 
-/// Longest wait for an answer beyond what the write can wait, in
-/// milliseconds: that of a call to the service, and a way there and back.
-const ANSWER_MS: u64 = 1_400;
+/// Maximum wait for a response beyond the delay of the write, in milliseconds:
+/// that of a call to the key-value service, and a round trip between nodes.
+const RESPONSE_TIMEOUT_MS: u64 = 1_400;
 
-/// How long a worker that did not answer is not asked again, in
-/// milliseconds.
-const AGAIN_MS: u64 = 3_000;
+/// Backoff for a worker that did not respond, in milliseconds.
+const SILENT_BACKOFF_MS: u64 = 3_000;
 
-/// Largest call: the inputs of a job as one value, and a few more.
-pub(crate) const MOST_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request: the inputs of a job as one value, and some extra
+/// space.
+pub(crate) const MAX_REQUEST_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest answer.
-const ANSWER_BYTES: usize = 4 * 1024;
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024;
 
-/// The key-value service for writes that can wait: they go through the
-/// collecting worker.
+/// A key-value service that sends writes that can be delayed through the
+/// collector.
 #[derive(Clone)]
 pub(crate) struct SharedCommits {
     kv: Arc<dyn Kv>,
-    /// Collects on this node what others send here.
-    group: GroupCommit,
+    /// Batches on this node the writes that others send to it.
+    group_commit: GroupCommit,
     node: String,
     view: JobView,
     pool: Arc<Pool>,
     clock: Arc<dyn Clock>,
     counters: Arc<Counters>,
-    choice: Arc<Mutex<Choice>>,
+    collectors: Arc<Mutex<Collectors>>,
 }
 
-/// The collecting workers of this node, and what they follow from.
+/// The collectors of this node, and the roster that they are derived from.
 #[derive(Default)]
-struct Choice {
+struct Collectors {
     roster: Option<Roster>,
     candidates: Vec<NodeRecord>,
     silent: Vec<(String, Millis)>,
 }
 
-impl Choice {
-    fn follow(&mut self, roster: Roster, node: &str) {
+impl Collectors {
+    fn update(&mut self, roster: Roster, node: &str) {
         let known = self.roster.as_ref();
         if known.is_some_and(|known| known.is_same(&roster)) {
             return;
@@ -102,18 +101,18 @@
 fn candidates(workers: &Members, node: &str) -> Vec<NodeRecord> {
     let mut ranked: Vec<&NodeRecord> = workers.nodes().iter().collect();
     ranked.sort_by_cached_key(|worker| {
-        mix(stable_hash(&[&worker.node]) ^ CHOICE)
+        mix(stable_hash(&[&worker.node]) ^ COLLECTOR_SALT)
     });
-    let groups = ranked.len().div_ceil(WORKERS_OF_ONE).max(1);
-    let first = stable_hash(&[node]) as usize % groups;
-    let of_group = ranked.into_iter().skip(first).step_by(groups);
-    of_group.take(CANDIDATES).cloned().collect()
+    let groups = ranked.len().div_ceil(WORKERS_PER_COLLECTOR).max(1);
+    let group = stable_hash(&[node]) as usize % groups;
+    let group_members = ranked.into_iter().skip(group).step_by(groups);
+    group_members.take(MAX_CANDIDATES).cloned().collect()
 }
 
 impl SharedCommits {
     pub(crate) fn new(
         kv: Arc<dyn Kv>,
-        group: GroupCommit,
+        group_commit: GroupCommit,
         node: &str,
         view: JobView,
         clock: Arc<dyn Clock>,
@@ -121,48 +120,50 @@
     ) -> Self {
         Self {
             kv,
-            group,
+            group_commit,
             node: node.to_owned(),
             view,
             pool: Arc::default(),
             clock,
             counters,
-            choice: Arc::default(),
+            collectors: Arc::default(),
         }
     }
 
-    async fn commit(&self, txn: Txn, patience_ms: u64) -> TxnResult {
-        let Some(worker) = self.collecting_worker() else {
+    async fn commit(&self, txn: Txn, max_delay_ms: u64) -> TxnResult {
+        let Some(worker) = self.collector() else {
             return self.kv.txn(txn).await;
         };
         if !batch::is_batchable(&txn) {
             return self.kv.txn(txn).await;
         }
         if worker.node == self.node {
-            return self.group.commit(txn, patience_ms).await;
+            return self.group_commit.commit(txn, max_delay_ms).await;
         }
-        match self.ask(&worker, &txn, patience_ms).await {
+        match self.send_to(&worker, &txn, max_delay_ms).await {
             Some(result) => result,
             None => self.kv.txn(txn).await,
         }
     }
 
-    /// Asks another worker; none if it surely did not take the write.
-    async fn ask(
+    /// Sends a write to another worker; `None` if that worker certainly did
+    /// not commit it.
+    async fn send_to(
         &self,
         worker: &NodeRecord,
         txn: &Txn,
-        patience_ms: u64,
+        max_delay_ms: u64,
     ) -> Option<TxnResult> {
         let peer = peer::endpoint_of(worker)?;
-        let path = format!("{COMMIT_PATH}{patience_ms}");
-        let mut request = peer::question(&peer, &path)?;
+        let path = format!("{COMMIT_PATH}{max_delay_ms}");
+        let mut request = peer::new_request(&peer, &path)?;
         *request.method_mut() = Method::POST;
         *request.body_mut() = commit_wire::encode(txn)?;
         Counters::add(&self.counters.commits_shared);
-        let exchange = self.pool.call(&peer, request, ANSWER_BYTES);
-        let wait = Duration::from_millis(patience_ms + ANSWER_MS);
-        match time::timeout(wait, exchange).await {
+        let call = self.pool.call(&peer, request, MAX_RESPONSE_BYTES);
+        let timeout =
+            Duration::from_millis(max_delay_ms + RESPONSE_TIMEOUT_MS);
+        match time::timeout(timeout, call).await {
             Ok(CallOutcome::Answered(head, body))
                 if head.status.is_success() =>
             {
@@ -170,41 +171,43 @@
                 Some(outcome.into_result(txn))
             }
             Ok(CallOutcome::Answered(..) | CallOutcome::NotSent) => {
-                self.note_silent(worker);
+                self.record_silence(worker);
                 None
             }
             Ok(CallOutcome::Broken) | Err(_) => {
-                self.note_silent(worker);
+                self.record_silence(worker);
                 let report = Report::new(KvError::Unknown);
-                Some(Err(report.attach("the collecting worker is silent")))
+                Some(Err(report.attach("the collector does not respond")))
             }
         }
     }
 
-    fn collecting_worker(&self) -> Option<NodeRecord> {
+    fn collector(&self) -> Option<NodeRecord> {
         let roster = self.view.roster();
         let now = self.clock.now();
-        let mut choice = self.lock();
-        choice.follow(roster, &self.node);
-        choice
-            .silent
-            .retain(|(_, at)| now.saturating_ms_since(*at) < AGAIN_MS);
+        let mut collectors = self.lock();
+        collectors.update(roster, &self.node);
+        collectors.silent.retain(|(_, at)| {
+            now.saturating_ms_since(*at) < SILENT_BACKOFF_MS
+        });
         let is_silent = |name: &str| {
-            choice.silent.iter().any(|(silent, _)| silent == name)
+            collectors.silent.iter().any(|(silent, _)| silent == name)
         };
-        let mut candidates = choice.candidates.iter();
+        let mut candidates = collectors.candidates.iter();
         candidates.find(|worker| !is_silent(&worker.node)).cloned()
     }
 
-    fn note_silent(&self, worker: &NodeRecord) {
+    fn record_silence(&self, worker: &NodeRecord) {
         log::info!(node = worker.node.as_str();
-            "the worker that collects writes does not answer");
+            "the collector of writes does not respond");
         let now = self.clock.now();
         self.lock().silent.push((worker.node.clone(), now));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Choice> {
-        self.choice.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Collectors> {
+        self.collectors
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -228,9 +231,9 @@
     fn txn_batched(
         &self,
         txn: Txn,
-        patience_ms: u64,
+        max_delay_ms: u64,
     ) -> KvFuture<'_, TxnReply> {
-        Box::pin(self.commit(txn, patience_ms))
+        Box::pin(self.commit(txn, max_delay_ms))
     }
 
     fn lease_grant(&self, ttl_s: u32) -> KvFuture<'_, LeaseId> {
@@ -254,35 +257,35 @@
     }
 }
 
-/// Longest that a write of another node is made to wait, in milliseconds,
-/// whatever it asks for.
-const PATIENCE_MOST_MS: u64 = 2_000;
+/// Maximum delay of a write of another node, in milliseconds, regardless of
+/// the delay that it allows.
+const MAX_DELAY_MS: u64 = 2_000;
 
-/// Takes a write of another node and answers when its outcome is known.
-pub(crate) async fn take(
-    group: GroupCommit,
+/// Commits a write of another node and responds when its outcome is known.
+pub(crate) async fn receive(
+    group_commit: GroupCommit,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let path = request.uri().path();
-    let patience = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
-    let patience_ms: Option<u64> = patience.parse().ok();
-    let body = match read_body(request.into_body(), MOST_BYTES).await {
+    let max_delay = path.strip_prefix(COMMIT_PATH).unwrap_or_default();
+    let max_delay_ms: Option<u64> = max_delay.parse().ok();
+    let body = match read_body(request.into_body(), MAX_REQUEST_BYTES).await {
         Ok(body) => body,
         Err(refusal) => return refusal.into_response(),
     };
     let txn = commit_wire::decode(&body);
-    let (Some(txn), Some(patience_ms)) = (txn, patience_ms) else {
+    let (Some(txn), Some(max_delay_ms)) = (txn, max_delay_ms) else {
         log::warn!(bytes = body.len();
-            "a write of another node is malformed and is not taken");
-        return answer(StatusCode::BAD_REQUEST, Bytes::new());
+            "a malformed write of another node is rejected");
+        return respond(StatusCode::BAD_REQUEST, Bytes::new());
     };
-    let patience_ms = patience_ms.min(PATIENCE_MOST_MS);
-    let result = group.commit(txn, patience_ms).await;
-    let outcome = WireOutcome::of(&result);
-    answer(StatusCode::OK, commit_wire::encode_outcome(&outcome))
+    let max_delay_ms = max_delay_ms.min(MAX_DELAY_MS);
+    let result = group_commit.commit(txn, max_delay_ms).await;
+    let outcome = WireOutcome::from_result(&result);
+    respond(StatusCode::OK, commit_wire::encode_outcome(&outcome))
 }
 
-fn answer(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+fn respond(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::from_bytes(body));
     *response.status_mut() = status;
     response
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,16 +1,16 @@
 use std::{error, fmt};
 
-/// Says that a node cannot run.
+/// The reason why a node cannot run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NodeError {
-    /// An address cannot be listened on.
+    /// An address cannot be bound.
     Listen,
 }
 
 impl fmt::Display for NodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            NodeError::Listen => "the node cannot listen",
+            NodeError::Listen => "the node cannot listen on its address",
         })
     }
 }
--- a/crates/node/src/siblings.rs
+++ b/crates/node/src/peer_bulk.rs
@@ -1,4 +1,4 @@
-//! Inputs and results of jobs as nodes read them from each other.
+//! Serves and fetches inputs and results of jobs between nodes.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -18,26 +18,27 @@
 
 use crate::peer;
 
-/// Path of the values that a node keeps; the key follows.
+/// Path prefix of cached values, followed by the key.
 pub(crate) const BULK_PATH: &str = "/bulk/";
 
-/// Longest wait for another node's answer. Some ten times what a node takes
-/// that is not overloaded; the service answers in milliseconds.
-const ANSWER: Duration = Duration::from_millis(150);
+/// Maximum wait for another node's response. About ten times what a node needs
+/// that is not overloaded; the key-value service responds within milliseconds.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a node that did not answer is not asked again, in milliseconds:
-/// a lost one leaves the list of nodes about then.
-const AGAIN_MS: u64 = 3_000;
+/// Backoff for a node that did not respond, in milliseconds: a lost one
+/// disappears from the list of nodes in about that time.
+const SILENT_BACKOFF_MS: u64 = 3_000;
 
-/// Largest value; the service's own hold about a megabyte.
-const MOST_BYTES: usize = 2 * 1024 * 1024;
+/// Maximum size of a value; values of the key-value service have about a
+/// megabyte.
+const MAX_VALUE_BYTES: usize = 2 * 1024 * 1024;
 
 /// Reads inputs and results from the node that runs the job.
 ///
-/// That node wrote the results, and read the inputs, seconds ago. Each front
-/// that answers a caller would otherwise read them from the key-value
-/// service: three to four reads for each write of results, a third of all
-/// calls that a fleet paid for.
+/// That node wrote the results, and read the inputs, seconds ago. Otherwise
+/// each front that serves a caller would read them from the key-value service:
+/// three to four reads for each write of results, a third of all calls that a
+/// fleet paid for.
 pub(crate) struct PeerBulk {
     node: String,
     view: JobView,
@@ -61,12 +62,17 @@
         }
     }
 
-    fn owner(&self, job: &JobKey, head: &JobManifest) -> Option<NodeRecord> {
+    fn owner(
+        &self,
+        job: &JobKey,
+        manifest: &JobManifest,
+    ) -> Option<NodeRecord> {
         let members = self.view.members();
-        let owner = members.owner(job, head)?;
+        let owner = members.owner(job, manifest)?;
         let now = self.clock.now();
         let mut silent = lock(&self.silent);
-        silent.retain(|_, at| now.saturating_ms_since(*at) < AGAIN_MS);
+        silent
+            .retain(|_, at| now.saturating_ms_since(*at) < SILENT_BACKOFF_MS);
         if owner == self.node || silent.contains_key(owner) {
             return None;
         }
@@ -75,18 +81,27 @@
 }
 
 impl BulkPeers for PeerBulk {
-    fn read(&self, job: &JobKey, head: &JobManifest, key: &str) -> BulkFuture {
-        let Some(owner) = self.owner(job, head) else {
+    fn read(
+        &self,
+        job: &JobKey,
+        manifest: &JobManifest,
+        key: &str,
+    ) -> BulkFuture {
+        let Some(owner) = self.owner(job, manifest) else {
             return Box::pin(std::future::ready(None));
         };
         let (pool, clock) = (self.pool.clone(), self.clock.clone());
         let (silent, key) = (self.silent.clone(), key.to_owned());
         Box::pin(async move {
-            let asked = time::timeout(ANSWER, ask(&pool, &owner, &key)).await;
-            match asked.unwrap_or(Asked::Silent) {
-                Asked::Found(value) => Some(value),
-                Asked::Missing => None,
-                Asked::Silent => {
+            let outcome = time::timeout(
+                RESPONSE_TIMEOUT,
+                fetch_value(&pool, &owner, &key),
+            )
+            .await;
+            match outcome.unwrap_or(FetchOutcome::Silent) {
+                FetchOutcome::Found(value) => Some(value),
+                FetchOutcome::Missing => None,
+                FetchOutcome::Silent => {
                     log::info!(node = owner.node.as_str();
                         "a node does not tell what it keeps of a job");
                     lock(&silent).insert(owner.node, clock.now());
@@ -97,53 +112,58 @@
     }
 }
 
-enum Asked {
+enum FetchOutcome {
     Found(BulkValue),
     Missing,
     Silent,
 }
 
-async fn ask(pool: &Pool, owner: &NodeRecord, key: &str) -> Asked {
+async fn fetch_value(
+    pool: &Pool,
+    owner: &NodeRecord,
+    key: &str,
+) -> FetchOutcome {
     let Some(peer) = peer::endpoint_of(owner) else {
-        return Asked::Missing;
+        return FetchOutcome::Missing;
     };
     let path = format!("{BULK_PATH}{key}");
-    let Some(request) = peer::question(&peer, &path) else {
-        return Asked::Missing;
+    let Some(request) = peer::new_request(&peer, &path) else {
+        return FetchOutcome::Missing;
     };
-    match pool.call(&peer, request, MOST_BYTES).await {
+    match pool.call(&peer, request, MAX_VALUE_BYTES).await {
         CallOutcome::Answered(head, body) if head.status.is_success() => {
-            Asked::Found(Arc::new(body.to_vec()))
+            FetchOutcome::Found(Arc::new(body.to_vec()))
         }
-        CallOutcome::Answered(..) => Asked::Missing,
-        CallOutcome::NotSent | CallOutcome::Broken => Asked::Silent,
+        CallOutcome::Answered(..) => FetchOutcome::Missing,
+        CallOutcome::NotSent | CallOutcome::Broken => FetchOutcome::Silent,
     }
 }
 
-/// Answers questions of other nodes for values of jobs that this one runs.
+/// Serves the values of jobs that this node runs to other nodes.
 ///
-/// A value that is not kept here is read from the key-value service, once for
-/// all that ask. What goes wrong without that: where all nodes have started
-/// anew, each front that answers a caller reads the results of each job by
-/// itself, 880 calls after the last fault of one day.
+/// A value that is not cached is read from the key-value service, once for all
+/// requests. Otherwise, after a restart of all nodes, each front that serves a
+/// caller reads the results of each job by itself: 880 calls after the last
+/// fault of one day.
 #[derive(Clone)]
-pub(crate) struct BulkAnswers {
+pub(crate) struct BulkResponder {
     cache: Arc<BulkCache>,
     ledger: Ledger,
-    /// Held while a value is read, so that nobody else reads it as well.
-    reading: Arc<tokio::sync::Mutex<()>>,
+    /// Locked while a value is read, so that concurrent requests share the
+    /// read.
+    read_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
-impl BulkAnswers {
+impl BulkResponder {
     pub(crate) fn new(cache: Arc<BulkCache>, ledger: Ledger) -> Self {
         Self {
             cache,
             ledger,
-            reading: Arc::default(),
+            read_lock: Arc::default(),
         }
     }
 
-    pub(crate) async fn answer(self, key: String) -> Response<ResponseBody> {
+    pub(crate) async fn respond(self, key: String) -> Response<ResponseBody> {
         if let Some(value) = self.value(&key).await {
             let bytes = Bytes::copy_from_slice(&value);
             return Response::new(ResponseBody::from_bytes(bytes));
@@ -158,7 +178,7 @@
         if let Some(value) = self.cache.get(key) {
             return Some(value);
         }
-        let _reading = self.reading.lock().await;
+        let _guard = self.read_lock.lock().await;
         if let Some(value) = self.cache.get(key) {
             return Some(value);
         }
@@ -166,7 +186,7 @@
             Ok(value) => Some(value),
             Err(report) => {
                 log::info!(key, error:% = report.current_context();
-                    "a value that another node asks for is not found");
+                    "a value that another node requests is not found");
                 None
             }
         }
@@ -180,5 +200,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/siblings.rs"]
+#[path = "../tests/unit/peer_bulk.rs"]
 mod tests;
