--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,31 +1,33 @@
 use std::fmt;
 
-/// Says why an entry cannot run or do something.
+/// Error of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntryError {
-    /// The settings lack something that this role needs.
+    /// The settings lack a value that this role requires.
     Settings,
     /// A listener, client or thread could not be started.
     Start,
-    /// The configuration cannot be read or is not valid.
+    /// The configuration cannot be read or is invalid.
     Config,
-    /// The key-value service did not do what was asked.
+    /// The key-value service did not apply the request.
     Platform,
-    /// The platform may or may not have done what was asked.
+    /// The platform may or may not have applied the request.
     Unknown,
-    /// The data VMs did not store or give what was asked.
+    /// The data VMs did not store or return the data.
     Storage,
 }
 
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EntryError::Settings => "the settings do not fit an entry",
-            EntryError::Start => "the entry cannot start",
-            EntryError::Config => "the configuration is of no use",
-            EntryError::Platform => "the platform did not do it",
-            EntryError::Unknown => "the platform may have done it",
-            EntryError::Storage => "the data VMs did not do it",
+            EntryError::Settings => "the settings are not valid for an entry",
+            EntryError::Start => "the entry failed to start",
+            EntryError::Config => {
+                "the configuration cannot be read or is invalid"
+            }
+            EntryError::Platform => "the platform did not apply the request",
+            EntryError::Unknown => "the outcome at the platform is unknown",
+            EntryError::Storage => "the data VMs did not serve the request",
         })
     }
 }
