--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -5,7 +5,8 @@
 /// Key of a problem that concerns the whole document.
 const WHOLE_DOCUMENT: &str = "(document)";
 
-/// Position in a text, counted from 1; both fields are 0 if unknown.
+/// Position in a text. Both numbers are counted from 1, and are 0 if the
+/// position is unknown.
 #[derive(
     Clone,
     Copy,
@@ -48,7 +49,9 @@
 
 /// A problem in a document.
 ///
-/// Displays as `FILE:LINE:COLUMN: KEY: message; did you mean "x"?`.
+/// Displays as `FILE:LINE:COLUMN: KEY: message; did you mean "x"?`, without
+/// the position if it is unknown and without the question if no valid word is
+/// similar enough.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
     file: String,
@@ -82,7 +85,7 @@
         self
     }
 
-    /// Returns the name of the file or other source.
+    /// Returns the name of the file, or of another source of the text.
     #[inline]
     pub fn file(&self) -> &str {
         &self.file
@@ -101,7 +104,8 @@
         self.location.column
     }
 
-    /// Returns the path of the key, such as `pools[1].models`.
+    /// Returns the path of the key that the problem concerns, such as
+    /// `pools[1].models`, or `(document)` for the whole document.
     #[inline]
     pub fn key(&self) -> &str {
         &self.key
@@ -113,7 +117,8 @@
         &self.message
     }
 
-    /// Returns the most similar valid word, if one is similar enough.
+    /// Returns the valid word that is most similar to the rejected one, if one
+    /// is similar enough.
     #[inline]
     pub fn nearest(&self) -> Option<&str> {
         self.nearest.as_deref()
@@ -135,7 +140,8 @@
     }
 }
 
-/// The problems of a document: at least one [`Problem`], in text order.
+/// The problems of a document: at least one [`Problem`], in the order of
+/// their locations.
 ///
 /// Displays one line for each problem. Serializes as a list of problems, each
 /// with `file`, `line`, `column`, `key`, `message` and optionally `nearest`.
@@ -163,8 +169,8 @@
 }
 
 impl ConfError {
-    /// Creates an error from problems, sorted by location. Returns `None` if
-    /// there are no problems.
+    /// Sorts problems by location and creates an error from them. Returns
+    /// `None` if there are no problems.
     pub fn from_problems(mut problems: Vec<Problem>) -> Option<Self> {
         problems.sort_by_key(|problem| problem.location);
         let mut problems = problems.into_iter();
@@ -173,42 +179,46 @@
         Some(Self { first, others })
     }
 
-    /// Returns all problems in text order.
+    /// Returns all problems in the order of their locations.
     pub fn problems(&self) -> impl Iterator<Item = &Problem> {
         std::iter::once(&self.first).chain(&self.others)
     }
 
-    /// Returns the name of the file or other source.
+    /// Returns the name of the file, or of another source of the text.
     #[inline]
     pub fn file(&self) -> &str {
         self.first.file()
     }
 
-    /// Returns the line, counted from 1; 0 if the file could not be read.
+    /// Returns the line of the first problem, counted from 1; 0 if the file
+    /// could not be read.
     #[inline]
     pub fn line(&self) -> u32 {
         self.first.line()
     }
 
-    /// Returns the column in characters, counted from 1.
+    /// Returns the column of the first problem in characters, counted from 1;
+    /// 0 if the file could not be read.
     #[inline]
     pub fn column(&self) -> u32 {
         self.first.column()
     }
 
-    /// Returns the path of the key, such as `pools[1].models`.
+    /// Returns the path of the key that the first problem concerns, such as
+    /// `pools[1].models`, or `(document)` for the whole document.
     #[inline]
     pub fn key(&self) -> &str {
         self.first.key()
     }
 
-    /// Returns the description of the problem.
+    /// Returns the description of the first problem.
     #[inline]
     pub fn message(&self) -> &str {
         self.first.message()
     }
 
-    /// Returns the most similar valid word, if one is similar enough.
+    /// Returns the valid word that is most similar to the one that the first
+    /// problem rejects, if one is similar enough.
     #[inline]
     pub fn nearest(&self) -> Option<&str> {
         self.first.nearest()
--- a/crates/jobs/src/index.rs
+++ b/crates/jobs/src/index.rs
@@ -1,5 +1,5 @@
 //! Indexes of the jobs of a fleet, with which a node finds its own jobs
-//! without a scan.
+//! without a scan of all jobs.
 
 use std::collections::BTreeSet;
 
@@ -11,21 +11,21 @@
 /// Jobs by key; open jobs also by owner and by due time, closed jobs also by
 /// time of submission.
 ///
-/// With a single map, each worker scans the jobs of the whole fleet twenty
-/// times a second to find its own, and most of those jobs are closed and kept
-/// only for reading.
+/// With a single map, each worker would scan the jobs of the whole fleet
+/// twenty times a second to find its own, although most of those jobs are
+/// closed and kept only for reading.
 #[derive(Debug, Default)]
 pub(crate) struct JobIndex {
     jobs: IndexMap<JobKey, IndexedJob>,
     open_by_owner: IndexMap<String, OpenJobs>,
     open_by_due: BTreeSet<(UnixMillis, JobKey)>,
-    closed: BTreeSet<(UnixMillis, JobKey)>,
+    closed_by_submission: BTreeSet<(UnixMillis, JobKey)>,
 }
 
 #[derive(Debug)]
 struct IndexedJob {
     stored: StoredManifest,
-    /// When the last change of the job was seen.
+    /// When this node learned of the last change of the job.
     changed_at: Millis,
 }
 
@@ -33,12 +33,13 @@
 #[derive(Debug, Default)]
 struct OpenJobs {
     keys: BTreeSet<JobKey>,
+    /// Sum of the open items of these jobs.
     open_items: u32,
 }
 
 impl JobIndex {
     pub(crate) fn get(&self, job: &JobKey) -> Option<&StoredManifest> {
-        self.jobs.get(job).map(|known| &known.stored)
+        self.jobs.get(job).map(|indexed| &indexed.stored)
     }
 
     /// Returns the revision of a job, or 0 if the job is not known.
@@ -46,10 +47,12 @@
         self.get(job).map_or(0, |stored| stored.revision)
     }
 
+    /// Returns when this node learned of the last change of a job.
     pub(crate) fn changed_at(&self, job: &JobKey) -> Option<Millis> {
-        self.jobs.get(job).map(|known| known.changed_at)
+        self.jobs.get(job).map(|indexed| indexed.changed_at)
     }
 
+    /// Inserts or replaces a job whose change this node learned of at `now`.
     pub(crate) fn put(
         &mut self,
         job: JobKey,
@@ -59,7 +62,8 @@
         self.remove(&job);
         let manifest = &stored.manifest;
         if manifest.is_closed() {
-            self.closed.insert((manifest.submitted_at, job.clone()));
+            self.closed_by_submission
+                .insert((manifest.submitted_at, job.clone()));
         } else {
             self.open_by_due.insert((manifest.due_at, job.clone()));
             let owner = manifest.owner.clone();
@@ -78,7 +82,8 @@
         };
         let manifest = &stored.manifest;
         if manifest.is_closed() {
-            self.closed.remove(&(manifest.submitted_at, job.clone()));
+            self.closed_by_submission
+                .remove(&(manifest.submitted_at, job.clone()));
             return;
         }
         self.open_by_due.remove(&(manifest.due_at, job.clone()));
@@ -97,20 +102,21 @@
     }
 
     /// Returns the open jobs that a node runs: the jobs whose manifests name
-    /// the node, and the node's share of the jobs whose owners are no longer
-    /// members.
+    /// the node as owner, and those jobs of owners that are no longer members
+    /// that [`Members::owner`] assigns to the node.
     pub(crate) fn open_of(
         &self,
         members: &Members,
         node: &str,
     ) -> Vec<(JobKey, StoredManifest)> {
         let named = self.open_by_owner.get(node).into_iter();
+        // The jobs of a node that is no longer a member are run by others.
         let named = named.filter(|_| members.has(node));
         let orphaned = self.orphaned(members).filter(|(job, stored)| {
             members.owner(job, &stored.manifest) == Some(node)
         });
         let named = named.flat_map(|open| self.with_manifests(&open.keys));
-        named.chain(orphaned).map(cloned).collect()
+        named.chain(orphaned).map(clone_entry).collect()
     }
 
     /// Returns the open jobs whose owners are no longer members.
@@ -139,7 +145,7 @@
         let due = self.open_by_due.iter();
         let due = due.take_while(|(due_at, _)| *due_at < now);
         due.filter_map(|(_, key)| Some((key, self.get(key)?)))
-            .map(cloned)
+            .map(clone_entry)
             .collect()
     }
 
@@ -148,16 +154,17 @@
         &self,
         moment: UnixMillis,
     ) -> Vec<(JobKey, StoredManifest)> {
-        let expired = self.closed.iter();
-        let expired =
-            expired.take_while(|(submitted_at, _)| *submitted_at < moment);
-        expired
+        let closed = self.closed_by_submission.iter();
+        let closed =
+            closed.take_while(|(submitted_at, _)| *submitted_at < moment);
+        closed
             .filter_map(|(_, key)| Some((key, self.get(key)?)))
-            .map(cloned)
+            .map(clone_entry)
             .collect()
     }
 
-    /// Counts the open items of each member.
+    /// Counts the open items of the jobs that each member runs, including jobs
+    /// whose owners are no longer members.
     pub(crate) fn backlog(&self, members: &Members) -> Backlog {
         let mut backlog = Backlog::default();
         for (owner, open) in &self.open_by_owner {
@@ -174,7 +181,7 @@
     }
 }
 
-fn cloned(
+fn clone_entry(
     (job, stored): (&JobKey, &StoredManifest),
 ) -> (JobKey, StoredManifest) {
     (job.clone(), stored.clone())
--- a/crates/kv/src/batch.rs
+++ b/crates/kv/src/batch.rs
@@ -1,14 +1,15 @@
 //! Group commit: transactions of several writers in one call.
 //!
-//! Most writes of a fleet are small and not urgent, for example lists of
-//! results and checkpoints. If each writer makes its own calls, the number of
+//! Most writes of a fleet are small and not urgent, for example checkpoints
+//! and lists of results. If each writer makes its own calls, the number of
 //! calls grows with the number of writers, however little each of them writes.
-//! A [`GroupCommit`] collects the transactions that arrive within the wait
-//! limits of their writers and sends them as one transaction.
+//! A [`GroupCommit`] collects transactions until one of them has waited as
+//! long as its writer allows or the batch is full, and sends them as one
+//! transaction.
 //!
 //! The transactions remain independent: if a comparison of one of them fails,
-//! each is sent again on its own. This costs as many calls as without the
-//! batch.
+//! none of them is applied, and each is sent again on its own. Sending them
+//! again costs as many calls as without the batch.
 
 use std::{
     sync::Arc,
@@ -45,7 +46,7 @@
 /// The result of a transaction as its writer receives it.
 pub type TxnResult = Result<TxnReply, Report<KvError>>;
 
-/// Set of transactions that can share one call, without I/O.
+/// Set of transactions that can share one call. A batch does no I/O itself.
 ///
 /// # Example
 ///
@@ -66,7 +67,7 @@
 /// let mut batch = Batch::new(BatchLimits::default());
 /// assert!(batch.add(&put("a")));
 /// assert!(batch.add(&put("b")));
-/// // Two writes of one key cannot go together.
+/// // Two writes of one key cannot share a call.
 /// assert!(!batch.add(&put("a")));
 /// assert_eq!(batch.into_txn().success.len(), 2);
 /// ```
@@ -91,8 +92,9 @@
         }
     }
 
-    /// Adds a transaction if it fits within the limits and touches no key of
-    /// another one, and reports whether it was added. The first one is always
+    /// Adds a transaction if the batch stays within its limits and no earlier
+    /// transaction in it compares, reads or writes the same key. Reports
+    /// whether the transaction was added. The first transaction is always
     /// added, so that an oversized transaction does not wait forever.
     pub fn add(&mut self, txn: &Txn) -> bool {
         let (ops, bytes) = (op_count(txn), value_bytes(txn));
@@ -143,9 +145,9 @@
     compared.chain(touched).collect()
 }
 
-/// Reports whether a transaction may share a call. A transaction that can fail
-/// on its own, for example because its lease has expired, must not fail
-/// others.
+/// Reports whether a transaction may share a call. A transaction that can make
+/// the whole call fail, for example because its lease has expired, may not,
+/// since the other transactions would fail with it.
 pub fn is_batchable(txn: &Txn) -> bool {
     let is_leaseless_write = |op: &Op| match op {
         Op::Put { lease, .. } => lease.is_none(),
@@ -190,23 +192,24 @@
 #[derive(Clone)]
 pub struct GroupCommit {
     kv: Arc<dyn Kv>,
-    queue: mpsc::UnboundedSender<PendingTxn>,
+    sender: mpsc::UnboundedSender<PendingTxn>,
 }
 
 #[derive(Debug)]
 struct PendingTxn {
     txn: Txn,
+    /// When the transaction is sent at the latest.
     deadline: Instant,
     reply: oneshot::Sender<TxnResult>,
 }
 
 impl GroupCommit {
-    /// Starts the task that sends the batches. It ends when the last clone is
-    /// dropped.
+    /// Starts the task that sends the batches. The task ends when the last
+    /// clone of the returned value is dropped and all transactions are sent.
     pub fn start(kv: Arc<dyn Kv>, limits: BatchLimits) -> Self {
-        let (queue, received) = mpsc::unbounded_channel();
-        tokio::spawn(collect(kv.clone(), limits, received));
-        Self { kv, queue }
+        let (sender, receiver) = mpsc::unbounded_channel();
+        tokio::spawn(send_batches(kv.clone(), limits, receiver));
+        Self { kv, sender }
     }
 
     /// Commits a transaction that may be delayed by up to `max_wait_ms` to
@@ -214,7 +217,9 @@
     ///
     /// # Errors
     ///
-    /// As for [`Kv::txn`].
+    /// The errors of [`Kv::txn`]; also [`KvError::NotDone`] if the task ended
+    /// before it was given the transaction, and [`KvError::Unknown`] if it
+    /// ended before it responded.
     pub async fn commit(&self, txn: Txn, max_wait_ms: u64) -> TxnResult {
         if !is_batchable(&txn) {
             return self.kv.txn(txn).await;
@@ -225,7 +230,7 @@
             deadline: Instant::now() + Duration::from_millis(max_wait_ms),
             reply,
         };
-        if self.queue.send(pending).is_err() {
+        if self.sender.send(pending).is_err() {
             return Err(Report::new(KvError::NotDone));
         }
         match response.await {
@@ -235,28 +240,29 @@
     }
 }
 
-async fn collect(
+async fn send_batches(
     kv: Arc<dyn Kv>,
     limits: BatchLimits,
-    mut received: mpsc::UnboundedReceiver<PendingTxn>,
+    mut receiver: mpsc::UnboundedReceiver<PendingTxn>,
 ) {
     let mut queue: Vec<PendingTxn> = Vec::new();
     loop {
         let Some(deadline) =
             queue.iter().map(|pending| pending.deadline).min()
         else {
-            match received.recv().await {
+            match receiver.recv().await {
                 Some(pending) => queue.push(pending),
                 None => return,
             }
             continue;
         };
         let is_due =
-            match time::timeout_at(deadline.into(), received.recv()).await {
+            match time::timeout_at(deadline.into(), receiver.recv()).await {
                 Ok(Some(pending)) => {
                     queue.push(pending);
                     false
                 }
+                // Either all writers are gone, or the deadline has passed.
                 Ok(None) | Err(_) => true,
             };
         if is_due || is_full(&queue, limits) {
@@ -273,8 +279,8 @@
         || bytes.sum::<usize>() >= limits.max_bytes
 }
 
-/// Removes the transactions that can share a call with the first one from the
-/// queue.
+/// Removes from the queue the first transaction and those that can share a
+/// call with it. Returns them as one transaction and one by one.
 fn take_batch(
     queue: &mut Vec<PendingTxn>,
     limits: BatchLimits,
@@ -294,7 +300,8 @@
         && !reply.succeeded
         && count > 1
     {
-        // A comparison of one transaction failed, so none was applied.
+        // A comparison of one transaction failed, so none was applied, and
+        // each is sent again on its own.
         for PendingTxn { txn, reply, .. } in batched {
             let kv = kv.clone();
             tokio::spawn(async move {
--- a/crates/limits/src/pool/mod.rs
+++ b/crates/limits/src/pool/mod.rs
@@ -4,24 +4,26 @@
 //! Each front owns an even share of every limit, in two halves (replicas). It
 //! allots each half for a short lease to a [`TokenServer`], which adds up the
 //! shares of all fronts that allot to it and counts requests against the sum.
-//! A front requests a token for each request, and combines several of them in
-//! one message under load.
+//! A front asks for a token for each request, and under load combines the
+//! demands of several requests in one message.
 //!
-//! Safety under any loss of nodes and messages: at any time a share is
-//! allotted to one server, used by its front, or idle. A front allots it to
-//! another server only after the lease has passed since it received the
-//! server's timestamp. The server measures the same lease from the time at
-//! which it created that timestamp, which is earlier. Counters that restart do
-//! so without the burst.
+//! Limits are kept under any loss of nodes and messages: at any time a share
+//! is either allotted to one server, used by its front, or idle. A front
+//! allots a share to another server only after the lease of the present server
+//! has passed, measured from the time at which the front received the present
+//! server's timestamp. The present server measures the same lease from the
+//! time at which it created that timestamp, which is earlier. A counter that
+//! restarts begins without the tokens of a burst.
 //!
-//! Availability under such losses: the two replicas of a customer are on
-//! different nodes, so that one of them counts while the other is replaced;
+//! Requests are served under such losses: the two replicas of a customer are
+//! on different nodes, so that one of them counts while the other is replaced;
 //! and a front that reaches no server uses its own share.
 //!
-//! Rejected: one counter per customer, chosen by the list of nodes. Two nodes
-//! with different lists would each count the whole limit, for as long as one
-//! of them is cut off. Also rejected: counters in the key-value service, which
-//! cost a call per request and are unavailable whenever the service is.
+//! Rejected: one counter per customer, on a node that is chosen from the list
+//! of nodes. Two nodes with different lists would each count the whole limit,
+//! for as long as one of them is cut off. Also rejected: counters in the
+//! key-value service, which would cost a call per request and be unavailable
+//! whenever the service is unavailable.
 
 mod allotment;
 mod client;
@@ -40,17 +42,18 @@
 
 use base::{Customer, mix, stable_hash};
 
-/// Number of shards of customers that are allotted together.
+/// Number of shards that customers are divided into. The shares of all
+/// customers of a shard are allotted together.
 const SHARD_COUNT: u64 = 8;
 
-/// Number of replicas of each shard, each with half of the share.
+/// Number of replicas of each shard, each with half of the front's share.
 const REPLICAS: usize = 2;
 
-/// Number of slots that a front allots: each replica of each shard of
+/// Number of slots that a front allots. A slot is one replica of one shard of
 /// customers.
 pub const SLOT_COUNT: usize = SHARD_COUNT as usize * REPLICAS;
 
-/// Returns the slot of a customer's replica.
+/// Returns the slot of one replica of a customer's shard.
 fn slot_of(customer: &Customer, replica: usize) -> usize {
     shard_of(customer) * REPLICAS + replica
 }
@@ -64,9 +67,9 @@
 pub struct TokenServerOptions {
     /// Minimum lease of an allotment, in milliseconds.
     pub min_lease_ms: u64,
-    /// Lease per front of the fleet, in milliseconds. Leases grow with the
-    /// fleet, so that a server receives a bounded number of renewals per
-    /// second.
+    /// Part of the lease for each front of the fleet, in milliseconds. Leases
+    /// grow with the fleet, so that a server receives a bounded number of
+    /// renewals per second.
     pub lease_per_front_ms: u64,
     /// Maximum lease, in milliseconds.
     pub max_lease_ms: u64,
@@ -78,8 +81,8 @@
 }
 
 impl Default for TokenServerOptions {
-    /// A caller waits for at most two responses, which leaves two thirds of
-    /// the shortest latency objectives.
+    /// A caller waits for at most two responses, each up to its time
+    /// limit. This leaves two thirds of the shortest latency objectives.
     fn default() -> Self {
         Self {
             min_lease_ms: 1_500,
--- a/crates/node/src/job_push.rs
+++ b/crates/node/src/job_push.rs
@@ -1,9 +1,10 @@
 //! Pushes new jobs from the front that accepted them to the worker that runs
 //! them.
 //!
-//! Without a push the worker receives the job with the next change of its
-//! feed, and reads its inputs from the key-value service: a call for each job,
-//! a third of a second later. A lost push costs no more than that.
+//! Without a push, the worker receives the job with the next change of the
+//! worker's feed, a third of a second later, and reads the job's inputs from
+//! the key-value service with one call for each job. A lost push costs no more
+//! than this delay and this call.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,11 +24,12 @@
 /// of the manifest.
 pub(crate) const PUSH_PATH: &str = "/new-job/";
 
-/// Maximum wait for the worker, in milliseconds. Its feed delivers the job in
-/// about that time.
+/// Maximum wait for the worker's response, in milliseconds. After about that
+/// time the worker's feed delivers the job anyway.
 const PUSH_TIMEOUT_MS: u64 = 400;
 
-/// Maximum size of a response, which is only a status.
+/// Maximum size of a worker's response, in bytes. The response carries only a
+/// status.
 const MAX_RESPONSE_BYTES: usize = 1_024;
 
 /// Sends new jobs to the workers that run them.
@@ -62,6 +64,8 @@
         });
     }
 
+    /// Returns `None` if the job was not sent or the worker did not accept it
+    /// in time.
     async fn try_send(
         &self,
         job: &JobKey,
@@ -95,7 +99,8 @@
 }
 
 impl PushReceiver {
-    /// Receives a job and its inputs.
+    /// Handles a request that carries a job and its inputs. Responds with 204
+    /// if the job was taken over, and with 400 if it is malformed.
     pub(crate) async fn receive(
         self,
         request: Request<Incoming>,
@@ -123,14 +128,15 @@
         response
     }
 
+    /// Takes over the job in the body. Returns `None` if it is malformed.
     fn apply(&self, body: &[u8], revision: u64) -> Option<()> {
         let mut rows = commit_wire::decode(body)?.success.into_iter();
         let Op::Put { key, value, .. } = rows.next()? else {
             return None;
         };
         let (job, manifest) = decode_manifest_row(&key, &value)?;
-        // Inputs are stored before the manifest, since the job starts as soon
-        // as its manifest is known.
+        // The inputs are cached before the view receives the manifest, since
+        // the job starts as soon as its manifest is known.
         for row in rows {
             if let Op::Put { key, value, .. } = row {
                 self.cache.insert(&key, &Arc::new(value));
