--- a/crates/web/src/launch.rs
+++ b/crates/web/src/launch.rs
@@ -10,15 +10,16 @@
 };
 use tokio::{sync::oneshot, task::JoinHandle};
 
-/// Seconds that open connections get after a stop. What runs has ended
-/// before (see [`ServiceState::idle`](crate::ServiceState::idle)); the server
-/// library waits all of this out if any connection is open.
+/// Grace period for open connections at shutdown. Running requests have
+/// already finished by then (see
+/// [`ServiceState::idle`](crate::ServiceState::idle)); Rocket waits
+/// for the whole period if any connection is open.
 const GRACE_S: u32 = 1;
 
-/// Seconds that the server library then gives connections to close.
+/// Time that Rocket then allows connections to close.
 const MERCY_S: u32 = 0;
 
-/// Says that a server could not be started.
+/// The HTTP server could not be started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LaunchError;
 
@@ -30,7 +31,7 @@
 
 impl std::error::Error for LaunchError {}
 
-/// Options of a server.
+/// Options of an HTTP server.
 #[derive(Clone, Copy, Debug)]
 pub struct LaunchOptions {
     listen: SocketAddr,
@@ -39,7 +40,7 @@
 }
 
 impl LaunchOptions {
-    /// Starts with bodies of 1 MiB and files of 16 MiB.
+    /// Creates options with limits of 1 MiB for bodies and 16 MiB for files.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
@@ -48,20 +49,20 @@
         }
     }
 
-    /// Sets the largest body.
+    /// Sets the maximum size of a request body.
     pub fn body_max_bytes(mut self, bytes: u64) -> Self {
         self.body_max_bytes = bytes;
         self
     }
 
-    /// Sets the largest uploaded file.
+    /// Sets the maximum size of an uploaded file.
     pub fn file_max_bytes(mut self, bytes: u64) -> Self {
         self.file_max_bytes = bytes;
         self
     }
 }
 
-/// A running server.
+/// A running HTTP server.
 #[derive(Debug)]
 pub struct Served {
     address: SocketAddr,
@@ -70,46 +71,46 @@
 }
 
 impl Served {
-    /// Returns the address that it listens on.
+    /// Returns the address that the server listens on.
     #[inline]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the listener and the connections and waits for that.
+    /// Closes the listener and all connections and waits until they are closed.
     pub async fn stop(self) {
         self.shutdown.notify();
-        // A task that failed has ended as well.
+        // A failed task has ended too, so its error is ignored.
         let _ = self.task.await;
     }
 }
 
-/// Starts a rocket and returns once it accepts connections.
+/// Starts a Rocket server and returns once it accepts connections.
 ///
-/// The library's own environment variables, files and signal handlers stay
-/// unused: the settings file is the one place that decides, and a planned
-/// stop is the daemon's.
+/// Rocket's own environment variables, configuration files and signal
+/// handlers are disabled: the settings file is the only source of
+/// configuration, and the daemon handles graceful shutdown.
 ///
 /// # Errors
 ///
-/// [`LaunchError`] if the address cannot be bound or a route is broken.
+/// [`LaunchError`] if the address cannot be bound or a route is invalid.
 pub async fn launch(
     rocket: Rocket<Build>,
     options: LaunchOptions,
 ) -> Result<Served, Report<LaunchError>> {
-    let (report_ready, ready) = oneshot::channel();
-    let (report_failed, failed) = oneshot::channel();
+    let (ready_sender, ready) = oneshot::channel();
+    let (failure_sender, failure) = oneshot::channel();
     let rocket = rocket
-        .configure(config(options))
-        // The default headers are meant for pages in a browser; here they
-        // would overwrite those of the endpoint's answer.
+        .configure(rocket_config(options))
+        // Rocket's default security headers are meant for browser pages and
+        // would overwrite those of the endpoint's response.
         .attach(Shield::new())
-        .attach(announce(report_ready));
+        .attach(report_liftoff(ready_sender));
     let task = tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
-            // Reading the error keeps it from panicking when dropped. The
-            // receiver is gone if the server had started.
-            let _ = report_failed.send(error.to_string());
+            // Rocket's launch error panics on drop unless it was inspected.
+            // The receiver is already dropped if the server had started.
+            let _ = failure_sender.send(error.to_string());
         }
     });
     let report = tokio::select! {
@@ -117,14 +118,14 @@
         Ok((address, shutdown)) = ready => {
             return Ok(Served { address, shutdown, task });
         }
-        Ok(reason) = failed => Report::new(LaunchError).attach(reason),
+        Ok(reason) = failure => Report::new(LaunchError).attach(reason),
         else => Report::new(LaunchError),
     };
     Err(report.attach(format!("listening on {}", options.listen)))
-        .attach("is the address in use, or not on this machine?")
+        .attach("is the address in use, or not assigned to this machine?")
 }
 
-fn announce(ready: oneshot::Sender<(SocketAddr, Shutdown)>) -> AdHoc {
+fn report_liftoff(ready: oneshot::Sender<(SocketAddr, Shutdown)>) -> AdHoc {
     let ready = Mutex::new(Some(ready));
     AdHoc::on_liftoff("announce", move |rocket| {
         let config = rocket.config();
@@ -137,7 +138,7 @@
     })
 }
 
-fn config(options: LaunchOptions) -> Config {
+fn rocket_config(options: LaunchOptions) -> Config {
     let body = ByteUnit::Byte(options.body_max_bytes);
     let file = ByteUnit::Byte(options.file_max_bytes);
     let limits = Limits::default()
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP serving that all roles share: launch, problem documents, health.
+//! HTTP server setup, problem documents and health routes for all roles.
 //!
-//! [`launch`] starts a rocket at an address from the settings and returns
-//! once it accepts connections. Errors leave as problem documents
-//! ([`Problem`], RFC 9457) that say whether the refused request ran.
+//! [`launch`] starts a Rocket server at a configured address and returns once
+//! it accepts connections. Errors are sent as problem documents ([`Problem`],
+//! RFC 9457) that state whether the failed request was executed.
 
 mod launch;
 mod problem;
--- a/crates/web/src/problem.rs
+++ b/crates/web/src/problem.rs
@@ -7,34 +7,34 @@
 };
 use serde::Serialize;
 
-/// Start of the `type` of each problem document.
+/// Prefix of the `type` URI of each problem document.
 const TYPE_PREFIX: &str = "urn:pomeloslip:problem:";
 
-/// Says whether a refused or lost request ran.
+/// Whether a request that failed was executed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It certainly did not run.
+    /// The request was certainly not executed.
     No,
-    /// It may have run.
+    /// The request may have been executed.
     Unknown,
 }
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $name:ident, $slug:literal, $status:literal,
         $title:literal;)*) => {
-        /// Names what is wrong; each has a stable `type`.
+        /// Kind of a problem; each kind has a stable `type` URI.
         #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
         pub enum ProblemKind {
             $($(#[$doc])* $name,)*
         }
 
         impl ProblemKind {
-            /// Every kind, in the order of the API page.
+            /// All kinds, in the order of the API page.
             pub const ALL: &'static [ProblemKind] =
                 &[$(ProblemKind::$name),*];
 
-            /// Returns the last part of the `type`.
+            /// Returns the last segment of the `type` URI.
             #[inline]
             pub fn slug(self) -> &'static str {
                 match self { $(ProblemKind::$name => $slug,)* }
@@ -46,7 +46,7 @@
                 match self { $(ProblemKind::$name => $status,)* }
             }
 
-            /// Returns the title for people.
+            /// Returns the human-readable title.
             #[inline]
             pub fn title(self) -> &'static str {
                 match self { $(ProblemKind::$name => $title,)* }
@@ -56,56 +56,56 @@
 }
 
 kinds! {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest, "bad-request", 400, "The request is malformed";
-    /// No key, or one that is not known.
+    /// The API key is missing or unknown.
     Unauthorized, "unauthorized", 401, "The key is missing or unknown";
-    /// The customer may not do this.
+    /// The customer is not permitted to do this.
     Forbidden, "forbidden", 403, "This key may not do that";
-    /// Nothing is there, or it is another customer's.
+    /// The resource does not exist or belongs to another customer.
     NotFound, "not-found", 404, "There is no such thing";
-    /// The same key was used for other content.
+    /// The idempotency key was already used with other content.
     KeyReused, "idempotency-key-reused", 409,
         "The key was used for another request";
-    /// The first call with this key still runs.
+    /// The first request with this idempotency key is still running.
     StillRunning, "still-running", 409,
         "The first request with this key still runs";
-    /// Somebody else's change came first.
+    /// A concurrent change was applied first.
     Conflict, "conflict", 409, "Another change came first";
-    /// The body is over a limit.
+    /// The request body exceeds a limit.
     TooLarge, "too-large", 413, "The request is over a limit";
-    /// The content breaks a rule of the API.
+    /// The content violates a rule of the API.
     Invalid, "invalid", 422, "The content is not valid";
-    /// Headers are over a limit.
+    /// The headers exceed a limit.
     HeadersTooLarge, "headers-too-large", 431,
         "The headers are over a limit";
-    /// The customer is over its limit.
+    /// The customer exceeds its rate limit.
     RateLimited, "rate-limited", 429, "The tenant is over its limit";
-    /// The operators' rules refuse the request.
+    /// A rule of the operators rejects the request.
     RefusedByRule, "refused-by-rule", 403, "A rule refuses this request";
-    /// No rule matches.
+    /// No rule matches the request.
     NoRule, "no-rule", 404, "No rule matches this request";
-    /// There is no room now.
+    /// There is currently no capacity.
     Overloaded, "overloaded", 503, "There is no room at the moment";
-    /// The process is stopping.
+    /// The process is shutting down.
     Stopping, "stopping", 503, "This process is stopping";
-    /// What must be recorded cannot be.
+    /// State that must be recorded cannot be written.
     PlatformDown, "platform-down", 503,
         "The platform cannot record this now";
-    /// No endpoint took the request.
+    /// No endpoint accepted the request.
     NoEndpoint, "no-endpoint", 503, "No endpoint took the request";
-    /// Endpoints have crashed while they ran the request.
+    /// Endpoints crashed while they executed the request.
     EndpointCrashes, "endpoint-crashes", 503,
         "Endpoints crash when they run this request";
-    /// The endpoint's answer was lost.
+    /// The endpoint's response was lost.
     AnswerLost, "answer-lost", 502, "The answer was lost";
-    /// The deadline passed.
+    /// The deadline was exceeded.
     TimedOut, "timed-out", 504, "The deadline has passed";
-    /// A fault of this system.
+    /// An internal error occurred.
     Internal, "internal", 500, "Something failed inside";
 }
 
-/// An error answer as RFC 9457 describes it.
+/// An error response in the form of RFC 9457.
 ///
 /// # Example
 ///
@@ -131,7 +131,7 @@
 }
 
 impl Problem {
-    /// Makes a problem with the status of its kind.
+    /// Creates a problem with the default status of its kind.
     pub fn new(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -143,25 +143,25 @@
         }
     }
 
-    /// Sets another status, for a rule that chooses it.
+    /// Overrides the status, for example with one that a rule specifies.
     pub fn status(mut self, status: u16) -> Self {
         self.status = status;
         self
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request was executed.
     pub fn ran(mut self, ran: Ran) -> Self {
         self.ran = Some(ran);
         self
     }
 
-    /// Says when to come back.
+    /// Sets the delay after which the client may retry.
     pub fn retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// Adds a member of the document.
+    /// Adds an extension member to the document.
     pub fn with(
         mut self,
         name: &str,
@@ -171,19 +171,19 @@
         self
     }
 
-    /// Returns what is wrong.
+    /// Returns the kind of the problem.
     #[inline]
     pub fn kind(&self) -> ProblemKind {
         self.kind
     }
 
-    /// Returns whether the request ran, where that is said.
+    /// Returns whether the request was executed, if that is stated.
     #[inline]
     pub fn ran_said(&self) -> Option<Ran> {
         self.ran
     }
 
-    /// Returns the document.
+    /// Returns the document as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         let mut json = serde_json::json!({
             "type": format!("{TYPE_PREFIX}{}", self.kind.slug()),
@@ -221,8 +221,8 @@
             .header(ContentType::new("application", "problem+json"))
             .sized_body(body.len(), Cursor::new(body));
         if let Some(ms) = self.retry_after_ms {
-            // Whole seconds, rounded up: a client that comes back a little
-            // early would be refused again.
+            // `Retry-After` has whole seconds. They are rounded up because a
+            // client that retries early would be rejected again.
             let seconds = ms.div_ceil(1_000).max(1).to_string();
             response.header(Header::new("Retry-After", seconds));
         }
@@ -233,10 +233,10 @@
     }
 }
 
-/// Keeps the problem that a request guard refuses with, for the catcher.
+/// Stores the problem of a failed request guard for the catcher.
 ///
-/// The server library hands no guard's error on to the catcher; without
-/// this, a caller would be told of a fault inside instead.
+/// Rocket does not pass the error of a guard to the catcher; without the
+/// stored problem, the client would get an internal error instead.
 ///
 /// # Example
 ///
@@ -250,17 +250,17 @@
 ///     routes,
 /// };
 ///
-/// struct Room;
+/// struct Slot;
 ///
 /// #[rocket::async_trait]
-/// impl<'r> FromRequest<'r> for Room {
+/// impl<'r> FromRequest<'r> for Slot {
 ///     type Error = Problem;
 ///
 ///     async fn from_request(
 ///         request: &'r Request<'_>,
 ///     ) -> Outcome<Self, Problem> {
-///         let why = "all are busy";
-///         let problem = Problem::new(ProblemKind::Overloaded, why);
+///         let detail = "all are busy";
+///         let problem = Problem::new(ProblemKind::Overloaded, detail);
 ///         let problem = problem.ran(Ran::No);
 ///         remember(request, &problem);
 ///         Outcome::Error((Status::ServiceUnavailable, problem))
@@ -268,7 +268,7 @@
 /// }
 ///
 /// #[get("/")]
-/// fn hello(_room: Room) -> &'static str {
+/// fn hello(_slot: Slot) -> &'static str {
 ///     "hello"
 /// }
 ///
@@ -282,14 +282,16 @@
     request.local_cache(|| Some(problem.clone()));
 }
 
-/// Returns catchers that turn the server library's own errors into problem
-/// documents. Such a request never reached a handler, so it did not run.
+/// Returns catchers that convert Rocket's own errors to problem documents.
+///
+/// A request with such an error never reached a handler and was therefore not
+/// executed.
 pub fn catchers() -> Vec<Catcher> {
-    catchers![uncaught]
+    catchers![default_catcher]
 }
 
 #[catch(default)]
-fn uncaught(status: Status, request: &Request<'_>) -> Problem {
+fn default_catcher(status: Status, request: &Request<'_>) -> Problem {
     if let Some(problem) = request.local_cache(|| None::<Problem>) {
         return problem.clone();
     }
--- a/crates/web/src/status.rs
+++ b/crates/web/src/status.rs
@@ -8,19 +8,19 @@
 
 use rocket::{Route, State, get, http::Status, routes};
 
-/// How far a process is in its life.
+/// Lifecycle phase of a process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Phase {
-    /// It lacks something that it needs to serve.
+    /// A dependency that is needed to serve requests is missing.
     Starting = 0,
-    /// It takes work.
+    /// The process accepts requests.
     Ready = 1,
-    /// It finishes what runs and takes no new work.
+    /// The process finishes running requests and accepts no new ones.
     Draining = 2,
 }
 
-/// The phase of a process, shared by all its parts.
+/// Phase and active request count of a process; clones share the state.
 ///
 /// # Example
 ///
@@ -41,8 +41,8 @@
     active: AtomicUsize,
 }
 
-/// Pause between looks at what is still active.
-const IDLE_LOOK: Duration = Duration::from_millis(10);
+/// Interval for polling the number of active requests.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Counts a request as active until it is dropped.
 #[derive(Debug)]
@@ -65,46 +65,46 @@
         }
     }
 
-    /// Tells whether the process takes work.
+    /// Reports whether the process accepts requests.
     #[inline]
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
-    /// Counts a request that runs; kept until its answer has ended.
+    /// Counts a running request; the guard is held until its response ends.
     pub fn begin(&self) -> Active {
         self.0.active.fetch_add(1, Ordering::AcqRel);
         Active(self.0.clone())
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     #[inline]
     pub fn active(&self) -> usize {
         self.0.active.load(Ordering::Acquire)
     }
 
-    /// Waits until no request runs, at most `limit_ms`; tells whether that
-    /// was reached.
+    /// Waits until no request runs, for at most `timeout_ms`. Returns `false`
+    /// if requests still run after that time.
     ///
-    /// The server library cannot tell this: once it is told to stop, it
-    /// waits out its whole grace time if any connection is open.
-    pub async fn idle(&self, limit_ms: u64) -> bool {
-        let limit = Duration::from_millis(limit_ms);
+    /// Rocket does not count requests: after a shutdown notification it waits
+    /// for its whole grace period if any connection is open.
+    pub async fn idle(&self, timeout_ms: u64) -> bool {
+        let timeout = Duration::from_millis(timeout_ms);
         let idle = async {
             while self.active() > 0 {
-                tokio::time::sleep(IDLE_LOOK).await;
+                tokio::time::sleep(IDLE_POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(limit, idle).await.is_ok()
+        tokio::time::timeout(timeout, idle).await.is_ok()
     }
 
-    /// Moves on to a phase; draining is never left.
+    /// Advances to a phase. An earlier phase than the current one is ignored.
     pub fn set(&self, phase: Phase) {
         self.0.phase.fetch_max(phase as u8, Ordering::AcqRel);
     }
 }
 
-/// Returns `GET /healthz` and `GET /readyz`, which need a managed
+/// Returns the routes `GET /healthz` and `GET /readyz`, which need a managed
 /// [`ServiceState`].
 pub fn health_routes() -> Vec<Route> {
     routes![healthz, readyz]
@@ -115,7 +115,7 @@
     "ok\n"
 }
 
-/// A balancer sends no new connections to a process that is not ready.
+/// Load balancers send no new connections to a process that is not ready.
 #[get("/readyz")]
 fn readyz(state: &State<ServiceState>) -> (Status, &'static str) {
     match state.phase() {
--- a/crates/web/tests/serving.rs
+++ b/crates/web/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Launch, health and problem documents over loopback sockets.
+//! Tests launch, health routes and problem documents over loopback sockets.
 
 #![allow(clippy::unwrap_used)]
 
@@ -92,10 +92,10 @@
     assert!(text.contains(&served.address().to_string()), "{text}");
 }
 
-/// Symptom: a planned stop takes two minutes, or cuts an answer. Sequence:
-/// the process is told to stop while an answer runs. Cause: the server
-/// library either waits out its whole grace time or cuts what runs, since
-/// it does not count requests.
+/// Guards against a graceful shutdown that takes two minutes or interrupts a
+/// response. Rocket does not count requests: when a shutdown starts while a
+/// response is sent, Rocket either waits for its whole grace period or
+/// interrupts the response.
 #[tokio::test]
 async fn idle_waits_for_what_runs_and_no_longer() {
     let state = ServiceState::default();
