--- a/crates/companion/src/node.rs
+++ b/crates/companion/src/node.rs
@@ -13,7 +13,7 @@
 use obs::Metrics;
 use tokio::task::JoinHandle;
 use upstream::EndpointClient;
-use web::{LaunchOptions, Phase, Served, ServiceState};
+use web::{HttpServer, LaunchOptions, Phase, ServiceState};
 use wire::{Handlers, LinkOptions, Links, Secrets, Server, message::Identity};
 
 use crate::{
@@ -35,7 +35,7 @@
     entries: Vec<SocketAddr>,
     drain_ms: u64,
     peer: Server,
-    http: Served,
+    http: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
--- a/crates/data/src/node.rs
+++ b/crates/data/src/node.rs
@@ -5,7 +5,7 @@
 use error_stack::{Report, ResultExt};
 use obs::Metrics;
 use tokio::task::JoinHandle;
-use web::{LaunchOptions, Phase, Served, ServiceState};
+use web::{HttpServer, LaunchOptions, Phase, ServiceState};
 use wire::{Handlers, LinkOptions, Links, Secrets, Server, message::Identity};
 
 use crate::{
@@ -19,7 +19,7 @@
 pub struct DataNode {
     state: ServiceState,
     peer: Server,
-    http: Served,
+    http: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
--- a/crates/entry/src/api/files.rs
+++ b/crates/entry/src/api/files.rs
@@ -18,7 +18,7 @@
 };
 use serde_json::{Value, json};
 use tokio_util::io::{ReaderStream, StreamReader};
-use web::{Active, Problem, ProblemKind, Ran};
+use web::{ActiveRequest, Problem, ProblemKind, Ran};
 
 use super::{admin::failed, guard::Authenticated};
 use crate::{
@@ -182,7 +182,7 @@
 struct FileBody {
     bytes: u64,
     pieces: BoxStream<'static, io::Result<Bytes>>,
-    active: Active,
+    active: ActiveRequest,
 }
 
 impl<'r> Responder<'r, 'static> for FileBody {
--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -116,7 +116,7 @@
     // Counted before the look at the phase: a planned stop that finds
     // nothing running after it has set the phase cuts no call that was let
     // in just before and whose body is still on its way.
-    let _active = shared.state.begin();
+    let _active = shared.state.begin_request();
     if !shared.state.is_ready() {
         return Err(stopping());
     }
@@ -145,7 +145,7 @@
         Err(problem) => Err(problem),
     };
     if let Err(problem) = &served {
-        let counter = match problem.ran_said() {
+        let counter = match problem.ran_status() {
             Some(Ran::No) => Counter::Refused,
             _ => Counter::Failed,
         };
--- a/crates/entry/src/api/guard.rs
+++ b/crates/entry/src/api/guard.rs
@@ -8,7 +8,7 @@
     http::Status,
     request::{FromRequest, Outcome},
 };
-use web::{Active, Problem};
+use web::{ActiveRequest, Problem};
 
 use crate::{
     filter::{self, Caller},
@@ -19,7 +19,7 @@
 pub(crate) struct Authenticated {
     pub(crate) caller: Caller,
     /// Held while the request runs, so that a planned stop waits for it.
-    pub(crate) active: Active,
+    pub(crate) active: ActiveRequest,
 }
 
 #[rocket::async_trait]
@@ -37,11 +37,11 @@
             });
         match caller {
             Ok(caller) => {
-                let active = shared.state.begin();
+                let active = shared.state.begin_request();
                 Outcome::Success(Self { caller, active })
             }
             Err(problem) => {
-                web::remember(request, &problem);
+                web::record_problem(request, &problem);
                 let status = Status::new(problem.kind().status());
                 Outcome::Error((status, problem))
             }
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -69,7 +69,7 @@
     let shared = shared.clone();
     let task = tokio::spawn(async move {
         // A planned stop waits for the record, not only for the answer.
-        let _active = shared.state.begin();
+        let _active = shared.state.begin_request();
         claimed(&shared, &key, exchange, admitted).await
     });
     task.await.unwrap_or_else(|_| {
@@ -137,7 +137,7 @@
             let answer = kept(served);
             claims.settle(claim, ClaimState::Answered { answer }).await;
         }
-        Err(problem) if problem.ran_said() == Some(Ran::No) => {
+        Err(problem) if problem.ran_status() == Some(Ran::No) => {
             claims.release(claim).await;
         }
         Err(problem) => {
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -10,7 +10,7 @@
 use obs::Metrics;
 use quarantine::{Quarantine, QuarantineOptions};
 use tokio::{sync::Semaphore, task::JoinHandle};
-use web::{LaunchOptions, Phase, Served, ServiceState};
+use web::{HttpServer, LaunchOptions, Phase, ServiceState};
 use wire::{
     DataHandler, Handlers, LinkOptions, Links, Secrets, Server,
     message::Identity,
@@ -38,7 +38,7 @@
 pub struct Entry {
     shared: Arc<Shared>,
     peer: Server,
-    http: Served,
+    http: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -183,7 +183,7 @@
     pub async fn drain(self) {
         let state = &self.shared.state;
         state.set(Phase::Draining);
-        if !state.idle(self.shared.timeouts.drain_ms).await {
+        if !state.wait_idle(self.shared.timeouts.drain_ms).await {
             let cut = state.active();
             log::warn!(cut; "the drain time is over; cutting what runs");
         }
@@ -214,7 +214,7 @@
 async fn launch(
     settings: &Settings,
     shared: &Arc<Shared>,
-) -> Result<Served, Report<EntryError>> {
+) -> Result<HttpServer, Report<EntryError>> {
     let rocket = rocket::build()
         .manage(shared.clone())
         .manage(shared.state.clone())
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -7,7 +7,7 @@
 use obs::Metrics;
 use quarantine::Quarantine;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use web::{Active, Problem, ProblemKind, Ran, ServiceState};
+use web::{ActiveRequest, Problem, ProblemKind, Ran, ServiceState};
 use wire::Links;
 
 use crate::{
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub(crate) struct Admitted {
     _permit: OwnedSemaphorePermit,
-    _active: Active,
+    _active: ActiveRequest,
     places: Option<Places>,
 }
 
@@ -73,7 +73,7 @@
         })?;
         Ok(Admitted {
             _permit: permit,
-            _active: self.state.begin(),
+            _active: self.state.begin_request(),
             places: None,
         })
     }
--- a/crates/web/src/launch.rs
+++ b/crates/web/src/launch.rs
@@ -12,7 +12,7 @@
 
 /// Grace period for open connections at shutdown. Running requests have
 /// already finished by then (see
-/// [`ServiceState::idle`](crate::ServiceState::idle)); Rocket waits
+/// [`ServiceState::wait_idle`](crate::ServiceState::wait_idle)); Rocket waits
 /// for the whole period if any connection is open.
 const GRACE_S: u32 = 1;
 
@@ -64,13 +64,13 @@
 
 /// A running HTTP server.
 #[derive(Debug)]
-pub struct Served {
+pub struct HttpServer {
     address: SocketAddr,
     shutdown: Shutdown,
     task: JoinHandle<()>,
 }
 
-impl Served {
+impl HttpServer {
     /// Returns the address that the server listens on.
     #[inline]
     pub fn address(&self) -> SocketAddr {
@@ -97,7 +97,7 @@
 pub async fn launch(
     rocket: Rocket<Build>,
     options: LaunchOptions,
-) -> Result<Served, Report<LaunchError>> {
+) -> Result<HttpServer, Report<LaunchError>> {
     let (ready_sender, ready) = oneshot::channel();
     let (failure_sender, failure) = oneshot::channel();
     let rocket = rocket
@@ -116,7 +116,7 @@
     let report = tokio::select! {
         biased;
         Ok((address, shutdown)) = ready => {
-            return Ok(Served { address, shutdown, task });
+            return Ok(HttpServer { address, shutdown, task });
         }
         Ok(reason) = failure => Report::new(LaunchError).attach(reason),
         else => Report::new(LaunchError),
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -9,7 +9,7 @@
 mod status;
 
 pub use crate::{
-    launch::{LaunchError, LaunchOptions, Served, launch},
-    problem::{Problem, ProblemKind, Ran, catchers, remember},
-    status::{Active, Phase, ServiceState, health_routes},
+    launch::{HttpServer, LaunchError, LaunchOptions, launch},
+    problem::{Problem, ProblemKind, Ran, catchers, record_problem},
+    status::{ActiveRequest, Phase, ServiceState, health_routes},
 };
--- a/crates/web/src/problem.rs
+++ b/crates/web/src/problem.rs
@@ -179,7 +179,7 @@
 
     /// Returns whether the request was executed, if that is stated.
     #[inline]
-    pub fn ran_said(&self) -> Option<Ran> {
+    pub fn ran_status(&self) -> Option<Ran> {
         self.ran
     }
 
@@ -241,7 +241,7 @@
 /// # Example
 ///
 /// ```
-/// use pomeloslip_web::{Problem, ProblemKind, Ran, catchers, remember};
+/// use pomeloslip_web::{Problem, ProblemKind, Ran, catchers, record_problem};
 /// use rocket::{
 ///     Request, get,
 ///     http::Status,
@@ -262,7 +262,7 @@
 ///         let detail = "all are busy";
 ///         let problem = Problem::new(ProblemKind::Overloaded, detail);
 ///         let problem = problem.ran(Ran::No);
-///         remember(request, &problem);
+///         record_problem(request, &problem);
 ///         Outcome::Error((Status::ServiceUnavailable, problem))
 ///     }
 /// }
@@ -278,7 +278,7 @@
 /// let text = client.get("/").dispatch().into_string().unwrap();
 /// assert!(text.contains("all are busy"));
 /// ```
-pub fn remember(request: &Request<'_>, problem: &Problem) {
+pub fn record_problem(request: &Request<'_>, problem: &Problem) {
     request.local_cache(|| Some(problem.clone()));
 }
 
--- a/crates/web/src/status.rs
+++ b/crates/web/src/status.rs
@@ -46,9 +46,9 @@
 
 /// Counts a request as active until it is dropped.
 #[derive(Debug)]
-pub struct Active(Arc<Inner>);
+pub struct ActiveRequest(Arc<Inner>);
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, Ordering::AcqRel);
     }
@@ -72,9 +72,9 @@
     }
 
     /// Counts a running request; the guard is held until its response ends.
-    pub fn begin(&self) -> Active {
+    pub fn begin_request(&self) -> ActiveRequest {
         self.0.active.fetch_add(1, Ordering::AcqRel);
-        Active(self.0.clone())
+        ActiveRequest(self.0.clone())
     }
 
     /// Returns the number of running requests.
@@ -88,7 +88,7 @@
     ///
     /// Rocket does not count requests: after a shutdown notification it waits
     /// for its whole grace period if any connection is open.
-    pub async fn idle(&self, timeout_ms: u64) -> bool {
+    pub async fn wait_idle(&self, timeout_ms: u64) -> bool {
         let timeout = Duration::from_millis(timeout_ms);
         let idle = async {
             while self.active() > 0 {
--- a/crates/web/tests/serving.rs
+++ b/crates/web/tests/serving.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use pomeloslip_web::{
-    LaunchOptions, Phase, Problem, ProblemKind, Ran, Served, ServiceState,
+    HttpServer, LaunchOptions, Phase, Problem, ProblemKind, Ran, ServiceState,
     catchers, health_routes, launch,
 };
 use reqwest::StatusCode;
@@ -23,7 +23,7 @@
     body.into_inner()
 }
 
-async fn serve(state: &ServiceState) -> Served {
+async fn serve(state: &ServiceState) -> HttpServer {
     let listen: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let rocket = rocket::build()
         .manage(state.clone())
@@ -34,7 +34,7 @@
     launch(rocket, options).await.unwrap()
 }
 
-async fn get(served: &Served, path: &str) -> reqwest::Response {
+async fn get(served: &HttpServer, path: &str) -> reqwest::Response {
     let url = format!("http://{}{path}", served.address());
     reqwest::get(url).await.unwrap()
 }
@@ -99,9 +99,9 @@
 #[tokio::test]
 async fn idle_waits_for_what_runs_and_no_longer() {
     let state = ServiceState::default();
-    let active = state.begin();
-    assert!(!state.idle(20).await);
-    let waiting = state.idle(60_000);
+    let active = state.begin_request();
+    assert!(!state.wait_idle(20).await);
+    let waiting = state.wait_idle(60_000);
     drop(active);
     assert!(waiting.await);
     assert_eq!(state.active(), 0);
