--- a/crates/wire/schema.capnp
+++ b/crates/wire/schema.capnp
@@ -1,17 +1,17 @@
 @0xbf0e3c5a4d3f1c77;
-# Messages between the system's own processes.
+# Messages between the processes of the system.
 #
-# Fields are only ever added: a reader of an older version ignores what it
-# does not know, and a reader of a newer one sees the default.
+# Fields are only ever added: a receiver with an older version ignores unknown
+# fields, and a receiver with a newer version sees the defaults.
 
 struct Hello {
-  protocol @0 :UInt32;       # highest protocol version that the sender speaks
+  protocol @0 :UInt32;       # highest version that the sender supports
   role @1 :Text;             # entry, companion or data
   vm @2 :Text;
-  incarnation @3 :UInt64;    # drawn anew at each start of a process
-  configRevision @4 :UInt64; # revision in force at the sender
+  incarnation @3 :UInt64;    # generated at each start of a process
+  configRevision @4 :UInt64; # active revision at the sender
   failureDomain @5 :Text;
-  proof @6 :Data;            # keyed digest over the fields above and a nonce
+  proof @6 :Data;            # HMAC over the nonces of both sides
   nonce @7 :Data;
 }
 
@@ -29,7 +29,7 @@
   path @5 :Text;
   headers @6 :List(Header);
   body @7 :Data;
-  deadlineMs @8 :UInt64;     # time left at the sender when sent; 0 is none
+  deadlineMs @8 :UInt64;     # time until the deadline when sent; 0 if none
   repeatable @9 :Bool;
   resumeOffset @10 :UInt32;  # tokens that the caller already has
   target @11 :Text;          # endpoint expected at the receiver
@@ -43,7 +43,7 @@
 
 struct Outcome {
   kind @0 :UInt16;           # see OutcomeKind in the wire crate
-  ran @1 :Bool;              # true when the endpoint may have seen the call
+  ran @1 :Bool;              # whether the endpoint may have received the call
   detail @2 :Text;
   chunks @3 :UInt32;         # chunks sent before the end
 }
@@ -54,8 +54,8 @@
   end @2 (outcome :Outcome) -> ();
 }
 
-# Held by the caller of Companion.run while it wants the answer. Dropping it
-# cancels the call at the endpoint.
+# Held by the caller of Companion.run during the call. Dropping it cancels the
+# call at the endpoint.
 interface Call {
   ping @0 () -> ();
 }
@@ -107,14 +107,14 @@
   vm @0 :Text;
   incarnation @1 :UInt64;
   models @2 :List(Text);
-  room @3 :UInt32;           # items wanted at most
-  running @4 :List(UInt64);  # grants still held, which keeps them alive
+  room @3 :UInt32;           # maximum number of items to grant
+  running @4 :List(UInt64);  # grants still held; the pull renews them
 }
 
 struct PullReply {
   items @0 :List(Item);
-  revoked @1 :List(UInt64);  # grants to stop at once (cancelled, expired)
-  nextInMs @2 :UInt32;       # when to ask again if nothing else happens
+  revoked @1 :List(UInt64);  # grants to abort (cancelled, expired)
+  nextInMs @2 :UInt32;       # time until the next pull
 }
 
 interface Entry {
@@ -133,7 +133,7 @@
   list @4 (after :Text, limit :UInt32) -> (ids :List(Text));
 }
 
-# First capability on each connection.
+# Bootstrap capability of each connection.
 interface Node {
   hello @0 (hello :Hello) -> (hello :Hello);
   companion @1 () -> (companion :Companion);
--- a/crates/wire/src/auth.rs
+++ b/crates/wire/src/auth.rs
@@ -3,33 +3,33 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// Shortest accepted secret, in bytes.
-const SECRET_MIN_BYTES: usize = 16;
+/// Minimum length of a secret.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Says why a text is no usable secret.
+/// The text is too short to be used as a secret.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SecretError;
 
 impl fmt::Display for SecretError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a peer secret needs at least {SECRET_MIN_BYTES} bytes")
+        write!(f, "a peer secret needs at least {MIN_SECRET_BYTES} bytes")
     }
 }
 
 impl std::error::Error for SecretError {}
 
-/// A secret that the system's processes share.
+/// A secret that the processes of the system share.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// Checks and wraps a secret.
+    /// Validates and wraps a secret.
     ///
     /// # Errors
     ///
-    /// [`SecretError`] if it is too short to withstand guessing.
+    /// [`SecretError`] if the secret is too short to resist guessing.
     pub fn try_new(text: &str) -> Result<Self, SecretError> {
-        if text.len() < SECRET_MIN_BYTES {
+        if text.len() < MIN_SECRET_BYTES {
             return Err(SecretError);
         }
         Ok(Self(text.as_bytes().into()))
@@ -42,10 +42,10 @@
     }
 }
 
-/// The secrets in force: the first signs, all are accepted.
+/// The active secrets: the first one signs, and proofs of any are accepted.
 ///
-/// To rotate without a stop, add the new secret behind the old one
-/// everywhere, then swap the two everywhere, then remove the old one.
+/// To rotate secrets without downtime, append the new secret after the old
+/// one on all nodes, then swap the two on all nodes, then remove the old one.
 ///
 /// # Example
 ///
@@ -65,13 +65,13 @@
 pub struct Secrets(Vec<Secret>);
 
 impl Secrets {
-    /// Wraps the secrets in force. With none, proofs are empty and any peer
-    /// is accepted; the settings allow that on loopback addresses only.
+    /// Wraps the active secrets. Without a secret, proofs are empty and any
+    /// peer is accepted; the settings permit this on loopback addresses only.
     pub fn new(secrets: Vec<Secret>) -> Self {
         Self(secrets)
     }
 
-    /// Checks and wraps the texts of the secrets in force, the signing one
+    /// Validates and wraps the texts of the active secrets, the signing one
     /// first.
     ///
     /// # Errors
@@ -93,14 +93,14 @@
         Ok(Self(secrets.collect::<Result<_, _>>()?))
     }
 
-    /// Signs the parts with the first secret.
+    /// Returns the proof of the parts, made with the first secret.
     pub fn sign(&self, parts: &[&[u8]]) -> Vec<u8> {
         self.0
             .first()
-            .map_or_else(Vec::new, |secret| mac(secret, parts))
+            .map_or_else(Vec::new, |secret| compute_mac(secret, parts))
     }
 
-    /// Tells whether one of the secrets made this proof over the parts.
+    /// Reports whether `proof` was made over the parts with an active secret.
     pub fn accepts(&self, parts: &[&[u8]], proof: &[u8]) -> bool {
         if self.0.is_empty() {
             return true;
@@ -109,22 +109,22 @@
     }
 }
 
-fn keyed(secret: &Secret, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
+fn hmac_over(secret: &Secret, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&secret.0).ok()?;
     for part in parts {
-        // The length goes first: without it, moving a byte from one part to
-        // the next would give the same proof.
+        // Each part is prefixed with its length: otherwise moving a byte from
+        // one part to the next would give the same proof.
         mac.update(&(part.len() as u64).to_le_bytes());
         mac.update(part);
     }
     Some(mac)
 }
 
-fn mac(secret: &Secret, parts: &[&[u8]]) -> Vec<u8> {
-    keyed(secret, parts)
+fn compute_mac(secret: &Secret, parts: &[&[u8]]) -> Vec<u8> {
+    hmac_over(secret, parts)
         .map_or_else(Vec::new, |mac| mac.finalize().into_bytes().to_vec())
 }
 
 fn verifies(secret: &Secret, parts: &[&[u8]], proof: &[u8]) -> bool {
-    keyed(secret, parts).is_some_and(|mac| mac.verify_slice(proof).is_ok())
+    hmac_over(secret, parts).is_some_and(|mac| mac.verify_slice(proof).is_ok())
 }
--- a/crates/wire/src/configs.rs
+++ b/crates/wire/src/configs.rs
@@ -1,4 +1,4 @@
-//! Calls about the configuration.
+//! Client calls that propagate the configuration.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::{LinkError, Links, message::ConfigText, schema_capnp as schema};
 
 impl Links {
-    /// Asks an entry for a newer configuration than `have`.
+    /// Requests the configuration of an entry if it is newer than `have`.
     ///
     /// # Errors
     ///
@@ -40,22 +40,22 @@
         .await
     }
 
-    /// Compares configurations with an entry; the bytes are messages of the
-    /// caller's own.
+    /// Compares configurations with an entry. The request and the response
+    /// are opaque to this crate; the caller encodes and decodes them.
     ///
     /// # Errors
     ///
-    /// See [`LinkError`]; comparing twice does no harm.
+    /// See [`LinkError`]; the call is idempotent.
     pub async fn compare(
         &self,
         address: SocketAddr,
-        question: Bytes,
+        request: Bytes,
     ) -> Result<Bytes, Report<LinkError>> {
         self.call(
             address,
             move |peer| {
                 let mut call = peer.entry.compare_request();
-                call.get().set_question(&question);
+                call.get().set_question(&request);
                 call.send().promise
             },
             |reply: Response<schema::entry::compare_results::Owned>| {
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,5 +1,5 @@
 //! Conversions between the plain types and the generated readers and
-//! builders. Names are checked here, so that the inside needs no checks.
+//! builders. Names are validated here, so that later code need not do it.
 
 use std::str::FromStr;
 
@@ -15,34 +15,36 @@
     schema_capnp as schema,
 };
 
-/// Largest number of elements taken from a list of a peer.
-const LIST_MAX: u32 = 65_536;
+/// Maximum number of elements accepted in a list from a peer.
+const MAX_LIST_LEN: u32 = 65_536;
 
-pub(crate) fn name<T>(
+pub(crate) fn parse_name<T>(
     text: capnp::Result<text::Reader<'_>>,
 ) -> capnp::Result<T>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
 {
-    string(text)?
+    read_string(text)?
         .parse()
         .map_err(|error: T::Err| Error::failed(error.to_string()))
 }
 
-pub(crate) fn string(
+pub(crate) fn read_string(
     text: capnp::Result<text::Reader<'_>>,
 ) -> capnp::Result<String> {
     Ok(text?.to_str()?.to_owned())
 }
 
-fn data(data: capnp::Result<&[u8]>) -> capnp::Result<Bytes> {
+fn read_bytes(data: capnp::Result<&[u8]>) -> capnp::Result<Bytes> {
     Ok(Bytes::copy_from_slice(data?))
 }
 
-pub(crate) fn bounded(len: u32) -> capnp::Result<u32> {
-    if len > LIST_MAX {
-        return Err(Error::failed(format!("a list of {len} is too long")));
+pub(crate) fn check_len(len: u32) -> capnp::Result<u32> {
+    if len > MAX_LIST_LEN {
+        return Err(Error::failed(format!(
+            "a list of {len} elements is too long"
+        )));
     }
     Ok(len)
 }
@@ -58,19 +60,19 @@
     match code {
         0 => Ok(Class::Online),
         1 => Ok(Class::Batch),
-        _ => Err(Error::failed(format!("class {code} is unknown"))),
+        _ => Err(Error::failed(format!("unknown request class {code}"))),
     }
 }
 
 pub(crate) fn read_headers(
     list: struct_list::Reader<'_, schema::header::Owned>,
 ) -> capnp::Result<Vec<Header>> {
-    bounded(list.len())?;
+    check_len(list.len())?;
     list.iter()
         .map(|header| {
             Ok(Header {
-                name: string(header.get_name())?,
-                value: string(header.get_value())?,
+                name: read_string(header.get_name())?,
+                value: read_string(header.get_value())?,
             })
         })
         .collect()
@@ -80,8 +82,8 @@
     headers: &[Header],
     mut list: struct_list::Builder<'_, schema::header::Owned>,
 ) {
-    for (at, header) in headers.iter().enumerate() {
-        let mut slot = list.reborrow().get(at as u32);
+    for (index, header) in headers.iter().enumerate() {
+        let mut slot = list.reborrow().get(index as u32);
         slot.set_name(&header.name);
         slot.set_value(&header.value);
     }
@@ -91,18 +93,18 @@
     reader: schema::request::Reader<'_>,
 ) -> capnp::Result<Request> {
     Ok(Request {
-        request_id: name(reader.get_request_id())?,
+        request_id: parse_name(reader.get_request_id())?,
         attempt: reader.get_attempt(),
-        customer: name(reader.get_tenant())?,
+        customer: parse_name(reader.get_tenant())?,
         class: class_from_code(reader.get_class())?,
-        method: string(reader.get_method())?,
-        path: string(reader.get_path())?,
+        method: read_string(reader.get_method())?,
+        path: read_string(reader.get_path())?,
         headers: read_headers(reader.get_headers()?)?,
-        body: data(reader.get_body())?,
+        body: read_bytes(reader.get_body())?,
         deadline_ms: reader.get_deadline_ms(),
         repeatable: reader.get_repeatable(),
         resume_offset: reader.get_resume_offset(),
-        target: string(reader.get_target())?,
+        target: read_string(reader.get_target())?,
     })
 }
 
@@ -130,7 +132,7 @@
 ) -> capnp::Result<Refusal> {
     Ok(Refusal {
         kind: RefusalKind::from_code(reader.get_kind()),
-        detail: string(reader.get_detail())?,
+        detail: read_string(reader.get_detail())?,
         retry_after_ms: reader.get_retry_after_ms(),
     })
 }
@@ -150,7 +152,7 @@
     Ok(Outcome {
         kind: OutcomeKind::from_code(reader.get_kind()),
         ran: reader.get_ran(),
-        detail: string(reader.get_detail())?,
+        detail: read_string(reader.get_detail())?,
         chunks: reader.get_chunks(),
     })
 }
@@ -194,12 +196,12 @@
         grant: reader.get_grant(),
         partition: reader.get_partition(),
         fence: reader.get_fence(),
-        job: name(reader.get_job())?,
+        job: parse_name(reader.get_job())?,
         index: reader.get_index(),
         attempt: reader.get_attempt(),
-        customer: name(reader.get_tenant())?,
-        path: string(reader.get_path())?,
-        body: data(reader.get_body())?,
+        customer: parse_name(reader.get_tenant())?,
+        path: read_string(reader.get_path())?,
+        body: read_bytes(reader.get_body())?,
         expires_in_ms: reader.get_expires_in_ms(),
         due_unix_ms: reader.get_due_unix_ms(),
     })
@@ -226,12 +228,12 @@
         grant: reader.get_grant(),
         partition: reader.get_partition(),
         fence: reader.get_fence(),
-        job: name(reader.get_job())?,
+        job: parse_name(reader.get_job())?,
         index: reader.get_index(),
         attempt: reader.get_attempt(),
         outcome: ItemOutcome::from_code(reader.get_outcome()),
         status: reader.get_status(),
-        body: data(reader.get_body())?,
+        body: read_bytes(reader.get_body())?,
     })
 }
 
@@ -254,13 +256,13 @@
     reader: schema::pull::Reader<'_>,
 ) -> capnp::Result<Pull> {
     let models = reader.get_models()?;
-    bounded(models.len())?;
+    check_len(models.len())?;
     let running = reader.get_running()?;
-    bounded(running.len())?;
+    check_len(running.len())?;
     Ok(Pull {
-        vm: name(reader.get_vm())?,
+        vm: parse_name(reader.get_vm())?,
         incarnation: Incarnation::new(reader.get_incarnation()),
-        models: models.iter().map(string).collect::<Result<_, _>>()?,
+        models: models.iter().map(read_string).collect::<Result<_, _>>()?,
         room: reader.get_room(),
         running: running.iter().collect(),
     })
@@ -271,12 +273,12 @@
     builder.set_incarnation(pull.incarnation.get());
     builder.set_room(pull.room);
     let mut models = builder.reborrow().init_models(pull.models.len() as u32);
-    for (at, model) in pull.models.iter().enumerate() {
-        models.set(at as u32, model);
+    for (index, model) in pull.models.iter().enumerate() {
+        models.set(index as u32, model);
     }
     let mut running = builder.init_running(pull.running.len() as u32);
-    for (at, grant) in pull.running.iter().enumerate() {
-        running.set(at as u32, *grant);
+    for (index, grant) in pull.running.iter().enumerate() {
+        running.set(index as u32, *grant);
     }
 }
 
@@ -284,9 +286,9 @@
     reader: schema::pull_reply::Reader<'_>,
 ) -> capnp::Result<PullReply> {
     let items = reader.get_items()?;
-    bounded(items.len())?;
+    check_len(items.len())?;
     let revoked = reader.get_revoked()?;
-    bounded(revoked.len())?;
+    check_len(revoked.len())?;
     Ok(PullReply {
         items: items.iter().map(read_item).collect::<Result<_, _>>()?,
         revoked: revoked.iter().collect(),
@@ -300,11 +302,11 @@
 ) {
     builder.set_next_in_ms(reply.next_in_ms);
     let mut items = builder.reborrow().init_items(reply.items.len() as u32);
-    for (at, item) in reply.items.iter().enumerate() {
-        write_item(item, items.reborrow().get(at as u32));
+    for (index, item) in reply.items.iter().enumerate() {
+        write_item(item, items.reborrow().get(index as u32));
     }
     let mut revoked = builder.init_revoked(reply.revoked.len() as u32);
-    for (at, grant) in reply.revoked.iter().enumerate() {
-        revoked.set(at as u32, *grant);
+    for (index, grant) in reply.revoked.iter().enumerate() {
+        revoked.set(index as u32, *grant);
     }
 }
--- a/crates/wire/src/handler.rs
+++ b/crates/wire/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the roles of a process do for other processes.
+//! Traits for the request handlers of each role of a process.
 
 use std::{fmt, sync::Arc};
 
@@ -12,35 +12,37 @@
     Request, StoreStat, StoredBlob,
 };
 
-/// Frames that wait between a handler and the connection.
-const FRAMES_QUEUED_MAX: usize = 64;
+/// Capacity of the queue between a handler and its connection.
+const MAX_QUEUED_FRAMES: usize = 64;
 
-/// Says that nobody wants the rest of an answer.
+/// The receiver of a response is gone: the caller cancelled the call or its
+/// connection was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AnswerClosed;
 
 impl fmt::Display for AnswerClosed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the caller no longer wants the answer")
+        f.write_str("the caller no longer reads the response")
     }
 }
 
 impl std::error::Error for AnswerClosed {}
 
-/// Takes the frames of an answer on the companion's side.
+/// Sends the frames of a response on the companion's side.
 #[derive(Clone, Debug)]
 pub struct Answer {
     frames: mpsc::Sender<Frame>,
 }
 
 impl Answer {
-    /// Makes an answer without a connection, for tests of handlers.
+    /// Creates a sender without a connection. The receiver gets the frames.
     pub fn channel() -> (Self, mpsc::Receiver<Frame>) {
-        let (frames, receiver) = mpsc::channel(FRAMES_QUEUED_MAX);
+        let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         (Self { frames }, receiver)
     }
 
-    /// Sends a frame; waits while the caller is slow to take it.
+    /// Sends a frame; waits while the queue is full because the caller reads
+    /// slowly.
     ///
     /// # Errors
     ///
@@ -50,55 +52,56 @@
         self.frames.send(frame).await.map_err(|_| AnswerClosed)
     }
 
-    /// Resolves once nobody wants the answer any more.
+    /// Resolves once the caller has cancelled the call or its connection is
+    /// lost.
     pub async fn closed(&self) {
         self.frames.closed().await;
     }
 }
 
-/// The answer of a process to a question for its configuration.
+/// Response to a request for a newer configuration; `None` if there is none.
 pub type ConfigReply = Option<ConfigText>;
 
-/// What a companion does for other processes.
+/// Handles requests to the companion role.
 pub trait CompanionHandler: Send + Sync + 'static {
-    /// Takes a call or refuses it. Once taken, the handler sends the frames
-    /// by itself and stops when the answer closes.
+    /// Accepts or refuses a call. After it accepted the call, the handler
+    /// sends the frames in the background and stops when the sender closes.
     fn run(
         &self,
         request: Request,
-        answer: Answer,
+        response: Answer,
     ) -> BoxFuture<'static, Result<(), Refusal>>;
 
     /// Returns the load of the endpoint.
     fn load(&self) -> Load;
 
-    /// Passes on an order if its fencing number is not stale.
+    /// Forwards an order to the endpoint unless its fencing token is stale.
     fn order(&self, order: Order) -> BoxFuture<'static, Result<(), Refusal>>;
 }
 
-/// What an entry does for other processes.
+/// Handles requests to the entry role.
 pub trait EntryHandler: Send + Sync + 'static {
     /// Grants batch items.
     fn pull(&self, pull: Pull) -> BoxFuture<'static, PullReply>;
 
-    /// Takes results and returns how many were of use.
+    /// Records results and returns how many were accepted.
     fn results(&self, results: Vec<ItemResult>) -> BoxFuture<'static, u32>;
 
-    /// Notes that an endpoint takes no new work.
+    /// Records that an endpoint is draining and accepts no new work.
     fn leaving(&self, vm: VmId, incarnation: Incarnation);
 
-    /// Returns the configuration in force if it is newer than `have`.
+    /// Returns the active configuration if it is newer than `have`.
     fn config(&self, have: Revision) -> ConfigReply;
 
-    /// Compares configurations with another process: takes its message and
-    /// returns the answer. `None`, as by default, refuses the call.
-    fn compare(&self, question: Bytes) -> BoxFuture<'static, Option<Bytes>> {
-        drop(question);
+    /// Compares configurations with another process: handles its request and
+    /// returns the response. `None`, the default, rejects the call.
+    fn compare(&self, request: Bytes) -> BoxFuture<'static, Option<Bytes>> {
+        drop(request);
         async { None }.boxed()
     }
 }
 
-/// What a data VM does for other processes.
+/// Handles requests to the data role.
 pub trait DataHandler: Send + Sync + 'static {
     /// Stores a blob durably.
     fn put(
@@ -116,10 +119,10 @@
     /// Removes a blob.
     fn remove(&self, id: String) -> BoxFuture<'static, ()>;
 
-    /// Returns how much is stored.
+    /// Returns the number and size of the stored blobs.
     fn stat(&self) -> BoxFuture<'static, StoreStat>;
 
-    /// Lists ids in order.
+    /// Lists at most `limit` blob ids that follow `after`, in order.
     fn list(
         &self,
         after: String,
@@ -127,13 +130,13 @@
     ) -> BoxFuture<'static, Vec<String>>;
 }
 
-/// The roles that a process has.
+/// Handlers of the roles that a process has.
 #[derive(Clone, Default)]
 pub struct Handlers {
-    /// The companion role.
+    /// Handler of the companion role.
     pub companion: Option<Arc<dyn CompanionHandler>>,
-    /// The entry role.
+    /// Handler of the entry role.
     pub entry: Option<Arc<dyn EntryHandler>>,
-    /// The data role.
+    /// Handler of the data role.
     pub data: Option<Arc<dyn DataHandler>>,
 }
--- a/crates/wire/src/host.rs
+++ b/crates/wire/src/host.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other processes on the thread of the connections.
+//! Dispatches the calls of other processes, on the server's thread.
 
 use std::{future::Future, rc::Rc, sync::Arc};
 
@@ -12,7 +12,7 @@
     convert,
     handler::{Answer, CompanionHandler, DataHandler, EntryHandler},
     message::{ItemResult, Order, Refusal, RefusalKind, StoredBlob},
-    pump::{HeldCall, OpenAnswer, pump},
+    pump::{CallGuard, UndeliveredResponse, send_frames},
     schema_capnp as schema,
     server::Shared,
 };
@@ -22,17 +22,15 @@
 }
 
 impl Host {
-    /// Runs a handler on the threads of the process, so that the thread of
-    /// the connections stays free.
-    async fn work<T: Send + 'static>(
+    /// Runs a handler on the process's main runtime, so that it does not block
+    /// the thread of the connections.
+    async fn run_handler<T: Send + 'static>(
         &self,
-        work: impl Future<Output = T> + Send + 'static,
+        handler: impl Future<Output = T> + Send + 'static,
     ) -> Result<T, Error> {
-        self.shared
-            .workers
-            .spawn(work)
-            .await
-            .map_err(|error| Error::failed(format!("handler: {error}")))
+        self.shared.runtime.spawn(handler).await.map_err(|error| {
+            Error::failed(format!("the handler failed: {error}"))
+        })
     }
 
     fn companion(&self) -> Result<Arc<dyn CompanionHandler>, Refusal> {
@@ -68,40 +66,41 @@
         params: schema::companion::RunParams,
         mut results: schema::companion::RunResults,
     ) -> Result<(), Error> {
-        // Counted before the handler takes the call: it may be done before
-        // the first frame is on its way.
-        let open = OpenAnswer::count(&self.shared.answers);
+        // Counted before the handler accepts the call, because the handler
+        // may finish before the first frame is sent.
+        let undelivered = UndeliveredResponse::new(&self.shared.undelivered);
         let params = params.get()?;
         let request = convert::read_request(params.get_request()?)?;
         let sink = params.get_sink()?;
         let id = (request.request_id.clone(), request.attempt);
-        let (answer, frames) = Answer::channel();
-        let taken = match self.companion() {
+        let (sender, frames) = Answer::channel();
+        let accepted = match self.companion() {
             Ok(handler) => {
                 let load = handler.load();
-                let taken = self.work(handler.run(request, answer)).await?;
+                let accepted =
+                    self.run_handler(handler.run(request, sender)).await?;
                 convert::write_load(load, results.get().init_load());
-                taken
+                accepted
             }
             Err(refusal) => Err(refusal),
         };
-        if let Err(refusal) = taken {
+        if let Err(refusal) = accepted {
             let slot = results.get().init_refusal();
             convert::write_refusal(&refusal, slot);
             return Ok(());
         }
-        let (held, released) = oneshot::channel();
-        spawn_local(pump(
+        let (guard, released) = oneshot::channel();
+        spawn_local(send_frames(
             id.0.to_string(),
             id.1,
             sink,
             frames,
             released,
-            open,
+            undelivered,
         ));
         let mut reply = results.get();
         reply.set_accepted(true);
-        reply.set_call(new_client(HeldCall { _held: held }));
+        reply.set_call(new_client(CallGuard { _guard: guard }));
         Ok(())
     }
 
@@ -123,16 +122,16 @@
         let params = params.get()?;
         let order = Order {
             fence: params.get_fence(),
-            kind: convert::string(params.get_kind())?,
+            kind: convert::read_string(params.get_kind())?,
             body: Bytes::copy_from_slice(params.get_body()?),
         };
-        let obeyed = match self.companion() {
-            Ok(handler) => self.work(handler.order(order)).await?,
+        let accepted = match self.companion() {
+            Ok(handler) => self.run_handler(handler.order(order)).await?,
             Err(refusal) => Err(refusal),
         };
         let mut reply = results.get();
-        reply.set_accepted(obeyed.is_ok());
-        if let Err(refusal) = obeyed {
+        reply.set_accepted(accepted.is_ok());
+        if let Err(refusal) = accepted {
             convert::write_refusal(&refusal, reply.init_refusal());
         }
         Ok(())
@@ -146,7 +145,7 @@
         mut results: schema::entry::PullResults,
     ) -> Result<(), Error> {
         let pull = convert::read_pull(params.get()?.get_pull()?)?;
-        let reply = self.work(self.entry()?.pull(pull)).await?;
+        let reply = self.run_handler(self.entry()?.pull(pull)).await?;
         convert::write_pull_reply(&reply, results.get().init_reply());
         Ok(())
     }
@@ -157,13 +156,13 @@
         mut results: schema::entry::ResultsResults,
     ) -> Result<(), Error> {
         let list = params.get()?.get_results()?;
-        convert::bounded(list.len())?;
+        convert::check_len(list.len())?;
         let items: Vec<ItemResult> = list
             .iter()
             .map(convert::read_result)
             .collect::<Result<_, _>>()?;
-        let taken = self.work(self.entry()?.results(items)).await?;
-        results.get().set_taken(taken);
+        let accepted = self.run_handler(self.entry()?.results(items)).await?;
+        results.get().set_taken(accepted);
         Ok(())
     }
 
@@ -173,7 +172,7 @@
         _: schema::entry::LeavingResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let vm = convert::name(params.get_vm())?;
+        let vm = convert::parse_name(params.get_vm())?;
         let incarnation = Incarnation::new(params.get_incarnation());
         self.entry()?.leaving(vm, incarnation);
         Ok(())
@@ -198,12 +197,16 @@
         params: schema::entry::CompareParams,
         mut results: schema::entry::CompareResults,
     ) -> Result<(), Error> {
-        let question = params.get()?.get_question()?;
-        let question = Bytes::copy_from_slice(question);
-        let answer = self.work(self.entry()?.compare(question)).await?;
-        let answer = answer
-            .ok_or_else(|| Error::failed("it compares nothing".to_owned()))?;
-        results.get().set_answer(&answer);
+        let request = params.get()?.get_question()?;
+        let request = Bytes::copy_from_slice(request);
+        let response =
+            self.run_handler(self.entry()?.compare(request)).await?;
+        let response = response.ok_or_else(|| {
+            Error::failed(
+                "this process does not compare configurations".to_owned(),
+            )
+        })?;
+        results.get().set_answer(&response);
         Ok(())
     }
 }
@@ -215,12 +218,12 @@
         mut results: schema::storage::PutResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let id = convert::string(params.get_id())?;
+        let id = convert::read_string(params.get_id())?;
         let blob = StoredBlob {
             bytes: Bytes::copy_from_slice(params.get_bytes()?),
             crc: params.get_crc(),
         };
-        let stored = self.work(self.data()?.put(id, blob)).await?;
+        let stored = self.run_handler(self.data()?.put(id, blob)).await?;
         let mut reply = results.get();
         reply.set_stored(stored.is_ok());
         if let Err(refusal) = stored {
@@ -234,8 +237,8 @@
         params: schema::storage::GetParams,
         mut results: schema::storage::GetResults,
     ) -> Result<(), Error> {
-        let id = convert::string(params.get()?.get_id())?;
-        let found = self.work(self.data()?.get(id)).await?;
+        let id = convert::read_string(params.get()?.get_id())?;
+        let found = self.run_handler(self.data()?.get(id)).await?;
         let mut reply = results.get();
         match found {
             Ok(None) => {}
@@ -256,8 +259,8 @@
         params: schema::storage::RemoveParams,
         _: schema::storage::RemoveResults,
     ) -> Result<(), Error> {
-        let id = convert::string(params.get()?.get_id())?;
-        self.work(self.data()?.remove(id)).await
+        let id = convert::read_string(params.get()?.get_id())?;
+        self.run_handler(self.data()?.remove(id)).await
     }
 
     async fn stat(
@@ -265,7 +268,7 @@
         _: schema::storage::StatParams,
         mut results: schema::storage::StatResults,
     ) -> Result<(), Error> {
-        let stat = self.work(self.data()?.stat()).await?;
+        let stat = self.run_handler(self.data()?.stat()).await?;
         let mut reply = results.get();
         reply.set_blobs(stat.blobs);
         reply.set_bytes(stat.bytes);
@@ -279,12 +282,12 @@
         mut results: schema::storage::ListResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let after = convert::string(params.get_after())?;
-        let limit = convert::bounded(params.get_limit())?;
-        let ids = self.work(self.data()?.list(after, limit)).await?;
+        let after = convert::read_string(params.get_after())?;
+        let limit = convert::check_len(params.get_limit())?;
+        let ids = self.run_handler(self.data()?.list(after, limit)).await?;
         let mut list = results.get().init_ids(ids.len() as u32);
-        for (at, id) in ids.iter().enumerate() {
-            list.set(at as u32, id);
+        for (index, id) in ids.iter().enumerate() {
+            list.set(index as u32, id);
         }
         Ok(())
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,22 +1,22 @@
-//! Messages between the system's own processes over capnp-rpc.
+//! RPC between the processes of the system over capnp-rpc.
 //!
-//! [`message`] holds the messages as plain types; [`Links`] calls other
-//! processes and [`serve`] answers them. The objects of capnp-rpc stay on
-//! the one thread that made them, so both sides own a thread and talk to the
-//! rest of the process through channels; everything public here may be used
-//! from any thread.
+//! [`message`] holds the messages as plain types; [`Links`] is the client and
+//! [`serve`] starts the server. The objects of capnp-rpc are not `Send`, so
+//! the client and the server each own a thread and exchange data with the
+//! remainder of the process over channels. All public items of this crate can
+//! be used from any thread.
 //!
 //! # Versions
 //!
-//! Both sides say the highest protocol version that they speak in their
+//! Both sides send the highest protocol version that they support in their
 //! first message, and fields are only ever added to the schema, so that old
-//! and new processes work together during a roll-out.
+//! and new processes interoperate during a rolling update.
 //!
 //! # Errors
 //!
-//! A failed call says whether the other side may have seen it
-//! ([`LinkError::NotSent`] against [`LinkError::Unknown`]); only the first
-//! is safe to try again elsewhere for a call that may not be repeated.
+//! The error of a failed call states whether the peer may have received the
+//! call: [`LinkError::Unknown`] if so, [`LinkError::NotSent`] if not. A call
+//! that is not idempotent may be retried elsewhere only after `NotSent`.
 
 mod auth;
 mod configs;
@@ -58,8 +58,8 @@
     server::{ServeError, Server, serve, serve_with},
 };
 
-/// Highest protocol version that this build speaks.
+/// Highest protocol version that this build supports.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Oldest protocol version that this build still understands.
+/// Lowest protocol version that this build supports.
 pub const PROTOCOL_OLDEST: u32 = 1;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -27,7 +27,7 @@
 
 type Connecting = Shared<LocalBoxFuture<'static, Result<Rc<Peer>, Rc<str>>>>;
 
-/// The connections of the thread, at most one for each address.
+/// The connections of the client thread, at most one for each address.
 struct Pool {
     options: LinkOptions,
     peers: RefCell<HashMap<SocketAddr, Connecting>>,
@@ -42,11 +42,11 @@
         match connecting.clone().await {
             Ok(peer) if !peer.is_closed() => Ok(peer),
             Ok(_) => {
-                self.forget(address, &connecting);
+                self.remove_stale(address, &connecting);
                 self.connecting(address).await.map_err(not_sent)
             }
             Err(reason) => {
-                self.forget(address, &connecting);
+                self.remove_stale(address, &connecting);
                 Err(not_sent(reason))
             }
         }
@@ -70,10 +70,13 @@
             .clone()
     }
 
-    /// Removes a connection unless a newer one has taken its place.
-    fn forget(&self, address: SocketAddr, stale: &Connecting) {
+    /// Removes a connection unless a newer one has replaced it.
+    fn remove_stale(&self, address: SocketAddr, stale: &Connecting) {
         let mut peers = self.peers.borrow_mut();
-        if peers.get(&address).is_some_and(|now| now.ptr_eq(stale)) {
+        if peers
+            .get(&address)
+            .is_some_and(|current| current.ptr_eq(stale))
+        {
             peers.remove(&address);
         }
     }
@@ -85,10 +88,10 @@
 
 type Job = Box<dyn FnOnce(Rc<Pool>) -> LocalBoxFuture<'static, ()> + Send>;
 
-/// Calls other processes; clones share the connections.
+/// Client for calls to other processes; clones share the connections.
 ///
-/// Connections are opened on first use, kept, watched by heartbeats and
-/// replaced when they break or go silent.
+/// Connections are opened on first use, kept open, monitored by heartbeats
+/// and replaced when they break or stop responding.
 #[derive(Clone)]
 pub struct Links {
     jobs: mpsc::UnboundedSender<Job>,
@@ -97,12 +100,11 @@
 }
 
 impl Links {
-    /// Starts the thread of the links. It ends when the last clone is
-    /// dropped.
+    /// Starts the client thread, which ends when the last clone is dropped.
     ///
     /// # Errors
     ///
-    /// An I/O error if the machine has no thread left.
+    /// An I/O error if the runtime or the thread cannot be created.
     pub fn start(options: LinkOptions) -> std::io::Result<Self> {
         let (jobs, receiver) = mpsc::unbounded_channel();
         let call_timeout = Duration::from_millis(options.call_timeout_ms);
@@ -113,7 +115,8 @@
         thread::Builder::new()
             .name("links".to_owned())
             .spawn(move || {
-                LocalSet::new().block_on(&runtime, work(options, receiver));
+                LocalSet::new()
+                    .block_on(&runtime, run_jobs(options, receiver));
             })?;
         Ok(Self {
             jobs,
@@ -122,19 +125,21 @@
         })
     }
 
-    /// Returns whom this process says it is.
+    /// Returns the identity that this process presents to its peers.
     #[inline]
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Sends a call to a companion and returns its answer as it comes.
+    /// Sends a call to a companion and returns its response as a stream of
+    /// frames.
     ///
     /// Dropping the [`Run`](crate::Run) cancels the call at the endpoint.
     ///
     /// # Errors
     ///
-    /// [`LinkError::NotSent`] if the companion certainly saw nothing.
+    /// [`LinkError::NotSent`] if the companion certainly did not receive the
+    /// call.
     pub async fn run(
         &self,
         address: SocketAddr,
@@ -148,11 +153,11 @@
         .await
     }
 
-    /// Asks a companion for the load of its endpoint.
+    /// Requests the load of a companion's endpoint.
     ///
     /// # Errors
     ///
-    /// See [`LinkError`]; asking has no effect in any case.
+    /// See [`LinkError`]; the call has no side effects.
     pub async fn load(
         &self,
         address: SocketAddr,
@@ -167,11 +172,12 @@
         .await
     }
 
-    /// Gives an endpoint an order through its companion.
+    /// Sends an order to an endpoint through its companion.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Refused`] if the order is stale.
+    /// [`LinkError::Refused`] if the companion refused the order, for example
+    /// because its fencing token is stale.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -199,12 +205,12 @@
         .map_err(refused)
     }
 
-    /// Asks an entry for batch items.
+    /// Requests grants of batch items from an entry.
     ///
     /// # Errors
     ///
-    /// After [`LinkError::Unknown`] items may have been granted; they come
-    /// back when their loans end.
+    /// After [`LinkError::Unknown`] items may have been granted; they become
+    /// available again when their grants expire.
     pub async fn pull(
         &self,
         address: SocketAddr,
@@ -224,11 +230,12 @@
         .await
     }
 
-    /// Gives an entry the results of items and returns how many it took.
+    /// Sends the results of items to an entry and returns how many the entry
+    /// accepted.
     ///
     /// # Errors
     ///
-    /// After [`LinkError::Unknown`] it is safe to send them again.
+    /// After [`LinkError::Unknown`] it is safe to send the results again.
     pub async fn results(
         &self,
         address: SocketAddr,
@@ -240,8 +247,8 @@
                 let mut call = peer.entry.results_request();
                 let count = results.len() as u32;
                 let mut list = call.get().init_results(count);
-                for (at, result) in results.iter().enumerate() {
-                    let slot = list.reborrow().get(at as u32);
+                for (index, result) in results.iter().enumerate() {
+                    let slot = list.reborrow().get(index as u32);
                     convert::write_result(result, slot);
                 }
                 call.send().promise
@@ -253,23 +260,23 @@
         .await
     }
 
-    /// Tells an entry that this process's endpoint leaves.
+    /// Notifies an entry that the endpoint of this process is draining.
     ///
     /// # Errors
     ///
-    /// See [`LinkError`]; telling twice does no harm.
+    /// See [`LinkError`]; the call is idempotent.
     pub async fn leaving(
         &self,
         address: SocketAddr,
-        me: Identity,
+        identity: Identity,
     ) -> Result<(), Report<LinkError>> {
         self.call(
             address,
             move |peer| {
                 let mut call = peer.entry.leaving_request();
                 let mut params = call.get();
-                params.set_vm(me.vm.as_str());
-                params.set_incarnation(me.incarnation.get());
+                params.set_vm(identity.vm.as_str());
+                params.set_incarnation(identity.incarnation.get());
                 call.send().promise
             },
             |reply: Response<schema::entry::leaving_results::Owned>| {
@@ -279,11 +286,11 @@
         .await
     }
 
-    /// Stores a blob on a data VM; it is on its disk when this returns.
+    /// Stores a blob on a data VM; the blob is on disk when this returns.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Refused`] if it certainly stored nothing.
+    /// [`LinkError::Refused`] if the data VM certainly did not store the blob.
     pub async fn put_blob(
         &self,
         address: SocketAddr,
@@ -312,12 +319,12 @@
         .map_err(refused)
     }
 
-    /// Reads a blob from a data VM, `None` if it does not have it.
+    /// Reads a blob from a data VM; `None` if the blob does not exist there.
     ///
     /// # Errors
     ///
-    /// [`LinkError::Refused`] with [`RefusalKind::Conflict`] if its copy is
-    /// damaged.
+    /// [`LinkError::Refused`] with [`RefusalKind::Conflict`] if the stored
+    /// copy is corrupted.
     ///
     /// [`RefusalKind::Conflict`]: crate::message::RefusalKind::Conflict
     pub async fn get_blob(
@@ -354,7 +361,7 @@
     ///
     /// # Errors
     ///
-    /// See [`LinkError`]; removing twice does no harm.
+    /// See [`LinkError`]; the call is idempotent.
     pub async fn remove_blob(
         &self,
         address: SocketAddr,
@@ -374,7 +381,7 @@
         .await
     }
 
-    /// Asks a data VM how much it holds.
+    /// Returns the number and size of the blobs on a data VM.
     ///
     /// # Errors
     ///
@@ -398,7 +405,8 @@
         .await
     }
 
-    /// Lists the ids of a data VM's blobs in order.
+    /// Lists at most `limit` ids of a data VM's blobs that follow `after`, in
+    /// order.
     ///
     /// # Errors
     ///
@@ -420,8 +428,8 @@
             },
             |reply: Response<schema::storage::list_results::Owned>| {
                 let ids = reply.get()?.get_ids()?;
-                convert::bounded(ids.len())?;
-                ids.iter().map(convert::string).collect()
+                convert::check_len(ids.len())?;
+                ids.iter().map(convert::read_string).collect()
             },
         )
         .await
@@ -442,8 +450,8 @@
         self.submit(move |pool| async move {
             let peer = pool.peer(address).await?;
             let promise = send(&peer);
-            let reply = watched(&peer, limit, promise).await?;
-            read(reply).map_err(lost)
+            let reply = await_reply(&peer, limit, promise).await?;
+            read(reply).map_err(call_error)
         })
         .await
     }
@@ -454,12 +462,12 @@
         F: FnOnce(Rc<Pool>) -> Fut + Send + 'static,
         Fut: Future<Output = Result<T, Report<LinkError>>> + 'static,
     {
-        let (reply, answer) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let job: Job = Box::new(move |pool| {
             async move {
-                let done = job(pool).await;
-                // The asker may have left; then nobody wants the answer.
-                let _ = reply.send(done);
+                let result = job(pool).await;
+                // The caller may have been dropped; then the result is unused.
+                let _ = sender.send(result);
             }
             .boxed_local()
         });
@@ -467,11 +475,14 @@
             .send(job)
             .ok()
             .ok_or_else(|| Report::new(LinkError::NotSent))?;
-        answer.await.change_context(LinkError::Unknown)?
+        receiver.await.change_context(LinkError::Unknown)?
     }
 }
 
-async fn work(options: LinkOptions, mut jobs: mpsc::UnboundedReceiver<Job>) {
+async fn run_jobs(
+    options: LinkOptions,
+    mut jobs: mpsc::UnboundedReceiver<Job>,
+) {
     let pool = Rc::new(Pool {
         options,
         peers: RefCell::default(),
@@ -481,26 +492,27 @@
     }
 }
 
-/// Waits for a reply, but no longer than the connection or the limit lasts.
-pub(crate) async fn watched<T>(
+/// Waits for a reply until the timeout expires or the connection closes.
+pub(crate) async fn await_reply<T>(
     peer: &Peer,
-    limit: Duration,
+    time_limit: Duration,
     promise: Promise<T, capnp::Error>,
 ) -> Result<T, Report<LinkError>> {
     tokio::select! {
         biased;
-        reply = timeout(limit, promise) => reply
+        reply = timeout(time_limit, promise) => reply
             .change_context(LinkError::Unknown)
-            .attach("no reply in time")?
-            .map_err(lost),
+            .attach("timed out waiting for the reply")?
+            .map_err(call_error),
         () = peer.until_closed() => {
-            Err(Report::new(LinkError::Unknown).attach("the link broke"))
+            Err(Report::new(LinkError::Unknown).attach("connection lost"))
         }
     }
 }
 
-pub(crate) fn lost(error: capnp::Error) -> Report<LinkError> {
-    // An older process that does not know the method has done nothing.
+pub(crate) fn call_error(error: capnp::Error) -> Report<LinkError> {
+    // A peer with an older version that does not implement the method has not
+    // executed anything.
     let context = match error.kind {
         capnp::ErrorKind::Unimplemented => LinkError::NotSent,
         _ => LinkError::Unknown,
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages as plain types.
+//! Messages between processes as plain types.
 
 use base::{
     Class, Customer, FailureDomain, Incarnation, JobId, RequestId, Revision,
@@ -6,24 +6,24 @@
 };
 use bytes::Bytes;
 
-/// Numbers the variants of an enum on the wire in the order given, from 1.
+/// Assigns wire codes to the variants of an enum in the given order, from 1.
 ///
-/// Numbers are never reused, and a number that a newer process sent reads as
-/// the variant that promises least.
+/// Codes are never reused. An unknown code, sent by a newer process, decodes
+/// as the given variant, which must be the most conservative one.
 macro_rules! codes {
-    ($name:ident, unknown reads as $unknown:ident: $($variant:ident),*) => {
+    ($name:ident, unknown decodes as $unknown:ident: $($variant:ident),*) => {
         impl $name {
             const ALL: &'static [$name] = &[$($name::$variant),*];
 
-            /// Returns the number on the wire.
+            /// Returns the wire code.
             #[inline]
             pub fn code(self) -> u16 {
                 let index = Self::ALL.iter().position(|kind| *kind == self);
                 index.map_or(0, |i| i as u16 + 1)
             }
 
-            /// Returns the variant of a number; an unknown one reads as the
-            /// variant that promises least.
+            /// Returns the variant of a wire code; an unknown code decodes as
+            /// the most conservative variant.
             #[inline]
             pub fn from_code(code: u16) -> Self {
                 let index = usize::from(code).wrapping_sub(1);
@@ -34,105 +34,105 @@
     };
 }
 
-/// Says who a process is.
+/// Identity of a process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Identity {
-    /// Role in its settings: `entry`, `companion` or `data`.
+    /// Role from the settings: `entry`, `companion` or `data`.
     pub role: String,
-    /// Machine that it runs on.
+    /// Machine that the process runs on.
     pub vm: VmId,
-    /// Life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Failure domain of the machine.
     pub failure_domain: FailureDomain,
 }
 
-/// One header of a call or an answer.
+/// A header of a call or a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
     /// Name in lower case.
     pub name: String,
-    /// Value.
+    /// Value of the header.
     pub value: String,
 }
 
-/// A call for one endpoint, as an entry sends it to a companion.
+/// A call to an endpoint, sent by an entry to the endpoint's companion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// Names the call in logs and on every message.
+    /// Identifies the call in logs and messages.
     pub request_id: RequestId,
-    /// Counts the sends of the same call, from 0.
+    /// Number of the attempt of this call, from 0.
     pub attempt: u32,
-    /// Customer that the call belongs to.
+    /// Customer that made the call.
     pub customer: Customer,
-    /// Online or batch.
+    /// Request class, online or batch.
     pub class: Class,
     /// HTTP method.
     pub method: String,
-    /// Path and query towards the endpoint.
+    /// Path and query sent to the endpoint.
     pub path: String,
-    /// Headers towards the endpoint.
+    /// Headers sent to the endpoint.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Body sent to the endpoint.
     pub body: Bytes,
-    /// Time that the sender still gives the call, in milliseconds; 0 is no
-    /// limit. A span, not a point in time: the clocks of two machines differ.
+    /// Time until the deadline of the call in milliseconds; 0 means no
+    /// deadline. Sent as a duration because the clocks of two machines differ.
     pub deadline_ms: u64,
-    /// Tells whether running the call twice does no harm.
+    /// Whether the call is idempotent.
     pub repeatable: bool,
-    /// Tokens of the answer that the caller already has.
+    /// Number of tokens of the response that the caller already has.
     pub resume_offset: u32,
     /// Endpoint that the sender expects at the receiver. After a restart
-    /// another endpoint may live at the same address; the receiver refuses
-    /// what is not meant for it.
+    /// another endpoint may run at the same address; the receiver refuses
+    /// calls to another target.
     pub target: String,
 }
 
-/// Why a companion did not take a call. In each case the call did not run.
+/// Why a receiver refused a call. In each case the call did not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum RefusalKind {
-    /// The endpoint has no room for this class now.
+    /// The endpoint currently has no capacity for this class.
     Full,
-    /// The endpoint is leaving.
+    /// The endpoint is draining.
     Leaving,
     /// The endpoint is down or stalled.
     EndpointDown,
     /// The call is meant for another endpoint.
     WrongTarget,
-    /// The deadline has passed.
+    /// The deadline was exceeded.
     Late,
-    /// An order carries an old fencing number.
+    /// An order carries a stale fencing token.
     StaleFence,
-    /// The message breaks a limit or makes no sense.
+    /// The message exceeds a limit or is malformed.
     Invalid,
-    /// A data VM has no space.
+    /// A data VM has no free storage.
     NoSpace,
-    /// Other bytes are stored under the same id, or a blob is damaged.
+    /// Different bytes are stored under the same id, or a blob is corrupted.
     Conflict,
     /// The receiver does not have this role.
     WrongRole,
-    /// The receiver failed inside.
+    /// An internal error occurred at the receiver.
     Failed,
 }
 
 codes! {
-    RefusalKind, unknown reads as Failed:
+    RefusalKind, unknown decodes as Failed:
     Full, Leaving, EndpointDown, WrongTarget, Late, StaleFence, Invalid, NoSpace, Conflict, WrongRole, Failed
 }
 
-/// A refusal with its reason; what it answers did not run.
+/// A refusal with its reason; the refused call did not run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Reason by kind.
+    /// Kind of the reason.
     pub kind: RefusalKind,
-    /// Reason for people.
+    /// Human-readable reason.
     pub detail: String,
-    /// When to come back, in milliseconds; 0 says nothing.
+    /// Delay after which to retry, in milliseconds; 0 if not specified.
     pub retry_after_ms: u32,
 }
 
 impl Refusal {
-    /// Makes a refusal that says nothing of when to come back.
+    /// Creates a refusal without a retry delay.
     pub fn new(kind: RefusalKind, detail: impl Into<String>) -> Self {
         Self {
             kind,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Sets when to come back.
+    /// Sets the delay after which to retry.
     pub fn retry_after_ms(mut self, ms: u32) -> Self {
         self.retry_after_ms = ms;
         self
@@ -151,126 +151,127 @@
 /// How an accepted call ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum OutcomeKind {
-    /// The answer is whole, its end mark was seen.
+    /// The response is complete, including its end marker.
     Complete,
-    /// The endpoint ended the answer before its end mark.
+    /// The endpoint ended the response before its end marker.
     Truncated,
-    /// The endpoint could not be reached; it saw nothing of the call.
+    /// The endpoint could not be reached and did not receive the call.
     NotSent,
-    /// The connection to the endpoint broke or went silent.
+    /// The connection to the endpoint broke or timed out.
     Broken,
-    /// The deadline passed.
+    /// The deadline was exceeded.
     TimedOut,
-    /// The caller or the companion cancelled it.
+    /// The caller or the companion cancelled the call.
     Cancelled,
-    /// The connection broke as the endpoint crashed.
+    /// The connection broke because the endpoint crashed.
     Crashed,
 }
 
 codes! {
-    OutcomeKind, unknown reads as Broken:
+    OutcomeKind, unknown decodes as Broken:
     Complete, Truncated, NotSent, Broken, TimedOut, Cancelled, Crashed
 }
 
-/// The end of an accepted call.
+/// Final result of an accepted call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Outcome {
-    /// How it ended.
+    /// How the call ended.
     pub kind: OutcomeKind,
-    /// Whether the endpoint may have seen the call. `false` is said only
-    /// when that is certain.
+    /// Whether the endpoint may have received the call; `false` only if it
+    /// certainly did not.
     pub ran: bool,
-    /// Reason for people.
+    /// Human-readable reason.
     pub detail: String,
-    /// Chunks sent before the end; the receiver compares.
+    /// Number of chunks sent before the end, for the receiver to verify.
     pub chunks: u32,
 }
 
-/// A piece of an answer on its way to the caller.
+/// A frame of a streamed response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Frame {
     /// Status and headers; the first frame.
     Head {
         /// HTTP status.
         status: u16,
-        /// Headers of the endpoint.
+        /// Headers of the endpoint's response.
         headers: Vec<Header>,
     },
-    /// The next part of the body: one whole event of an event stream, or
-    /// any bytes otherwise.
+    /// The next part of the body: one complete event of an event stream,
+    /// otherwise an arbitrary piece.
     Chunk {
-        /// Counts from 0 without a gap.
+        /// Sequence number of the chunk, from 0 without gaps.
         seq: u32,
-        /// The bytes.
+        /// Bytes of the chunk.
         bytes: Bytes,
     },
     /// The last frame.
     End(Outcome),
 }
 
-/// What a companion says of its endpoint.
+/// Load of an endpoint, reported by its companion.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Calls that run at the endpoint.
+    /// Number of calls that run at the endpoint.
     pub running: u32,
-    /// Online calls that wait at the companion.
+    /// Number of online calls that are queued at the companion.
     pub waiting: u32,
-    /// Batch items that run at the endpoint.
+    /// Number of batch items that run at the endpoint.
     pub batch_running: u32,
     /// Recent 95th percentile of the time to the first token.
     pub first_token_ms: u32,
     /// Recent 95th percentile of the time between tokens.
     pub between_tokens_ms: u32,
-    /// Set when the endpoint takes no new work.
+    /// Whether the endpoint is draining and accepts no new work.
     pub leaving: bool,
-    /// Life of the companion.
+    /// Incarnation of the companion.
     pub incarnation: Incarnation,
-    /// Set when the endpoint answers.
+    /// Whether the endpoint responds.
     pub endpoint_up: bool,
 }
 
-/// A batch item on loan to a companion.
+/// A batch item granted to a companion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item {
-    /// Names the loan.
+    /// Id of the grant.
     pub grant: u64,
     /// Partition of the job.
     pub partition: u32,
-    /// Fencing number of the owner that granted it.
+    /// Fencing token of the partition owner that granted the item.
     pub fence: u64,
-    /// Job.
+    /// Id of the job.
     pub job: JobId,
-    /// Place of the item in its job, from 0.
+    /// Index of the item in its job, from 0.
     pub index: u32,
-    /// Counts the loans of the item, from 0.
+    /// Number of the attempt of the item, from 0.
     pub attempt: u32,
-    /// Customer.
+    /// Customer that submitted the job.
     pub customer: Customer,
-    /// Path towards the endpoint.
+    /// Path sent to the endpoint.
     pub path: String,
-    /// Body of the call.
+    /// Body sent to the endpoint.
     pub body: Bytes,
-    /// When the loan ends unless it is renewed, in milliseconds.
+    /// Time until the grant expires unless renewed, in milliseconds.
     pub expires_in_ms: u32,
-    /// When the job is due.
+    /// Deadline of the job.
     pub due_unix_ms: u64,
 }
 
-/// What became of an item at an endpoint.
+/// Outcome of an item at an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum ItemOutcome {
-    /// A whole answer; `status` says which.
+    /// The endpoint returned a complete response; see `status`.
     Answered,
-    /// The call may not have run or its answer is lost; try again.
+    /// The call did not run or its response was lost; the item is retried.
     Lost,
-    /// Given back before it was tried.
+    /// The item was returned before it was attempted.
     Returned,
-    /// The endpoint crashed while it ran the item; try again elsewhere.
+    /// The endpoint crashed while it ran the item; the item is retried on
+    /// another endpoint.
     Crashed,
 }
 
 impl ItemOutcome {
-    /// Returns the number on the wire.
+    /// Returns the wire code.
     #[inline]
     pub fn code(self) -> u16 {
         match self {
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Returns the outcome of a number; an unknown one counts as lost, which
-    /// only costs another attempt.
+    /// Returns the outcome of a wire code; an unknown code decodes as `Lost`,
+    /// which only costs another attempt.
     #[inline]
     pub fn from_code(code: u16) -> Self {
         match code {
@@ -294,91 +295,93 @@
     }
 }
 
-/// A companion's word on an item that it had on loan.
+/// Result of a granted item, sent by a companion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemResult {
-    /// The loan.
+    /// Id of the grant.
     pub grant: u64,
     /// Partition of the job.
     pub partition: u32,
-    /// Fencing number of the granting owner.
+    /// Fencing token of the partition owner that granted the item.
     pub fence: u64,
-    /// Job.
+    /// Id of the job.
     pub job: JobId,
-    /// Place in the job.
+    /// Index of the item in the job.
     pub index: u32,
-    /// Attempt as granted.
+    /// Number of the attempt, as granted.
     pub attempt: u32,
-    /// What became of it.
+    /// Outcome of the item.
     pub outcome: ItemOutcome,
-    /// HTTP status of the endpoint's answer.
+    /// HTTP status of the endpoint's response.
     pub status: u16,
-    /// Body of the endpoint's answer.
+    /// Body of the endpoint's response.
     pub body: Bytes,
 }
 
-/// A companion asks for batch items.
+/// Request of a companion for batch items.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Pull {
-    /// The companion's machine.
+    /// Machine of the companion.
     pub vm: VmId,
-    /// The companion's life; loans of an earlier one are void.
+    /// Incarnation of the companion; grants of earlier incarnations are void.
     pub incarnation: Incarnation,
-    /// Models that its endpoint serves.
+    /// Models that the companion's endpoint serves.
     pub models: Vec<String>,
-    /// Most items to grant.
+    /// Maximum number of items to grant.
     pub room: u32,
-    /// Loans that it still holds.
+    /// Grants that the companion still holds; the request renews them.
     pub running: Vec<u64>,
 }
 
-/// The answer to [`Pull`].
+/// Response to [`Pull`].
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PullReply {
-    /// New loans.
+    /// Newly granted items.
     pub items: Vec<Item>,
-    /// Loans to stop at once.
+    /// Grants whose items must be aborted.
     pub revoked: Vec<u64>,
-    /// When to ask again if nothing else happens, in milliseconds.
+    /// Time until the next pull, in milliseconds, unless an event triggers one
+    /// earlier.
     pub next_in_ms: u32,
 }
 
 /// An order for an endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// Fencing number; an older one than the last obeyed is refused.
+    /// Fencing token; orders with an older token than the last accepted one
+    /// are refused.
     pub fence: u64,
-    /// Kind of order, for example `load_model`.
+    /// Kind of the order, for example `load_model`.
     pub kind: String,
     /// JSON body for the endpoint.
     pub body: Bytes,
 }
 
-/// A blob as read from a data VM.
+/// A blob of a data VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredBlob {
-    /// The bytes.
+    /// Content of the blob.
     pub bytes: Bytes,
-    /// CRC-32 of the bytes, as given when they were stored.
+    /// CRC-32 of the content, as supplied when the blob was stored.
     pub crc: u32,
 }
 
-/// What a data VM holds.
+/// Storage usage of a data VM.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StoreStat {
     /// Number of blobs.
     pub blobs: u64,
-    /// Their bytes.
+    /// Total size of the blobs.
     pub bytes: u64,
-    /// Most bytes that it takes.
+    /// Storage quota.
     pub quota_bytes: u64,
 }
 
-/// The configuration that another process has in force.
+/// The active configuration of another process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigText {
-    /// Its revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// Its text.
+    /// Text of the configuration.
     pub bytes: Bytes,
 }
--- a/crates/wire/src/options.rs
+++ b/crates/wire/src/options.rs
@@ -5,14 +5,14 @@
     message::{Identity, RefusalKind},
 };
 
-/// Says what became of a call to another process.
+/// Error of a call to another process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkError {
-    /// The other side certainly saw nothing of the call.
+    /// The peer certainly did not receive the call.
     NotSent,
-    /// The call was sent and its answer is lost.
+    /// The call was sent and its response was lost; the call may have run.
     Unknown,
-    /// The other side refused the call; it had no effect.
+    /// The peer refused the call; the call had no effect.
     Refused(RefusalKind),
 }
 
@@ -20,7 +20,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::NotSent => f.write_str("the call was not sent"),
-            LinkError::Unknown => f.write_str("the answer is lost"),
+            LinkError::Unknown => f.write_str("the response was lost"),
             LinkError::Refused(kind) => write!(f, "refused: {kind:?}"),
         }
     }
@@ -28,7 +28,7 @@
 
 impl std::error::Error for LinkError {}
 
-/// Options of the links of one process.
+/// Options of the client of a process.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
     pub(crate) identity: Identity,
@@ -40,8 +40,8 @@
 }
 
 impl LinkOptions {
-    /// Starts with safe defaults: 1 s to connect, 5 s for a call, a
-    /// heartbeat each second and 2 s of silence.
+    /// Creates options with these defaults: 1 s to connect, 5 s for a call, a
+    /// heartbeat each second and a heartbeat timeout of 2 s.
     pub fn new(identity: Identity) -> Self {
         Self {
             identity,
@@ -59,28 +59,29 @@
         self
     }
 
-    /// Sets how long connecting and authenticating may take.
+    /// Sets the timeout for connecting and authenticating.
     pub fn connect_timeout_ms(mut self, ms: u64) -> Self {
         self.connect_timeout_ms = ms;
         self
     }
 
-    /// Sets how long a call other than [`Links::run`](crate::Links::run) may take.
+    /// Sets the timeout of a call. For [`Links::run`](crate::Links::run) the
+    /// timeout covers the acceptance of the call, not its response.
     pub fn call_timeout_ms(mut self, ms: u64) -> Self {
         self.call_timeout_ms = ms;
         self
     }
 
-    /// Sets the pause between heartbeats and the silence after which a
-    /// connection is given up.
-    pub fn heartbeat_ms(mut self, pause_ms: u64, silence_ms: u64) -> Self {
-        self.heartbeat_ms = pause_ms;
+    /// Sets the interval between heartbeats and the timeout after which an
+    /// unanswered heartbeat closes the connection.
+    pub fn heartbeat_ms(mut self, interval_ms: u64, silence_ms: u64) -> Self {
+        self.heartbeat_ms = interval_ms;
         self.silence_ms = silence_ms;
         self
     }
 }
 
-/// Options of the server for other processes.
+/// Options of the server that other processes call.
 ///
 /// # Example
 ///
@@ -108,7 +109,7 @@
 }
 
 impl ServeOptions {
-    /// Starts with safe defaults: no secrets and 6 s of silence.
+    /// Creates options without secrets and with a silence timeout of 6 s.
     pub fn new(listen: SocketAddr, identity: Identity) -> Self {
         Self {
             listen,
@@ -130,8 +131,9 @@
         self
     }
 
-    /// Sets the silence of a peer, which pings each second, after which its
-    /// connection is closed and its calls are cancelled.
+    /// Sets the time without a heartbeat after which the connection of a peer
+    /// is closed and its calls are cancelled. By default, peers send a
+    /// heartbeat each second.
     pub fn silence_ms(mut self, ms: u64) -> Self {
         self.silence_ms = ms;
         self
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! One connection to another process, on the thread of the links.
+//! One client connection to another process, on the client thread.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,12 +23,12 @@
     schema_capnp as schema,
 };
 
-/// Parts of the proofs, so that one side's proof is never good for the
-/// other's.
+/// Domain separators of the proofs: a proof of one side is never valid as a
+/// proof of the other side.
 pub(crate) const CLIENT_PROOF: &[u8] = b"pomeloslip client 1";
 pub(crate) const SERVER_PROOF: &[u8] = b"pomeloslip server 1";
 
-/// An authenticated connection with the capabilities that it gave.
+/// An authenticated connection with the capabilities that the peer returned.
 pub(crate) struct Peer {
     pub(crate) node: schema::node::Client,
     pub(crate) companion: schema::companion::Client,
@@ -41,7 +41,8 @@
 impl Peer {
     /// Connects and authenticates.
     ///
-    /// Any failure here is [`LinkError::NotSent`]: no call was made yet.
+    /// Any failure here is [`LinkError::NotSent`] because no call has been
+    /// sent yet.
     pub(crate) async fn connect(
         address: SocketAddr,
         options: &LinkOptions,
@@ -50,7 +51,7 @@
         let opened = timeout(limit, Self::open(address, options)).await;
         opened
             .change_context(LinkError::NotSent)
-            .attach_with(|| format!("no link to {address} in time"))?
+            .attach_with(|| format!("timed out connecting to {address}"))?
     }
 
     async fn open(
@@ -76,7 +77,7 @@
         let (closed, _) = watch::channel(false);
         let ended = closed.clone();
         let task = spawn_local(async move {
-            // The reason is seen by the calls that fail with it.
+            // The error is reported by the calls that fail because of it.
             let _ = rpc.await;
             ended.send_replace(true);
         });
@@ -85,8 +86,9 @@
             .await
             .change_context(LinkError::NotSent)
             .attach_with(|| format!("authenticating with {address}"))?;
-        // Asked for without waiting: the capabilities are usable at once
-        // and each role refuses what it does not have.
+        // Requested without waiting (promise pipelining): the capabilities
+        // are usable immediately, and calls to a role that the peer does not
+        // have are rejected.
         let companion = node.companion_request().send().pipeline;
         let entry = node.entry_request().send().pipeline;
         let storage = node.storage_request().send().pipeline;
@@ -106,10 +108,10 @@
         *self.closed.borrow()
     }
 
-    /// Resolves once the connection is known to be of no use.
+    /// Resolves once the connection is closed.
     pub(crate) async fn until_closed(&self) {
         let mut closed = self.closed.subscribe();
-        // The sender lives in self, so waiting cannot fail.
+        // `self` owns the sender, so waiting cannot fail.
         let _ = closed.wait_for(|closed| *closed).await;
     }
 
@@ -149,31 +151,31 @@
 ) -> Result<(), capnp::Error> {
     let nonce: [u8; 32] = rand::random();
     let mut request = node.hello_request();
-    let mut hello = request.get().init_hello();
-    let me = &options.identity;
-    hello.set_protocol(PROTOCOL_VERSION);
-    hello.set_role(&me.role);
-    hello.set_vm(me.vm.as_str());
-    hello.set_incarnation(me.incarnation.get());
-    hello.set_failure_domain(me.failure_domain.as_str());
-    hello.set_nonce(&nonce);
+    let mut own_hello = request.get().init_hello();
+    let identity = &options.identity;
+    own_hello.set_protocol(PROTOCOL_VERSION);
+    own_hello.set_role(&identity.role);
+    own_hello.set_vm(identity.vm.as_str());
+    own_hello.set_incarnation(identity.incarnation.get());
+    own_hello.set_failure_domain(identity.failure_domain.as_str());
+    own_hello.set_nonce(&nonce);
     let reply = request.send().promise.await?;
-    let theirs = reply.get()?.get_hello()?;
-    if theirs.get_protocol() < PROTOCOL_OLDEST {
+    let peer_hello = reply.get()?.get_hello()?;
+    if peer_hello.get_protocol() < PROTOCOL_OLDEST {
         return Err(capnp::Error::failed(format!(
-            "the peer speaks protocol {}, the oldest known here is {}",
-            theirs.get_protocol(),
+            "the peer supports protocol version {}, the minimum is {}",
+            peer_hello.get_protocol(),
             PROTOCOL_OLDEST
         )));
     }
-    let their_nonce = theirs.get_nonce()?;
-    let parts = [SERVER_PROOF, &nonce, their_nonce];
-    if !options.secrets.accepts(&parts, theirs.get_proof()?) {
+    let peer_nonce = peer_hello.get_nonce()?;
+    let parts = [SERVER_PROOF, &nonce, peer_nonce];
+    if !options.secrets.accepts(&parts, peer_hello.get_proof()?) {
         return Err(capnp::Error::failed(
             "the peer does not know the shared secret".to_owned(),
         ));
     }
-    let parts = [CLIENT_PROOF, &nonce, their_nonce];
+    let parts = [CLIENT_PROOF, &nonce, peer_nonce];
     let proof = options.secrets.sign(&parts);
     let mut request = node.prove_request();
     request.get().set_proof(&proof);
@@ -181,34 +183,37 @@
     Ok(())
 }
 
-/// Calls the peer now and then and gives the connection up when it goes
-/// silent.
+/// Sends periodic heartbeats and closes the connection when one is not
+/// answered in time.
 ///
-/// A device between the two ends can lose track of an open connection: all
-/// that is sent on it disappears without an error while new connections
-/// work. Without this, calls on it would wait for good; with it, they fail
-/// after `silence_ms` and the next call opens a new connection.
+/// A network device between the two ends can lose the state of an open
+/// connection: it drops all packets of the connection without an error while
+/// new connections work. Without heartbeats, calls on such a connection would
+/// wait indefinitely; with them, the calls fail after `silence_ms` and the
+/// next call opens a new connection.
 async fn heartbeat(peer: Rc<Peer>, options: LinkOptions) {
-    let pause = Duration::from_millis(options.heartbeat_ms);
-    let silence = Duration::from_millis(options.silence_ms);
+    let interval = Duration::from_millis(options.heartbeat_ms);
+    let silence_timeout = Duration::from_millis(options.silence_ms);
     let weak = Rc::downgrade(&peer);
     drop(peer);
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         let Some(peer) = weak.upgrade() else { return };
         if peer.is_closed() {
             return;
         }
         let ping = peer.node.ping_request().send().promise;
-        if !matches!(timeout(silence, ping).await, Ok(Ok(_))) {
-            log::warn!("a link went silent; dropping it");
+        if !matches!(timeout(silence_timeout, ping).await, Ok(Ok(_))) {
+            log::warn!(
+                "the peer does not answer heartbeats; closing the connection"
+            );
             peer.close();
             return;
         }
     }
 }
 
-/// Receives the frames of one answer and passes them on.
+/// Receives the frames of one response and forwards them to the reader.
 pub(crate) struct FrameSink {
     request_id: RequestId,
     attempt: u32,
@@ -228,11 +233,10 @@
         })
     }
 
-    async fn pass(&self, frame: Frame) -> Result<(), capnp::Error> {
-        self.frames
-            .send(Some(frame))
-            .await
-            .map_err(|_| capnp::Error::failed("the caller is gone".to_owned()))
+    async fn forward(&self, frame: Frame) -> Result<(), capnp::Error> {
+        self.frames.send(Some(frame)).await.map_err(|_| {
+            capnp::Error::failed("the caller dropped the response".to_owned())
+        })
     }
 }
 
@@ -243,17 +247,17 @@
         _: schema::sink::HeadResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let id: RequestId = convert::name(params.get_request_id())?;
-        // A late answer of an earlier attempt must never reach another
-        // call; the ids on the message would show it.
+        let id: RequestId = convert::parse_name(params.get_request_id())?;
+        // A late response of an earlier attempt must never reach another
+        // call. The ids in the message identify such a response.
         if id != self.request_id || params.get_attempt() != self.attempt {
             return Err(capnp::Error::failed(
-                "the answer belongs to another call".to_owned(),
+                "the response belongs to another call".to_owned(),
             ));
         }
         let status = params.get_status();
         let headers = convert::read_headers(params.get_headers()?)?;
-        self.pass(Frame::Head { status, headers }).await
+        self.forward(Frame::Head { status, headers }).await
     }
 
     async fn chunk(
@@ -264,7 +268,7 @@
         let params = params.get()?;
         let seq = params.get_seq();
         let bytes = bytes::Bytes::copy_from_slice(params.get_bytes()?);
-        self.pass(Frame::Chunk { seq, bytes }).await
+        self.forward(Frame::Chunk { seq, bytes }).await
     }
 
     async fn end(
@@ -273,6 +277,6 @@
         _: schema::sink::EndResults,
     ) -> Result<(), capnp::Error> {
         let outcome = convert::read_outcome(params.get()?.get_outcome()?)?;
-        self.pass(Frame::End(outcome)).await
+        self.forward(Frame::End(outcome)).await
     }
 }
--- a/crates/wire/src/pump.rs
+++ b/crates/wire/src/pump.rs
@@ -1,4 +1,4 @@
-//! Sends the frames of one answer to the process that asked.
+//! Sends the frames of one response to the calling process.
 
 use std::{
     future::Future,
@@ -21,73 +21,77 @@
     schema_capnp as schema,
 };
 
-/// Frames on their way that the other side has not confirmed yet.
-const FRAMES_IN_FLIGHT_MAX: usize = 16;
+/// Maximum number of frames sent but not yet acknowledged by the caller.
+const MAX_IN_FLIGHT_FRAMES: usize = 16;
 
-/// Held by the caller through a capability; its release cancels the call.
-pub(crate) struct HeldCall {
-    pub(crate) _held: oneshot::Sender<()>,
+/// Capability that the caller holds during a call; releasing it cancels the
+/// call.
+pub(crate) struct CallGuard {
+    pub(crate) _guard: oneshot::Sender<()>,
 }
 
-impl schema::call::Server for HeldCall {}
+impl schema::call::Server for CallGuard {}
 
-/// Counts an answer as open until it is dropped.
-pub(crate) struct OpenAnswer(Arc<AtomicUsize>);
+/// Counts a response as undelivered until the guard is dropped.
+pub(crate) struct UndeliveredResponse(Arc<AtomicUsize>);
 
-impl OpenAnswer {
-    pub(crate) fn count(answers: &Arc<AtomicUsize>) -> Self {
-        answers.fetch_add(1, Ordering::AcqRel);
-        Self(answers.clone())
+impl UndeliveredResponse {
+    pub(crate) fn new(counter: &Arc<AtomicUsize>) -> Self {
+        counter.fetch_add(1, Ordering::AcqRel);
+        Self(counter.clone())
     }
 }
 
-impl Drop for OpenAnswer {
+impl Drop for UndeliveredResponse {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Sends the frames of one answer, a few at a time without waiting for each
-/// confirmation. Returning drops the receiver, which tells the handler.
-pub(crate) async fn pump(
+/// Sends the frames of one response, with up to [`MAX_IN_FLIGHT_FRAMES`]
+/// unacknowledged. Returning drops the receiver, which closes the handler's
+/// sender.
+pub(crate) async fn send_frames(
     id: String,
     attempt: u32,
     sink: schema::sink::Client,
     mut frames: mpsc::Receiver<Frame>,
     mut released: oneshot::Receiver<()>,
-    _open: OpenAnswer,
+    _undelivered: UndeliveredResponse,
 ) {
     let mut in_flight = FuturesOrdered::new();
-    let mut open = true;
-    while open || !in_flight.is_empty() {
-        let room = open && in_flight.len() < FRAMES_IN_FLIGHT_MAX;
+    let mut is_open = true;
+    while is_open || !in_flight.is_empty() {
+        let has_capacity = is_open && in_flight.len() < MAX_IN_FLIGHT_FRAMES;
         tokio::select! {
             biased;
             _ = &mut released => return,
-            Some(sent) = in_flight.next(), if !in_flight.is_empty() => {
-                let sent: Result<(), Error> = sent;
-                if sent.is_err() {
+            Some(result) = in_flight.next(), if !in_flight.is_empty() => {
+                let result: Result<(), Error> = result;
+                if result.is_err() {
                     return;
                 }
             }
-            frame = frames.recv(), if room => match frame {
+            frame = frames.recv(), if has_capacity => match frame {
                 Some(frame) => {
-                    in_flight.push_back(send(&sink, &id, attempt, frame));
+                    in_flight
+                        .push_back(send_frame(&sink, &id, attempt, frame));
                 }
-                None => open = false,
+                None => is_open = false,
             },
         }
     }
 }
 
-/// Starts the send at once; the future only waits for the confirmation.
-fn send(
+/// Sends a frame immediately; the returned future only waits for the
+/// acknowledgement.
+fn send_frame(
     sink: &schema::sink::Client,
     id: &str,
     attempt: u32,
     frame: Frame,
 ) -> impl Future<Output = Result<(), Error>> + 'static + use<> {
-    let sent = match frame {
+    let pending = match frame {
         Frame::Head { status, headers } => {
             let mut call = sink.head_request();
             let mut params = call.get();
@@ -96,17 +100,17 @@
             params.set_status(status);
             let slots = params.init_headers(headers.len() as u32);
             convert::write_headers(&headers, slots);
-            Sent::Head(call.send().promise)
+            PendingFrame::Head(call.send().promise)
         }
         Frame::Chunk { seq, bytes } => {
             let mut call = sink.chunk_request();
             call.get().set_seq(seq);
             call.get().set_bytes(&bytes);
-            Sent::Chunk(call.send().promise)
+            PendingFrame::Chunk(call.send().promise)
         }
-        Frame::End(outcome) => Sent::End(send_end(sink, &outcome)),
+        Frame::End(outcome) => PendingFrame::End(send_end(sink, &outcome)),
     };
-    sent.confirmed()
+    pending.acknowledged()
 }
 
 type EndPromise = Promise<Response<schema::sink::end_results::Owned>, Error>;
@@ -117,18 +121,18 @@
     call.send().promise
 }
 
-enum Sent {
+enum PendingFrame {
     Head(Promise<Response<schema::sink::head_results::Owned>, Error>),
     Chunk(Promise<Response<schema::sink::chunk_results::Owned>, Error>),
     End(EndPromise),
 }
 
-impl Sent {
-    async fn confirmed(self) -> Result<(), Error> {
+impl PendingFrame {
+    async fn acknowledged(self) -> Result<(), Error> {
         match self {
-            Sent::Head(promise) => promise.await.map(|_| ()),
-            Sent::Chunk(promise) => promise.await.map(|_| ()),
-            Sent::End(promise) => promise.await.map(|_| ()),
+            PendingFrame::Head(promise) => promise.await.map(|_| ()),
+            PendingFrame::Chunk(promise) => promise.await.map(|_| ()),
+            PendingFrame::End(promise) => promise.await.map(|_| ()),
         }
     }
 }
--- a/crates/wire/src/run.rs
+++ b/crates/wire/src/run.rs
@@ -1,4 +1,4 @@
-//! One call at a companion, from this side.
+//! Client side of a call to a companion with a streamed response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,21 +10,21 @@
 
 use crate::{
     convert,
-    link::{lost, watched},
+    link::{await_reply, call_error},
     message::{Frame, Load, Refusal, Request},
     options::LinkError,
     peer::{FrameSink, Peer},
 };
 
-/// Frames that wait between the link and the reader of an answer.
-const FRAMES_QUEUED_MAX: usize = 64;
+/// Capacity of the queue between the connection and the reader of a response.
+const MAX_QUEUED_FRAMES: usize = 64;
 
 pub(crate) async fn run(
     peer: Rc<Peer>,
     request: Request,
     limit: Duration,
 ) -> Result<RunReply, Report<LinkError>> {
-    let (frames, receiver) = mpsc::channel(FRAMES_QUEUED_MAX);
+    let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
     let mut call = peer.companion.run_request();
     let mut params = call.get();
     convert::write_request(&request, params.reborrow().init_request());
@@ -33,29 +33,29 @@
         request.attempt,
         frames.clone(),
     ));
-    let reply = watched(&peer, limit, call.send().promise).await?;
-    let reply = reply.get().map_err(lost)?;
-    let load = convert::read_load(reply.get_load().map_err(lost)?);
+    let reply = await_reply(&peer, limit, call.send().promise).await?;
+    let reply = reply.get().map_err(call_error)?;
+    let load = convert::read_load(reply.get_load().map_err(call_error)?);
     if !reply.get_accepted() {
-        let refusal = reply.get_refusal().map_err(lost)?;
-        let refusal = convert::read_refusal(refusal).map_err(lost)?;
+        let refusal = reply.get_refusal().map_err(call_error)?;
+        let refusal = convert::read_refusal(refusal).map_err(call_error)?;
         return Ok(RunReply::Refused { refusal, load });
     }
-    let held = reply.get_call().map_err(lost)?;
+    let call_guard = reply.get_call().map_err(call_error)?;
     let (cancel, cancelled) = oneshot::channel::<()>();
     spawn_local(async move {
-        // Holding `held` keeps the call alive at the companion. When the
-        // connection breaks, `None` tells the reader that the rest of the
-        // answer is lost; without it, the reader would wait for frames that
-        // nobody sends any more.
+        // Holding `call_guard` keeps the call running at the companion. When
+        // the connection breaks, `None` signals to the reader that the
+        // remainder of the response is lost; otherwise the reader would wait
+        // indefinitely for further frames.
         tokio::select! {
             _ = cancelled => {}
             () = peer.until_closed() => {
-                // The reader may have left meanwhile.
+                // The reader may have been dropped meanwhile.
                 let _ = frames.send(None).await;
             }
         }
-        drop(held);
+        drop(call_guard);
     });
     Ok(RunReply::Accepted {
         run: Run {
@@ -68,26 +68,27 @@
     })
 }
 
-/// What a companion says to a call.
+/// Response of a companion to a call.
 #[derive(Debug)]
 pub enum RunReply {
-    /// It took the call; the answer comes in frames.
+    /// The companion accepted the call; the response follows in frames.
     Accepted {
-        /// The answer.
+        /// The running call.
         run: Run,
-        /// Load of its endpoint.
+        /// Load of the companion's endpoint.
         load: Load,
     },
-    /// It did not take the call, which therefore did not run.
+    /// The companion refused the call, which therefore did not run.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// Load of its endpoint.
+        /// Load of the companion's endpoint.
         load: Load,
     },
 }
 
-/// An answer that is under way. Dropping it cancels the call.
+/// A running call whose response is being received. Dropping it cancels the
+/// call.
 #[derive(Debug)]
 pub struct Run {
     frames: Frames,
@@ -103,7 +104,7 @@
 }
 
 impl Run {
-    /// Wraps frames that are made in this process, the other half of
+    /// Creates a run from frames of this process, the receiver of
     /// [`Answer::channel`](crate::Answer::channel).
     pub fn local(frames: mpsc::Receiver<Frame>) -> Self {
         Self {
@@ -112,7 +113,7 @@
     }
 
     /// Waits for the next frame; `None` before a [`Frame::End`] means that
-    /// the connection broke and the rest of the answer is lost.
+    /// the connection broke and the remainder of the response is lost.
     pub async fn next(&mut self) -> Option<Frame> {
         match &mut self.frames {
             Frames::Link { frames, .. } => frames.recv().await.flatten(),
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -36,13 +36,13 @@
     schema_capnp as schema,
 };
 
-/// Looks at the silence of a peer in the time after which it is given up.
-const SILENCE_CHECKS: u32 = 6;
+/// Number of checks for a silent peer within the silence timeout.
+const SILENCE_CHECKS_PER_TIMEOUT: u32 = 6;
 
-/// Limit for closing a connection whose peer may not hear it any more.
+/// Timeout for closing a connection whose peer may be unreachable.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Says that the process cannot answer other processes.
+/// The server for other processes cannot be started.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServeError;
 
@@ -54,46 +54,48 @@
 
 impl std::error::Error for ServeError {}
 
-/// Answers other processes until it is stopped or dropped.
+/// Server for calls of other processes, running until stopped or dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     ended: watch::Receiver<bool>,
-    answers: Arc<AtomicUsize>,
+    undelivered: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// Returns the address that it listens on.
+    /// Returns the address that the server listens on.
     #[inline]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many answers of the companion role are not delivered yet.
+    /// Returns how many responses of the companion role are not delivered yet.
     ///
-    /// A handler that has sent its last frame is done, but the frames may
-    /// still wait here for a slow caller. A planned stop waits for this to
-    /// be 0; otherwise the ends of the last answers would be cut.
+    /// After a handler has sent its last frame, frames may still be queued in
+    /// the server for a slow caller. A graceful shutdown waits until the
+    /// count is 0; otherwise the ends of the last responses would be lost.
     #[inline]
     pub fn answers_open(&self) -> usize {
-        self.answers.load(Ordering::Acquire)
+        self.undelivered.load(Ordering::Acquire)
     }
 
-    /// Closes the listener and all connections and waits for the end.
+    /// Closes the listener and all connections and waits for the thread to
+    /// end.
     pub async fn stop(mut self) {
         self.stop.take();
-        // An error means that the thread has ended, which is the aim.
+        // An error means that the thread has already ended.
         let _ = self.ended.wait_for(|ended| *ended).await;
     }
 }
 
-/// Listens for other processes on a thread of its own. Handlers run on the
-/// calling runtime.
+/// Starts a server for other processes on a dedicated thread. Handlers run on
+/// the runtime of the caller.
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be listened on.
+/// [`ServeError`] if the address cannot be bound or the thread cannot be
+/// started.
 pub async fn serve(
     listen: SocketAddr,
     identity: Identity,
@@ -104,11 +106,12 @@
     serve_with(options, handlers).await
 }
 
-/// Listens as [`serve`] does, with options.
+/// Starts a server like [`serve`], with options.
 ///
 /// # Errors
 ///
-/// [`ServeError`] if the address cannot be listened on.
+/// [`ServeError`] if the address cannot be bound or the thread cannot be
+/// started.
 pub async fn serve_with(
     options: ServeOptions,
     handlers: Handlers,
@@ -125,14 +128,14 @@
         .change_context(ServeError)?;
     let (stop, stopped) = oneshot::channel();
     let (ended, ended_receiver) = watch::channel(false);
-    let answers = Arc::new(AtomicUsize::new(0));
+    let undelivered = Arc::new(AtomicUsize::new(0));
     let shared = Shared {
         identity: options.identity,
         secrets: options.secrets,
         silence: Duration::from_millis(options.silence_ms),
         handlers,
-        workers: Handle::current(),
-        answers: answers.clone(),
+        runtime: Handle::current(),
+        undelivered: undelivered.clone(),
     };
     thread::Builder::new()
         .name("peers".to_owned())
@@ -151,7 +154,7 @@
         address,
         stop: Some(stop),
         ended: ended_receiver,
-        answers,
+        undelivered,
     })
 }
 
@@ -160,8 +163,8 @@
     secrets: Secrets,
     silence: Duration,
     pub(crate) handlers: Handlers,
-    pub(crate) workers: Handle,
-    pub(crate) answers: Arc<AtomicUsize>,
+    pub(crate) runtime: Handle,
+    pub(crate) undelivered: Arc<AtomicUsize>,
 }
 
 async fn accept(listener: std::net::TcpListener, shared: Rc<Shared>) {
@@ -175,11 +178,11 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                spawn_local(converse(stream, shared.clone()));
+                spawn_local(serve_connection(stream, shared.clone()));
             }
             Err(error) => {
-                // Out of descriptors, most likely; some come back as
-                // connections end.
+                // Most likely the process is out of file descriptors; some
+                // are released as connections end.
                 log::warn!(error:%; "cannot accept a connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -187,7 +190,7 @@
     }
 }
 
-async fn converse(stream: TcpStream, shared: Rc<Shared>) {
+async fn serve_connection(stream: TcpStream, shared: Rc<Shared>) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(error:%; "cannot set TCP_NODELAY");
     }
@@ -198,13 +201,13 @@
         Side::Server,
         Default::default(),
     ));
-    let heard = Rc::new(Cell::new(Instant::now()));
-    let silence = silence(heard.clone(), shared.silence);
+    let last_ping = Rc::new(Cell::new(Instant::now()));
+    let silence = wait_for_silence(last_ping.clone(), shared.silence);
     let node: schema::node::Client = new_client(Node {
         shared,
-        heard,
+        last_ping,
         nonces: RefCell::default(),
-        proved: Cell::new(false),
+        is_authenticated: Cell::new(false),
     });
     let rpc = RpcSystem::new(network, Some(node.client));
     let disconnect = rpc.get_disconnector();
@@ -215,43 +218,47 @@
             }
         }
         () = silence => {
-            // The other end lost power or a device between lost track of
-            // the connection: nothing would ever end its calls.
-            log::warn!("a peer went silent; closing its connection");
-            // Dropping the system alone ends nothing: a running call keeps
-            // the capability that its answer goes to, which keeps the state
-            // of the connection, which keeps the call. The first poll breaks
-            // this; what follows is only politeness to a deaf peer.
+            // The peer lost power or a network device between the two lost
+            // the state of the connection: nothing else would ever end the
+            // peer's calls.
+            log::warn!("a peer sends no heartbeats; closing its connection");
+            // Dropping the RPC system alone does not end the calls because
+            // of a reference cycle: a running call holds the capability for
+            // its response, which holds the connection state, which holds
+            // the call. The first poll of the disconnector breaks the cycle;
+            // waiting for it only lets a reachable peer see a clean close.
             let _ = timeout(CLOSE_TIMEOUT, disconnect).await;
         }
     }
 }
 
-async fn silence(heard: Rc<Cell<Instant>>, limit: Duration) {
-    while heard.get().elapsed() < limit {
-        tokio::time::sleep(limit / SILENCE_CHECKS).await;
+async fn wait_for_silence(last_ping: Rc<Cell<Instant>>, limit: Duration) {
+    while last_ping.get().elapsed() < limit {
+        tokio::time::sleep(limit / SILENCE_CHECKS_PER_TIMEOUT).await;
     }
 }
 
 #[derive(Default)]
 struct Nonces {
-    theirs: Vec<u8>,
-    ours: Vec<u8>,
+    peer: Vec<u8>,
+    own: Vec<u8>,
 }
 
 struct Node {
     shared: Rc<Shared>,
-    heard: Rc<Cell<Instant>>,
+    last_ping: Rc<Cell<Instant>>,
     nonces: RefCell<Nonces>,
-    proved: Cell<bool>,
+    is_authenticated: Cell<bool>,
 }
 
 impl Node {
-    /// Gives out a capability only after the peer has proved that it knows
-    /// the shared secret: otherwise anybody who reaches the port could feed
-    /// this process work, results or a configuration.
-    fn gate(&self) -> Result<Rc<Shared>, Error> {
-        if !self.proved.get() {
+    /// Returns the shared state if the peer is authenticated.
+    ///
+    /// A capability is returned only after the peer has proved that it knows
+    /// the shared secret: otherwise any client that reaches the port could
+    /// send this process work, results or a configuration.
+    fn authenticated(&self) -> Result<Rc<Shared>, Error> {
+        if !self.is_authenticated.get() {
             return Err(Error::failed("not authenticated".to_owned()));
         }
         Ok(self.shared.clone())
@@ -267,25 +274,26 @@
         let hello = params.get()?.get_hello()?;
         if hello.get_protocol() < PROTOCOL_OLDEST {
             return Err(Error::failed(format!(
-                "protocol {} is too old, the oldest is {PROTOCOL_OLDEST}",
+                "protocol version {} is not supported, the minimum is \
+                 {PROTOCOL_OLDEST}",
                 hello.get_protocol()
             )));
         }
-        let theirs = hello.get_nonce()?.to_vec();
-        let ours = rand::random::<[u8; 32]>().to_vec();
+        let peer = hello.get_nonce()?.to_vec();
+        let own = rand::random::<[u8; 32]>().to_vec();
         let secrets = &self.shared.secrets;
-        let proof = secrets.sign(&[SERVER_PROOF, &theirs, &ours]);
-        let me = &self.shared.identity;
+        let proof = secrets.sign(&[SERVER_PROOF, &peer, &own]);
+        let identity = &self.shared.identity;
         let mut reply = results.get().init_hello();
         reply.set_protocol(PROTOCOL_VERSION);
-        reply.set_role(&me.role);
-        reply.set_vm(me.vm.as_str());
-        reply.set_incarnation(me.incarnation.get());
-        reply.set_failure_domain(me.failure_domain.as_str());
-        reply.set_nonce(&ours);
+        reply.set_role(&identity.role);
+        reply.set_vm(identity.vm.as_str());
+        reply.set_incarnation(identity.incarnation.get());
+        reply.set_failure_domain(identity.failure_domain.as_str());
+        reply.set_nonce(&own);
         reply.set_proof(&proof);
-        self.proved.set(false);
-        self.nonces.replace(Nonces { theirs, ours });
+        self.is_authenticated.set(false);
+        self.nonces.replace(Nonces { peer, own });
         Ok(())
     }
 
@@ -294,19 +302,21 @@
         params: schema::node::ProveParams,
         _: schema::node::ProveResults,
     ) -> Result<(), Error> {
-        // Taken, so that a nonce is good for one proof only.
+        // Taking the nonces makes them valid for a single proof.
         let nonces = self.nonces.take();
-        if nonces.ours.is_empty() {
-            return Err(Error::failed("no hello before the proof".to_owned()));
+        if nonces.own.is_empty() {
+            return Err(Error::failed(
+                "the proof was not preceded by a hello".to_owned(),
+            ));
         }
-        let parts = [CLIENT_PROOF, &nonces.theirs, &nonces.ours];
+        let parts = [CLIENT_PROOF, &nonces.peer, &nonces.own];
         let proof = params.get()?.get_proof()?;
         if !self.shared.secrets.accepts(&parts, proof) {
             return Err(Error::failed(
                 "the peer does not know the shared secret".to_owned(),
             ));
         }
-        self.proved.set(true);
+        self.is_authenticated.set(true);
         Ok(())
     }
 
@@ -315,7 +325,7 @@
         _: schema::node::PingParams,
         _: schema::node::PingResults,
     ) -> Result<(), Error> {
-        self.heard.set(Instant::now());
+        self.last_ping.set(Instant::now());
         Ok(())
     }
 
@@ -325,7 +335,7 @@
         mut results: schema::node::CompanionResults,
     ) -> Result<(), Error> {
         let host = Host {
-            shared: self.gate()?,
+            shared: self.authenticated()?,
         };
         results.get().set_companion(new_client(host));
         Ok(())
@@ -337,7 +347,7 @@
         mut results: schema::node::EntryResults,
     ) -> Result<(), Error> {
         let host = Host {
-            shared: self.gate()?,
+            shared: self.authenticated()?,
         };
         results.get().set_entry(new_client(host));
         Ok(())
@@ -349,7 +359,7 @@
         mut results: schema::node::StorageResults,
     ) -> Result<(), Error> {
         let host = Host {
-            shared: self.gate()?,
+            shared: self.authenticated()?,
         };
         results.get().set_storage(new_client(host));
         Ok(())
--- a/crates/wire/tests/codes.rs
+++ b/crates/wire/tests/codes.rs
@@ -1,4 +1,4 @@
-//! Numbers on the wire, which old and new processes must agree on.
+//! Wire codes of enums, which must stay the same across versions.
 
 use pomeloslip_wire::message::{OutcomeKind, RefusalKind};
 
@@ -34,9 +34,9 @@
     assert_eq!(OutcomeKind::from_code(code), kind);
 }
 
-/// Symptom: an old process takes a new kind of outcome for a whole answer.
-/// Sequence: a newer companion sends a number that the entry does not know.
-/// Cause: the unknown number would read as whatever comes first.
+/// Guards against an old process that treats a new kind of outcome as a
+/// complete response: a newer companion sends a code that the entry does not
+/// know, and the code decodes as the first variant.
 #[test]
 fn unknown_numbers_promise_nothing() {
     for code in [0, 99, u16::MAX] {
--- a/crates/wire/tests/faults.rs
+++ b/crates/wire/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Links through a proxy that injects faults.
+//! Tests client and server through a proxy that injects network faults.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -20,21 +20,21 @@
 };
 use tokio::time::timeout;
 
-/// Time in which something that is to happen happens, on any machine.
-const SURELY: Duration = Duration::from_secs(60);
+/// Timeout for expected events, long enough for a slow machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Silence after which a link of these tests is given up, in milliseconds:
-/// long enough that a busy machine does not look silent.
+/// Heartbeat timeout of the connections in these tests: long enough that a
+/// busy machine does not exceed it.
 const SILENCE_MS: u64 = 1_500;
 
-/// What the companion has seen.
+/// Number of calls that the companion started and saw cancelled.
 #[derive(Clone, Default)]
 struct Seen {
     started: Arc<AtomicU32>,
     cancelled: Arc<AtomicU32>,
 }
 
-/// Sends the head of each answer and leaves it there.
+/// Handler that sends only the head of each response.
 struct Hang(Seen);
 
 impl CompanionHandler for Hang {
@@ -51,7 +51,7 @@
                     status: 200,
                     headers: vec![],
                 };
-                // The link may be gone already, which is what closes it.
+                // The send fails if the connection is already lost.
                 let _ = answer.send(head).await;
                 answer.closed().await;
                 seen.cancelled.fetch_add(1, Ordering::SeqCst);
@@ -131,7 +131,7 @@
 impl Setup {
     async fn call(&self) -> Result<Run, LinkError> {
         let call = self.links.run(self.proxy.address(), request());
-        match timeout(SURELY, call).await.unwrap() {
+        match timeout(EVENT_TIMEOUT, call).await.unwrap() {
             Ok(RunReply::Accepted { run, .. }) => Ok(run),
             Ok(RunReply::Refused { refusal, .. }) => panic!("{refusal:?}"),
             Err(report) => Err(*report.current_context()),
@@ -144,13 +144,13 @@
 }
 
 async fn next(run: &mut Run) -> Option<Frame> {
-    timeout(SURELY, run.next()).await.unwrap()
+    timeout(EVENT_TIMEOUT, run.next()).await.unwrap()
 }
 
-/// Symptom: answers stop and no call to this companion works any more while
-/// a restart of the entry mends it. Sequence: a device between the two ends
-/// forgets the open connection; nothing that is sent on it arrives. Cause:
-/// only a heartbeat notices this, and only a new connection helps.
+/// Guards against a connection that stays unusable until the entry restarts:
+/// a network device loses the state of the open connection and drops all of
+/// its packets. Only a heartbeat detects this, and only a new connection
+/// recovers from it.
 #[yare::parameterized(
     both_ways = { Direction::Both },
     calls_vanish = { Direction::ToTarget },
@@ -172,10 +172,10 @@
     });
 }
 
-/// Symptom: a call is refused as "did not run" and it ran. Sequence: the
-/// link is half-open; the call arrives and its acceptance is lost. Cause:
-/// the caller cannot tell this from a call that never arrived, so it must
-/// say that it does not know.
+/// Guards against a call that is reported as not sent although it ran: the
+/// connection is half-open, the call arrives and its acceptance is lost. The
+/// caller cannot distinguish this from a call that never arrived, so the
+/// outcome must be unknown.
 #[yare::parameterized(
     call_arrives = { Direction::ToClient, 2 },
     call_vanishes = { Direction::ToTarget, 1 },
@@ -196,10 +196,10 @@
     });
 }
 
-/// Symptom: a call is refused as "may have run" though nobody saw it.
-/// Sequence: new connections are silent; the link never gets past the
-/// proofs. Cause: the call is only sent on a link that is up, so that this
-/// case is certain.
+/// Guards against a call that is reported as possibly run although it was not
+/// sent: new connections are silent, so that authentication never completes.
+/// Calls are sent only on an authenticated connection, so the outcome is
+/// certain.
 #[tokio::test]
 async fn a_link_that_never_came_up_is_known_as_not_sent() {
     let setup = setup(500).await;
@@ -209,8 +209,8 @@
     assert_eq!(setup.started(), 0);
 }
 
-/// Symptom: the reader of an answer waits for good. Sequence: the link is
-/// reset in the middle of an answer. Cause: nobody sends the rest.
+/// Guards against a reader that waits indefinitely when the connection is
+/// reset in the middle of a response.
 #[tokio::test]
 async fn a_reset_link_ends_its_answers_and_is_replaced() {
     let setup = setup(20_000).await;
@@ -222,10 +222,10 @@
     assert_eq!(setup.started(), 2);
 }
 
-/// Symptom: an engine generates for a caller that was lost minutes ago.
-/// Sequence: the link goes silent both ways, so that the companion hears
-/// neither a cancel nor the end of the connection. Cause: the companion
-/// itself must notice that the caller's heartbeats have ended.
+/// Guards against an engine that generates for a caller that was lost minutes
+/// ago: the connection is silent in both directions, so that the companion
+/// receives neither a cancel nor the end of the connection. The companion
+/// must detect missing heartbeats itself.
 #[tokio::test]
 async fn the_companion_gives_up_a_caller_that_went_silent() {
     let setup = setup(20_000).await;
@@ -237,7 +237,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(SURELY, cancelled).await.unwrap();
+    timeout(EVENT_TIMEOUT, cancelled).await.unwrap();
     assert_eq!(setup.started(), 1);
     drop(run);
 }
--- a/crates/wire/tests/links.rs
+++ b/crates/wire/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links and their server over loopback sockets.
+//! Tests client and server over loopback sockets.
 #![allow(clippy::unwrap_used)]
 
 use std::{
@@ -30,7 +30,7 @@
         let cancelled = self.cancelled.clone();
         async move {
             if request.path == "/full" {
-                let refusal = Refusal::new(RefusalKind::Full, "no room");
+                let refusal = Refusal::new(RefusalKind::Full, "no capacity");
                 return Err(refusal.retry_after_ms(250));
             }
             tokio::spawn(async move {
@@ -163,9 +163,9 @@
     assert_eq!(refusal.retry_after_ms, 250);
 }
 
-/// Symptom: an engine goes on generating for a caller that has left.
-/// Sequence: a call runs; its caller drops the answer. Cause: nothing told
-/// the companion, which only noticed at its next chunk.
+/// Guards against an engine that continues to generate after its caller
+/// dropped the response: without a cancel message the companion would notice
+/// only at its next chunk.
 #[tokio::test]
 async fn dropping_an_answer_cancels_the_call() {
     let (server, cancelled) = start(Secrets::default()).await;
@@ -191,9 +191,9 @@
     assert_eq!(error.current_context(), &refused);
 }
 
-/// Symptom: a call that may not be repeated is refused as "unknown" though
-/// nothing listens at the address. Sequence: connect is refused. Cause: all
-/// failures of a link read alike.
+/// Guards against a refused connection that is reported as an unknown outcome
+/// although nothing listens at the address; such a call can be retried even if
+/// it is not idempotent.
 #[tokio::test]
 async fn a_refused_connection_is_known_as_not_sent() {
     let (server, _) = start(Secrets::default()).await;
@@ -204,9 +204,8 @@
     assert_eq!(error.current_context(), &LinkError::NotSent);
 }
 
-/// Symptom: a call on its way waits for good when the companion dies.
-/// Sequence: the answer is under way; the companion's process ends. Cause:
-/// the reader waited for frames that nobody sends any more.
+/// Guards against a reader that waits indefinitely for further frames when the
+/// companion's process ends in the middle of a response.
 #[tokio::test]
 async fn a_lost_connection_ends_the_answer_without_its_end() {
     let (server, _) = start(Secrets::default()).await;
@@ -244,10 +243,9 @@
     });
 }
 
-/// Symptom: the last answers of a companion that stops as planned end
-/// without their end. Sequence: the handler has sent its last frame; the
-/// caller reads slowly; the server is stopped. Cause: the frames still
-/// waited in the server, which counted nothing.
+/// Guards against truncated responses at a graceful shutdown: the handler has
+/// sent its last frame, the caller reads slowly, and the server stops while
+/// frames are still queued in it.
 #[tokio::test]
 async fn answers_are_open_until_they_are_delivered() {
     let (server, _) = start(Secrets::default()).await;
