--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -10,7 +10,7 @@
 use obs::{Counter, Metrics, Series};
 use upstream::{EndpointClient, ResponseProgress};
 use wire::{
-    Answer, CompanionHandler,
+    CompanionHandler, FrameSender,
     message::{
         Frame, Load, Order, Outcome, OutcomeKind, Refusal, RefusalKind,
         Request,
@@ -99,7 +99,7 @@
     fn run(
         &self,
         request: Request,
-        answer: Answer,
+        answer: FrameSender,
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let shared = self.0.clone();
         async move {
@@ -124,7 +124,7 @@
     shared: Arc<Shared>,
     mut gate_call: GateCall,
     request: Request,
-    answer: Answer,
+    answer: FrameSender,
 ) {
     let customer = shared.metrics.customer(&request.customer);
     let arrived = shared.timer.now();
--- a/crates/companion/src/item.rs
+++ b/crates/companion/src/item.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 use wire::{
-    Answer,
+    FrameSender,
     message::{
         Frame, Header, Item, ItemOutcome, ItemResult, Outcome, OutcomeKind,
         Request,
@@ -68,7 +68,7 @@
 }
 
 async fn call(shared: &Shared, request: Request) -> Result<Read, ItemOutcome> {
-    let (answer, mut frames) = Answer::channel();
+    let (answer, mut frames) = FrameSender::channel();
     let call = shared.client.run(request, &answer, || {});
     let (_, response) = tokio::join!(call, collect(&mut frames));
     response
--- a/crates/companion/src/node.rs
+++ b/crates/companion/src/node.rs
@@ -194,7 +194,7 @@
     fn is_busy(&self) -> bool {
         !self.shared.admission.is_idle()
             || self.puller.is_reporting()
-            || self.peer.answers_open() > 0
+            || self.peer.undelivered_responses() > 0
     }
 
     /// Notifies the entries of the shutdown. The machine list of the platform
--- a/crates/companion/src/pull.rs
+++ b/crates/companion/src/pull.rs
@@ -143,7 +143,7 @@
             vm: self.identity.vm.clone(),
             incarnation: self.shared.incarnation,
             models: self.models(),
-            room: capacity,
+            capacity,
             running: running.clone(),
         };
         let reply = match self.links.pull(entry, pull).await {
--- a/crates/companion/tests/batch.rs
+++ b/crates/companion/tests/batch.rs
@@ -42,7 +42,7 @@
 impl EntryHandler for FakeEntry {
     fn pull(&self, pull: Pull) -> BoxFuture<'static, PullReply> {
         let mut state = self.0.lock().unwrap();
-        let count = state.open.len().min(pull.room as usize);
+        let count = state.open.len().min(pull.capacity as usize);
         let items = state.open.drain(..count).collect();
         state.pulls.push(pull);
         let reply = PullReply {
@@ -248,7 +248,7 @@
     fixture.entry.offer(7, "[[slow 60000]]", 300);
     until(|| {
         let state = fixture.entry.0.lock().unwrap();
-        let renews = |pull: &&Pull| pull.room == 0 && pull.running == [7];
+        let renews = |pull: &&Pull| pull.capacity == 0 && pull.running == [7];
         state.pulls.iter().filter(renews).count() >= 3
     })
     .await;
--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -54,7 +54,7 @@
             vm: &pull.vm,
             incarnation: pull.incarnation.get(),
             models: &pull.models,
-            capacity: pull.room,
+            capacity: pull.capacity,
             running: &pull.running,
         };
         let (answer, owns) = {
--- a/crates/entry/src/forward/attempt.rs
+++ b/crates/entry/src/forward/attempt.rs
@@ -8,7 +8,7 @@
 use upstream::EndpointClient;
 use web::ProblemKind;
 use wire::{
-    Answer, LinkError, Run, RunReply,
+    FrameSender, LinkError, Run, RunReply,
     message::{Header, Outcome, OutcomeKind, Request},
 };
 
@@ -170,7 +170,7 @@
     flight: Flight,
 ) -> Attempt {
     let client = client.clone();
-    let (answer, frames) = Answer::channel();
+    let (answer, frames) = FrameSender::channel();
     tokio::spawn(async move {
         client.run(request, &answer, || {}).await;
     });
--- a/crates/entry/tests/batch_common/mod.rs
+++ b/crates/entry/tests/batch_common/mod.rs
@@ -344,14 +344,14 @@
     pub(crate) async fn pull(
         &self,
         entry: SocketAddr,
-        room: u32,
+        capacity: u32,
         running: &[u64],
     ) -> (Vec<Item>, Vec<u64>) {
         let pull = Pull {
             vm: self.vm.parse().unwrap(),
             incarnation: Incarnation::new(1),
             models: self.models.clone(),
-            room,
+            capacity,
             running: running.to_vec(),
         };
         match self.links.pull(entry, pull).await {
--- a/crates/entry/tests/link_lost.rs
+++ b/crates/entry/tests/link_lost.rs
@@ -16,7 +16,7 @@
 use standin::kv::{KvService, KvServiceHandle, KvServiceSettings};
 use tokio::sync::Notify;
 use wire::{
-    Answer, CompanionHandler, Handlers, Secrets, Server,
+    CompanionHandler, FrameSender, Handlers, Secrets, Server,
     message::{Identity, Load, Order, Refusal, Request},
     serve,
 };
@@ -36,7 +36,7 @@
     fn run(
         &self,
         _: Request,
-        _: Answer,
+        _: FrameSender,
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let silent = self.0.clone();
         async move {
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -10,7 +10,7 @@
 };
 use tokio::time::{Instant, timeout};
 use wire::{
-    Answer,
+    FrameSender,
     message::{
         Frame, Header, Order, Outcome, OutcomeKind, Refusal, RefusalKind,
         Request,
@@ -174,7 +174,7 @@
     pub async fn run(
         &self,
         request: Request,
-        answer: &Answer,
+        answer: &FrameSender,
         on_first: impl FnOnce(),
     ) -> Outcome {
         let mut on_first = Some(on_first);
@@ -193,7 +193,7 @@
     pub async fn run_with_progress(
         &self,
         request: Request,
-        answer: &Answer,
+        answer: &FrameSender,
         on_progress: impl FnMut(ResponseProgress),
     ) -> Outcome {
         let mut progress = CallProgress {
@@ -249,7 +249,7 @@
     async fn stream_response(
         &self,
         request: Request,
-        answer: &Answer,
+        answer: &FrameSender,
         progress: &mut CallProgress,
         mut on_progress: impl FnMut(ResponseProgress),
     ) -> Result<(), CallFailure> {
@@ -343,7 +343,7 @@
 }
 
 async fn send_chunk(
-    answer: &Answer,
+    answer: &FrameSender,
     progress: &mut CallProgress,
     bytes: Bytes,
 ) -> Result<(), CallFailure> {
--- a/crates/upstream/tests/faults.rs
+++ b/crates/upstream/tests/faults.rs
@@ -21,7 +21,7 @@
     time::timeout,
 };
 use wire::{
-    Answer,
+    FrameSender,
     message::{Frame, Outcome, OutcomeKind, Request},
 };
 
@@ -128,7 +128,7 @@
 
 /// Runs a call and returns its outcome with the received bytes.
 async fn call(client: &EndpointClient, repeatable: bool) -> (Outcome, String) {
-    let (answer, mut frames) = Answer::channel();
+    let (answer, mut frames) = FrameSender::channel();
     let run = client.run(request(repeatable), &answer, || {});
     let outcome = timeout(EVENT_TIMEOUT, run).await.unwrap();
     drop(answer);
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -263,7 +263,7 @@
         vm: parse_name(reader.get_vm())?,
         incarnation: Incarnation::new(reader.get_incarnation()),
         models: models.iter().map(read_string).collect::<Result<_, _>>()?,
-        room: reader.get_room(),
+        capacity: reader.get_room(),
         running: running.iter().collect(),
     })
 }
@@ -271,7 +271,7 @@
 pub(crate) fn write_pull(pull: &Pull, mut builder: schema::pull::Builder<'_>) {
     builder.set_vm(pull.vm.as_str());
     builder.set_incarnation(pull.incarnation.get());
-    builder.set_room(pull.room);
+    builder.set_room(pull.capacity);
     let mut models = builder.reborrow().init_models(pull.models.len() as u32);
     for (index, model) in pull.models.iter().enumerate() {
         models.set(index as u32, model);
--- a/crates/wire/src/handler.rs
+++ b/crates/wire/src/handler.rs
@@ -18,23 +18,23 @@
 /// The receiver of a response is gone: the caller cancelled the call or its
 /// connection was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AnswerClosed;
+pub struct ResponseClosed;
 
-impl fmt::Display for AnswerClosed {
+impl fmt::Display for ResponseClosed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the caller no longer reads the response")
     }
 }
 
-impl std::error::Error for AnswerClosed {}
+impl std::error::Error for ResponseClosed {}
 
 /// Sends the frames of a response on the companion's side.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct FrameSender {
     frames: mpsc::Sender<Frame>,
 }
 
-impl Answer {
+impl FrameSender {
     /// Creates a sender without a connection. The receiver gets the frames.
     pub fn channel() -> (Self, mpsc::Receiver<Frame>) {
         let (frames, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
@@ -46,10 +46,10 @@
     ///
     /// # Errors
     ///
-    /// [`AnswerClosed`] once the caller has cancelled the call or its
+    /// [`ResponseClosed`] once the caller has cancelled the call or its
     /// connection is lost.
-    pub async fn send(&self, frame: Frame) -> Result<(), AnswerClosed> {
-        self.frames.send(frame).await.map_err(|_| AnswerClosed)
+    pub async fn send(&self, frame: Frame) -> Result<(), ResponseClosed> {
+        self.frames.send(frame).await.map_err(|_| ResponseClosed)
     }
 
     /// Resolves once the caller has cancelled the call or its connection is
@@ -69,7 +69,7 @@
     fn run(
         &self,
         request: Request,
-        response: Answer,
+        response: FrameSender,
     ) -> BoxFuture<'static, Result<(), Refusal>>;
 
     /// Returns the load of the endpoint.
--- a/crates/wire/src/host.rs
+++ b/crates/wire/src/host.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     convert,
-    handler::{Answer, CompanionHandler, DataHandler, EntryHandler},
+    handler::{CompanionHandler, DataHandler, EntryHandler, FrameSender},
     message::{ItemResult, Order, Refusal, RefusalKind, StoredBlob},
     pump::{CallGuard, UndeliveredResponse, send_frames},
     schema_capnp as schema,
@@ -73,7 +73,7 @@
         let request = convert::read_request(params.get_request()?)?;
         let sink = params.get_sink()?;
         let id = (request.request_id.clone(), request.attempt);
-        let (sender, frames) = Answer::channel();
+        let (sender, frames) = FrameSender::channel();
         let accepted = match self.companion() {
             Ok(handler) => {
                 let load = handler.load();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -49,8 +49,8 @@
 pub use crate::{
     auth::{Secret, SecretError, Secrets},
     handler::{
-        Answer, AnswerClosed, CompanionHandler, ConfigReply, DataHandler,
-        EntryHandler, Handlers,
+        CompanionHandler, ConfigReply, DataHandler, EntryHandler, FrameSender,
+        Handlers, ResponseClosed,
     },
     link::Links,
     options::{LinkError, LinkOptions, ServeOptions},
@@ -62,4 +62,4 @@
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// Lowest protocol version that this build supports.
-pub const PROTOCOL_OLDEST: u32 = 1;
+pub const MIN_PROTOCOL_VERSION: u32 = 1;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -328,7 +328,7 @@
     /// Models that the companion's endpoint serves.
     pub models: Vec<String>,
     /// Maximum number of items to grant.
-    pub room: u32,
+    pub capacity: u32,
     /// Grants that the companion still holds; the request renews them.
     pub running: Vec<u64>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -17,7 +17,7 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 use crate::{
-    PROTOCOL_OLDEST, PROTOCOL_VERSION, convert,
+    MIN_PROTOCOL_VERSION, PROTOCOL_VERSION, convert,
     message::Frame,
     options::{LinkError, LinkOptions},
     schema_capnp as schema,
@@ -161,11 +161,11 @@
     own_hello.set_nonce(&nonce);
     let reply = request.send().promise.await?;
     let peer_hello = reply.get()?.get_hello()?;
-    if peer_hello.get_protocol() < PROTOCOL_OLDEST {
+    if peer_hello.get_protocol() < MIN_PROTOCOL_VERSION {
         return Err(capnp::Error::failed(format!(
             "the peer supports protocol version {}, the minimum is {}",
             peer_hello.get_protocol(),
-            PROTOCOL_OLDEST
+            MIN_PROTOCOL_VERSION
         )));
     }
     let peer_nonce = peer_hello.get_nonce()?;
--- a/crates/wire/src/run.rs
+++ b/crates/wire/src/run.rs
@@ -105,7 +105,7 @@
 
 impl Run {
     /// Creates a run from frames of this process, the receiver of
-    /// [`Answer::channel`](crate::Answer::channel).
+    /// [`FrameSender::channel`](crate::FrameSender::channel).
     pub fn local(frames: mpsc::Receiver<Frame>) -> Self {
         Self {
             frames: Frames::Local(frames),
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -27,7 +27,7 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 
 use crate::{
-    PROTOCOL_OLDEST, PROTOCOL_VERSION, Secrets,
+    MIN_PROTOCOL_VERSION, PROTOCOL_VERSION, Secrets,
     handler::Handlers,
     host::Host,
     message::Identity,
@@ -76,7 +76,7 @@
     /// the server for a slow caller. A graceful shutdown waits until the
     /// count is 0; otherwise the ends of the last responses would be lost.
     #[inline]
-    pub fn answers_open(&self) -> usize {
+    pub fn undelivered_responses(&self) -> usize {
         self.undelivered.load(Ordering::Acquire)
     }
 
@@ -272,10 +272,10 @@
         mut results: schema::node::HelloResults,
     ) -> Result<(), Error> {
         let hello = params.get()?.get_hello()?;
-        if hello.get_protocol() < PROTOCOL_OLDEST {
+        if hello.get_protocol() < MIN_PROTOCOL_VERSION {
             return Err(Error::failed(format!(
                 "protocol version {} is not supported, the minimum is \
-                 {PROTOCOL_OLDEST}",
+                 {MIN_PROTOCOL_VERSION}",
                 hello.get_protocol()
             )));
         }
--- a/crates/wire/tests/faults.rs
+++ b/crates/wire/tests/faults.rs
@@ -15,8 +15,8 @@
 use faultproxy::{Direction, Fault, FaultProxy, Handle, Rule, Scope};
 use futures::future::{BoxFuture, FutureExt};
 use pomeloslip_wire::{
-    Answer, CompanionHandler, Handlers, LinkError, LinkOptions, Links, Run,
-    RunReply, ServeOptions, Server, message::*, serve_with,
+    CompanionHandler, FrameSender, Handlers, LinkError, LinkOptions, Links,
+    Run, RunReply, ServeOptions, Server, message::*, serve_with,
 };
 use tokio::time::timeout;
 
@@ -41,7 +41,7 @@
     fn run(
         &self,
         _: Request,
-        answer: Answer,
+        answer: FrameSender,
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let seen = self.0.clone();
         async move {
--- a/crates/wire/tests/links.rs
+++ b/crates/wire/tests/links.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures::future::{BoxFuture, FutureExt};
 use pomeloslip_wire::{
-    Answer, CompanionHandler, Handlers, LinkError, LinkOptions, Links,
+    CompanionHandler, FrameSender, Handlers, LinkError, LinkOptions, Links,
     RunReply, Secret, Secrets, Server, message::*, serve,
 };
 
@@ -25,7 +25,7 @@
     fn run(
         &self,
         request: Request,
-        answer: Answer,
+        answer: FrameSender,
     ) -> BoxFuture<'static, Result<(), Refusal>> {
         let cancelled = self.cancelled.clone();
         async move {
@@ -250,12 +250,12 @@
 async fn answers_are_open_until_they_are_delivered() {
     let (server, _) = start(Secrets::default()).await;
     let links = links(Secrets::default());
-    assert_eq!(server.answers_open(), 0);
+    assert_eq!(server.undelivered_responses(), 0);
     let reply = links.run(server.address(), request("/long")).await.unwrap();
     let RunReply::Accepted { mut run, .. } = reply else {
         panic!("refused");
     };
-    assert_eq!(server.answers_open(), 1);
+    assert_eq!(server.undelivered_responses(), 1);
     let mut frames = 0;
     while run
         .next()
@@ -265,7 +265,7 @@
         frames += 1;
     }
     assert_eq!(frames, 201);
-    while server.answers_open() > 0 {
+    while server.undelivered_responses() > 0 {
         tokio::task::yield_now().await;
     }
 }
