--- a/crates/faultproxy/src/counts.rs
+++ b/crates/faultproxy/src/counts.rs
@@ -1,26 +1,26 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a proxy has seen and done.
+/// Counters of a proxy.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Connections that were accepted.
+    /// Accepted connections.
     pub accepted: u64,
-    /// Connections that are open.
+    /// Currently open connections.
     pub open: u64,
-    /// Connections that were reset by a rule or by the handle.
+    /// Connections that were reset by a rule or through the handle.
     pub cut: u64,
-    /// Directions of connections that went silent.
+    /// Directions of connections that were silenced.
     pub silenced: u64,
-    /// Bytes that went on to the target.
+    /// Bytes forwarded to the target.
     pub to_target_bytes: u64,
-    /// Bytes that went on to the client.
+    /// Bytes forwarded to the client.
     pub to_client_bytes: u64,
-    /// Bytes that disappeared.
+    /// Bytes that were dropped.
     pub lost_bytes: u64,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct Counters {
     pub(crate) accepted: AtomicU64,
     pub(crate) open: AtomicU64,
     pub(crate) cut: AtomicU64,
@@ -30,7 +30,7 @@
     pub(crate) lost_bytes: AtomicU64,
 }
 
-impl Tally {
+impl Counters {
     pub(crate) fn add(counter: &AtomicU64, count: u64) {
         counter.fetch_add(count, Ordering::Relaxed);
     }
--- a/crates/faultproxy/src/effects.rs
+++ b/crates/faultproxy/src/effects.rs
@@ -1,32 +1,32 @@
-//! What the rules mean for one direction of one connection now.
+//! Evaluates the rules for one direction of a connection.
 
 use tokio::time::{Duration, Instant};
 
 use crate::{Direction, Fault, Rule};
 
-/// The rules in force.
+/// The active rules.
 #[derive(Debug)]
-pub(crate) struct Script {
+pub(crate) struct RuleSet {
     pub(crate) rules: Vec<Rule>,
-    /// Number of the first connection that came after the rules were set.
+    /// Number of the first connection accepted after the rules were set.
     pub(crate) next: u64,
     pub(crate) set_at: Instant,
-    /// Counts the times that rules were set.
+    /// Number of times that the rules were changed.
     pub(crate) version: u64,
-    /// Connections below this number are reset.
+    /// Connections with a lower number are reset.
     pub(crate) cut_below: u64,
 }
 
 /// One direction of one connection.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Way {
+pub(crate) struct Flow {
     pub(crate) number: u64,
     pub(crate) direction: Direction,
     pub(crate) opened: Instant,
     pub(crate) seed: u64,
 }
 
-/// What holds for a direction now and until when.
+/// Current effects of the rules on a direction and when they change.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     pub(crate) delay: Duration,
@@ -34,46 +34,56 @@
     pub(crate) silent: bool,
     pub(crate) cut: bool,
     pub(crate) close: bool,
-    /// Bytes that may pass before a rule starts.
-    pub(crate) room: Option<u64>,
-    /// When a rule starts.
+    /// Bytes that may be forwarded before a rule starts.
+    pub(crate) remaining: Option<u64>,
+    /// Earliest time at which a rule starts.
     pub(crate) wake: Option<Instant>,
 }
 
 impl Effects {
     pub(crate) fn new(
-        script: &Script,
-        way: Way,
-        passed: u64,
+        rule_set: &RuleSet,
+        flow: Flow,
+        forwarded: u64,
         now: Instant,
     ) -> Self {
-        let cut = way.number < script.cut_below;
+        let cut = flow.number < rule_set.cut_below;
         let mut effects = Self {
             cut,
             ..Self::default()
         };
-        for (index, rule) in script.rules.iter().enumerate() {
-            let draw = draw(way.seed, script.version, index, way.number);
-            let meets = rule.meets(way.number, script.next, draw);
-            if rule.covers(way.direction) && meets {
-                let from = script.set_at.max(way.opened) + rule.wait();
-                effects.add(rule, from, passed, now);
+        for (index, rule) in rule_set.rules.iter().enumerate() {
+            let draw =
+                draw_unit(flow.seed, rule_set.version, index, flow.number);
+            let applies = rule.applies_to(flow.number, rule_set.next, draw);
+            if rule.covers(flow.direction) && applies {
+                let from =
+                    rule_set.set_at.max(flow.opened) + rule.start_delay();
+                effects.add(rule, from, forwarded, now);
             }
         }
         effects
     }
 
-    fn add(&mut self, rule: &Rule, from: Instant, passed: u64, now: Instant) {
+    fn add(
+        &mut self,
+        rule: &Rule,
+        from: Instant,
+        forwarded: u64,
+        now: Instant,
+    ) {
         if now < from {
             let wake = self.wake.map_or(from, |wake| wake.min(from));
             self.wake = Some(wake);
             return;
         }
-        if let Some(room) = rule.bytes().checked_sub(passed)
-            && room > 0
+        if let Some(remaining) = rule.start_bytes().checked_sub(forwarded)
+            && remaining > 0
         {
-            let room = self.room.map_or(room, |known| known.min(room));
-            self.room = Some(room);
+            let remaining = self
+                .remaining
+                .map_or(remaining, |known| known.min(remaining));
+            self.remaining = Some(remaining);
             return;
         }
         match rule.fault() {
@@ -89,9 +99,10 @@
     }
 }
 
-/// Draws a number in 0..1 for a rule and a connection. The direction is no
-/// part of it: a rule for both ways meets both ways of a connection.
-fn draw(seed: u64, version: u64, rule: usize, number: u64) -> f64 {
+/// Returns a pseudorandom number in 0..1 for a rule and a connection. It does
+/// not depend on the direction, so that a rule for both directions applies to
+/// both directions of a connection.
+fn draw_unit(seed: u64, version: u64, rule: usize, number: u64) -> f64 {
     let mut mixed = seed;
     for part in [version, rule as u64, number] {
         mixed = mix(mixed ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15));
--- a/crates/faultproxy/src/lib.rs
+++ b/crates/faultproxy/src/lib.rs
@@ -1,10 +1,10 @@
 //! A TCP proxy that injects faults, for tests and measurements.
 //!
-//! [`FaultProxy`] stands between two processes and passes bytes on until its
-//! [`Handle`] gives it rules. A [`Rule`] says what goes wrong, in which
-//! direction, on which connections and when. Which connections a rule with a
-//! chance meets is drawn from a seed and the number of the connection, so
-//! that a run can be repeated.
+//! [`FaultProxy`] forwards bytes between two processes until rules are set
+//! through its [`Handle`]. A [`Rule`] specifies a fault, its direction, the
+//! connections that it applies to and when it starts. If a rule applies with
+//! a probability below 1, its connections are drawn from a seed and the
+//! number of the connection, so that a run is reproducible.
 //!
 //! # Example
 //!
@@ -15,9 +15,9 @@
 //! let target = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
 //! let proxy = FaultProxy::start(target.local_addr()?, 7).await?;
 //! proxy.handle().set(vec![
-//!     // Connections that are open now go silent, new ones work.
+//!     // Silences the open connections; new connections work.
 //!     Rule::new(Fault::Silence).scope(Scope::Open),
-//!     // Every answer breaks off after 1,000 bytes on a tenth of them.
+//!     // Resets a tenth of the connections after 1,000 response bytes.
 //!     Rule::new(Fault::Cut)
 //!         .direction(Direction::ToClient)
 //!         .after_bytes(1_000)
--- a/crates/faultproxy/src/proxy.rs
+++ b/crates/faultproxy/src/proxy.rs
@@ -17,16 +17,16 @@
 use crate::{
     Counts, Direction, Rule,
     connection::{Connection, reset},
-    counts::Tally,
-    effects::{Script, Way},
+    counts::Counters,
+    effects::{Flow, RuleSet},
 };
 
-/// Where the proxy listens; port 0 lets the system choose.
+/// Listen address; with port 0 the operating system chooses the port.
 const LISTEN: &str = "127.0.0.1:0";
 
-/// A TCP proxy on a loopback port of its own.
+/// A TCP proxy on its own loopback port.
 ///
-/// Dropping it ends all of its connections.
+/// Dropping the proxy closes all of its connections.
 #[derive(Debug)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -34,14 +34,14 @@
     accepting: JoinHandle<()>,
 }
 
-/// Changes the rules of a proxy while it runs; clones act on the same one.
+/// Changes the rules of a running proxy; clones control the same proxy.
 #[derive(Clone, Debug)]
 pub struct Handle(Arc<Control>);
 
 #[derive(Debug)]
 struct Control {
-    script: watch::Sender<Arc<Script>>,
-    tally: Arc<Tally>,
+    rule_set: watch::Sender<Arc<RuleSet>>,
+    counters: Arc<Counters>,
     /// Number of the next connection.
     next: AtomicU64,
 }
@@ -49,25 +49,25 @@
 impl FaultProxy {
     /// Starts a proxy in front of a target.
     ///
-    /// `seed` decides which connections rules with a chance meet.
+    /// `seed` determines the connections of rules with a probability below 1.
     ///
     /// # Errors
     ///
-    /// An I/O error if no port is left.
+    /// An I/O error if no port can be bound.
     pub async fn start(target: SocketAddr, seed: u64) -> io::Result<Self> {
         let listener = TcpListener::bind(LISTEN).await?;
         let address = listener.local_addr()?;
-        let script = Script {
+        let rule_set = RuleSet {
             rules: Vec::new(),
             next: 0,
             set_at: Instant::now(),
             version: 0,
             cut_below: 0,
         };
-        let (script, _) = watch::channel(Arc::new(script));
+        let (rule_set, _) = watch::channel(Arc::new(rule_set));
         let handle = Handle(Arc::new(Control {
-            script,
-            tally: Arc::default(),
+            rule_set,
+            counters: Arc::default(),
             next: AtomicU64::new(0),
         }));
         let accept = accept(listener, target, seed, handle.0.clone());
@@ -90,10 +90,10 @@
         self.handle.clone()
     }
 
-    /// Stops listening and ends all connections.
+    /// Stops listening and closes all connections.
     pub async fn stop(mut self) {
         self.accepting.abort();
-        // An aborted task has ended, which is all that is asked.
+        // The error of an aborted task only confirms that the task ended.
         let _ = (&mut self.accepting).await;
     }
 }
@@ -105,9 +105,9 @@
 }
 
 impl Handle {
-    /// Replaces the rules. Silence that has begun stays.
+    /// Replaces the rules. Silenced directions stay silent.
     pub fn set(&self, rules: Vec<Rule>) {
-        self.change(|script| script.rules = rules);
+        self.change(|rule_set| rule_set.rules = rules);
     }
 
     /// Removes all rules.
@@ -115,32 +115,32 @@
         self.set(Vec::new());
     }
 
-    /// Resets the connections that are open now.
+    /// Resets all open connections.
     pub fn cut_open(&self) {
-        self.change(|script| script.cut_below = script.next);
+        self.change(|rule_set| rule_set.cut_below = rule_set.next);
     }
 
-    /// Returns what the proxy has seen and done.
+    /// Returns the counters of the proxy.
     pub fn counts(&self) -> Counts {
-        self.0.tally.counts()
+        self.0.counters.counts()
     }
 
-    fn change(&self, change: impl FnOnce(&mut Script)) {
-        self.0.script.send_modify(|script| {
-            let mut next = Script {
-                rules: script.rules.clone(),
+    fn change(&self, change: impl FnOnce(&mut RuleSet)) {
+        self.0.rule_set.send_modify(|rule_set| {
+            let mut next = RuleSet {
+                rules: rule_set.rules.clone(),
                 next: self.0.next.load(Ordering::Acquire),
                 set_at: Instant::now(),
-                version: script.version + 1,
-                cut_below: script.cut_below,
+                version: rule_set.version + 1,
+                cut_below: rule_set.cut_below,
             };
             change(&mut next);
-            *script = Arc::new(next);
+            *rule_set = Arc::new(next);
         });
     }
 }
 
-/// Accepts connections. Their tasks live in this one and end with it.
+/// Accepts connections. Their tasks are aborted when this task ends.
 async fn accept(
     listener: TcpListener,
     target: SocketAddr,
@@ -153,24 +153,24 @@
             accepted = listener.accept() => accepted,
             Some(_) = connections.join_next() => continue,
         };
-        // Errors of accept concern one connection that is gone already.
+        // An accept error concerns a connection that is already closed.
         let Ok((client, _)) = accepted else { continue };
         let number = control.next.fetch_add(1, Ordering::AcqRel);
-        Tally::add(&control.tally.accepted, 1);
-        let way = Way {
+        Counters::add(&control.counters.accepted, 1);
+        let flow = Flow {
             number,
             direction: Direction::Both,
             opened: Instant::now(),
             seed,
         };
         let control = control.clone();
-        connections.spawn(connect(client, target, way, control));
+        connections.spawn(serve_connection(client, target, flow, control));
     }
 }
 
-/// Keeps count of an open connection on every path, also when its task is
-/// aborted.
-struct OpenGuard(Arc<Tally>);
+/// Decrements the count of open connections on drop, also when the task of
+/// the connection is aborted.
+struct OpenGuard(Arc<Counters>);
 
 impl Drop for OpenGuard {
     fn drop(&mut self) {
@@ -178,29 +178,30 @@
     }
 }
 
-async fn connect(
+async fn serve_connection(
     client: TcpStream,
     target: SocketAddr,
-    way: Way,
+    flow: Flow,
     control: Arc<Control>,
 ) {
-    Tally::add(&control.tally.open, 1);
-    let _open = OpenGuard(control.tally.clone());
+    Counters::add(&control.counters.open, 1);
+    let _open = OpenGuard(control.counters.clone());
     let Ok(target) = TcpStream::connect(target).await else {
-        // Nothing listens: the client sees a reset before any byte.
+        // Nothing listens at the target: the client gets a reset before any
+        // byte.
         reset(&client);
         return;
     };
-    // Without this, small answers would wait for acknowledgements; a socket
-    // that refuses the option is slower, not wrong.
+    // Nagle's algorithm would delay small writes until an acknowledgement. A
+    // socket that does not support the option is only slower.
     let _ = client.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let connection = Connection {
         client,
         target,
-        way,
-        script: control.script.subscribe(),
-        tally: control.tally.clone(),
+        flow,
+        rule_set: control.rule_set.subscribe(),
+        counters: control.counters.clone(),
     };
     connection.run().await;
 }
--- a/crates/faultproxy/src/rule.rs
+++ b/crates/faultproxy/src/rule.rs
@@ -1,32 +1,32 @@
 use std::time::Duration;
 
-/// What goes wrong.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Bytes are held back; what comes meanwhile waits with them.
+    /// Bytes are delayed; bytes that arrive meanwhile wait behind them.
     Delay {
-        /// How long, in milliseconds.
+        /// Delay in milliseconds.
         ms: u64,
     },
-    /// Bytes pass at a limited rate.
+    /// Bytes are forwarded at a limited rate.
     Bandwidth {
-        /// Bytes in a second.
+        /// Bytes per second.
         bytes_per_s: u64,
     },
-    /// Bytes disappear and the connection stays open, for good: a connection
-    /// that has lost bytes cannot carry on. In one direction only, this is
-    /// a half-open connection.
+    /// Bytes are dropped and the connection stays open. The fault is
+    /// permanent because a connection that lost bytes cannot continue. In one
+    /// direction only, this makes the connection half-open.
     Silence,
-    /// The connection is reset towards both ends.
+    /// The connection is reset at both ends.
     Cut,
-    /// The direction is closed in order, the other one goes on.
+    /// The direction is closed normally; the other one continues.
     Close,
 }
 
-/// Which way the bytes go that a rule meets.
+/// Direction of the bytes that a rule applies to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Direction {
-    /// Both ways.
+    /// Both directions.
     #[default]
     Both,
     /// From the client to the target.
@@ -36,7 +36,7 @@
 }
 
 impl Direction {
-    /// Tells whether a rule for `self` meets bytes that go `way`.
+    /// Reports whether a rule for `self` applies to direction `other`.
     ///
     /// # Example
     ///
@@ -47,25 +47,24 @@
     /// assert!(!Direction::ToTarget.covers(Direction::ToClient));
     /// ```
     #[inline]
-    pub fn covers(self, way: Direction) -> bool {
-        self == Direction::Both || self == way
+    pub fn covers(self, other: Direction) -> bool {
+        self == Direction::Both || self == other
     }
 }
 
-/// Which connections a rule meets.
+/// Connections that a rule applies to.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Scope {
-    /// All.
+    /// All connections.
     #[default]
     All,
-    /// Those that were open when the rule was set.
+    /// Connections that were open when the rule was set.
     Open,
-    /// Those that came after the rule was set.
+    /// Connections accepted after the rule was set.
     New,
 }
 
-/// One fault with the connections, the direction and the moment that it
-/// meets.
+/// A fault with its direction, its connections and its start condition.
 ///
 /// # Example
 ///
@@ -89,7 +88,8 @@
 }
 
 impl Rule {
-    /// Makes a rule for all connections, both ways, from now on.
+    /// Creates a rule for all connections in both directions that starts
+    /// immediately.
     pub fn new(fault: Fault) -> Self {
         Self {
             fault,
@@ -106,13 +106,13 @@
         Self { direction, ..self }
     }
 
-    /// Limits the rule to some connections.
+    /// Limits the rule to a group of connections.
     pub fn scope(self, scope: Scope) -> Self {
         Self { scope, ..self }
     }
 
-    /// Starts the fault once so many bytes went the direction, counted from
-    /// the start of the connection.
+    /// Starts the fault after `after_bytes` bytes were forwarded in the
+    /// direction, counted from the start of the connection.
     pub fn after_bytes(self, after_bytes: u64) -> Self {
         Self {
             after_bytes,
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Starts the fault so many milliseconds after the rule was set, or
+    /// Starts the fault `after_ms` milliseconds after the rule was set, or
     /// after the connection was opened if that is later.
     pub fn after_ms(self, after_ms: u64) -> Self {
         Self { after_ms, ..self }
     }
 
-    /// Lets the rule meet only this share of the connections.
+    /// Sets the probability that the rule applies to a connection.
     pub fn chance(self, chance: f64) -> Self {
         Self { chance, ..self }
     }
@@ -137,21 +137,27 @@
         self.fault
     }
 
-    pub(crate) fn covers(&self, way: Direction) -> bool {
-        self.direction.covers(way)
+    pub(crate) fn covers(&self, direction: Direction) -> bool {
+        self.direction.covers(direction)
     }
 
-    pub(crate) fn bytes(&self) -> u64 {
+    pub(crate) fn start_bytes(&self) -> u64 {
         self.after_bytes
     }
 
-    pub(crate) fn wait(&self) -> Duration {
+    pub(crate) fn start_delay(&self) -> Duration {
         Duration::from_millis(self.after_ms)
     }
 
-    /// Tells whether the rule meets connection `number`, when `next` was the
-    /// first number after it was set and `draw` is its drawn number in 0..1.
-    pub(crate) fn meets(&self, number: u64, next: u64, draw: f64) -> bool {
+    /// Reports whether the rule applies to connection `number`. `next` is the
+    /// number of the first connection after the rule was set; `draw` is the
+    /// random number in 0..1 of the connection.
+    pub(crate) fn applies_to(
+        &self,
+        number: u64,
+        next: u64,
+        draw: f64,
+    ) -> bool {
         let in_scope = match self.scope {
             Scope::All => true,
             Scope::Open => number < next,
--- a/crates/faultproxy/tests/proxy.rs
+++ b/crates/faultproxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The faults of the proxy over loopback sockets.
+//! Tests the faults of the proxy over loopback sockets.
 #![allow(clippy::unwrap_used)]
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
@@ -12,13 +12,14 @@
     time::timeout,
 };
 
-/// Time in which something that is to happen happens, on any machine.
-const SURELY: Duration = Duration::from_secs(20);
+/// Timeout for expected events, long enough for a slow machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time in which nothing arrives. A slow machine only makes it weaker.
+/// Time during which nothing must arrive. On a slow machine the check is only
+/// less sensitive.
 const QUIET: Duration = Duration::from_millis(100);
 
-/// Listens and returns every byte.
+/// Starts a server that echoes every byte.
 async fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -43,10 +44,10 @@
     TcpStream::connect(proxy.address()).await.unwrap()
 }
 
-async fn round(stream: &mut TcpStream, bytes: &[u8]) {
+async fn echo_round_trip(stream: &mut TcpStream, bytes: &[u8]) {
     stream.write_all(bytes).await.unwrap();
     let mut back = vec![0; bytes.len()];
-    let read = timeout(SURELY, stream.read_exact(&mut back)).await;
+    let read = timeout(EVENT_TIMEOUT, stream.read_exact(&mut back)).await;
     read.unwrap().unwrap();
     assert_eq!(back, bytes);
 }
@@ -62,14 +63,14 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(SURELY, wait).await.unwrap();
+    timeout(EVENT_TIMEOUT, wait).await.unwrap();
 }
 
 #[tokio::test]
 async fn without_rules_bytes_and_ends_pass() {
     let (proxy, handle) = proxy().await;
     let mut stream = open(&proxy).await;
-    round(&mut stream, b"hello").await;
+    echo_round_trip(&mut stream, b"hello").await;
     stream.shutdown().await.unwrap();
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).await.unwrap();
@@ -84,32 +85,32 @@
 async fn open_connections_go_silent_while_new_ones_work() {
     let (proxy, handle) = proxy().await;
     let mut old = open(&proxy).await;
-    round(&mut old, b"one").await;
+    echo_round_trip(&mut old, b"one").await;
     handle.set(vec![Rule::new(Fault::Silence).scope(Scope::Open)]);
     let mut new = open(&proxy).await;
-    round(&mut new, b"two").await;
+    echo_round_trip(&mut new, b"two").await;
     old.write_all(b"lost").await.unwrap();
     wait_for(|| handle.counts().lost_bytes == 4).await;
     assert!(is_quiet(&mut old).await);
-    // It stays silent: bytes are missing, nothing sound could follow.
+    // The connection stays silent because bytes of the stream are missing.
     handle.clear();
     old.write_all(b"late").await.unwrap();
     wait_for(|| handle.counts().lost_bytes == 8).await;
     assert!(is_quiet(&mut old).await);
-    round(&mut new, b"three").await;
+    echo_round_trip(&mut new, b"three").await;
 }
 
 #[tokio::test]
 async fn only_new_connections_are_met() {
     let (proxy, handle) = proxy().await;
     let mut old = open(&proxy).await;
-    round(&mut old, b"one").await;
+    echo_round_trip(&mut old, b"one").await;
     handle.set(vec![Rule::new(Fault::Silence).scope(Scope::New)]);
     let mut new = open(&proxy).await;
     new.write_all(b"two").await.unwrap();
     wait_for(|| handle.counts().lost_bytes == 3).await;
     assert!(is_quiet(&mut new).await);
-    round(&mut old, b"three").await;
+    echo_round_trip(&mut old, b"three").await;
 }
 
 #[tokio::test]
@@ -135,7 +136,7 @@
     let mut stream = open(&proxy).await;
     stream.write_all(&[7; 3_000]).await.unwrap();
     let mut all = Vec::new();
-    let ended = timeout(SURELY, stream.read_to_end(&mut all)).await;
+    let ended = timeout(EVENT_TIMEOUT, stream.read_to_end(&mut all)).await;
     let error = ended.unwrap().unwrap_err();
     assert_eq!(error.kind(), ErrorKind::ConnectionReset);
     wait_for(|| handle.counts().cut == 1).await;
@@ -152,7 +153,7 @@
     let mut stream = open(&proxy).await;
     stream.write_all(b"hello").await.unwrap();
     let mut all = Vec::new();
-    let ended = timeout(SURELY, stream.read_to_end(&mut all)).await;
+    let ended = timeout(EVENT_TIMEOUT, stream.read_to_end(&mut all)).await;
     ended.unwrap().unwrap();
     assert_eq!(all, b"hel");
 }
@@ -161,10 +162,12 @@
 async fn a_cut_by_time_meets_an_idle_connection() {
     let (proxy, handle) = proxy().await;
     let mut stream = open(&proxy).await;
-    round(&mut stream, b"one").await;
+    echo_round_trip(&mut stream, b"one").await;
     handle.set(vec![Rule::new(Fault::Cut).after_ms(20)]);
     let mut byte = [0];
-    let read = timeout(SURELY, stream.read(&mut byte)).await.unwrap();
+    let read = timeout(EVENT_TIMEOUT, stream.read(&mut byte))
+        .await
+        .unwrap();
     assert_eq!(read.unwrap_err().kind(), ErrorKind::ConnectionReset);
 }
 
@@ -172,16 +175,16 @@
 async fn the_handle_cuts_what_is_open() {
     let (proxy, handle) = proxy().await;
     let mut old = open(&proxy).await;
-    round(&mut old, b"one").await;
+    echo_round_trip(&mut old, b"one").await;
     handle.cut_open();
     let mut byte = [0];
-    let read = timeout(SURELY, old.read(&mut byte)).await.unwrap();
+    let read = timeout(EVENT_TIMEOUT, old.read(&mut byte)).await.unwrap();
     assert_eq!(read.unwrap_err().kind(), ErrorKind::ConnectionReset);
-    round(&mut open(&proxy).await, b"two").await;
+    echo_round_trip(&mut open(&proxy).await, b"two").await;
 }
 
-/// Bytes arrive whole under delay and bandwidth; that they are late is not
-/// asserted, since a slow machine is late without them.
+/// Checks that no bytes are lost with delay and limited bandwidth. The delay
+/// itself is not checked, because a slow machine adds delays of its own.
 #[yare::parameterized(
     delay = { Fault::Delay { ms: 5 } },
     bandwidth = { Fault::Bandwidth { bytes_per_s: 1_000_000 } },
@@ -192,7 +195,7 @@
         let (proxy, handle) = proxy().await;
         handle.set(vec![Rule::new(fault)]);
         let bytes: Vec<u8> = (0..20_000_u32).map(|n| n as u8).collect();
-        round(&mut open(&proxy).await, &bytes).await;
+        echo_round_trip(&mut open(&proxy).await, &bytes).await;
     });
 }
 
@@ -202,15 +205,15 @@
     for _ in 0..2 {
         let (proxy, handle) = proxy().await;
         handle.set(vec![Rule::new(Fault::Cut).chance(0.5)]);
-        let mut met = Vec::new();
+        let mut affected = Vec::new();
         for _ in 0..24 {
             let mut stream = open(&proxy).await;
             let _ = stream.write_all(b"x").await;
             let mut byte = [0];
-            let read = timeout(SURELY, stream.read(&mut byte)).await;
-            met.push(read.unwrap().is_err());
+            let read = timeout(EVENT_TIMEOUT, stream.read(&mut byte)).await;
+            affected.push(read.unwrap().is_err());
         }
-        runs.push(met);
+        runs.push(affected);
     }
     assert_eq!(runs[0], runs[1]);
     assert!(runs[0].contains(&true) && runs[0].contains(&false));
@@ -220,11 +223,13 @@
 async fn a_stopped_proxy_ends_its_connections() {
     let (proxy, _) = proxy().await;
     let mut stream = open(&proxy).await;
-    round(&mut stream, b"one").await;
+    echo_round_trip(&mut stream, b"one").await;
     let address = proxy.address();
     proxy.stop().await;
     let mut byte = [0];
-    let read = timeout(SURELY, stream.read(&mut byte)).await.unwrap();
+    let read = timeout(EVENT_TIMEOUT, stream.read(&mut byte))
+        .await
+        .unwrap();
     assert!(matches!(read, Ok(0) | Err(_)));
     assert!(TcpStream::connect(address).await.is_err());
 }
