--- a/crates/load/src/batch.rs
+++ b/crates/load/src/batch.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: upload, start, wait, and check of the results.
+//! Batch jobs: uploads the input, creates the job, polls it and verifies its
+//! results.
 
 use std::{fmt::Write, future::Future, sync::Arc, time::Duration};
 
@@ -15,14 +16,14 @@
     BatchReport, Plan, Verdict,
     check::verdict,
     online::refusal,
-    prompt::{Ask, Place},
+    prompt::{ExpectedRequest, RequestKey},
     tally::{BatchTally, Refusal},
 };
 
-/// Least pause before a call of the batch API is repeated.
-const REPEAT_PAUSE_MS: u64 = 50;
+/// Minimum backoff before a call of the batch API is retried.
+const MIN_BACKOFF_MS: u64 = 50;
 
-/// Runs all jobs of a plan at the same time.
+/// Runs all jobs of a plan concurrently.
 pub(crate) async fn run_all(job: Job) {
     let mut jobs = JoinSet::new();
     for number in 0..job.plan.batch_jobs() {
@@ -32,7 +33,7 @@
     jobs.join_all().await;
 }
 
-/// What the jobs of a run share.
+/// State that the jobs of a run share.
 #[derive(Clone)]
 pub(crate) struct Job {
     pub(crate) plan: Arc<Plan>,
@@ -41,7 +42,7 @@
     pub(crate) start: Instant,
 }
 
-/// The fields of a file or batch object that matter here.
+/// The fields of a file or batch object that this client reads.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 struct Object {
@@ -51,9 +52,9 @@
     error_file_id: Option<String>,
 }
 
-/// Why a job cannot go on.
+/// The client gave up on a job.
 #[derive(Clone, Copy, Debug)]
-struct GivenUp;
+struct Abandoned;
 
 /// Returns the custom id of an item.
 pub(crate) fn custom_id(job: u32, item: u32) -> String {
@@ -67,18 +68,18 @@
         let ended = tokio::time::timeout(limit, finish).await;
         let (completed, results) = match ended {
             Ok(Ok((completed, results))) => (completed, results),
-            Ok(Err(GivenUp)) | Err(_) => (false, Results::default()),
+            Ok(Err(Abandoned)) | Err(_) => (false, Results::default()),
         };
-        // The time that the check takes is not the target's.
+        // The job time excludes the time for verifying the results.
         self.tally.end_job(completed, self.start.elapsed());
         self.check(number, completed, &results);
     }
 
-    async fn finish(&self, number: u32) -> Result<(bool, Results), GivenUp> {
+    async fn finish(&self, number: u32) -> Result<(bool, Results), Abandoned> {
         let input = self.input(number);
         let file = self.upload(&input).await?;
         let batch = self.create(number, &file.id).await?;
-        let ended = self.wait(&batch.id).await?;
+        let ended = self.wait_until_ended(&batch.id).await?;
         let results = Results {
             output: self.content(ended.output_file_id).await?,
             errors: self.content(ended.error_file_id).await?,
@@ -89,19 +90,19 @@
     fn input(&self, number: u32) -> String {
         let mut lines = String::new();
         for item in 0..self.plan.items_per_job {
-            let place = Place::Item { job: number, item };
+            let key = RequestKey::Item { job: number, item };
             let line = json!({
                 "custom_id": custom_id(number, item),
                 "method": "POST",
                 "url": "/v1/chat/completions",
-                "body": Ask::new(&self.plan, place).body(false),
+                "body": ExpectedRequest::new(&self.plan, key).body(false),
             });
             let _ = writeln!(lines, "{line}");
         }
         lines
     }
 
-    async fn upload(&self, input: &str) -> Result<Object, GivenUp> {
+    async fn upload(&self, input: &str) -> Result<Object, Abandoned> {
         let url = format!("{}/v1/files", self.plan.target);
         self.object(|| {
             let file = Part::text(input.to_owned())
@@ -118,14 +119,14 @@
         &self,
         number: u32,
         file: &str,
-    ) -> Result<Object, GivenUp> {
+    ) -> Result<Object, Abandoned> {
         let url = format!("{}/v1/batches", self.plan.target);
         let body = json!({
             "input_file_id": file,
             "endpoint": "/v1/chat/completions",
             "completion_window": "24h",
         });
-        // The key makes a repeated call start no second job.
+        // With the idempotency key, a retry does not create a second job.
         let key = format!("load-{file}-{}-{number}", self.plan.seed);
         self.object(|| {
             let request = self.client.post(&url).json(&body);
@@ -134,12 +135,15 @@
         .await
     }
 
-    async fn wait(&self, batch: &str) -> Result<Object, GivenUp> {
+    async fn wait_until_ended(
+        &self,
+        batch: &str,
+    ) -> Result<Object, Abandoned> {
         let url = format!("{}/v1/batches/{batch}", self.plan.target);
         loop {
             let object = self.object(|| Some(self.client.get(&url))).await?;
-            let ends = ["completed", "failed", "expired", "cancelled"];
-            if ends.contains(&object.status.as_str()) {
+            let final_states = ["completed", "failed", "expired", "cancelled"];
+            if final_states.contains(&object.status.as_str()) {
                 return Ok(object);
             }
             let pause = Duration::from_millis(self.plan.poll_ms.max(1));
@@ -147,96 +151,102 @@
         }
     }
 
-    async fn content(&self, file: Option<String>) -> Result<String, GivenUp> {
+    async fn content(
+        &self,
+        file: Option<String>,
+    ) -> Result<String, Abandoned> {
         let Some(file) = file else {
             return Ok(String::new());
         };
         let url = format!("{}/v1/files/{file}/content", self.plan.target);
         let request = || Some(self.client.get(&url));
-        self.repeat(request, |response| async { response.text().await.ok() })
+        self.retry(request, |response| async { response.text().await.ok() })
             .await
     }
 
     async fn object(
         &self,
         request: impl Fn() -> Option<RequestBuilder>,
-    ) -> Result<Object, GivenUp> {
-        self.repeat(request, |response| async { response.json().await.ok() })
+    ) -> Result<Object, Abandoned> {
+        self.retry(request, |response| async { response.json().await.ok() })
             .await
     }
 
-    /// Calls until there is an answer; only a refusal that will stay gives
-    /// up.
+    /// Retries a call until it succeeds; gives up only on a permanent refusal.
     ///
-    /// All calls of a job may be repeated: an upload makes another file, and
-    /// the start of a job carries a key.
-    async fn repeat<T, F: Future<Output = Option<T>>>(
+    /// All calls of a job may be retried: a second upload only creates
+    /// another file, and the creation of a job has an idempotency key.
+    async fn retry<T, F: Future<Output = Option<T>>>(
         &self,
         request: impl Fn() -> Option<RequestBuilder>,
         read: impl Fn(Response) -> F,
-    ) -> Result<T, GivenUp> {
+    ) -> Result<T, Abandoned> {
         loop {
-            let mut call = request().ok_or(GivenUp)?;
+            let mut call = request().ok_or(Abandoned)?;
             if let Some(key) = &self.plan.key {
                 call = call.bearer_auth(key);
             }
-            let mut pause_ms = REPEAT_PAUSE_MS;
+            let mut backoff_ms = MIN_BACKOFF_MS;
             match call.send().await {
                 Ok(response) if response.status().is_success() => {
                     match read(response).await {
                         Some(answer) => return Ok(answer),
-                        None => self.tally.lose(),
+                        None => self.tally.count_lost_call(),
                     }
                 }
                 Ok(response) => {
-                    let passes = is_passing(response.status().as_u16());
-                    pause_ms = pause_ms.max(retry_after_ms(&response));
-                    self.tally.refuse(refusal(response).await);
-                    if !passes {
-                        return Err(GivenUp);
+                    let is_transient_refusal =
+                        is_transient(response.status().as_u16());
+                    backoff_ms = backoff_ms.max(retry_after_ms(&response));
+                    self.tally.count_refused_call(refusal(response).await);
+                    if !is_transient_refusal {
+                        return Err(Abandoned);
                     }
                 }
-                Err(_) => self.tally.lose(),
+                Err(_) => self.tally.count_lost_call(),
             }
-            tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+            tokio::time::sleep(Duration::from_millis(backoff_ms)).await;
         }
     }
 
-    /// Counts each item of a job once.
+    /// Counts each item of a job exactly once.
     ///
-    /// What the files of an unfinished job lack is not missing: the caller
-    /// was told that the job did not complete.
+    /// Items without a result in an unfinished job do not count as missing,
+    /// because the caller knows that the job did not complete.
     fn check(&self, number: u32, completed: bool, results: &Results) {
-        let mut found = Found::default();
+        let mut found = ResultLines::default();
         found.read(&results.output, false);
         found.read(&results.errors, true);
         for item in 0..self.plan.items_per_job {
-            let ask = Ask::new(&self.plan, Place::Item { job: number, item });
+            let spec = ExpectedRequest::new(
+                &self.plan,
+                RequestKey::Item { job: number, item },
+            );
             let lines = found.lines.swap_remove(&custom_id(number, item));
             match lines {
                 None if !completed => {
                     self.tally.count(|report| report.unfinished += 1);
                 }
-                lines => self.check_item(&ask, &lines.unwrap_or_default()),
+                lines => self.check_item(&spec, &lines.unwrap_or_default()),
             }
         }
         let foreign = found.broken + found.lines.len() as u64;
         self.tally.count(|report| report.foreign += foreign);
     }
 
-    fn check_item(&self, ask: &Ask, lines: &[Line]) {
+    fn check_item(&self, spec: &ExpectedRequest, lines: &[ResultLine]) {
         let count: fn(&mut BatchReport) = match lines {
             [] => |report| report.missing += 1,
-            [Line::Answer(text)] => match ask.item_verdict(text) {
+            [ResultLine::Answer(text)] => match spec.item_verdict(text) {
                 Verdict::Right => |report| report.right += 1,
                 Verdict::Missing => |report| report.missing += 1,
                 Verdict::Duplicated => |report| report.duplicated += 1,
                 Verdict::Wrong => |report| report.wrong += 1,
             },
-            [Line::Failed(_)] if ask.fails => {
+            [ResultLine::Failed(_)] if spec.fails => {
                 |report| report.failed_as_asked += 1
             }
-            [Line::Failed(refusal)] => {
+            [ResultLine::Failed(refusal)] => {
                 self.tally.fail_item(refusal.clone());
                 return;
             }
@@ -246,9 +256,9 @@
     }
 }
 
-impl Ask {
-    /// Compares an item's answer with what it must be; an item that must
-    /// fail has no right answer.
+impl ExpectedRequest {
+    /// Compares the response of an item with the expected one. For an item
+    /// that must fail, any response is wrong.
     pub(crate) fn item_verdict(&self, text: &str) -> Verdict {
         if self.fails {
             return Verdict::Wrong;
@@ -257,8 +267,8 @@
     }
 }
 
-/// Tells whether a refusal with this status may pass.
-fn is_passing(status: u16) -> bool {
+/// Reports whether a refusal with this status is transient.
+fn is_transient(status: u16) -> bool {
     status == 408 || status == 429 || status >= 500
 }
 
@@ -276,21 +286,21 @@
     errors: String,
 }
 
-/// What a file says of an item.
+/// Result line of an item.
 #[derive(Clone, Debug)]
-enum Line {
+enum ResultLine {
     Answer(String),
     Failed(Refusal),
 }
 
-/// The lines of a job's files by custom id.
+/// The result lines of a job's files by custom id.
 #[derive(Debug, Default)]
-struct Found {
-    lines: IndexMap<String, Vec<Line>>,
+struct ResultLines {
+    lines: IndexMap<String, Vec<ResultLine>>,
     broken: u64,
 }
 
-impl Found {
+impl ResultLines {
     fn read(&mut self, file: &str, errors: bool) {
         for text in file.lines() {
             let value: Value = serde_json::from_str(text).unwrap_or_default();
@@ -305,18 +315,18 @@
     }
 }
 
-fn line(value: &Value, errors: bool) -> Line {
+fn line(value: &Value, errors: bool) -> ResultLine {
     let response = &value["response"];
     let status = response["status_code"].as_u64().unwrap_or(0) as u16;
     if !errors && (status == 200 || status == 0) {
         let message = &response["body"]["choices"][0]["message"];
         let text = message["content"].as_str().unwrap_or_default();
-        return Line::Answer(text.to_owned());
+        return ResultLine::Answer(text.to_owned());
     }
     let body = if value["error"].is_null() {
         &response["body"]
     } else {
         value
     };
-    Line::Failed(Refusal::of(status, body))
+    ResultLine::Failed(Refusal::of(status, body))
 }
--- a/crates/load/src/check.rs
+++ b/crates/load/src/check.rs
@@ -1,17 +1,19 @@
-/// What an answer is worth.
+/// Result of comparing a response with the expected text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It is what it must be, byte for byte.
+    /// The response equals the expected text byte for byte.
     Right,
-    /// It is the start of the right answer, or lacks its end mark.
+    /// The response is a prefix of the expected text or lacks its end marker.
     Missing,
-    /// It holds the right answer and some of it again.
+    /// The response is the expected text with a part repeated.
     Duplicated,
-    /// It is something else, for example another request's answer.
+    /// The response is a different text, for example that of another request.
     Wrong,
 }
 
-/// Compares an answer with what it must be.
+/// Compares a response with the expected text.
+///
+/// `ended` states whether the response had its end marker.
 ///
 /// # Example
 ///
@@ -35,19 +37,19 @@
     if expected.starts_with(found) {
         return Verdict::Missing;
     }
-    if repeats(expected, found) {
+    if has_repeated_section(expected, found) {
         return Verdict::Duplicated;
     }
     Verdict::Wrong
 }
 
-/// Tells whether `found` is `expected` with one stretch of it given twice,
-/// as when a stream is resumed too early.
-fn repeats(expected: &str, found: &str) -> bool {
+/// Reports whether `found` is `expected` with one section repeated, as happens
+/// when a stream is resumed at too low an offset.
+fn has_repeated_section(expected: &str, found: &str) -> bool {
     let (expected, found) = (expected.as_bytes(), found.as_bytes());
     let same = |(a, b): &(&u8, &u8)| a == b;
-    let head = expected.iter().zip(found).take_while(same).count();
-    let tails = expected.iter().rev().zip(found.iter().rev());
-    let tail = tails.take_while(same).count();
-    found.len() > expected.len() && head + tail >= expected.len()
+    let prefix_len = expected.iter().zip(found).take_while(same).count();
+    let suffixes = expected.iter().rev().zip(found.iter().rev());
+    let suffix_len = suffixes.take_while(same).count();
+    found.len() > expected.len() && prefix_len + suffix_len >= expected.len()
 }
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -9,22 +9,21 @@
 use crate::{
     LoadError, LoadReport, Plan, Progress, Verdict,
     online::Sender,
-    prompt::{Ask, Place},
+    prompt::{ExpectedRequest, RequestKey},
     run::Load,
     tally::{Outcome, Refusal},
 };
 
-/// Sends the load of a plan straight at an engine, as a baseline.
+/// Sends the load of a plan directly to an engine, as a baseline.
 ///
 /// The online requests are the same as in [`run`](crate::run). The batch
-/// items go to the engine beside them, over
-/// [`direct_batch_streams`](Plan::direct_batch_streams) streams that pay no
-/// regard to the online requests: what callers do who have no serving
-/// system.
+/// items are sent to the engine concurrently, over
+/// [`direct_batch_streams`](Plan::direct_batch_streams) streams without
+/// regard to the online requests, as clients without a serving system do.
 ///
 /// # Errors
 ///
-/// As [`run`](crate::run).
+/// Same as [`run`](crate::run).
 ///
 /// # Example
 ///
@@ -74,7 +73,7 @@
         }
         let mut streams = JoinSet::new();
         for _ in 0..plan.direct_batch_streams.max(1) {
-            streams.spawn(self.clone().send_some());
+            streams.spawn(self.clone().send_stream());
         }
         streams.join_all().await;
         for _ in 0..plan.jobs {
@@ -82,7 +81,7 @@
         }
     }
 
-    async fn send_some(self) {
+    async fn send_stream(self) {
         let plan = &self.sender.plan;
         let per_job = u64::from(plan.items_per_job);
         loop {
@@ -90,22 +89,22 @@
             if number >= plan.items() {
                 return;
             }
-            let place = Place::Item {
+            let key = RequestKey::Item {
                 job: (number / per_job) as u32,
                 item: (number % per_job) as u32,
             };
-            let ask = Ask::new(plan, place);
-            let measured = self.sender.measure(&ask, Instant::now()).await;
-            self.count(&ask, measured.outcome);
+            let spec = ExpectedRequest::new(plan, key);
+            let measured = self.sender.measure(&spec, Instant::now()).await;
+            self.count(&spec, measured.outcome);
         }
     }
 
-    fn count(&self, ask: &Ask, outcome: Outcome) {
+    fn count(&self, spec: &ExpectedRequest, outcome: Outcome) {
         self.batch.count(|report| match &outcome {
-            _ if ask.fails && matches!(outcome, Outcome::Refused(_)) => {
+            _ if spec.fails && matches!(outcome, Outcome::Refused(_)) => {
                 report.failed_as_asked += 1;
             }
-            Outcome::Answered(_) if ask.fails => report.wrong += 1,
+            Outcome::Answered(_) if spec.fails => report.wrong += 1,
             Outcome::Answered(Verdict::Right) => report.right += 1,
             Outcome::Answered(Verdict::Duplicated) => {
                 report.duplicated += 1;
@@ -118,7 +117,7 @@
             | Outcome::TimedOut => {}
         });
         match outcome {
-            Outcome::Refused(refusal) if !ask.fails => {
+            Outcome::Refused(refusal) if !spec.fails => {
                 self.batch.fail_item(refusal);
             }
             Outcome::Broken(refusal) => self.batch.fail_item(refusal),
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,16 +1,16 @@
 use std::fmt;
 
-/// Says why a load could not be run.
+/// Error of a load run.
 ///
-/// Failures of single requests are no errors; they are counted in the
+/// Failures of single requests are not errors; they are counted in the
 /// report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadError {
     /// The plan contradicts itself or is out of range.
     Plan,
-    /// The HTTP client could not be made.
+    /// The HTTP client could not be created.
     Client,
-    /// A task of the generator ended by a panic.
+    /// A task of the load generator panicked.
     Task,
 }
 
@@ -18,8 +18,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LoadError::Plan => "the load plan is invalid",
-            LoadError::Client => "the HTTP client cannot be made",
-            LoadError::Task => "a task of the load generator failed",
+            LoadError::Client => "the HTTP client cannot be created",
+            LoadError::Task => "a task of the load generator panicked",
         })
     }
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,15 +1,15 @@
-//! Open-loop load generator that verifies every answer.
+//! Open-loop load generator that verifies every response.
 //!
-//! A [`Plan`] says what to send; [`run`] sends it and returns a
-//! [`LoadReport`]. Online requests are streamed, batch jobs go through the
-//! files and batches API. Answers come from the stand-in engine, so that
-//! each is compared byte for byte with what it must be
+//! A [`Plan`] specifies the load; [`run`] sends it and returns a
+//! [`LoadReport`]. Online responses are streamed, batch jobs use the files
+//! and batches API. The stand-in engine generates deterministic responses,
+//! so that each is compared byte for byte with the expected text
 //! ([`standin::answer`]).
 //!
-//! Arrivals do not wait for answers (open loop), and a latency counts from
-//! the moment at which the request was meant to be sent. A generator that
-//! waits for answers was rejected: it sends less exactly when the system is
-//! slow, and so hides the slowness (coordinated omission).
+//! Arrivals do not wait for responses (open loop), and latencies are measured
+//! from the intended send time. A generator that waits for responses sends
+//! fewer requests exactly when the system is slow and thereby hides the
+//! slowness (coordinated omission).
 //!
 //! ```
 //! use pomeloslip_load::{Arrivals, Plan};
--- a/crates/load/src/online.rs
+++ b/crates/load/src/online.rs
@@ -1,4 +1,4 @@
-//! Online requests: when they are sent and what comes back.
+//! Sends online requests and measures their responses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,11 +11,11 @@
 use crate::{
     Arrivals, Decoder, Event, Plan,
     check::verdict,
-    prompt::{Ask, Place},
+    prompt::{ExpectedRequest, RequestKey},
     tally::{Measured, OnlineTally, Outcome, Refusal},
 };
 
-/// Sends all online requests of a plan and waits for their ends.
+/// Sends all online requests of a plan and waits until they have ended.
 pub(crate) async fn send_all(
     plan: Arc<Plan>,
     client: Client,
@@ -48,7 +48,7 @@
         let mut requests = JoinSet::new();
         let mut offset = Duration::ZERO;
         for number in 0.. {
-            // Gaps of a Poisson process; 1 - x avoids the logarithm of 0.
+            // Exponential gaps of a Poisson process; `1 - x` avoids `ln(0)`.
             let gap_s = -(1.0 - rng.random::<f64>()).ln() / rate;
             offset += Duration::from_secs_f64(gap_s);
             if offset >= duration {
@@ -90,19 +90,20 @@
     }
 
     async fn send(&self, number: u64, intended: Instant) {
-        let ask = Ask::new(&self.plan, Place::Online { number });
+        let spec =
+            ExpectedRequest::new(&self.plan, RequestKey::Online { number });
         self.tally.count_sent();
-        let measured = self.measure(&ask, intended).await;
+        let measured = self.measure(&spec, intended).await;
         self.tally.add(measured);
     }
 
-    /// Sends one request and reads its answer, within the time allowed.
+    /// Sends a request and reads its response within the request timeout.
     pub(crate) async fn measure(
         &self,
-        ask: &Ask,
+        spec: &ExpectedRequest,
         intended: Instant,
     ) -> Measured {
-        let mut reading = Reading {
+        let mut reader = ResponseReader {
             intended,
             send_delay: intended.elapsed(),
             text: String::new(),
@@ -112,15 +113,20 @@
             last: None,
             between: Vec::new(),
         };
-        let limit = Duration::from_millis(self.plan.request_timeout_ms);
-        let read = self.read(ask, &mut reading);
-        let outcome = tokio::time::timeout_at(intended + limit, read).await;
-        reading.measured(outcome.unwrap_or(Outcome::TimedOut))
+        let time_limit = Duration::from_millis(self.plan.request_timeout_ms);
+        let read = self.read(spec, &mut reader);
+        let outcome =
+            tokio::time::timeout_at(intended + time_limit, read).await;
+        reader.into_measured(outcome.unwrap_or(Outcome::TimedOut))
     }
 
-    async fn read(&self, ask: &Ask, reading: &mut Reading) -> Outcome {
+    async fn read(
+        &self,
+        spec: &ExpectedRequest,
+        reader: &mut ResponseReader,
+    ) -> Outcome {
         let url = format!("{}/v1/chat/completions", self.plan.target);
-        let mut request = self.client.post(url).json(&ask.body(true));
+        let mut request = self.client.post(url).json(&spec.body(true));
         if let Some(key) = &self.plan.key {
             request = request.bearer_auth(key);
         }
@@ -138,20 +144,20 @@
             };
             for event in decoder.push(&piece) {
                 match event {
-                    Event::Text(text) => reading.add(&text),
-                    Event::Done => reading.ended = true,
+                    Event::Text(text) => reader.add(&text),
+                    Event::Done => reader.ended = true,
                     Event::Error(body) => {
                         return Outcome::Broken(Refusal::of(200, &body));
                     }
                 }
             }
         }
-        let expected = ask.expected();
-        Outcome::Answered(verdict(&expected, &reading.text, reading.ended))
+        let expected = spec.expected();
+        Outcome::Answered(verdict(&expected, &reader.text, reader.ended))
     }
 }
 
-/// Reads why a request was refused.
+/// Reads the reason of a refusal from its response.
 pub(crate) async fn refusal(response: Response) -> Refusal {
     let status = response.status().as_u16();
     let text = response.text().await.unwrap_or_default();
@@ -159,7 +165,7 @@
     Refusal::of(status, &body)
 }
 
-struct Reading {
+struct ResponseReader {
     intended: Instant,
     send_delay: Duration,
     text: String,
@@ -170,7 +176,7 @@
     between: Vec<Duration>,
 }
 
-impl Reading {
+impl ResponseReader {
     fn add(&mut self, text: &str) {
         if text.is_empty() {
             return;
@@ -185,7 +191,7 @@
         self.last = Some(now);
     }
 
-    fn measured(self, outcome: Outcome) -> Measured {
+    fn into_measured(self, outcome: Outcome) -> Measured {
         Measured {
             outcome,
             tokens: self.tokens,
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -4,21 +4,21 @@
 
 use crate::LoadError;
 
-/// Says when online requests are sent.
+/// Arrival process of online requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Arrivals {
     /// No online requests.
     None,
-    /// So many requests a second at random moments (Poisson), whether or
-    /// not earlier ones are answered.
+    /// Open loop: a Poisson process with this rate per second, independent of
+    /// earlier responses.
     PerSecond(f64),
-    /// So many streams, each of which sends at least one request, and its
-    /// next when it has its answer; a closed loop, for measuring throughput
-    /// only.
+    /// Closed loop, only for throughput measurements: this number of streams,
+    /// each of which sends at least one request and the next one after the
+    /// response to the previous.
     Streams(u32),
 }
 
-/// Says what load to send where.
+/// Specification of a load and its target.
 ///
 /// # Example
 ///
@@ -58,7 +58,7 @@
     pub(crate) direct_batch_streams: u32,
 }
 
-/// Shows all but the key, which is a secret of the customer.
+/// Omits the API key, which is a secret of the customer.
 impl std::fmt::Debug for Plan {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Plan")
@@ -74,7 +74,7 @@
 }
 
 impl Plan {
-    /// Makes a plan that sends nothing yet to a base URL.
+    /// Creates a plan for a base URL without requests or jobs.
     pub fn new(target: &str, model: &str) -> Self {
         Self {
             target: target.trim_end_matches('/').to_owned(),
@@ -96,100 +96,101 @@
         }
     }
 
-    /// Sends this bearer key with each request.
+    /// Sets the bearer key to send with each request.
     pub fn key(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
         self
     }
 
-    /// Sends to another base URL.
+    /// Sets the base URL of the target.
     pub fn target(mut self, target: &str) -> Self {
         self.target = target.trim_end_matches('/').to_owned();
         self
     }
 
-    /// Says when online requests are sent.
+    /// Sets the arrival process of online requests.
     pub fn arrivals(mut self, arrivals: Arrivals) -> Self {
         self.arrivals = arrivals;
         self
     }
 
-    /// Sends online requests for so long.
+    /// Sets the duration in which online requests are sent.
     pub fn duration_ms(mut self, duration_ms: u64) -> Self {
         self.duration_ms = duration_ms;
         self
     }
 
-    /// Draws the lengths of prompts from this range; they come out a few
-    /// bytes longer, because prompts end with whole words.
+    /// Sets the range of prompt lengths. Prompts can be a few bytes longer
+    /// because they end with whole words.
     pub fn prompt_bytes(mut self, bytes: RangeInclusive<usize>) -> Self {
         self.prompt_bytes = bytes;
         self
     }
 
-    /// Asks for so many tokens in each request and item.
+    /// Sets the number of tokens to generate for each request and item.
     pub fn max_tokens(mut self, max_tokens: u32) -> Self {
         self.max_tokens = max_tokens;
         self
     }
 
-    /// Starts so many batch jobs of so many items at the beginning.
+    /// Sets the number of batch jobs to start at the beginning and the number
+    /// of items in each.
     pub fn batch(mut self, jobs: u32, items_per_job: u32) -> Self {
         self.jobs = jobs;
         self.items_per_job = items_per_job;
         self
     }
 
-    /// Makes this share of the batch items fail always (`[[fail]]`).
+    /// Sets the percentage of batch items that always fail (`[[fail]]`).
     pub fn fail_percent(mut self, percent: u32) -> Self {
         self.fail_percent = percent;
         self
     }
 
-    /// Draws prompts and arrivals from this seed.
+    /// Sets the seed for prompts and arrivals.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Gives up on an online request after so long.
+    /// Sets the timeout of an online request.
     pub fn request_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.request_timeout_ms = timeout_ms;
         self
     }
 
-    /// Gives up on a batch job after so long.
+    /// Sets the timeout of a batch job.
     pub fn batch_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.batch_timeout_ms = timeout_ms;
         self
     }
 
-    /// Asks for the state of a job this often.
+    /// Sets the polling interval for the status of a job.
     pub fn poll_ms(mut self, poll_ms: u64) -> Self {
         self.poll_ms = poll_ms;
         self
     }
 
-    /// Sends no further online request while so many are unanswered, and
-    /// counts it as not sent.
+    /// Sets the maximum number of online requests in flight; further requests
+    /// are skipped and counted as not sent.
     pub fn max_in_flight(mut self, max_in_flight: usize) -> Self {
         self.max_in_flight = max_in_flight;
         self
     }
 
-    /// Sends batch items over so many streams when there is no batch API
-    /// ([`direct`](crate::direct)).
+    /// Sets the number of concurrent streams for batch items without the
+    /// batch API ([`direct`](crate::direct)).
     pub fn direct_batch_streams(mut self, streams: u32) -> Self {
         self.direct_batch_streams = streams;
         self
     }
 
-    /// Returns the number of batch items.
+    /// Returns the total number of batch items.
     pub fn items(&self) -> u64 {
         u64::from(self.jobs) * u64::from(self.items_per_job)
     }
 
-    /// Checks the plan; [`run`](crate::run) does so itself.
+    /// Validates the plan; [`run`](crate::run) calls this function.
     ///
     /// # Errors
     ///
@@ -199,7 +200,7 @@
             ensure!(
                 rate.is_finite() && rate > 0.0,
                 Report::new(LoadError::Plan)
-                    .attach(format!("rate {rate} a second"))
+                    .attach(format!("rate {rate} per second"))
             );
         }
         ensure!(
@@ -213,12 +214,13 @@
         );
         ensure!(
             !self.prompt_bytes.is_empty(),
-            Report::new(LoadError::Plan).attach("no prompt length")
+            Report::new(LoadError::Plan)
+                .attach("empty range of prompt lengths")
         );
         Ok(())
     }
 
-    /// Returns how many jobs have items.
+    /// Returns the number of jobs, 0 if they have no items.
     pub(crate) fn batch_jobs(&self) -> u32 {
         if self.items_per_job == 0 {
             0
--- a/crates/load/src/prompt.rs
+++ b/crates/load/src/prompt.rs
@@ -1,4 +1,4 @@
-//! Prompts that depend on the seed and their number only.
+//! Deterministic prompts that depend only on the seed and the request key.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -6,41 +6,41 @@
 
 use crate::Plan;
 
-/// Groups of prompts that begin alike, as those of one application do.
+/// Number of prompt groups with a common prefix, like those of an application.
 const PREFIX_GROUPS: u64 = 16;
 
-/// Fewest bytes of a word in the generated texts.
-const WORD_BYTES: usize = 4;
+/// Minimum length of a word in the generated texts.
+const MIN_WORD_BYTES: usize = 4;
 
-/// Where a prompt belongs.
+/// Identifies a request. The debug output is part of the prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Place {
+pub(crate) enum RequestKey {
     Online { number: u64 },
     Item { job: u32, item: u32 },
 }
 
-/// A request with the answer that it must get.
+/// A request with its expected response.
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct ExpectedRequest {
     pub(crate) content: String,
     pub(crate) fails: bool,
     model: String,
     max_tokens: u32,
 }
 
-impl Ask {
-    /// Makes the request of a place.
-    pub(crate) fn new(plan: &Plan, place: Place) -> Self {
-        let mut rng = StdRng::seed_from_u64(seed_of(plan.seed, place));
+impl ExpectedRequest {
+    /// Creates the request of a key.
+    pub(crate) fn new(plan: &Plan, key: RequestKey) -> Self {
+        let mut rng = StdRng::seed_from_u64(seed_of(plan.seed, key));
         let bytes = rng.random_range(plan.prompt_bytes.clone());
         let group = rng.random_range(0..PREFIX_GROUPS);
-        let item = matches!(place, Place::Item { .. });
+        let item = matches!(key, RequestKey::Item { .. });
         let fails = item && rng.random_range(0..100) < plan.fail_percent;
         let mut content = text("group", &group.to_string(), bytes / 2);
         content.push_str(if fails { "\n[[fail]] " } else { "\n" });
-        let name = format!("{} {place:?}", plan.seed);
-        let rest = bytes.saturating_sub(content.len() + name.len());
-        content.push_str(&text("rest", &name, rest));
+        let name = format!("{} {key:?}", plan.seed);
+        let remainder = bytes.saturating_sub(content.len() + name.len());
+        content.push_str(&text("rest", &name, remainder));
         content.push_str(&name);
         Self {
             content,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the body of the call.
+    /// Returns the request body.
     pub(crate) fn body(&self, stream: bool) -> Value {
         json!({
             "model": self.model,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Returns the only right answer.
+    /// Returns the expected response.
     pub(crate) fn expected(&self) -> String {
         let prompt = answer::prompt_of_chat(&self.messages());
         answer::text(&self.model, &prompt, self.max_tokens)
@@ -72,7 +72,7 @@
 }
 
 fn text(kind: &str, name: &str, bytes: usize) -> String {
-    let words = bytes.div_ceil(WORD_BYTES) as u32;
+    let words = bytes.div_ceil(MIN_WORD_BYTES) as u32;
     let mut text = answer::text(kind, name, words);
     let mut end = bytes.min(text.len());
     while !text.is_char_boundary(end) {
@@ -82,10 +82,10 @@
     text
 }
 
-fn seed_of(seed: u64, place: Place) -> u64 {
-    let number = match place {
-        Place::Online { number } => number << 1,
-        Place::Item { job, item } => {
+fn seed_of(seed: u64, key: RequestKey) -> u64 {
+    let number = match key {
+        RequestKey::Online { number } => number << 1,
+        RequestKey::Item { job, item } => {
             (u64::from(job) << 33) | (u64::from(item) << 1) | 1
         }
     };
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -3,22 +3,22 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Quantiles of a span of time.
+/// Quantiles of a duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Values recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Arithmetic mean.
     pub mean_ms: f64,
     /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1,000 are at most this.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Largest value.
+    /// Maximum.
     pub max_ms: f64,
 }
 
@@ -38,30 +38,30 @@
     }
 }
 
-/// Rounds a figure to three decimals.
+/// Rounds a number to three decimals.
 ///
-/// Further digits mean nothing, and JSON readers that are fast rather than
-/// exact return such figures unchanged, but not those of full length.
-pub(crate) fn rounded(figure: f64) -> f64 {
-    (figure * 1_000.0).round() / 1_000.0
+/// Further digits are not significant. Fast but inexact JSON parsers
+/// preserve numbers of this length, but not those with all digits.
+pub(crate) fn rounded(number: f64) -> f64 {
+    (number * 1_000.0).round() / 1_000.0
 }
 
-/// Requests that the target refused or failed alike.
+/// Number of requests that were refused or failed for the same reason.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RefusalCount {
-    /// Status of the answer; 200 if a stream told it after its start, 0 if
-    /// there was no answer.
+    /// HTTP status; 200 if the error came within a stream, 0 if there was no
+    /// response.
     pub status: u16,
-    /// Type of the problem, or what else the body says.
+    /// Type of the problem, otherwise another description from the body.
     pub kind: String,
-    /// Whether the request ran, as the answer says (`ran`): `no`,
-    /// `unknown`, or `unsaid`.
+    /// Whether the request ran according to the response (`ran`): `no`,
+    /// `unknown`, or `unsaid` if the response does not state it.
     pub ran: String,
-    /// How many.
+    /// Number of requests.
     pub count: u64,
 }
 
-/// What became of the online requests.
+/// Results of the online requests.
 ///
 /// Each request is counted in exactly one of `right`, `wrong`, `missing`,
 /// `duplicated`, `refused`, `broken`, `timed_out` and `lost`.
@@ -69,42 +69,40 @@
 pub struct OnlineReport {
     /// Requests sent.
     pub sent: u64,
-    /// Requests held back because too many were unanswered.
+    /// Requests skipped because too many were in flight.
     pub not_sent: u64,
-    /// Whole and right answers.
+    /// Complete and correct responses.
     pub right: u64,
-    /// Answers that belong to no such request.
+    /// Responses with an unexpected text.
     pub wrong: u64,
-    /// Answers that ended early without saying so.
+    /// Responses that were truncated without an error.
     pub missing: u64,
-    /// Answers with a part given twice.
+    /// Responses with a repeated section.
     pub duplicated: u64,
-    /// Requests without an answer in time.
+    /// Requests that timed out.
     pub timed_out: u64,
-    /// Requests whose connection failed or ended with an error.
+    /// Requests whose connection failed.
     pub lost: u64,
-    /// Requests refused before an answer began.
+    /// Requests refused before a response started.
     pub refused: Vec<RefusalCount>,
-    /// Answers that ended with an error in the stream.
+    /// Responses that ended with an error in the stream.
     pub broken: Vec<RefusalCount>,
-    /// Tokens of right answers.
+    /// Tokens of correct responses.
     pub tokens: u64,
-    /// Tokens of right answers for each second until the last request
-    /// ended.
+    /// Tokens of correct responses per second until the last request ended.
     pub tokens_per_s: f64,
-    /// From the intended moment of sending to the first token.
+    /// Time from the intended send time to the first token.
     pub first_token: Quantiles,
-    /// Between one token and the next; tokens that are read together count
-    /// as 0 apart.
+    /// Time between consecutive tokens; 0 for tokens that are read together.
     pub between_tokens: Quantiles,
-    /// From the intended moment of sending to the end of a right answer.
+    /// Time from the intended send time to the end of a correct response.
     pub whole_answer: Quantiles,
-    /// How late the generator itself sent; large values make the other
-    /// latencies those of the generator.
+    /// Delay of the generator itself when sending; if it is large, the other
+    /// latencies mostly reflect the generator.
     pub send_delay: Quantiles,
 }
 
-/// What became of the batch jobs.
+/// Results of the batch jobs.
 ///
 /// Each item is counted in exactly one of `right`, `failed_as_asked`,
 /// `wrong`, `missing`, `unfinished`, `duplicated` and `failed`.
@@ -114,54 +112,55 @@
     pub jobs: u64,
     /// Jobs that reached the state `completed`.
     pub jobs_completed: u64,
-    /// Jobs that ended otherwise or not in time.
+    /// Jobs that ended in another state or timed out.
     pub jobs_unfinished: u64,
     /// Items planned.
     pub items: u64,
-    /// Items with the right answer, given once.
+    /// Items with exactly one, correct response.
     pub right: u64,
-    /// Items that must fail and are in the error file, once.
+    /// Items that must fail and are in the error file exactly once.
     pub failed_as_asked: u64,
-    /// Items with another answer, or an answer where a failure is due.
+    /// Items with an unexpected response, or a response instead of a failure.
     pub wrong: u64,
-    /// Items that no file names.
+    /// Items without a line in either file.
     pub missing: u64,
-    /// Items without a result of jobs that did not complete.
+    /// Items without a result in jobs that did not complete.
     pub unfinished: u64,
-    /// Items that the files name more than once.
+    /// Items with more than one line in the files.
     pub duplicated: u64,
-    /// Lines of the files that name no item of the job or are no JSON.
+    /// Lines of the files that are not valid JSON or not of an item of the
+    /// job.
     pub foreign: u64,
-    /// Items that failed though they should not, by reason.
+    /// Items that failed unexpectedly, by reason.
     pub failed: Vec<RefusalCount>,
-    /// Calls of the batch API that were refused and repeated, by reason.
+    /// Refused calls of the batch API, by reason.
     pub refused: Vec<RefusalCount>,
-    /// Calls of the batch API without an answer, repeated.
+    /// Calls of the batch API without a response; they were retried.
     pub lost: u64,
-    /// From the start of the run to the end of each completed job.
+    /// Time from the start of the run to the end of each completed job.
     pub job: Quantiles,
-    /// Right items for each second until the last job ended.
+    /// Correct items per second until the last job ended.
     pub items_per_s: f64,
 }
 
-/// What became of a load.
+/// Results of a load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Seed of the plan.
     pub seed: u64,
-    /// From the start to the end of all requests and jobs.
+    /// Time from the start to the end of all requests and jobs.
     pub elapsed_ms: u64,
-    /// Online requests.
+    /// Results of the online requests.
     pub online: OnlineReport,
-    /// Batch jobs.
+    /// Results of the batch jobs.
     pub batch: BatchReport,
 }
 
 impl LoadReport {
-    /// Tells whether no answer was wrong, missing or duplicated.
+    /// Reports whether no response was wrong, missing or duplicated.
     ///
-    /// Refusals, time-outs, lost connections and unfinished jobs do not
-    /// count: the caller knows of those.
+    /// Refusals, timeouts, lost connections and unfinished jobs do not count
+    /// because the caller can detect them.
     ///
     /// # Example
     ///
@@ -176,10 +175,10 @@
     /// ```
     pub fn is_clean(&self) -> bool {
         let (online, batch) = (&self.online, &self.batch);
-        let bad = online.wrong + online.missing + online.duplicated;
+        let bad_requests = online.wrong + online.missing + online.duplicated;
         let bad_items =
             batch.wrong + batch.missing + batch.duplicated + batch.foreign;
-        bad + bad_items == 0
+        bad_requests + bad_items == 0
     }
 }
 
@@ -214,7 +213,7 @@
         write_refusals(f, "refused", &self.refused)?;
         write_refusals(f, "broken", &self.broken)?;
         writeln!(f, "  {:<16}{:>12.1}", "tokens/s", self.tokens_per_s)?;
-        write_quantile_head(f)?;
+        write_quantile_header(f)?;
         write_quantiles(f, "first token", &self.first_token)?;
         write_quantiles(f, "between tokens", &self.between_tokens)?;
         write_quantiles(f, "whole answer", &self.whole_answer)?;
@@ -243,7 +242,7 @@
         write_refusals(f, "failed", &self.failed)?;
         write_refusals(f, "calls refused", &self.refused)?;
         writeln!(f, "  {:<16}{:>12.1}", "items/s", self.items_per_s)?;
-        write_quantile_head(f)?;
+        write_quantile_header(f)?;
         write_quantiles(f, "job", &self.job)
     }
 }
@@ -275,7 +274,7 @@
     Ok(())
 }
 
-fn write_quantile_head(f: &mut fmt::Formatter<'_>) -> fmt::Result {
+fn write_quantile_header(f: &mut fmt::Formatter<'_>) -> fmt::Result {
     writeln!(
         f,
         "  {:<16}{:>12}{:>10}{:>10}{:>10}{:>10}",
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -11,33 +11,33 @@
     tally::{BatchTally, OnlineTally},
 };
 
-/// Time between two calls of the progress callback.
-const PROGRESS_MS: u64 = 500;
+/// Interval between calls of the progress callback.
+const PROGRESS_INTERVAL_MS: u64 = 500;
 
-/// How far a run has come.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Progress {
     /// Time since the start.
     pub elapsed_ms: u64,
     /// Online requests sent.
     pub sent: u64,
-    /// Online requests without an end yet.
+    /// Online requests in flight.
     pub in_flight: u64,
-    /// Online requests with a right answer.
+    /// Online requests with a correct response.
     pub right: u64,
-    /// Batch items whose fate is known.
+    /// Batch items with a known outcome.
     pub items_known: u64,
 }
 
-/// Sends the load of a plan and verifies all answers.
+/// Sends the load of a plan and verifies all responses.
 ///
-/// `progress` is called twice a second. Dropping the future ends the load.
+/// `progress` is called twice per second. Dropping the future stops the load.
 ///
 /// # Errors
 ///
-/// [`LoadError::Plan`] if the plan is invalid, [`LoadError::Client`] if there
-/// is no HTTP client, [`LoadError::Task`] if the generator itself fails.
-/// Failures of the target are in the report.
+/// [`LoadError::Plan`] if the plan is invalid, [`LoadError::Client`] if the
+/// HTTP client cannot be created, [`LoadError::Task`] if a task of the
+/// generator panics. Failures of the target are counted in the report.
 ///
 /// # Example
 ///
@@ -45,7 +45,7 @@
 /// use pomeloslip_load::{Arrivals, Plan, run};
 ///
 /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-/// // Nothing listens at port 1, which is the target's failure.
+/// // Nothing listens at port 1, which counts as a failure of the target.
 /// let plan = Plan::new("http://127.0.0.1:1", "korv-lm")
 ///     .arrivals(Arrivals::Streams(1))
 ///     .duration_ms(1);
@@ -70,7 +70,7 @@
     load.finish(jobs, progress).await
 }
 
-/// The parts of a run.
+/// Shared state of a run.
 pub(crate) struct Load {
     pub(crate) plan: Arc<Plan>,
     pub(crate) client: Client,
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Sends the online requests beside the batch jobs.
+    /// Sends the online requests concurrently with the batch jobs.
     pub(crate) async fn finish(
         self,
         jobs: impl Future<Output = ()> + Send + 'static,
@@ -111,7 +111,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         tasks.spawn(online);
         tasks.spawn(jobs);
-        let period = Duration::from_millis(PROGRESS_MS);
+        let period = Duration::from_millis(PROGRESS_INTERVAL_MS);
         let mut ticks = tokio::time::interval(period);
         loop {
             tokio::select! {
@@ -134,7 +134,7 @@
             sent: self.online.sent(),
             in_flight: self.online.in_flight(),
             right: self.online.right(),
-            items_known: self.batch.known(),
+            items_known: self.batch.items_known(),
         }
     }
 
--- a/crates/load/src/sse.rs
+++ b/crates/load/src/sse.rs
@@ -1,20 +1,20 @@
 use serde_json::Value;
 
-/// The end mark of an answer's stream.
+/// End marker of a response stream.
 const DONE: &str = "[DONE]";
 
-/// One event of an answer's stream.
+/// An event of a response stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A piece of the text; it may be empty.
+    /// A part of the text; may be empty.
     Text(String),
-    /// The answer is whole.
+    /// The response is complete.
     Done,
-    /// The server says that it cannot go on; the JSON it sent.
+    /// The server reported an error; contains its JSON.
     Error(Value),
 }
 
-/// Reads server-sent events from pieces of any size.
+/// Decodes server-sent events from chunks of any size.
 ///
 /// # Example
 ///
@@ -25,7 +25,7 @@
 /// let stream = ": comment\n\n\
 ///     data: {\"choices\":[{\"delta\":{\"content\":\"hä\"}}]}\n\n\
 ///     data: [DONE]\n\n";
-/// // The cut falls into a character.
+/// // The boundary is within a character.
 /// let cut = stream.find('ä').unwrap() + 1;
 /// assert!(decoder.push(&stream.as_bytes()[..cut]).is_empty());
 /// let events = decoder.push(&stream.as_bytes()[cut..]);
@@ -37,7 +37,7 @@
 }
 
 impl Decoder {
-    /// Adds bytes and returns the events that they complete.
+    /// Adds a chunk and returns the events that it completes.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         let mut events = Vec::new();
         let mut rest = bytes;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts that the tasks of a run share.
+//! Counters that the tasks of a run share.
 
 use std::{
     sync::{
@@ -18,26 +18,27 @@
     report::rounded,
 };
 
-/// Significant digits of a latency.
+/// Significant digits of recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Longest latency that is told apart from longer ones: an hour.
-const LATENCY_MAX_US: u64 = 3_600_000_000;
+/// Maximum recorded latency, one hour; longer ones are clamped to it.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
-/// Longest text that is kept of an answer without a type.
-const KIND_BYTES: usize = 80;
+/// Maximum length of the kind of a refusal, in characters.
+const MAX_KIND_CHARS: usize = 80;
 
-/// Latencies in microseconds.
+/// Histogram of latencies in microseconds.
 #[derive(Debug)]
 pub(crate) struct Latency(Histogram<u64>);
 
 impl Default for Latency {
     fn default() -> Self {
-        // The bounds are given, because a histogram that grows by itself
-        // does not grow in `saturating_record`: it clips at its first 2 ms.
-        let made =
-            Histogram::new_with_bounds(1, LATENCY_MAX_US, SIGNIFICANT_DIGITS);
-        Self(made.expect("the constants are valid bounds"))
+        // The bounds are explicit because a histogram with automatic resizing
+        // does not resize in `saturating_record`: it clamps values to its
+        // initial maximum of 2 ms.
+        let histogram =
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
+        Self(histogram.expect("the constants are valid bounds"))
     }
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// Why a request got no answer.
+/// Reason why a request was refused or failed.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Refusal {
     pub(crate) status: u16,
@@ -60,7 +61,7 @@
 }
 
 impl Refusal {
-    /// Names a request that got no answer at all.
+    /// Creates the reason of a request without a response.
     pub(crate) fn unanswered(kind: &str) -> Self {
         Self {
             status: 0,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Reads problem details (RFC 9457) or an OpenAI error.
+    /// Parses problem details (RFC 9457) or an OpenAI error.
     pub(crate) fn of(status: u16, body: &Value) -> Self {
         let error = &body["error"];
         let kind = body["type"]
@@ -81,13 +82,13 @@
         let ran = body["ran"].as_str().or(error["ran"].as_str());
         Self {
             status,
-            kind: kind.chars().take(KIND_BYTES).collect(),
+            kind: kind.chars().take(MAX_KIND_CHARS).collect(),
             ran: ran.unwrap_or("unsaid").to_owned(),
         }
     }
 }
 
-/// Counts refusals by what they say.
+/// Counts refusals by reason.
 #[derive(Debug, Default)]
 pub(crate) struct Refusals(IndexMap<Refusal, u64>);
 
@@ -111,7 +112,7 @@
     }
 }
 
-/// What became of one online request.
+/// Outcome of an online request.
 #[derive(Clone, Debug)]
 pub(crate) enum Outcome {
     Answered(Verdict),
@@ -121,7 +122,7 @@
     Lost,
 }
 
-/// One online request as measured.
+/// Measurements of an online request.
 #[derive(Clone, Debug)]
 pub(crate) struct Measured {
     pub(crate) outcome: Outcome,
@@ -144,7 +145,7 @@
     last_end: Option<Instant>,
 }
 
-/// Counts of the online requests.
+/// Counters of the online requests.
 #[derive(Debug, Default)]
 pub(crate) struct OnlineTally {
     sent: AtomicU64,
@@ -213,10 +214,10 @@
         }
     }
 
-    /// Returns the report of a run that began at `start`.
+    /// Returns the report of a run that started at `start`.
     ///
-    /// Rates are over the time until the last request ended; batch jobs may
-    /// go on for long after it.
+    /// Rates refer to the time until the last request ended, because batch
+    /// jobs may continue long after it.
     pub(crate) fn report(&self, start: Instant) -> OnlineReport {
         let online = self.lock();
         let tokens = online.report.tokens as f64;
@@ -249,7 +250,7 @@
     last_end: Duration,
 }
 
-/// Counts of the batch jobs.
+/// Counters of the batch jobs.
 #[derive(Debug, Default)]
 pub(crate) struct BatchTally {
     inner: Mutex<Batch>,
@@ -257,12 +258,12 @@
 
 impl BatchTally {
     /// Counts a call of the batch API that was refused.
-    pub(crate) fn refuse(&self, refusal: Refusal) {
+    pub(crate) fn count_refused_call(&self, refusal: Refusal) {
         self.lock().refused.add(refusal);
     }
 
-    /// Counts a call of the batch API that got no answer.
-    pub(crate) fn lose(&self) {
+    /// Counts a call of the batch API without a response.
+    pub(crate) fn count_lost_call(&self) {
         self.lock().report.lost += 1;
     }
 
@@ -278,18 +279,18 @@
         batch.last_end = batch.last_end.max(after);
     }
 
-    /// Counts an item that failed though it should not.
+    /// Counts an item that failed unexpectedly.
     pub(crate) fn fail_item(&self, refusal: Refusal) {
         self.lock().failed.add(refusal);
     }
 
-    /// Counts the other items of a job.
+    /// Updates the report, to count the other items of a job.
     pub(crate) fn count(&self, change: impl FnOnce(&mut BatchReport)) {
         change(&mut self.lock().report);
     }
 
-    /// Returns the items whose fate is known.
-    pub(crate) fn known(&self) -> u64 {
+    /// Returns the number of items with a known outcome.
+    pub(crate) fn items_known(&self) -> u64 {
         let batch = self.lock();
         let report = &batch.report;
         report.right
--- a/crates/load/tests/batch.rs
+++ b/crates/load/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Batch load against a fake of the files and batches API.
+//! Tests batch load against a fake of the files and batches API.
 
 use std::sync::{
     Arc,
@@ -21,7 +21,7 @@
 use tokio::{io::AsyncReadExt, sync::oneshot};
 use yare::parameterized;
 
-/// What the fake does wrong.
+/// Fault of the fake.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Fault {
     None,
@@ -60,7 +60,7 @@
     Json(json!({"id": "file-in"}))
 }
 
-/// Refuses the first call, as a busy server does.
+/// Refuses the first call like an overloaded server.
 #[rocket::post("/v1/batches", data = "<body>")]
 fn create(
     fake: &State<Arc<Fake>>,
--- a/crates/load/tests/online.rs
+++ b/crates/load/tests/online.rs
@@ -1,4 +1,4 @@
-//! Online load against the stand-in engine.
+//! Tests online load against the stand-in engine.
 
 use std::time::Duration;
 
@@ -53,9 +53,8 @@
 
 #[tokio::test]
 async fn latencies_are_as_long_as_the_engine_takes() {
-    // Symptom: all latencies of a report are about 2 ms.
-    // Events: the engine takes 20 ms a token.
-    // Cause: a histogram that clips instead of growing.
+    // Guards against a histogram that clamps values to 2 ms instead of
+    // resizing; the engine takes 20 ms per token.
     let engine = engine(EngineSettings {
         base_step_ms: 20.0,
         ..EngineSettings::default()
@@ -105,10 +104,9 @@
 
 #[tokio::test]
 async fn answers_that_end_early_are_missing() {
-    // Symptom: a report calls a half answer right.
-    // Events: the engine ends all streams, without an error and without
-    // their end marks.
-    // Cause: only the end mark tells that an answer is whole.
+    // Guards against a truncated response that counts as correct: the engine
+    // ends all streams without an error and without an end marker. Only the
+    // end marker shows that a response is complete.
     let engine = engine(EngineSettings {
         base_step_ms: 1_000_000.0,
         ..EngineSettings::default()
--- a/crates/load/tests/property.rs
+++ b/crates/load/tests/property.rs
@@ -1,10 +1,11 @@
-//! The checker's reader of event streams: cuts and noise change nothing.
+//! Property tests of the event stream decoder: the chunk boundaries must not
+//! change the decoded events.
 
 use pomeloslip_load::{Decoder, Event};
 use proptest::{prelude::*, sample::Index, test_runner::RngSeed};
 use serde_json::json;
 
-/// Cases are drawn from a fixed seed; `PROPERTY_FACTOR` multiplies them.
+/// Uses a fixed seed; `PROPERTY_FACTOR` multiplies the number of cases.
 fn config(cases: u32) -> ProptestConfig {
     let factor = std::env::var("PROPERTY_FACTOR").ok();
     let factor = factor.and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -34,7 +35,7 @@
     prop::collection::vec(any::<Index>(), 0..20)
 }
 
-/// What is sent, and what it must be read as.
+/// A sent line and the event that it must be decoded as.
 fn sent() -> impl Strategy<Value = (String, Option<Event>)> {
     let chat = ".{0,12}".prop_map(|text| {
         let data = json!({"choices": [{"delta": {"content": text}}]});
@@ -70,8 +71,8 @@
         prop_assert_eq!(decode(bytes.as_bytes(), &cuts), right);
     }
 
-    /// A stream that lost its end or got noise is never read as done by
-    /// what is not the end mark.
+    /// A truncated or corrupted stream never decodes as done without the end
+    /// marker.
     #[test]
     fn noise_is_answered_alike_whatever_the_cuts(
         bytes in prop::collection::vec(
