--- a/crates/faultproxy/src/effects.rs
+++ b/crates/faultproxy/src/effects.rs
@@ -44,7 +44,7 @@
     pub(crate) fn new(
         rule_set: &RuleSet,
         flow: Flow,
-        forwarded: u64,
+        offset: u64,
         now: Instant,
     ) -> Self {
         let cut = flow.number < rule_set.cut_below;
@@ -59,25 +59,19 @@
             if rule.covers(flow.direction) && applies {
                 let from =
                     rule_set.set_at.max(flow.opened) + rule.start_delay();
-                effects.add(rule, from, forwarded, now);
+                effects.add(rule, from, offset, now);
             }
         }
         effects
     }
 
-    fn add(
-        &mut self,
-        rule: &Rule,
-        from: Instant,
-        forwarded: u64,
-        now: Instant,
-    ) {
+    fn add(&mut self, rule: &Rule, from: Instant, offset: u64, now: Instant) {
         if now < from {
             let wake = self.wake.map_or(from, |wake| wake.min(from));
             self.wake = Some(wake);
             return;
         }
-        if let Some(remaining) = rule.start_bytes().checked_sub(forwarded)
+        if let Some(remaining) = rule.start_bytes().checked_sub(offset)
             && remaining > 0
         {
             let remaining = self
