--- a/crates/faultproxy/tests/proxy.rs
+++ b/crates/faultproxy/tests/proxy.rs
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn only_new_connections_are_met() {
+async fn a_rule_for_new_connections_spares_open_ones() {
     let (proxy, handle) = proxy().await;
     let mut old = open(&proxy).await;
     echo_round_trip(&mut old, b"one").await;
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn the_handle_cuts_what_is_open() {
+async fn the_handle_resets_open_connections() {
     let (proxy, handle) = proxy().await;
     let mut old = open(&proxy).await;
     echo_round_trip(&mut old, b"one").await;
@@ -200,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn a_seed_always_meets_the_same_connections() {
+async fn a_seed_affects_the_same_connections() {
     let mut runs = Vec::new();
     for _ in 0..2 {
         let (proxy, handle) = proxy().await;
--- a/crates/load/tests/property.rs
+++ b/crates/load/tests/property.rs
@@ -58,7 +58,7 @@
     #![proptest_config(config(2_000))]
 
     #[test]
-    fn what_was_sent_is_read_whatever_the_cuts(
+    fn events_decode_regardless_of_chunk_boundaries(
         sent in prop::collection::vec(sent(), 0..10),
         crlf: bool,
         cuts in cuts(),
@@ -74,7 +74,7 @@
     /// A truncated or corrupted stream never decodes as done without the end
     /// marker.
     #[test]
-    fn noise_is_answered_alike_whatever_the_cuts(
+    fn noise_decodes_regardless_of_chunk_boundaries(
         bytes in prop::collection::vec(
             prop_oneof![
                 Just(b'\n'), Just(b'\r'), Just(b'd'), Just(b':'),
--- a/crates/web/tests/serving.rs
+++ b/crates/web/tests/serving.rs
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_problem_carries_its_type_and_when_to_come_back() {
+async fn a_problem_has_its_type_and_retry_after() {
     let served = serve(&ServiceState::default()).await;
     let reply = get(&served, "/full").await;
     assert_eq!(reply.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -97,7 +97,7 @@
 /// response is sent, Rocket either waits for its whole grace period or
 /// interrupts the response.
 #[tokio::test]
-async fn idle_waits_for_what_runs_and_no_longer() {
+async fn wait_idle_returns_once_no_request_runs() {
     let state = ServiceState::default();
     let active = state.begin_request();
     assert!(!state.wait_idle(20).await);
--- a/crates/wire/tests/codes.rs
+++ b/crates/wire/tests/codes.rs
@@ -15,7 +15,7 @@
     wrong_role = { RefusalKind::WrongRole, 10 },
     failed = { RefusalKind::Failed, 11 },
 )]
-fn refusals_keep_their_numbers(kind: RefusalKind, code: u16) {
+fn refusals_keep_their_codes(kind: RefusalKind, code: u16) {
     assert_eq!(kind.code(), code);
     assert_eq!(RefusalKind::from_code(code), kind);
 }
@@ -29,7 +29,7 @@
     cancelled = { OutcomeKind::Cancelled, 6 },
     crashed = { OutcomeKind::Crashed, 7 },
 )]
-fn outcomes_keep_their_numbers(kind: OutcomeKind, code: u16) {
+fn outcomes_keep_their_codes(kind: OutcomeKind, code: u16) {
     assert_eq!(kind.code(), code);
     assert_eq!(OutcomeKind::from_code(code), kind);
 }
@@ -38,7 +38,7 @@
 /// complete response: a newer companion sends a code that the entry does not
 /// know, and the code decodes as the first variant.
 #[test]
-fn unknown_numbers_promise_nothing() {
+fn unknown_codes_decode_conservatively() {
     for code in [0, 99, u16::MAX] {
         assert_eq!(RefusalKind::from_code(code), RefusalKind::Failed);
         assert_eq!(OutcomeKind::from_code(code), OutcomeKind::Broken);
--- a/crates/wire/tests/links.rs
+++ b/crates/wire/tests/links.rs
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_is_typed_and_says_when_to_come_back() {
+async fn a_refusal_has_a_kind_and_a_retry_delay() {
     let (server, _) = start(Secrets::default()).await;
     let links = links(Secrets::default());
     let reply = links.run(server.address(), request("/full")).await.unwrap();
