--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -47,7 +47,7 @@
 
 pub use crate::{
     admin::Admin,
-    base::Outside,
+    base::NodeContext,
     cluster::{ClusterState, ConfigBounds},
     dialect::{
         Dialect, DialectError, JobCall, OperatorOrder, VacateOrder,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -122,7 +122,7 @@
             async move { seeder.seed(&*kv, registered, previous).await },
         );
         let pool = Arc::new(Pool::default());
-        let timing = QueryTiming::new(settings.news_ms());
+        let timing = QueryTiming::new(settings.propagation_ms());
         let mut feeds = Vec::new();
         for (feed_number, (feed, read_mode)) in
             feed_modes.into_iter().enumerate()
@@ -330,7 +330,7 @@
     orders: Option<mpsc::UnboundedSender<VacateOrder>>,
 ) {
     let apply_order = |kv: &KeyValue| match dialect.decode_order(kv) {
-        Ok(OperatorOrder::Config(config)) => cluster.take_config(*config),
+        Ok(OperatorOrder::Config(config)) => cluster.apply_config(*config),
         Ok(OperatorOrder::Vacate(order)) => {
             if let Some(orders) = &orders {
                 let _ = orders.send(order);
@@ -376,7 +376,7 @@
             delta.revision,
             delta.is_full,
         );
-        cluster.note_held_requests();
+        cluster.mark_quarantine_loaded();
         if after == 0 || delta.is_full {
             view.replace(&delta.items, at);
         } else {
