--- a/crates/web/tests/serving.rs
+++ b/crates/web/tests/serving.rs
@@ -1,11 +1,11 @@
-//! Launch, health and problem documents over loopback sockets.
+//! Tests launch, health routes and problem documents over loopback sockets.
 
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
 
 use pomeloslip_web::{
-    LaunchOptions, Phase, Problem, ProblemKind, Ran, Served, ServiceState,
+    HttpServer, LaunchOptions, Phase, Problem, ProblemKind, Ran, ServiceState,
     catchers, health_routes, launch,
 };
 use reqwest::StatusCode;
@@ -23,7 +23,7 @@
     body.into_inner()
 }
 
-async fn serve(state: &ServiceState) -> Served {
+async fn serve(state: &ServiceState) -> HttpServer {
     let listen: SocketAddr = "127.0.0.1:0".parse().unwrap();
     let rocket = rocket::build()
         .manage(state.clone())
@@ -34,7 +34,7 @@
     launch(rocket, options).await.unwrap()
 }
 
-async fn get(served: &Served, path: &str) -> reqwest::Response {
+async fn get(served: &HttpServer, path: &str) -> reqwest::Response {
     let url = format!("http://{}{path}", served.address());
     reqwest::get(url).await.unwrap()
 }
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_problem_carries_its_type_and_when_to_come_back() {
+async fn a_problem_has_its_type_and_retry_after() {
     let served = serve(&ServiceState::default()).await;
     let reply = get(&served, "/full").await;
     assert_eq!(reply.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -92,16 +92,16 @@
     assert!(text.contains(&served.address().to_string()), "{text}");
 }
 
-/// Symptom: a planned stop takes two minutes, or cuts an answer. Sequence:
-/// the process is told to stop while an answer runs. Cause: the server
-/// library either waits out its whole grace time or cuts what runs, since
-/// it does not count requests.
+/// Guards against a graceful shutdown that takes two minutes or interrupts a
+/// response. Rocket does not count requests: when a shutdown starts while a
+/// response is sent, Rocket either waits for its whole grace period or
+/// interrupts the response.
 #[tokio::test]
-async fn idle_waits_for_what_runs_and_no_longer() {
+async fn wait_idle_returns_once_no_request_runs() {
     let state = ServiceState::default();
-    let active = state.begin();
-    assert!(!state.idle(20).await);
-    let waiting = state.idle(60_000);
+    let active = state.begin_request();
+    assert!(!state.wait_idle(20).await);
+    let waiting = state.wait_idle(60_000);
     drop(active);
     assert!(waiting.await);
     assert_eq!(state.active(), 0);
