--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -63,7 +63,7 @@
     ) {
         match result.outcome {
             ItemOutcome::Answered => {
-                self.quarantine.record_response(digest, 0)
+                self.quarantine.record_response(digest, 0);
             }
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
