--- a/crates/entry/src/api/admin.rs
+++ b/crates/entry/src/api/admin.rs
@@ -1,4 +1,4 @@
-//! What operators do: read and change the configuration.
+//! Operator API: reads and changes the configuration.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
     shared::Shared,
 };
 
-/// Revisions listed when no limit is given.
+/// Number of revisions listed when the request gives no limit.
 const HISTORY_DEFAULT: usize = 20;
 
-/// Most revisions listed at once.
+/// Maximum number of revisions in one response.
 const HISTORY_MAX: usize = 200;
 
 pub(crate) fn routes() -> Vec<Route> {
@@ -141,9 +141,10 @@
         .with("errors", serde_json::json!(errors))
 }
 
-/// Says honestly whether a change may have been made.
+/// Makes the problem for a failed request, stating whether a change may have
+/// been made.
 pub(crate) fn failed(report: Report<EntryError>) -> Problem {
-    log::warn!(error:? = report; "a request of an operator failed");
+    log::warn!(error:? = report; "an operator request failed");
     match report.current_context() {
         EntryError::Unknown => {
             let why = "the platform's answer was lost; the change may be \
--- a/crates/entry/src/api/batches.rs
+++ b/crates/entry/src/api/batches.rs
@@ -1,4 +1,4 @@
-//! `/v1/batches` in the OpenAI shapes.
+//! `/v1/batches` in the OpenAI format.
 
 use std::sync::Arc;
 
@@ -27,11 +27,11 @@
 const MS_PER_HOUR: u64 = 3_600_000;
 const MS_PER_MINUTE: u64 = 60_000;
 
-/// Longest window that is accepted, in hours; see also the age up to which
-/// a file can be an input.
+/// Maximum completion window, in hours; see also the maximum age of an input
+/// file, `MAX_INPUT_AGE_MS`.
 const WINDOW_MAX_HOURS: u64 = 24 * 14;
 
-/// Paths that items may be sent to.
+/// Endpoint paths that items may be sent to.
 const PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
 pub(crate) fn routes() -> Vec<Route> {
@@ -53,7 +53,7 @@
     "24h".to_owned()
 }
 
-/// The header `Idempotency-Key`, if the caller sent one.
+/// The `Idempotency-Key` header, if the caller sent one.
 struct IdempotencyKey(Option<String>);
 
 #[rocket::async_trait]
@@ -114,7 +114,7 @@
     Problem::new(ProblemKind::Invalid, why).ran(Ran::No)
 }
 
-/// The server library reads no further than the limit.
+/// Makes the problem for a body over the limit; Rocket stops reading there.
 fn too_large(error: &std::io::Error) -> Problem {
     Problem::new(ProblemKind::TooLarge, error.to_string()).ran(Ran::No)
 }
@@ -150,7 +150,7 @@
     (ms > 0 && ms <= WINDOW_MAX_HOURS * MS_PER_HOUR).then_some(ms)
 }
 
-/// Reads `due_at` from the metadata: RFC 3339 or seconds since 1970.
+/// Parses `due_at` in the metadata: RFC 3339 or Unix seconds.
 fn due_at(metadata: &Value) -> Result<Option<UnixMillis>, Problem> {
     let wrong = || {
         let why = "metadata.due_at must be a time like \
@@ -233,7 +233,7 @@
     let ended = job.ended.map(seconds);
     let ended_as = |state| ended.filter(|_| job.state == state);
     let file = |chunks: &[Chunk], prefix: &str| {
-        // A record holds the newest pieces; it has some if there are any.
+        // The record holds the newest chunks, so it has some if any exist.
         let rest = job.id.as_str().trim_start_matches(JOB_PREFIX);
         (!chunks.is_empty()).then(|| format!("{prefix}{rest}"))
     };
--- a/crates/entry/src/api/files.rs
+++ b/crates/entry/src/api/files.rs
@@ -1,4 +1,4 @@
-//! `/v1/files` in the OpenAI shapes.
+//! `/v1/files` in the OpenAI format.
 
 use std::{io, sync::Arc};
 
@@ -30,7 +30,7 @@
     routes![upload, show, content]
 }
 
-/// The one purpose that an upload may have.
+/// The only supported purpose of an upload.
 const PURPOSE: &str = "batch";
 
 #[post("/v1/files", data = "<data>")]
@@ -148,8 +148,8 @@
     let chunks = found.map_err(failed)?.ok_or_else(no_file)?;
     let bytes = chunks.iter().map(|chunk| chunk.bytes).sum();
     let mut chunks = chunks.into_iter();
-    // The first piece is read before the status goes out, so that a file
-    // that cannot be read is an error and not an empty answer.
+    // The first chunk is read before the status is sent, so that an
+    // unreadable file gives an error and not an empty response.
     let first = match chunks.next() {
         Some(chunk) => shared.batch.blobs().get(&chunk).await,
         None => Ok(Bytes::new()),
@@ -170,15 +170,15 @@
 
 async fn read_piece(shared: &Shared, chunk: Chunk) -> io::Result<Bytes> {
     shared.batch.blobs().get(&chunk).await.map_err(|report| {
-        log::warn!(error:? = report; "a file breaks off");
+        log::warn!(error:? = report; "cannot read a chunk of a download");
         io::Error::other(report.to_string())
     })
 }
 
-/// The pieces of a file, sent as they are read.
+/// A response body that streams the chunks of a file as they are read.
 ///
-/// The length goes first, so that a piece that cannot be read cuts the
-/// connection: a clean end would make a part of a file look like the whole.
+/// The length is sent first, so that an unreadable chunk aborts the
+/// connection: a clean end would make a truncated file look complete.
 struct FileBody {
     bytes: u64,
     pieces: BoxStream<'static, io::Result<Bytes>>,
@@ -189,7 +189,7 @@
     fn respond_to(self, _: &'r Request<'_>) -> response::Result<'static> {
         let active = self.active;
         let pieces = self.pieces.inspect(move |_| {
-            // Moved in, so that it lives as long as the pieces.
+            // Moved in, so that it lives as long as the stream.
             let _ = &active;
         });
         Response::build()
--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -1,4 +1,4 @@
-//! Calls that are forwarded to an endpoint.
+//! Forwards calls to endpoints.
 
 use std::{io::Cursor, sync::Arc};
 
@@ -27,10 +27,10 @@
     shared::{Admitted, Shared},
 };
 
-/// Headers of an endpoint's answer that the entry sets itself.
+/// Headers of an endpoint's response that the entry replaces.
 const REPLACED_HEADERS: [&str; 3] = ["x-request-id", "server", "date"];
 
-/// Methods that a plain service may be called with.
+/// HTTP methods that a non-inference service may be called with.
 const SERVICE_METHODS: [Method; 7] = [
     Method::Get,
     Method::Head,
@@ -52,7 +52,7 @@
     routes
 }
 
-/// Lists the models that some pool serves, in the OpenAI shape.
+/// Lists the models that at least one pool serves, in the OpenAI format.
 #[get("/v1/models")]
 fn models(caller: Authenticated) -> Json<serde_json::Value> {
     let in_force = &caller.caller.in_force;
@@ -65,7 +65,7 @@
     Json(json!({"object": "list", "data": models}))
 }
 
-/// Forwards a call through the filters to an endpoint.
+/// Route handler that forwards a call through the filters to an endpoint.
 #[derive(Clone)]
 struct Gateway;
 
@@ -113,9 +113,9 @@
     data: Data<'_>,
 ) -> Result<Served, Problem> {
     let received = shared.timer.now();
-    // Counted before the look at the phase: a planned stop that finds
-    // nothing running after it has set the phase cuts no call that was let
-    // in just before and whose body is still on its way.
+    // Counted before the phase is checked: a shutdown that has set the
+    // phase and then finds nothing running must not abort a call that was
+    // admitted just before and whose body is still arriving.
     let _active = shared.state.begin();
     if !shared.state.is_ready() {
         return Err(stopping());
@@ -198,7 +198,7 @@
     }
 }
 
-/// Starts a response with the status and headers of an endpoint.
+/// Starts a response with the status and headers of an endpoint's response.
 fn head<'r>(id: &str, status: u16, headers: Vec<Header>) -> Builder<'r> {
     let mut response = Response::build();
     response.status(Status::new(status));
--- a/crates/entry/src/api/guard.rs
+++ b/crates/entry/src/api/guard.rs
@@ -1,4 +1,4 @@
-//! Request guards: who calls.
+//! Request guards that authenticate callers.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 /// A caller whose bearer key belongs to a customer.
 pub(crate) struct Authenticated {
     pub(crate) caller: Caller,
-    /// Held while the request runs, so that a planned stop waits for it.
+    /// Held while the request runs, so that a shutdown waits for it.
     pub(crate) active: Active,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// An operator whose bearer key is in the settings.
+/// A caller whose bearer key is one of the operator keys in the settings.
 pub(crate) struct Operator;
 
 #[rocket::async_trait]
--- a/crates/entry/src/api/mod.rs
+++ b/crates/entry/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and operators see over HTTP.
+//! HTTP API for customers and operators.
 
 mod admin;
 mod batches;
--- a/crates/entry/src/api/status.rs
+++ b/crates/entry/src/api/status.rs
@@ -1,4 +1,4 @@
-//! `GET /status`: what a person or a tool needs to see.
+//! `GET /status`: the state of this entry for operators and tools.
 
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
     phase: String,
     revision: u64,
     in_force_for_ms: Option<u64>,
-    /// The newest revision heard of, in force here or not.
+    /// The newest known revision, in force here or not.
     revision_heard: u64,
     /// Whether this entry watches the key-value service.
     relay: bool,
-    /// How often another entry had another text as the same revision.
+    /// How often a peer had a different text for the same revision.
     revision_conflicts: u64,
-    /// Calls at the key-value service to follow the configuration.
+    /// Calls made to the key-value service to follow the configuration.
     config_service_calls: u64,
     endpoints: Vec<EndpointRow>,
     partitions: Vec<u32>,
--- a/crates/entry/src/api/vms.rs
+++ b/crates/entry/src/api/vms.rs
@@ -1,4 +1,4 @@
-//! What operators do with endpoints: stop them.
+//! Operator API: drains endpoints.
 
 use std::sync::Arc;
 
@@ -13,9 +13,9 @@
     routes![stop]
 }
 
-/// Lets the endpoint on a VM finish its work and take no more.
+/// Drains the endpoint on a VM: it finishes its work and gets no more.
 ///
-/// The VM is named as the platform's list names it, or by the endpoint's
+/// The VM is given by its name in the platform's list or by the endpoint's
 /// name in the settings.
 #[post("/admin/vms/<vm>/stop")]
 async fn stop(
--- a/crates/entry/src/batch/blobs.rs
+++ b/crates/entry/src/batch/blobs.rs
@@ -1,4 +1,4 @@
-//! Blobs on the data VMs: two copies in different failure domains.
+//! Blobs on data VMs, as two copies in different failure domains.
 
 use base::stable_hash;
 use bytes::Bytes;
@@ -9,10 +9,10 @@
 
 use crate::{EntryError, batch::Chunk};
 
-/// Copies that must be on disk before anything is acknowledged.
+/// Copies that must be on disk before a write is acknowledged.
 const COPIES: usize = 2;
 
-/// Writes and reads blobs.
+/// Writes and reads blobs on the data VMs.
 pub(crate) struct Blobs {
     links: Links,
     data_vms: Vec<DataVm>,
@@ -39,8 +39,8 @@
         let mut next = order.iter();
         let mut last = None;
         while homes.len() < COPIES {
-            // Both copies are written at once; a failed one goes to the
-            // next data VM of another failure domain.
+            // Both copies are written concurrently; a failed one is retried
+            // on the next data VM of another failure domain.
             let mut round: Vec<&DataVm> = Vec::new();
             while homes.len() + round.len() < COPIES {
                 let taken = |vm: &DataVm| {
@@ -56,7 +56,7 @@
             }
             if round.is_empty() {
                 let report = Report::new(EntryError::Storage)
-                    .attach("too few data VMs store this");
+                    .attach("too few data VMs stored the blob");
                 return Err(match last {
                     Some(why) => report.attach(format!("{why:?}")),
                     None => report,
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Reads a blob from the first data VM that has it whole.
+    /// Reads a blob from the first data VM that has an intact copy.
     pub(crate) async fn get(
         &self,
         chunk: &Chunk,
@@ -101,7 +101,7 @@
                 Err(report) => last = Some(report),
             }
         }
-        let missing = || format!("no whole copy of {}", chunk.blob);
+        let missing = || format!("no intact copy of {}", chunk.blob);
         match last {
             Some(report) => Err(report),
             None => {
@@ -113,8 +113,8 @@
         .attach_with(missing)
     }
 
-    /// Orders the data VMs by rendezvous hashing, so that all entries look
-    /// for a blob where it was put without asking anybody.
+    /// Orders the data VMs by rendezvous hashing, so that every entry finds a
+    /// blob without a lookup.
     fn order(&self, id: &str) -> Vec<&DataVm> {
         let mut order: Vec<&DataVm> = self.data_vms.iter().collect();
         order.sort_by_key(|vm| weight(id, vm));
--- a/crates/entry/src/batch/files.rs
+++ b/crates/entry/src/batch/files.rs
@@ -1,4 +1,4 @@
-//! Uploaded files.
+//! Uploads and downloads of files.
 
 use base::{Customer, FileId, UnixMillis, blob_day_prefix};
 use error_stack::{Report, ResultExt};
@@ -18,22 +18,23 @@
 
 const MS_PER_DAY: u64 = 86_400_000;
 
-/// Age up to which a resent file is the stored one.
+/// Maximum age at which a stored file is reused for a resent one, in
+/// milliseconds.
 const FRESH_MS: u64 = 7 * MS_PER_DAY;
 
-/// Age up to which a file can be the input of a new job. With the longest
-/// window of a job, its pieces are kept for as long as they are read.
+/// Maximum age of the input file of a new job, in milliseconds. Even with
+/// the maximum window of a job, the chunks are retained while they are read.
 pub(super) const INPUT_AGE_MAX_MS: u64 = 14 * MS_PER_DAY;
 
-/// Digits of a digest that an id keeps.
+/// Hexadecimal digits of a digest that form an id.
 const ID_DIGITS: usize = 32;
 
 /// Why a file was not stored.
 #[derive(Debug)]
 pub(crate) enum UploadError {
-    /// Its content is wrong.
+    /// The content of the file is invalid.
     Input(InputError),
-    /// It could not be stored for good.
+    /// The file could not be stored durably.
     Failed(Report<EntryError>),
 }
 
@@ -49,11 +50,11 @@
     }
 }
 
-/// A batch input on its way in.
+/// A batch input that is being uploaded.
 ///
-/// Pieces are stored as they fill, under a digest of their content: a client
-/// that resends the file stores nothing twice, and an upload that breaks off
-/// leaves only pieces that nothing refers to.
+/// Chunks are stored as they fill up, under a digest of their content:
+/// resending the file stores nothing twice, and an aborted upload leaves only
+/// unreferenced chunks.
 pub(crate) struct Upload<'a> {
     batch: &'a Batch,
     customer: Customer,
@@ -64,7 +65,7 @@
 }
 
 impl<'a> Upload<'a> {
-    /// Takes bytes of the file.
+    /// Appends bytes to the file.
     pub(crate) async fn push(
         &mut self,
         bytes: &[u8],
@@ -77,7 +78,7 @@
         Ok(())
     }
 
-    /// Stores the rest and then the record that makes the file known.
+    /// Stores the remainder and then the record that makes the file visible.
     pub(crate) async fn finish(
         mut self,
         filename: String,
@@ -129,7 +130,7 @@
 }
 
 impl Batch {
-    /// Starts to take a batch input.
+    /// Starts the upload of a batch input.
     pub(crate) fn begin_upload(&self, customer: Customer) -> Upload<'_> {
         Upload {
             batch: self,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Returns the pieces of a customer's file, or of the output or error file
-    /// of one of its jobs.
+    /// Returns the chunks of a customer's file, or of the output or error file
+    /// of one of the customer's jobs.
     pub(crate) async fn content(
         &self,
         customer: &Customer,
@@ -160,7 +161,7 @@
         Ok(self.file(customer, id).await?.map(|file| file.chunks))
     }
 
-    /// Returns the pieces of one file of a job, older pages first.
+    /// Returns the chunks of a job's output or error file, oldest page first.
     async fn pieces_of(
         &self,
         job: Option<JobRecord>,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Returns a customer's file; another customer's reads as absent.
+    /// Returns a customer's file, or `None` if it belongs to another customer.
     pub(crate) async fn file(
         &self,
         customer: &Customer,
@@ -210,7 +211,7 @@
         Ok(found.map(|(record, _)| record))
     }
 
-    /// Returns a file with the revision of its record.
+    /// Returns a file and the revision of its record.
     async fn file_found(
         &self,
         customer: &Customer,
@@ -228,12 +229,12 @@
         };
         let record = serde_json::from_slice(&found.value)
             .change_context(EntryError::Platform)
-            .attach_with(|| format!("the record at {key} is broken"))?;
+            .attach_with(|| format!("cannot decode the record at {key}"))?;
         Ok(Some((record, found.mod_revision)))
     }
 
-    /// Records a file in place of the record with `mod_revision`, 0 for
-    /// none.
+    /// Writes a file's record over the one at `mod_revision`; 0 means that no
+    /// record exists.
     async fn record_file(
         &self,
         record: &FileRecord,
@@ -272,23 +273,23 @@
             )
             .await
             .map_err(platform)
-            .attach("recording a file")?;
+            .attach("writing a file's record")?;
         match outcome {
-            // Another upload of the same content came first; its record
-            // names the same blobs.
+            // A concurrent upload of the same content was recorded first;
+            // its record refers to the same blobs.
             Outcome::Done(()) | Outcome::Superseded => Ok(()),
         }
     }
 }
 
-/// Tells whether a resent file may refer to the pieces stored before. The
-/// pieces of an older one are stored anew, since they expire by their day.
+/// Reports whether a resent file may reuse the stored chunks. The chunks of
+/// an older file are stored again, since they expire by the day of upload.
 fn is_fresh(record: &FileRecord, now: UnixMillis) -> bool {
     now.saturating_ms_since(record.created) < FRESH_MS
 }
 
-/// Turns an error of the key-value service into one of the entry, which
-/// keeps whether a write may have taken effect.
+/// Converts an error of the key-value service, preserving whether a write may
+/// have taken effect.
 pub(crate) fn platform(report: Report<KvError>) -> Report<EntryError> {
     let context = match report.current_context() {
         KvError::Unknown => EntryError::Unknown,
@@ -297,7 +298,7 @@
     report.change_context(context)
 }
 
-/// Writes bytes as hexadecimal digits.
+/// Encodes bytes as lowercase hexadecimal digits.
 pub(super) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/entry/src/batch/input.rs
+++ b/crates/entry/src/batch/input.rs
@@ -1,4 +1,5 @@
-//! Checks an uploaded batch input and cuts it into pieces of whole lines.
+//! Validates an uploaded batch input and splits it into chunks of whole
+//! lines.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -9,7 +10,7 @@
 use conf::settings::LimitSettings;
 use serde::Deserialize;
 
-/// Size from which a piece is closed, in bytes.
+/// Size at which a chunk is closed, in bytes.
 const PIECE_BYTES: usize = 1 << 20;
 
 /// One line of a batch input.
@@ -22,10 +23,10 @@
     pub(crate) body: Box<serde_json::value::RawValue>,
 }
 
-/// Says which line of an input is wrong.
+/// An invalid line of an input.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct InputError {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub(crate) line: u32,
     pub(crate) why: String,
 }
@@ -36,23 +37,23 @@
     }
 }
 
-/// A piece of whole lines.
+/// A chunk of whole lines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Piece {
     pub(crate) bytes: Bytes,
     pub(crate) items: u32,
 }
 
-/// What is left of an input when all of it has arrived.
+/// The remainder of an input after its last byte.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Rest {
     pub(crate) pieces: Vec<Piece>,
-    /// Models that the items name; empty if there are too many to list.
+    /// Models that the items request; empty if there are too many to list.
     pub(crate) models: Vec<String>,
 }
 
-/// Most models of an input that are listed. They say which companions its
-/// items may be granted to.
+/// Maximum number of models listed for an input. They determine which
+/// companions its items may be granted to.
 const MODELS_MAX: usize = 8;
 
 #[derive(Deserialize)]
@@ -60,17 +61,17 @@
     model: Option<String>,
 }
 
-/// What a line says of its item.
+/// The validated fields of an item.
 struct Checked {
     custom_id: String,
     model: Option<String>,
 }
 
-/// Checks an input line by line as it arrives and cuts it into pieces.
+/// Validates an input line by line as it arrives and splits it into chunks.
 ///
-/// An entry is thin: it never holds a whole input, only the piece that
-/// grows and the ids seen. Blank lines are left out, so that the pieces hold
-/// one item a line.
+/// An entry never holds a whole input in memory, only the open chunk and the
+/// ids seen so far. Blank lines are dropped, so that a chunk has one item per
+/// line.
 pub(crate) struct Cutter<'a> {
     limits: &'a LimitSettings,
     ids: HashSet<String>,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes bytes of the input and returns the pieces that are full.
+    /// Appends bytes of the input and returns the chunks that are full.
     pub(crate) fn push(
         &mut self,
         bytes: &[u8],
@@ -115,13 +116,14 @@
         Ok(full)
     }
 
-    /// Takes the last line, which may lack its end, and returns what is
-    /// left.
+    /// Processes the last line, which may lack a newline, and returns the
+    /// remainder.
     pub(crate) fn finish(mut self) -> Result<Rest, InputError> {
         let line = self.rest.split();
         let mut pieces: Vec<Piece> = self.take(&line)?.into_iter().collect();
         pieces.extend(self.close());
-        // An item without a model may go anywhere, and so may its job.
+        // An item without a model may run on any endpoint, and so may its
+        // job.
         let models = match self.models.len() > MODELS_MAX {
             true => None,
             false => self.models.into_iter().collect(),
--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepting, showing and cancelling jobs.
+//! Creates, reads, lists and cancels jobs.
 
 use base::{Customer, FileId, JobId, UnixMillis};
 use error_stack::{Report, ResultExt};
@@ -16,7 +16,7 @@
 };
 use crate::EntryError;
 
-/// What a customer asks to be run.
+/// A customer's request to create a job.
 pub(crate) struct NewJob {
     pub(crate) customer: Customer,
     pub(crate) idempotency_key: Option<String>,
@@ -28,7 +28,7 @@
     pub(crate) metadata: serde_json::Value,
 }
 
-/// A part of a customer's jobs.
+/// A page of a customer's jobs.
 pub(crate) struct JobPage {
     pub(crate) jobs: Vec<JobRecord>,
     pub(crate) has_more: bool,
@@ -37,13 +37,14 @@
 /// Why a job was not accepted.
 #[derive(Debug)]
 pub(crate) enum JobError {
-    /// There is no such input file.
+    /// The input file does not exist.
     NoInput,
-    /// The input file is too old to be read until the job is done.
+    /// The input file is too old to remain readable until the job ends.
     InputExpired,
-    /// The same key came with other content before.
+    /// The idempotency key was used before with different content.
     KeyReused(JobId),
-    /// The job could not be recorded; see the report whether it may be.
+    /// The write of the job's record failed; the report says whether it may
+    /// have taken effect.
     Failed(Report<EntryError>),
 }
 
@@ -54,10 +55,10 @@
 }
 
 impl Batch {
-    /// Accepts a job, or returns the one that the same request made before.
+    /// Creates a job, or returns the one that the same request created before.
     ///
-    /// It is accepted once its record is in the key-value service; its input
-    /// was on two data VMs before the file had an id.
+    /// A job is accepted once its record is in the key-value service; its
+    /// input was on two data VMs before the file got an id.
     pub(crate) async fn create(
         &self,
         job: NewJob,
@@ -142,12 +143,12 @@
             )
             .await
             .map_err(platform)
-            .attach("recording a job")?;
+            .attach("writing a job's record")?;
         if outcome == Outcome::Done(()) {
             self.owner.poke(&record.id);
             return Ok(record);
         }
-        // A resend: the first request made this job.
+        // A retry: the first request created this job.
         let known = self.job(&record.customer, &record.id).await?;
         match known {
             Some(known) if known.content == record.content => Ok(known),
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Returns a customer's job; another customer's reads as absent.
+    /// Returns a customer's job, or `None` if it belongs to another customer.
     pub(crate) async fn job(
         &self,
         customer: &Customer,
@@ -174,7 +175,7 @@
         Ok(Some(job).filter(|job| job.customer == *customer))
     }
 
-    /// Returns a page of a customer's jobs, newest first, after a given one.
+    /// Returns a page of a customer's jobs after a given one, newest first.
     pub(crate) async fn list(
         &self,
         customer: &Customer,
@@ -229,7 +230,7 @@
         found.map(parse).collect()
     }
 
-    /// Asks that a job stop; what was completed stays readable.
+    /// Requests the cancellation of a job; completed results stay readable.
     pub(crate) async fn cancel(
         &self,
         customer: &Customer,
@@ -259,8 +260,8 @@
                     key: key.clone(),
                     equals: found.mod_revision,
                 }],
-                // The owner reads the marks, and the record of one that
-                // has changed.
+                // The owner lists the open-job markers, and rereads the
+                // record of a job whose marker has changed.
                 success: vec![
                     put_record(&key, &job)?,
                     put_empty(self.keys.mark(id)),
@@ -285,12 +286,12 @@
                 self.owner.poke(id);
                 return Ok(Some(job));
             }
-            // The owner committed results meanwhile; look again.
+            // The owner has committed results meanwhile: read again.
         }
     }
 }
 
-/// Judges a write by what is there now.
+/// Determines the outcome of a write from the value read back.
 fn seen(
     now: Option<&KeyValue>,
     operation: u64,
@@ -324,7 +325,7 @@
     }
 }
 
-/// Returns the job of a key in a customer's list.
+/// Returns the job id in a key of a customer's job list.
 fn listed_id(key: &str) -> Option<JobId> {
     let (_age, id) = last(key).split_once('-')?;
     id.parse().ok()
@@ -333,7 +334,7 @@
 pub(super) fn parse(kv: &KeyValue) -> Result<JobRecord, Report<EntryError>> {
     serde_json::from_slice(&kv.value)
         .change_context(EntryError::Platform)
-        .attach_with(|| format!("the record at {} is broken", kv.key))
+        .attach_with(|| format!("cannot decode the record at {}", kv.key))
 }
 
 fn content_digest(job: &NewJob) -> String {
--- a/crates/entry/src/batch/keys.rs
+++ b/crates/entry/src/batch/keys.rs
@@ -3,7 +3,7 @@
 use base::{Customer, FileId, JobId, UnixMillis};
 use ledger::{Sink, partition_of};
 
-/// Names the keys of batch work.
+/// Builds the keys of batch work.
 #[derive(Clone, Debug)]
 pub(crate) struct Keys {
     prefix: String,
@@ -15,7 +15,7 @@
         Self { prefix, partitions }
     }
 
-    /// Entries that share the partitions.
+    /// Prefix of the entries that share the partitions.
     pub(crate) fn members(&self) -> String {
         format!("{}entries/", self.prefix)
     }
@@ -24,7 +24,7 @@
         format!("{}entries/{name}", self.prefix)
     }
 
-    /// Owners of partitions.
+    /// Prefix of the partition owners.
     pub(crate) fn owners(&self) -> String {
         format!("{}owners/", self.prefix)
     }
@@ -33,35 +33,35 @@
         format!("{}owners/{partition:05}", self.prefix)
     }
 
-    /// A job's record.
+    /// Key of a job's record.
     pub(crate) fn job(&self, id: &JobId) -> String {
         let partition = partition_of(id, self.partitions);
         format!("{}jobs/{partition:05}/{id}", self.prefix)
     }
 
-    /// Marks of a partition's open jobs.
+    /// Prefix of a partition's open-job markers.
     pub(crate) fn marks(&self, partition: u32) -> String {
         format!("{}open/{partition:05}/", self.prefix)
     }
 
-    /// Exists while the job is open.
+    /// Key of a job's marker, which exists while the job is open.
     pub(crate) fn mark(&self, id: &JobId) -> String {
         let partition = partition_of(id, self.partitions);
         format!("{}{id}", self.marks(partition))
     }
 
-    /// A page of pieces that no longer fit into a job's record.
+    /// Key of a page of chunks that no longer fit into a job's record.
     pub(crate) fn page(&self, id: &JobId, sink: Sink, number: u32) -> String {
         let sink = sink.as_str();
         format!("{}pages/{id}/{sink}/{number:05}", self.prefix)
     }
 
-    /// A customer's jobs, newest first.
+    /// Prefix of a customer's jobs, newest first.
     pub(crate) fn jobs_of(&self, customer: &Customer) -> String {
         format!("{}tenants/{customer}/jobs/", self.prefix)
     }
 
-    /// One entry of that list; the age in the key orders it.
+    /// Key of a job in that list, which the age in the key orders.
     pub(crate) fn job_of(
         &self,
         customer: &Customer,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the last part of a key.
+/// Returns the last segment of a key.
 pub(crate) fn last(key: &str) -> &str {
     key.rsplit('/').next().unwrap_or_default()
 }
--- a/crates/entry/src/batch/mod.rs
+++ b/crates/entry/src/batch/mod.rs
@@ -25,19 +25,19 @@
     record::FileRecord,
 };
 
-/// Start of each job's id.
+/// Prefix of job ids.
 pub(crate) const JOB_PREFIX: &str = "batch_";
 
-/// Start of the id of a job's output file, before the rest of the job's id.
+/// Prefix of output file ids, followed by the job id without its prefix.
 pub(crate) const OUTPUT_PREFIX: &str = "file-out-";
 
-/// Start of the id of a job's error file.
+/// Prefix of error file ids, followed by the job id without its prefix.
 pub(crate) const ERRORS_PREFIX: &str = "file-err-";
 
-/// How long a write whose answer was lost is followed up, in milliseconds.
+/// Time for resolving a write whose response was lost, in milliseconds.
 const FOLLOW_UP_MS: u64 = 10_000;
 
-/// Files and jobs of this entry.
+/// The file and batch job API of this entry.
 pub(crate) struct Batch {
     kv: Arc<dyn Kv>,
     keys: Keys,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Returns the part that runs the jobs of owned partitions.
+    /// Returns the owner, which runs the jobs of this entry's partitions.
     pub(crate) fn owner(&self) -> &Arc<Owner> {
         &self.owner
     }
 
-    /// Returns the blobs.
+    /// Returns the blob store.
     pub(crate) fn blobs(&self) -> &Blobs {
         &self.blobs
     }
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -16,7 +16,7 @@
     keys::{Keys, last},
 };
 
-/// Carries out the ledger's calls, each into the event that answers it.
+/// Makes the ledger's calls and turns each response into an event.
 pub(super) struct Calls {
     kv: Arc<dyn Kv>,
     keys: Keys,
@@ -56,14 +56,14 @@
             success: vec![put],
             ..Txn::default()
         };
-        // A lease that is of no use ends by itself.
+        // An unused lease expires.
         self.kv.txn(txn).await.ok()?;
         Some(lease.0)
     }
 
     pub(super) async fn renew(&self, lease: i64) -> Event {
-        // Counted from before the send: the service may have renewed it
-        // that early.
+        // Measured before the send: the key-value service may have renewed
+        // the lease that early.
         let sent_at = self.timer.now();
         let renewed = self.kv.lease_keep_alive(LeaseId(lease)).await;
         let alive = match renewed {
@@ -80,10 +80,11 @@
         }
     }
 
-    /// Ends a lease at a planned stop, so that others need not wait for it.
+    /// Revokes the lease at shutdown, so that others need not wait for its
+    /// expiry.
     pub(super) async fn revoke(&self, lease: i64) {
         if let Err(report) = self.kv.lease_revoke(LeaseId(lease)).await {
-            log::debug!(error:? = report; "a lease ends by itself");
+            log::debug!(error:? = report; "cannot revoke a lease");
         }
     }
 
@@ -97,7 +98,7 @@
         let reply = match self.kv.txn(txn).await {
             Ok(reply) => reply,
             Err(report) => {
-                log::debug!(error:? = report; "cannot look for owners");
+                log::debug!(error:? = report; "cannot read membership");
                 return Event::MembershipRead {
                     revision: None,
                     members: vec![],
@@ -130,7 +131,7 @@
             }],
             failure: vec![],
         };
-        // If the answer is lost, the next look shows who owns it.
+        // If the response is lost, the next membership read shows the owner.
         let reply = self.kv.txn(txn).await.ok();
         let fence = reply.filter(|r| r.succeeded).map(|r| r.revision);
         Event::Claimed {
@@ -151,7 +152,7 @@
             failure: vec![],
         };
         if let Err(report) = self.kv.txn(txn).await {
-            log::debug!(partition, error:? = report; "cannot hand over");
+            log::debug!(partition, error:? = report; "cannot release");
         }
         Event::Released { partition, fence }
     }
@@ -210,7 +211,7 @@
             }
             Ok(_) => WriteOutcome::Conflict,
             Err(report) => {
-                log::info!(error:? = report; "a commit was not answered");
+                log::info!(error:? = report; "a commit got no response");
                 match report.current_context() {
                     KvError::Unknown => WriteOutcome::Unknown,
                     _ => WriteOutcome::NotApplied,
@@ -222,9 +223,10 @@
 
     /// Builds the transaction of a commit.
     ///
-    /// An owner that was paused past its lease finds its key gone or
-    /// another's in its place, and commits nothing. The revisions of the
-    /// records keep a cancel from being overwritten.
+    /// The compare on the owner key is the fencing check: an owner that was
+    /// paused past its lease finds its key missing or replaced, and commits
+    /// nothing. The compares on the records' revisions keep a concurrent
+    /// cancel from being overwritten.
     fn transaction(&self, write: WriteAction) -> Option<Txn> {
         let mut txn = Txn::default();
         if let Some(equals) = write.fence {
@@ -307,7 +309,7 @@
             revision: kv.mod_revision,
         }),
         Err(report) => {
-            log::error!(error:? = report; "a job cannot be read");
+            log::error!(error:? = report; "cannot decode a job's record");
             None
         }
     }
--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -1,4 +1,4 @@
-//! Items that crash the endpoints that run them.
+//! Quarantine of items that crash the endpoints that run them.
 
 use base::{Customer, RequestContent, RequestDigest};
 use ledger::{Granted, RunOutcome};
@@ -7,10 +7,11 @@
 
 use super::Owner;
 
-/// Method by which companions send items.
+/// HTTP method that companions use for items.
 const METHOD: &str = "POST";
 
-/// Returns the digest that an item shares with the same call outside a job.
+/// Returns the request digest of an item, equal to that of the same online
+/// request.
 pub(super) fn digest(
     customer: &Customer,
     path: &str,
@@ -26,8 +27,8 @@
 }
 
 impl Owner {
-    /// Lets an item go to a companion, or opens it again for a later time if
-    /// endpoints crash when they run it.
+    /// Returns the item if it may be sent to a companion; otherwise reopens it
+    /// for a later time, since it has crashed endpoints.
     pub(super) async fn clear(
         &self,
         item: Item,
@@ -55,7 +56,7 @@
         None
     }
 
-    /// Takes note of what a result says about the item and its endpoint.
+    /// Records in the quarantine whether the item crashed its endpoint.
     pub(super) fn note_crash(
         &self,
         result: &ItemResult,
--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -1,4 +1,4 @@
-//! Items to companions, and their results back.
+//! Grants items to companions and accepts their results.
 
 use std::ops::Range;
 
@@ -16,25 +16,25 @@
 };
 use crate::{EntryError, batch::input::InputLine};
 
-/// When a companion may come back if there is more work, in milliseconds.
+/// Poll delay of a companion while there is more work, in milliseconds.
 const MORE_MS: u32 = 50;
 
-/// When it may come back if the open work is on loan or there is none, in
-/// milliseconds. A companion that has asked its entries in vain waits as long
-/// as the last one says, so long waits would leave idle seconds unused.
+/// Poll delay of a companion when all open work is granted or there is none,
+/// in milliseconds. A companion that no entry had work for waits as long as
+/// the last one says, so a long delay would leave its endpoint idle.
 const IDLE_MS: u32 = 200;
 
-/// When it may come back to an entry that owns no partition.
+/// Poll delay at an entry that owns no partition, in milliseconds.
 const NOT_OWNER_MS: u32 = 500;
 
-/// Statuses by which the request itself is wrong and would be refused again.
+/// Statuses of an invalid request, which would be rejected again.
 const CLIENT_ERRORS: Range<u16> = 400..500;
 
-/// Statuses among them that say nothing about the request: the endpoint
-/// timed out, conflicts, is too early or too busy.
+/// Client error statuses that are retryable: request timeout, conflict, too
+/// early and too many requests.
 const WORTH_ANOTHER: [u16; 4] = [408, 409, 425, 429];
 
-/// What is needed of a job to read its items.
+/// The fields of a job that are needed to read its items.
 struct Source {
     customer: Customer,
     input: FileId,
@@ -75,15 +75,15 @@
         }
     }
 
-    /// Reads a granted item; one that cannot be read or is for another model
-    /// is open again at once.
+    /// Reads a granted item; reopens it at once if it cannot be read or
+    /// requests another model.
     async fn item(&self, granted: Granted, models: &[String]) -> Option<Item> {
         match self.read(&granted, models).await {
             Ok(item) => self.clear(item, &granted).await,
             Err(report) => {
                 log::info!(
                     job = granted.job.as_str(), error:? = report;
-                    "an item is not granted"
+                    "cannot grant an item"
                 );
                 let Granted {
                     job, index, grant, ..
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Takes results and returns how many were of use.
+    /// Accepts results and returns how many were applied.
     pub(crate) async fn results(&self, results: Vec<ItemResult>) -> u32 {
         let taken = results.iter().map(|result| self.take(result));
         let taken = join_all(taken).await;
@@ -145,7 +145,7 @@
             ItemOutcome::Answered
             | ItemOutcome::Lost
             | ItemOutcome::Crashed => {
-                // Without its id the line would be of no use; the loan
+                // A result line needs the custom id; without it, the grant
                 // expires and the item runs again.
                 let Ok(line) = self.line(&source, result.index).await else {
                     return false;
@@ -181,8 +181,9 @@
         RunOutcome::Failed(lines::error(result, custom_id, reason))
     }
 
-    /// Makes the error line of an item that never came back. The item waits
-    /// for it, so this does not end before the job does.
+    /// Makes the error line of an item of which no result ever arrived. The
+    /// job cannot end without this line, so reading the item is retried for
+    /// as long as the job is open.
     pub(super) async fn give_up(&self, job: JobId, index: u32, attempts: u32) {
         while let Some(source) = self.source(&job) {
             match self.line(&source, index).await {
--- a/crates/entry/src/batch/owner/lines.rs
+++ b/crates/entry/src/batch/owner/lines.rs
@@ -1,16 +1,16 @@
-//! Lines of output and error files.
+//! Builds the lines of output and error files.
 
 use base::JobId;
 use bytes::Bytes;
 use serde_json::{Value, json};
 use wire::message::{ItemOutcome, ItemResult};
 
-/// Why an item can never complete.
+/// Why an item failed permanently.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Reason {
-    /// The endpoint refuses the item itself.
+    /// The endpoint rejected the item as invalid.
     Rejected,
-    /// Every attempt failed.
+    /// All attempts failed.
     Attempts(u32),
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Makes the output line of a completed item.
+/// Builds the output line of a completed item.
 pub(super) fn output(result: &ItemResult, custom_id: &str) -> Bytes {
     let request_id =
         format!("{}-{}-{}", result.job, result.index, result.attempt);
@@ -47,7 +47,7 @@
     format!("{line}\n").into()
 }
 
-/// Makes the error line of an item from its last result.
+/// Builds the error line of an item from its last result.
 pub(super) fn error(
     result: &ItemResult,
     custom_id: &str,
@@ -63,7 +63,7 @@
     error_line(&result.job, result.index, custom_id, reason, response)
 }
 
-/// Makes the error line of an item that no endpoint said a word about.
+/// Builds the error line of an item without any response from an endpoint.
 pub(super) fn silent(
     job: &JobId,
     index: u32,
--- a/crates/entry/src/batch/owner/mod.rs
+++ b/crates/entry/src/batch/owner/mod.rs
@@ -1,8 +1,8 @@
 //! Runs the jobs of the partitions that this entry owns.
 //!
 //! [`ledger::Ledger`] decides; this module carries out its actions and
-//! gives it the answers. Each action runs as a task of its own, so that a
-//! slow data VM holds up no lease.
+//! reports the results as events. Each action runs as a separate task, so
+//! that a slow data VM does not delay a lease renewal.
 
 mod calls;
 mod crashes;
@@ -27,10 +27,10 @@
 use super::{Blobs, keys::Keys};
 use crate::EntryError;
 
-/// Pause between two ticks of the ledger, in milliseconds.
+/// Tick interval of the ledger, in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// Pause before an item's input is read once more, in milliseconds.
+/// Delay before a failed read of an item is retried, in milliseconds.
 const READ_AGAIN_MS: u64 = 1_000;
 
 /// Runs the jobs of the partitions that this entry owns.
@@ -44,7 +44,7 @@
     grant_ttl_ms: u64,
     poked: Notify,
     actions: mpsc::UnboundedSender<Action>,
-    /// Taken by the controller.
+    /// Receiver of the actions, taken once by the controller.
     inbox: Mutex<Option<mpsc::UnboundedReceiver<Action>>>,
 }
 
@@ -57,8 +57,8 @@
         blobs: Arc<Blobs>,
         settings: &BatchSettings,
     ) -> Self {
-        // A restarted entry is another member; its former lease ends by
-        // itself.
+        // A restarted entry is a new member; the lease of its previous
+        // incarnation expires.
         let member = format!("{:016x}", rand::random::<u64>());
         let salt = rand::random();
         let ledger = Ledger::new(member.clone(), salt, options(settings));
@@ -85,24 +85,24 @@
         self.ledger().partitions()
     }
 
-    /// Returns how many jobs of them are open.
+    /// Returns the number of open jobs in the owned partitions.
     pub(crate) fn open_jobs(&self) -> usize {
         self.ledger().status().open_jobs
     }
 
-    /// Makes the owner look for a new or changed job now.
+    /// Makes the owner list a new or changed job immediately.
     pub(crate) fn poke(&self, job: &JobId) {
         self.ledger().request_listing(job);
         self.poked.notify_one();
     }
 
-    /// Owns, loads and commits until the process ends.
+    /// Runs the ledger's actions until the process exits.
     pub(crate) async fn work(self: Arc<Self>) {
         let Some(mut inbox) = self.take_inbox() else {
             return;
         };
         let _revoke = RevokeAtStop(self.clone());
-        // Its tasks end with it.
+        // Dropping the set aborts its tasks.
         let mut running = JoinSet::new();
         let mut at_risk = 0;
         loop {
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Hands an event to the ledger and what it wants done to the
+    /// Passes an event to the ledger and queues the resulting actions for the
     /// controller.
     fn tell(&self, event: Event) {
         let moment = self.moment();
         let actions = self.ledger().handle(moment, event);
         for action in actions {
-            // Without a controller the process is stopping.
+            // Fails only when the controller has stopped at shutdown.
             let _ = self.actions.send(action);
         }
     }
@@ -211,8 +211,8 @@
     }
 }
 
-/// Ends the lease when the controller is stopped, so that other entries need
-/// not wait until it has run out.
+/// Revokes the lease when the controller is dropped, so that other entries
+/// need not wait for its expiry.
 struct RevokeAtStop(Arc<Owner>);
 
 impl Drop for RevokeAtStop {
--- a/crates/entry/src/batch/owner/pieces.rs
+++ b/crates/entry/src/batch/owner/pieces.rs
@@ -1,4 +1,4 @@
-//! Input files of open jobs, read piece by piece.
+//! Reads and caches the input files of open jobs chunk by chunk.
 
 use std::{
     hash::Hash,
@@ -20,14 +20,14 @@
     },
 };
 
-/// Pieces that are kept in memory; each is about 1 MiB.
+/// Maximum number of cached chunks; each is about 1 MiB.
 const PIECES_KEPT_MAX: usize = 48;
 
-/// Records of input files that are kept in memory.
+/// Maximum number of cached records of input files.
 const FILES_KEPT_MAX: usize = 1_024;
 
-/// Values read once by whoever asks first; the others wait for it. The one
-/// unused for longest goes first.
+/// An LRU cache whose values are read once; concurrent readers of a key wait
+/// for the first.
 struct Cache<K, V> {
     cells: Mutex<IndexMap<K, Arc<OnceCell<V>>>>,
     kept_max: usize,
--- a/crates/entry/src/batch/record.rs
+++ b/crates/entry/src/batch/record.rs
@@ -1,10 +1,10 @@
-//! What the key-value service keeps of files.
+//! File records in the key-value service.
 
 use base::{Customer, FileId, UnixMillis};
 use ledger::Chunk;
 use serde::{Deserialize, Serialize};
 
-/// An uploaded file.
+/// The record of an uploaded file.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FileRecord {
     pub(crate) id: FileId,
@@ -14,7 +14,7 @@
     pub(crate) purpose: String,
     pub(crate) bytes: u64,
     pub(crate) items: u32,
-    /// Models that the items name; empty if there are too many to list.
+    /// Models that the items request; empty if there are too many to list.
     #[serde(default)]
     pub(crate) models: Vec<String>,
     pub(crate) created: UnixMillis,
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the key-value service while this entry is a relay.
+//! Reads the configuration from the key-value service and watches it while
+//! this entry is a relay.
 
 use std::sync::atomic::Ordering;
 
@@ -11,26 +12,25 @@
 use super::{ConfigStore, parse};
 use crate::{EntryError, batch::platform};
 
-/// Pause before a broken watch is started again, in milliseconds.
+/// Delay before a failed watch is restarted, in milliseconds.
 const WATCH_PAUSE_MS: u64 = 500;
 
-/// Pause between looks at the service while nothing is in force and this
-/// entry does not watch: 340 entries make 170 reads a second.
+/// Interval of reads while no configuration is in force and this entry does
+/// not watch, in milliseconds: 340 entries make 170 reads a second.
 const LOOK_FIRST_MS: u64 = 2_000;
 
-/// Pause between looks of a relay at the whole, in milliseconds. A change
-/// that was written without its delta, by an older build or by hand, is
-/// found then.
+/// Interval of a relay's full reads, in milliseconds. They find a change
+/// that was written without its delta, by an older build or manually.
 const LOOK_AGAIN_MS: u64 = 300_000;
 
-/// What relays are told of an accepted revision.
+/// The record of an accepted revision that relays watch.
 ///
-/// A watch of the whole would move 400 KB per change to each relay, 32 KB a
-/// second at 7,000 changes a day.
+/// Watching the full text would send 400 KB per change to each relay, 32 KB
+/// a second at 7,000 changes a day.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Change {
     pub(super) revision: Revision,
-    /// Left out if the accepting entry did not know the revision before.
+    /// Absent if the accepting entry did not know the previous revision.
     #[serde(default)]
     pub(super) delta: Option<Delta>,
 }
@@ -45,19 +45,23 @@
 }
 
 impl ConfigStore {
-    /// Follows the service until the process ends.
+    /// Follows the key-value service until the process exits.
     pub(crate) async fn follow(&self) {
-        // The first look comes after this entry has joined the others.
+        // The first read follows once this entry has joined its peers.
         self.look.notified().await;
         loop {
             if let Err(report) = self.follow_once().await {
-                log::debug!(error:? = report; "the service is not followed");
+                log::debug!(
+                    error:? = report;
+                    "cannot follow the configuration"
+                );
                 self.timer.subscribe_in_ms(WATCH_PAUSE_MS).await;
             }
         }
     }
 
-    /// Looks once, and watches from there while this entry is a relay.
+    /// Reads once, then watches from that revision while this entry is a
+    /// relay.
     async fn follow_once(&self) -> Result<(), Report<EntryError>> {
         let mut relay = self.relay.subscribe();
         let is_relay = *relay.borrow_and_update();
@@ -107,7 +111,8 @@
         }
     }
 
-    /// Reads the whole; returns the service's revision of the read.
+    /// Reads the full configuration and returns the key-value service's
+    /// revision of the read.
     async fn look(&self) -> Result<u64, Report<EntryError>> {
         self.service_calls.fetch_add(1, Ordering::Relaxed);
         let read = self.kv.get(&self.main_key()).await.map_err(platform)?;
@@ -126,5 +131,5 @@
 fn read_change(found: &KeyValue) -> Result<Change, Report<EntryError>> {
     serde_json::from_slice(&found.value)
         .change_context(EntryError::Config)
-        .attach_with(|| format!("the value at {} is broken", found.key))
+        .attach_with(|| format!("cannot decode the value at {}", found.key))
 }
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -1,12 +1,12 @@
-//! The configuration: what is in force here, and how it changes.
+//! The active configuration and how it is changed.
 //!
 //! A configuration is accepted by one compare-and-swap in the key-value
-//! service. Each has a revision of its own, one higher than the last; a
-//! process never applies a lower one, whoever offers it.
+//! service. Its revision is one higher than its predecessor's; a process
+//! never applies a lower revision, from any source.
 //!
-//! How it spreads is decided by the crate `spread`. Few entries watch the
-//! service ([`follow`]); the others are told by neighbours and compare with
-//! them ([`neighbours`]).
+//! The crate `spread` decides how a configuration propagates. A few entries
+//! watch the key-value service ([`follow`]); the others receive changes from
+//! peers and compare revisions with them ([`peers`]).
 
 mod follow;
 mod neighbours;
@@ -31,27 +31,28 @@
 pub(crate) use self::neighbours::{Neighbours, to_neighbour};
 use crate::{EntryError, batch::platform};
 
-/// Name of the document in errors.
+/// Name of the configuration document in error messages.
 const SOURCE_NAME: &str = "configuration";
 
-/// Accepted revisions that are kept whole. At 7,000 changes a day of a few
-/// hundred kilobytes each, keeping all would add gigabytes a day to a small
-/// service.
+/// Accepted revisions whose full text is retained. At 7,000 changes a day of
+/// a few hundred kilobytes each, retaining all of them would add gigabytes a
+/// day to a small key-value service.
 const HISTORY_KEPT: u64 = 200;
 
-/// How long a write whose answer was lost is followed up, in milliseconds.
+/// Time for resolving a write whose response was lost, in milliseconds.
 const FOLLOW_UP_MS: u64 = 10_000;
 
-/// Changes kept at the service for watches that lag.
+/// Changes retained in the key-value service for lagging watches.
 const CHANGES_KEPT: u64 = 256;
 
-/// An accepted configuration as it is kept.
+/// An accepted configuration in its stored form.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Accepted {
     pub(crate) revision: Revision,
     pub(crate) text: String,
     pub(crate) accepted: UnixMillis,
-    /// Names the write, so that one whose answer was lost is recognised.
+    /// Identifies the write, so that its effect is recognised when the
+    /// response was lost.
     pub(crate) operation: String,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-/// A configuration in force.
+/// A compiled configuration that is in force.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) accepted: Accepted,
@@ -84,47 +85,47 @@
     pub(crate) since: Millis,
 }
 
-/// What came of an edit.
+/// The result of an edit.
 #[derive(Debug)]
 pub(crate) enum Edit {
-    /// It is accepted as this revision.
+    /// The edit is accepted as this revision.
     Accepted(Revision),
-    /// Somebody else's edit came first.
+    /// A concurrent edit was accepted first.
     Raced(Box<Accepted>),
     /// The text is not valid.
     Invalid(Report<rules::RulesError>),
 }
 
-/// A message for a neighbour.
+/// A message to a peer.
 pub(crate) type Outgoing = (std::net::SocketAddr, Box<Message>);
 
-/// How this entry takes part in spreading.
+/// This entry's role and counters in configuration propagation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Part {
-    /// It watches the service.
+    /// Whether this entry watches the key-value service.
     pub(crate) is_relay: bool,
-    /// The newest revision that it has heard of.
+    /// The newest revision known to exist.
     pub(crate) heard: Revision,
-    /// How often another had another text as the same revision.
+    /// How often a peer had a different text for the same revision.
     pub(crate) conflicts: u64,
-    /// Calls at the service to follow the configuration, so far.
+    /// Calls made to the key-value service to follow the configuration.
     pub(crate) service_calls: u64,
 }
 
-/// The configuration in force at this process.
+/// Holds the configuration in force in this process.
 pub(crate) struct ConfigStore {
     kv: Arc<dyn Kv>,
     prefix: String,
     timer: Timer,
     writer: Writer,
     current: Snapshot<Option<Arc<InForce>>>,
-    /// `None` until this entry has joined its neighbours. Never locked over
-    /// a wait.
+    /// `None` until this entry has joined its peers. Never locked across an
+    /// await.
     spread: Mutex<Option<Joined>>,
     relay: watch::Sender<bool>,
-    /// Asks for a look at the service.
+    /// Requests a read of the configuration from the key-value service.
     look: Notify,
-    /// Looks at the whole and watches begun at the service.
+    /// Full reads and watches started at the key-value service.
     service_calls: AtomicU64,
 }
 
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Takes part in spreading; returns what is to be sent.
+    /// Joins configuration propagation and returns the queue of messages to
+    /// send.
     pub(crate) fn join(
         &self,
         spread: Propagator,
@@ -160,14 +162,14 @@
     }
 
     fn joined(&self) -> MutexGuard<'_, Option<Joined>> {
-        // The state is whole after each event; a panic elsewhere while it
-        // was held does not make it less so.
+        // The state is consistent after each event, so a lock poisoned by a
+        // panic elsewhere can still be used.
         self.spread.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an event and does what follows from it; returns the answer if
-    /// the event is a question. Nothing happens before this entry has
-    /// joined.
+    /// Handles an event, carries out the resulting actions and returns the
+    /// response if the event is a request. Events before [`Self::join`] are
+    /// ignored.
     pub(crate) fn handle(&self, event: Event) -> Option<Message> {
         let now = self.timer.now();
         let mut reply = None;
@@ -178,7 +180,7 @@
                 match action {
                     Action::Apply(document) => found.push(document),
                     Action::Send { peer, message } => {
-                        // Fails only while the entry stops.
+                        // Fails only while the entry shuts down.
                         let _ = joined.outgoing.send((peer, message));
                     }
                     Action::Reply(message) => reply = Some(*message),
@@ -189,8 +191,8 @@
                 }
             }
         }
-        // Compiling takes a while, so it is done without the lock; of two
-        // that come here at once, the older is dropped by `offer`.
+        // Compiling is slow, so it runs without the lock; of two concurrent
+        // revisions, `offer` drops the older.
         for document in found {
             if let Err(report) = self.offer(Accepted::from(&document)) {
                 log::error!(error:? = report; "a revision is not applied");
@@ -199,7 +201,7 @@
         reply
     }
 
-    /// Returns how this entry takes part in spreading.
+    /// Returns this entry's role and counters in configuration propagation.
     pub(crate) fn part(&self) -> Part {
         let service_calls = self.service_calls.load(Ordering::Relaxed);
         let joined = self.joined();
@@ -211,22 +213,24 @@
         })
     }
 
-    /// Returns what is in force; `None` before the first was found.
+    /// Returns the configuration in force, or `None` before the first one is
+    /// found.
     pub(crate) fn current(&self) -> Option<Arc<InForce>> {
         self.current.load().as_ref().clone()
     }
 
-    /// Returns the revision in force, 0 before the first.
+    /// Returns the revision in force, or 0 before the first one.
     pub(crate) fn revision(&self) -> Revision {
         let none = Revision::default();
         self.current().map_or(none, |now| now.accepted.revision)
     }
 
-    /// Puts a configuration in force unless a newer one is.
+    /// Applies a configuration unless the same or a newer revision is in
+    /// force.
     ///
     /// A lagging peer, a reconnected watch or a restored value can offer an
     /// old configuration after a newer one was in force; applying it would
-    /// undo an accepted change without anybody having asked for that.
+    /// undo an accepted change that nobody reverted.
     pub(crate) fn offer(
         &self,
         accepted: Accepted,
@@ -260,12 +264,12 @@
         Ok(applied)
     }
 
-    /// Accepts a text as the successor of revision `expect`.
+    /// Accepts a text as the successor of the revision `expect`.
     ///
     /// # Errors
     ///
-    /// [`EntryError::Unknown`] if it may or may not be accepted; the same
-    /// edit with the same operation id can be sent again.
+    /// [`EntryError::Unknown`] if the outcome of the write is unknown;
+    /// the same edit can be sent again with the same operation id.
     pub(crate) async fn edit(
         &self,
         expect: Revision,
@@ -280,9 +284,10 @@
         let now = self.newest(found.map(parse).transpose()?);
         let revision = now.as_ref().map_or(0, |now| now.revision.get());
         if let Some(now) = now.filter(|now| now.revision != expect) {
-            // The answer to the first copy of this edit may have been lost.
-            // Others may have come after it, so it is looked for where it
-            // must be; the text tells it from a reused operation id.
+            // The response to an earlier send of this edit may have been
+            // lost, and later edits may have followed. So the revision
+            // that this edit would have is compared; comparing the text
+            // rules out a reused operation id.
             let next = Revision::new(expect.get() + 1);
             let own = match now.revision == next {
                 true => Some(now.clone()),
@@ -306,11 +311,11 @@
         self.accept(next, mod_revision).await
     }
 
-    /// Returns the newer of what the service holds and what is in force.
+    /// Returns the newer of the stored configuration and the one in force.
     ///
-    /// They differ in that order only if the service's data was restored
-    /// from an old copy. An edit then goes on from what is in force, and its
-    /// write heals the service.
+    /// The stored one is older only if the data of the key-value service was
+    /// restored from an old copy. An edit then builds on the configuration
+    /// in force, and its write repairs the stored value.
     fn newest(&self, held: Option<Accepted>) -> Option<Accepted> {
         let in_force = self.current().map(|now| now.accepted.clone());
         match (held, in_force) {
@@ -375,7 +380,7 @@
             )
             .await
             .map_err(platform)
-            .attach("accepting a configuration")?;
+            .attach("writing an accepted configuration")?;
         if outcome == Outcome::Done(()) {
             let revision = next.revision;
             self.offer(next.clone())?;
@@ -447,11 +452,11 @@
 fn parse(found: &KeyValue) -> Result<Accepted, Report<EntryError>> {
     serde_json::from_slice(&found.value)
         .change_context(EntryError::Config)
-        .attach_with(|| format!("the value at {} is broken", found.key))
+        .attach_with(|| format!("cannot decode the value at {}", found.key))
 }
 
-/// Returns the value of a first configuration, for the demo and for tests
-/// that write it without an entry.
+/// Returns the stored value of an initial configuration, for the demo and
+/// for tests that write it without an entry.
 ///
 /// # Errors
 ///
@@ -467,8 +472,8 @@
     serde_json::to_vec(&accepted).change_context(EntryError::Config)
 }
 
-/// Returns the keys that a first configuration is written to, under the
-/// prefix of the settings.
+/// Returns the keys that an initial configuration is written to, under the
+/// key prefix from the settings.
 pub fn configuration_keys(prefix: &str) -> [String; 2] {
     [
         format!("{prefix}config/main"),
--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/neighbours.rs
@@ -1,8 +1,8 @@
-//! Tells neighbours what changes and compares with them.
+//! Pushes configuration changes to peers and compares revisions with them.
 //!
-//! An entry that starts while the key-value service is down finds the
-//! newest configuration here, and one whose watch hangs learns of a change
-//! although it does not know that its watch hangs.
+//! An entry that starts while the key-value service is down gets the newest
+//! configuration from its peers, and an entry whose watch hangs undetected
+//! still receives changes.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -18,15 +18,15 @@
 use super::{Accepted, ConfigStore, Outgoing};
 use crate::EntryError;
 
-/// Pause between two ticks of the decisions, in milliseconds.
+/// Tick interval of the propagator, in milliseconds.
 const TICK_MS: u64 = 50;
 
-/// Messages that wait for their answer at once. More mean that neighbours
-/// hang; those over it count as not answered.
+/// Maximum number of messages awaiting a response. More of them mean that
+/// peers hang; messages over the maximum count as failed.
 const WAITING_MAX: usize = 256;
 
-/// What goes from one entry to another. An older build reads the message
-/// about the configuration and passes over the rest.
+/// The message between entries. An older build reads the configuration
+/// message and ignores the other fields.
 #[derive(Deserialize, Serialize)]
 struct Envelope {
     #[serde(flatten)]
@@ -35,7 +35,7 @@
     held_requests: Vec<CrashRecordUpdate>,
 }
 
-/// Talks to neighbours.
+/// Exchanges configuration messages with peers.
 pub(crate) struct Neighbours {
     links: Links,
     addresses: Vec<SocketAddr>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Talks to neighbours until the process ends.
+    /// Exchanges messages with peers until the process exits.
     pub(crate) async fn work(self, store: Arc<ConfigStore>, timer: Timer) {
         let me = self.links.identity();
         let spread = Propagator::new(
@@ -92,7 +92,7 @@
     }
 }
 
-/// Asks neighbours.
+/// Sends requests to peers.
 struct Asker {
     links: Links,
     quarantine: Quarantine,
@@ -103,7 +103,7 @@
     let event = match asker.ask(to).await {
         Ok(message) => Event::Response { peer, message },
         Err(report) => {
-            log::debug!(error:? = report; "a neighbour does not answer");
+            log::debug!(error:? = report; "a peer does not respond");
             Event::PeerFailed { peer }
         }
     };
@@ -125,14 +125,15 @@
         let answer = answer.change_context(EntryError::Config)?;
         let answer: Envelope = serde_json::from_slice(&answer)
             .change_context(EntryError::Config)
-            .attach("a neighbour's answer is broken")?;
+            .attach("cannot decode a peer's response")?;
         self.quarantine.apply_updates(answer.held_requests);
         Ok(answer.message)
     }
 }
 
 impl ConfigStore {
-    /// Answers a neighbour's message; `None` if it cannot be read.
+    /// Returns the response to a peer's message, or `None` if it cannot be
+    /// decoded.
     pub(crate) fn compare(
         &self,
         question: &[u8],
@@ -141,7 +142,7 @@
         let question: Envelope = match serde_json::from_slice(question) {
             Ok(question) => question,
             Err(error) => {
-                log::warn!(error:%; "a neighbour's message is broken");
+                log::warn!(error:%; "cannot decode a peer's message");
                 return None;
             }
         };
@@ -154,8 +155,7 @@
     }
 }
 
-/// Returns the bytes by which an entry tells a process of an older build
-/// what it has.
+/// Encodes a configuration for a peer process of an older build.
 pub(crate) fn to_neighbour(accepted: &Accepted) -> Option<ConfigText> {
     let revision = accepted.revision;
     match serde_json::to_vec(accepted) {
@@ -164,7 +164,7 @@
             bytes: bytes.into(),
         }),
         Err(error) => {
-            log::error!(error:%; "the configuration cannot be passed on");
+            log::error!(error:%; "cannot encode the configuration for a peer");
             None
         }
     }
