--- a/crates/entry/src/api/admin.rs
+++ b/crates/entry/src/api/admin.rs
@@ -11,28 +11,28 @@
 use super::guard::Operator;
 use crate::{
     EntryError,
-    config::{Accepted, Edit},
+    config::{Accepted, EditOutcome},
     shared::Shared,
 };
 
 /// Number of revisions listed when the request gives no limit.
-const HISTORY_DEFAULT: usize = 20;
+const DEFAULT_HISTORY_LIMIT: usize = 20;
 
 /// Maximum number of revisions in one response.
-const HISTORY_MAX: usize = 200;
+const MAX_HISTORY_LIMIT: usize = 200;
 
 pub(crate) fn routes() -> Vec<Route> {
     routes![show, history, at, edit]
 }
 
 #[derive(Serialize)]
-struct Shown {
+struct RevisionView {
     revision: Revision,
     text: String,
     accepted_unix_ms: u64,
 }
 
-impl From<&Accepted> for Shown {
+impl From<&Accepted> for RevisionView {
     fn from(accepted: &Accepted) -> Self {
         Self {
             revision: accepted.revision,
@@ -59,10 +59,10 @@
 fn show(
     shared: &State<Arc<Shared>>,
     _operator: Operator,
-) -> Result<Json<Shown>, Problem> {
+) -> Result<Json<RevisionView>, Problem> {
     match shared.config.current() {
-        Some(now) => Ok(Json(Shown::from(&now.accepted))),
-        None => Ok(Json(Shown {
+        Some(now) => Ok(Json(RevisionView::from(&now.accepted))),
+        None => Ok(Json(RevisionView {
             revision: Revision::default(),
             text: String::new(),
             accepted_unix_ms: 0,
@@ -75,10 +75,16 @@
     shared: &State<Arc<Shared>>,
     limit: Option<usize>,
     _operator: Operator,
-) -> Result<Json<Vec<Shown>>, Problem> {
-    let limit = limit.unwrap_or(HISTORY_DEFAULT).min(HISTORY_MAX);
-    let found = shared.config.history(limit).await.map_err(failed)?;
-    Ok(Json(found.iter().map(Shown::from).collect()))
+) -> Result<Json<Vec<RevisionView>>, Problem> {
+    let limit = limit
+        .unwrap_or(DEFAULT_HISTORY_LIMIT)
+        .min(MAX_HISTORY_LIMIT);
+    let found = shared
+        .config
+        .history(limit)
+        .await
+        .map_err(platform_problem)?;
+    Ok(Json(found.iter().map(RevisionView::from).collect()))
 }
 
 #[get("/admin/config/<revision>", rank = 2)]
@@ -86,10 +92,10 @@
     shared: &State<Arc<Shared>>,
     revision: u64,
     _operator: Operator,
-) -> Result<Json<Shown>, Problem> {
-    let found = shared.config.at(Revision::new(revision)).await;
-    match found.map_err(failed)? {
-        Some(accepted) => Ok(Json(Shown::from(&accepted))),
+) -> Result<Json<RevisionView>, Problem> {
+    let found = shared.config.get_revision(Revision::new(revision)).await;
+    match found.map_err(platform_problem)? {
+        Some(accepted) => Ok(Json(RevisionView::from(&accepted))),
         None => {
             let why = format!("there is no revision {revision}");
             Err(Problem::new(ProblemKind::NotFound, why).ran(Ran::No))
@@ -113,15 +119,17 @@
         .config
         .edit(expect_revision, operation_id, text)
         .await
-        .map_err(failed)?;
+        .map_err(platform_problem)?;
     match edited {
-        Edit::Accepted(revision) => Ok(Json(EditReply { revision })),
-        Edit::Raced(now) => Err(raced(expect_revision, &now, &new_text)),
-        Edit::Invalid(report) => Err(invalid(&report)),
+        EditOutcome::Accepted(revision) => Ok(Json(EditReply { revision })),
+        EditOutcome::Conflict(now) => {
+            Err(conflict(expect_revision, &now, &new_text))
+        }
+        EditOutcome::Invalid(report) => Err(invalid_config(&report)),
     }
 }
 
-fn raced(expect: Revision, now: &Accepted, text: &str) -> Problem {
+fn conflict(expect: Revision, now: &Accepted, text: &str) -> Problem {
     let why = format!(
         "revision {} is in force, not {expect}; nothing was changed",
         now.revision
@@ -133,7 +141,7 @@
         .with("diff", diff)
 }
 
-fn invalid(report: &Report<rules::RulesError>) -> Problem {
+fn invalid_config(report: &Report<rules::RulesError>) -> Problem {
     let why = "the configuration is not valid; nothing was changed";
     let errors = rules::error_list(report);
     Problem::new(ProblemKind::Invalid, why)
@@ -143,7 +151,7 @@
 
 /// Makes the problem for a failed request, stating whether a change may have
 /// been made.
-pub(crate) fn failed(report: Report<EntryError>) -> Problem {
+pub(crate) fn platform_problem(report: Report<EntryError>) -> Problem {
     log::warn!(error:? = report; "an operator request failed");
     match report.current_context() {
         EntryError::Unknown => {
--- a/crates/entry/src/api/batches.rs
+++ b/crates/entry/src/api/batches.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use web::{Problem, ProblemKind, Ran};
 
-use super::{admin::failed, guard::Authenticated};
+use super::{admin::platform_problem, guard::Authenticated};
 use crate::{
     batch::{
         Chunk, ERRORS_PREFIX, JOB_PREFIX, JobError, JobRecord, JobState,
@@ -29,7 +29,7 @@
 
 /// Maximum completion window, in hours; see also the maximum age of an input
 /// file, `MAX_INPUT_AGE_MS`.
-const WINDOW_MAX_HOURS: u64 = 24 * 14;
+const MAX_WINDOW_HOURS: u64 = 24 * 14;
 
 /// Endpoint paths that items may be sent to.
 const PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
@@ -40,7 +40,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Create {
+struct CreateRequest {
     input_file_id: String,
     endpoint: String,
     #[serde(default = "default_window")]
@@ -73,7 +73,7 @@
     shared: &State<Arc<Shared>>,
     caller: Authenticated,
     key: IdempotencyKey,
-    body: Result<Json<Create>, JsonError<'_>>,
+    body: Result<Json<CreateRequest>, JsonError<'_>>,
 ) -> Result<Json<Value>, Problem> {
     let body = body.map_err(|error| match error {
         JsonError::Io(error) => too_large(&error),
@@ -90,10 +90,10 @@
         invalid("completion_window must be like 24h or 90m".to_owned())
     })?;
     let due = due_at(&create.metadata)?;
-    let last = WINDOW_MAX_HOURS * MS_PER_HOUR;
+    let last = MAX_WINDOW_HOURS * MS_PER_HOUR;
     let now = shared.timer.clock().unix();
     if due.is_some_and(|due| due > now.saturating_add_ms(last)) {
-        let why = format!("due_at is over {WINDOW_MAX_HOURS} hours away");
+        let why = format!("due_at is over {MAX_WINDOW_HOURS} hours away");
         return Err(invalid(why));
     }
     let job = NewJob {
@@ -106,7 +106,7 @@
         due,
         metadata: create.metadata,
     };
-    let record = shared.batch.create(job).await.map_err(refused)?;
+    let record = shared.batch.create(job).await.map_err(job_problem)?;
     Ok(Json(job_json(&record)))
 }
 
@@ -124,7 +124,7 @@
     Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
 }
 
-fn refused(error: JobError) -> Problem {
+fn job_problem(error: JobError) -> Problem {
     match error {
         JobError::NoInput => no_input(),
         JobError::InputExpired => {
@@ -137,7 +137,7 @@
                 .ran(Ran::No)
                 .with("batch", id.as_str())
         }
-        JobError::Failed(report) => failed(report),
+        JobError::Failed(report) => platform_problem(report),
     }
 }
 
@@ -147,12 +147,12 @@
         None => (text.strip_suffix('m')?, MS_PER_MINUTE),
     };
     let ms = number.parse::<u64>().ok()?.checked_mul(unit_ms)?;
-    (ms > 0 && ms <= WINDOW_MAX_HOURS * MS_PER_HOUR).then_some(ms)
+    (ms > 0 && ms <= MAX_WINDOW_HOURS * MS_PER_HOUR).then_some(ms)
 }
 
 /// Parses `due_at` in the metadata: RFC 3339 or Unix seconds.
 fn due_at(metadata: &Value) -> Result<Option<UnixMillis>, Problem> {
-    let wrong = || {
+    let invalid_time = || {
         let why = "metadata.due_at must be a time like \
                    2026-12-24T06:00:00Z or seconds since 1970";
         invalid(why.to_owned())
@@ -160,15 +160,16 @@
     match metadata.get("due_at") {
         None | Some(Value::Null) => Ok(None),
         Some(Value::Number(seconds)) => {
-            let seconds = seconds.as_u64().ok_or_else(wrong)?;
+            let seconds = seconds.as_u64().ok_or_else(invalid_time)?;
             Ok(Some(UnixMillis::new(seconds.saturating_mul(1_000))))
         }
         Some(Value::String(text)) => {
-            let time: jiff::Timestamp = text.parse().map_err(|_| wrong())?;
+            let time: jiff::Timestamp =
+                text.parse().map_err(|_| invalid_time())?;
             let ms = u64::try_from(time.as_millisecond());
-            Ok(Some(UnixMillis::new(ms.map_err(|_| wrong())?)))
+            Ok(Some(UnixMillis::new(ms.map_err(|_| invalid_time())?)))
         }
-        Some(_) => Err(wrong()),
+        Some(_) => Err(invalid_time()),
     }
 }
 
@@ -189,7 +190,7 @@
 ) -> Result<Json<Value>, Problem> {
     let id = parse_id(id)?;
     let found = shared.batch.job(&caller.caller.customer, &id).await;
-    let job = found.map_err(failed)?.ok_or_else(no_job)?;
+    let job = found.map_err(platform_problem)?.ok_or_else(no_job)?;
     Ok(Json(job_json(&job)))
 }
 
@@ -205,7 +206,7 @@
         .batch
         .list(&caller.caller.customer, after, limit)
         .await
-        .map_err(failed)?;
+        .map_err(platform_problem)?;
     let (jobs, has_more) = (page.jobs, page.has_more);
     Ok(Json(json!({
         "object": "list",
@@ -224,7 +225,7 @@
 ) -> Result<(Status, Json<Value>), Problem> {
     let id = parse_id(id)?;
     let found = shared.batch.cancel(&caller.caller.customer, &id).await;
-    let job = found.map_err(failed)?.ok_or_else(no_job)?;
+    let job = found.map_err(platform_problem)?.ok_or_else(no_job)?;
     Ok((Status::Ok, Json(job_json(&job))))
 }
 
--- a/crates/entry/src/api/files.rs
+++ b/crates/entry/src/api/files.rs
@@ -20,7 +20,7 @@
 use tokio_util::io::{ReaderStream, StreamReader};
 use web::{Active, Problem, ProblemKind, Ran};
 
-use super::{admin::failed, guard::Authenticated};
+use super::{admin::platform_problem, guard::Authenticated};
 use crate::{
     batch::{Chunk, FileRecord, UploadError},
     shared::Shared,
@@ -42,17 +42,19 @@
 ) -> Result<Json<Value>, Problem> {
     let boundary = content_type.and_then(|kind| kind.param("boundary"));
     let boundary = boundary.ok_or_else(|| {
-        bad("send multipart/form-data with the fields purpose and file")
+        bad_request(
+            "send multipart/form-data with the fields purpose and file",
+        )
     })?;
     let limit = shared.limits.file_max_bytes;
     let stream = ReaderStream::new(data.open(ByteUnit::Byte(limit + 1)));
     let mut form = Multipart::new(stream, boundary);
     let mut record = None;
     let mut purpose = None;
-    while let Some(field) = form.next_field().await.map_err(broken)? {
+    while let Some(field) = form.next_field().await.map_err(malformed_form)? {
         match field.name() {
             Some("purpose") => {
-                purpose = Some(field.text().await.map_err(broken)?);
+                purpose = Some(field.text().await.map_err(malformed_form)?);
             }
             Some("file") => {
                 let customer = caller.caller.customer.clone();
@@ -62,9 +64,10 @@
         }
     }
     if purpose.as_deref() != Some(PURPOSE) {
-        return Err(bad("the field purpose must be `batch`"));
+        return Err(bad_request("the field purpose must be `batch`"));
     }
-    let record = record.ok_or_else(|| bad("the field file is missing"))?;
+    let record =
+        record.ok_or_else(|| bad_request("the field file is missing"))?;
     Ok(Json(file_json(&record)))
 }
 
@@ -77,34 +80,34 @@
     let filename = field.file_name().unwrap_or("input.jsonl").to_owned();
     let mut upload = shared.batch.begin_upload(customer);
     let mut bytes = 0;
-    while let Some(chunk) = field.chunk().await.map_err(broken)? {
+    while let Some(chunk) = field.chunk().await.map_err(malformed_form)? {
         bytes += chunk.len() as u64;
         if bytes > limit {
             let why = format!("the file is over {limit} bytes");
             let problem = Problem::new(ProblemKind::TooLarge, why);
             return Err(problem.ran(Ran::No));
         }
-        upload.push(&chunk).await.map_err(refused)?;
+        upload.push(&chunk).await.map_err(upload_problem)?;
     }
-    upload.finish(filename).await.map_err(refused)
+    upload.finish(filename).await.map_err(upload_problem)
 }
 
-fn bad(why: &str) -> Problem {
+fn bad_request(why: &str) -> Problem {
     Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
 }
 
-fn broken(error: multer::Error) -> Problem {
-    bad(&format!("the form is broken: {error}"))
+fn malformed_form(error: multer::Error) -> Problem {
+    bad_request(&format!("the form is broken: {error}"))
 }
 
-fn refused(error: UploadError) -> Problem {
+fn upload_problem(error: UploadError) -> Problem {
     match error {
         UploadError::Input(error) => {
             Problem::new(ProblemKind::Invalid, error.to_string())
                 .ran(Ran::No)
                 .with("line", error.line)
         }
-        UploadError::Failed(report) => failed(report),
+        UploadError::Failed(report) => platform_problem(report),
     }
 }
 
@@ -128,7 +131,7 @@
 ) -> Result<Json<Value>, Problem> {
     let id: FileId = id.parse().map_err(|_| no_file())?;
     let found = shared.batch.file(&caller.caller.customer, &id).await;
-    let record = found.map_err(failed)?.ok_or_else(no_file)?;
+    let record = found.map_err(platform_problem)?.ok_or_else(no_file)?;
     Ok(Json(file_json(&record)))
 }
 
@@ -145,7 +148,7 @@
 ) -> Result<FileBody, Problem> {
     let id: FileId = id.parse().map_err(|_| no_file())?;
     let found = shared.batch.content(&caller.caller.customer, &id).await;
-    let chunks = found.map_err(failed)?.ok_or_else(no_file)?;
+    let chunks = found.map_err(platform_problem)?.ok_or_else(no_file)?;
     let bytes = chunks.iter().map(|chunk| chunk.bytes).sum();
     let mut chunks = chunks.into_iter();
     // The first chunk is read before the status is sent, so that an
@@ -154,21 +157,21 @@
         Some(chunk) => shared.batch.blobs().get(&chunk).await,
         None => Ok(Bytes::new()),
     }
-    .map_err(failed)?;
+    .map_err(platform_problem)?;
     let shared = Arc::clone(shared);
     let rest = stream::iter(chunks).then(move |chunk: Chunk| {
         let shared = shared.clone();
-        async move { read_piece(&shared, chunk).await }
+        async move { read_chunk(&shared, chunk).await }
     });
     let all = stream::once(async { Ok(first) }).chain(rest);
     Ok(FileBody {
         bytes,
-        pieces: Box::pin(all),
+        body: Box::pin(all),
         active: caller.active,
     })
 }
 
-async fn read_piece(shared: &Shared, chunk: Chunk) -> io::Result<Bytes> {
+async fn read_chunk(shared: &Shared, chunk: Chunk) -> io::Result<Bytes> {
     shared.batch.blobs().get(&chunk).await.map_err(|report| {
         log::warn!(error:? = report; "cannot read a chunk of a download");
         io::Error::other(report.to_string())
@@ -181,21 +184,21 @@
 /// connection: a clean end would make a truncated file look complete.
 struct FileBody {
     bytes: u64,
-    pieces: BoxStream<'static, io::Result<Bytes>>,
+    body: BoxStream<'static, io::Result<Bytes>>,
     active: Active,
 }
 
 impl<'r> Responder<'r, 'static> for FileBody {
     fn respond_to(self, _: &'r Request<'_>) -> response::Result<'static> {
         let active = self.active;
-        let pieces = self.pieces.inspect(move |_| {
+        let body = self.body.inspect(move |_| {
             // Moved in, so that it lives as long as the stream.
             let _ = &active;
         });
         Response::build()
             .header(ContentType::new("application", "jsonl"))
             .raw_header("Content-Length", self.bytes.to_string())
-            .streamed_body(StreamReader::new(pieces))
+            .streamed_body(StreamReader::new(body))
             .ok()
     }
 }
--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -84,18 +84,18 @@
             Ok(served) => Outcome::Success(respond(id.as_str(), served)),
             Err(problem) => {
                 log::info!(request_id = id.as_str(); "{problem}");
-                Outcome::from(request, WithId { id, problem })
+                Outcome::from(request, ProblemWithId { id, problem })
             }
         }
     }
 }
 
-struct WithId {
+struct ProblemWithId {
     id: base::RequestId,
     problem: Problem,
 }
 
-impl<'r> rocket::response::Responder<'r, 'static> for WithId {
+impl<'r> rocket::response::Responder<'r, 'static> for ProblemWithId {
     fn respond_to(
         self,
         request: &'r Request<'_>,
@@ -118,7 +118,7 @@
     // admitted just before and whose body is still arriving.
     let _active = shared.state.begin();
     if !shared.state.is_ready() {
-        return Err(stopping());
+        return Err(shutting_down());
     }
     let caller = filter::authenticate(shared, request.headers())?;
     let headers = filter::check_headers(shared, request.headers())?;
@@ -139,9 +139,9 @@
     let admitted = shared.admit()?;
     let now = shared.timer.now();
     let (compiled, customer) = (&in_force.compiled, &exchange.customer);
-    let places = shared.customers.admit(compiled, customer, &limits, now);
-    let served = match places {
-        Ok(places) => send(shared, exchange, admitted.under(places)).await,
+    let slots = shared.customers.admit(compiled, customer, &limits, now);
+    let served = match slots {
+        Ok(slots) => send(shared, exchange, admitted.under(slots)).await,
         Err(problem) => Err(problem),
     };
     if let Err(problem) = &served {
@@ -167,7 +167,7 @@
     }
 }
 
-fn stopping() -> Problem {
+fn shutting_down() -> Problem {
     let why = "this process is stopping; try again";
     Problem::new(ProblemKind::Stopping, why)
         .ran(Ran::No)
@@ -199,7 +199,11 @@
 }
 
 /// Starts a response with the status and headers of an endpoint's response.
-fn head<'r>(id: &str, status: u16, headers: Vec<Header>) -> Builder<'r> {
+fn start_response<'r>(
+    id: &str,
+    status: u16,
+    headers: Vec<Header>,
+) -> Builder<'r> {
     let mut response = Response::build();
     response.status(Status::new(status));
     for header in headers {
@@ -212,7 +216,7 @@
 }
 
 fn respond_whole<'r>(id: &str, whole: WholeAnswer) -> Response<'r> {
-    let mut response = head(id, whole.status, whole.headers);
+    let mut response = start_response(id, whole.status, whole.headers);
     if whole.replayed {
         response.raw_header("idempotency-replayed", "true");
     }
@@ -222,6 +226,6 @@
 }
 
 fn respond_streamed<'r>(id: &str, started: Started) -> Response<'r> {
-    let mut response = head(id, started.status, started.headers);
+    let mut response = start_response(id, started.status, started.headers);
     response.streamed_body(started.body).finalize()
 }
--- a/crates/entry/src/api/status.rs
+++ b/crates/entry/src/api/status.rs
@@ -58,7 +58,7 @@
         })
         .collect();
     let in_force = shared.config.current();
-    let part = shared.config.part();
+    let propagation = shared.config.propagation_status();
     let owner = shared.batch.owner();
     Json(Status {
         role: "entry",
@@ -67,10 +67,13 @@
         revision: shared.config.revision().get(),
         in_force_for_ms: in_force
             .map(|config| now.saturating_ms_since(config.since)),
-        revision_heard: part.heard.max(shared.config.revision()).get(),
-        relay: part.is_relay,
-        revision_conflicts: part.conflicts,
-        config_service_calls: part.service_calls,
+        revision_heard: propagation
+            .newest_known
+            .max(shared.config.revision())
+            .get(),
+        relay: propagation.is_relay,
+        revision_conflicts: propagation.conflicts,
+        config_service_calls: propagation.kv_calls,
         endpoints,
         partitions: owner.partitions(),
         open_jobs: owner.open_jobs(),
--- a/crates/entry/src/api/vms.rs
+++ b/crates/entry/src/api/vms.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use web::{Problem, ProblemKind, Ran};
 
-use super::{admin::failed, guard::Operator};
+use super::{admin::platform_problem, guard::Operator};
 use crate::{fleet::Route, orders::OrderError, shared::Shared};
 
 pub(crate) fn routes() -> Vec<HttpRoute> {
@@ -25,21 +25,21 @@
 ) -> Result<Json<Value>, Problem> {
     let all = shared.fleet.all();
     let known = all.iter().find(|known| known.target.name.as_str() == vm);
-    let target = &known.ok_or_else(|| unknown(vm))?.target;
+    let target = &known.ok_or_else(|| unknown_vm(vm))?.target;
     let Route::Companion(companion) = target.route else {
         let why = format!("{vm} has no companion; take it out of the list");
         return Err(Problem::new(ProblemKind::Invalid, why).ran(Ran::No));
     };
     match shared.orders.drain(vm, companion).await {
         Ok(()) => Ok(Json(json!({ "vm": vm, "state": "draining" }))),
-        Err(OrderError::Failed(report)) => Err(failed(report)),
+        Err(OrderError::Failed(report)) => Err(platform_problem(report)),
         Err(OrderError::Refused(why)) => {
             Err(Problem::new(ProblemKind::Conflict, why).ran(Ran::No))
         }
     }
 }
 
-fn unknown(vm: &str) -> Problem {
+fn unknown_vm(vm: &str) -> Problem {
     let why = format!("this entry knows no endpoint on {vm}");
     Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
 }
--- a/crates/entry/src/batch/blobs.rs
+++ b/crates/entry/src/batch/blobs.rs
@@ -34,22 +34,22 @@
         items: u32,
     ) -> Result<Chunk, Report<EntryError>> {
         let crc = crc32fast::hash(&bytes);
-        let order = self.order(&id);
-        let mut homes: Vec<&DataVm> = Vec::new();
-        let mut next = order.iter();
-        let mut last = None;
-        while homes.len() < COPIES {
+        let ranked = self.ranked_vms(&id);
+        let mut stored_on: Vec<&DataVm> = Vec::new();
+        let mut next = ranked.iter();
+        let mut last_error = None;
+        while stored_on.len() < COPIES {
             // Both copies are written concurrently; a failed one is retried
             // on the next data VM of another failure domain.
             let mut round: Vec<&DataVm> = Vec::new();
-            while homes.len() + round.len() < COPIES {
-                let taken = |vm: &DataVm| {
-                    homes
+            while stored_on.len() + round.len() < COPIES {
+                let is_domain_used = |vm: &DataVm| {
+                    stored_on
                         .iter()
                         .chain(&round)
-                        .any(|home| home.failure_domain == vm.failure_domain)
+                        .any(|other| other.failure_domain == vm.failure_domain)
                 };
-                match next.by_ref().find(|vm| !taken(vm)) {
+                match next.by_ref().find(|vm| !is_domain_used(vm)) {
                     Some(vm) => round.push(vm),
                     None => break,
                 }
@@ -57,7 +57,7 @@
             if round.is_empty() {
                 let report = Report::new(EntryError::Storage)
                     .attach("too few data VMs stored the blob");
-                return Err(match last {
+                return Err(match last_error {
                     Some(why) => report.attach(format!("{why:?}")),
                     None => report,
                 });
@@ -71,8 +71,8 @@
             });
             for (vm, stored) in round.iter().zip(join_all(puts).await) {
                 match stored {
-                    Ok(()) => homes.push(vm),
-                    Err(report) => last = Some(report),
+                    Ok(()) => stored_on.push(vm),
+                    Err(report) => last_error = Some(report),
                 }
             }
         }
@@ -90,19 +90,19 @@
         &self,
         chunk: &Chunk,
     ) -> Result<Bytes, Report<EntryError>> {
-        let mut last = None;
-        for vm in self.order(&chunk.blob) {
+        let mut last_error = None;
+        for vm in self.ranked_vms(&chunk.blob) {
             let read = self.links.get_blob(vm.address, chunk.blob.clone());
             match read.await {
-                Ok(Some(blob)) if is_whole(chunk, &blob) => {
+                Ok(Some(blob)) if is_intact(chunk, &blob) => {
                     return Ok(blob.bytes);
                 }
                 Ok(_) => {}
-                Err(report) => last = Some(report),
+                Err(report) => last_error = Some(report),
             }
         }
         let missing = || format!("no intact copy of {}", chunk.blob);
-        match last {
+        match last_error {
             Some(report) => Err(report),
             None => {
                 return Err(Report::new(EntryError::Storage))
@@ -115,18 +115,18 @@
 
     /// Orders the data VMs by rendezvous hashing, so that every entry finds a
     /// blob without a lookup.
-    fn order(&self, id: &str) -> Vec<&DataVm> {
-        let mut order: Vec<&DataVm> = self.data_vms.iter().collect();
-        order.sort_by_key(|vm| weight(id, vm));
-        order
+    fn ranked_vms(&self, id: &str) -> Vec<&DataVm> {
+        let mut ranked: Vec<&DataVm> = self.data_vms.iter().collect();
+        ranked.sort_by_key(|vm| rendezvous_hash(id, vm));
+        ranked
     }
 }
 
-fn weight(id: &str, vm: &DataVm) -> u64 {
+fn rendezvous_hash(id: &str, vm: &DataVm) -> u64 {
     stable_hash(&[id, vm.vm.as_str()])
 }
 
-fn is_whole(chunk: &Chunk, blob: &StoredBlob) -> bool {
+fn is_intact(chunk: &Chunk, blob: &StoredBlob) -> bool {
     blob.bytes.len() as u64 == chunk.bytes
         && crc32fast::hash(&blob.bytes) == chunk.crc
 }
--- a/crates/entry/src/batch/files.rs
+++ b/crates/entry/src/batch/files.rs
@@ -12,7 +12,7 @@
 use super::{
     Batch, Chunk, ERRORS_PREFIX, FileRecord, JOB_PREFIX, JobRecord,
     OUTPUT_PREFIX,
-    input::{Cutter, InputError, Piece},
+    input::{InputChunk, InputError, InputSplitter},
 };
 use crate::EntryError;
 
@@ -20,11 +20,11 @@
 
 /// Maximum age at which a stored file is reused for a resent one, in
 /// milliseconds.
-const FRESH_MS: u64 = 7 * MS_PER_DAY;
+const MAX_REUSE_AGE_MS: u64 = 7 * MS_PER_DAY;
 
 /// Maximum age of the input file of a new job, in milliseconds. Even with
 /// the maximum window of a job, the chunks are retained while they are read.
-pub(super) const INPUT_AGE_MAX_MS: u64 = 14 * MS_PER_DAY;
+pub(super) const MAX_INPUT_AGE_MS: u64 = 14 * MS_PER_DAY;
 
 /// Hexadecimal digits of a digest that form an id.
 const ID_DIGITS: usize = 32;
@@ -58,7 +58,7 @@
 pub(crate) struct Upload<'a> {
     batch: &'a Batch,
     customer: Customer,
-    cutter: Cutter<'a>,
+    splitter: InputSplitter<'a>,
     digest: Sha256,
     bytes: u64,
     chunks: Vec<Chunk>,
@@ -72,8 +72,8 @@
     ) -> Result<(), UploadError> {
         self.bytes += bytes.len() as u64;
         self.digest.update(bytes);
-        for piece in self.cutter.push(bytes)? {
-            self.store(piece).await?;
+        for chunk in self.splitter.push(bytes)? {
+            self.store(chunk).await?;
         }
         Ok(())
     }
@@ -84,10 +84,11 @@
         filename: String,
     ) -> Result<FileRecord, UploadError> {
         let limits = &self.batch.limits;
-        let cutter = std::mem::replace(&mut self.cutter, Cutter::new(limits));
-        let rest = cutter.finish()?;
-        for piece in rest.pieces {
-            self.store(piece).await?;
+        let splitter =
+            std::mem::replace(&mut self.splitter, InputSplitter::new(limits));
+        let remainder = splitter.finish()?;
+        for chunk in remainder.chunks {
+            self.store(chunk).await?;
         }
         self.digest.update([0]);
         self.digest.update(self.customer.as_str());
@@ -96,9 +97,9 @@
             .parse()
             .change_context(EntryError::Storage)?;
         let now = self.batch.timer.clock().unix();
-        let found = self.batch.file_found(&self.customer, &id).await?;
+        let found = self.batch.find_file(&self.customer, &id).await?;
         let mod_revision = match found {
-            Some((known, _)) if is_fresh(&known, now) => return Ok(known),
+            Some((known, _)) if is_reusable(&known, now) => return Ok(known),
             Some((_, mod_revision)) => mod_revision,
             None => 0,
         };
@@ -109,21 +110,21 @@
             purpose: "batch".to_owned(),
             bytes: self.bytes,
             items: self.chunks.iter().map(|chunk| chunk.items).sum(),
-            models: rest.models,
+            models: remainder.models,
             created: now,
             chunks: self.chunks,
         };
-        self.batch.record_file(&record, mod_revision).await?;
+        self.batch.write_file_record(&record, mod_revision).await?;
         Ok(record)
     }
 
-    async fn store(&mut self, piece: Piece) -> Result<(), UploadError> {
-        let hex = hex(&Sha256::digest(&piece.bytes));
+    async fn store(&mut self, input: InputChunk) -> Result<(), UploadError> {
+        let hex = hex(&Sha256::digest(&input.bytes));
         let day = blob_day_prefix(self.batch.timer.clock().unix());
-        let digits = &hex[..ID_DIGITS];
-        let blob = format!("{day}in/{}/{digits}", self.customer);
+        let name = &hex[..ID_DIGITS];
+        let blob = format!("{day}in/{}/{name}", self.customer);
         let blobs = &self.batch.blobs;
-        let chunk = blobs.put(blob, piece.bytes, piece.items).await?;
+        let chunk = blobs.put(blob, input.bytes, input.items).await?;
         self.chunks.push(chunk);
         Ok(())
     }
@@ -135,7 +136,7 @@
         Upload {
             batch: self,
             customer,
-            cutter: Cutter::new(&self.limits),
+            splitter: InputSplitter::new(&self.limits),
             digest: Sha256::new(),
             bytes: 0,
             chunks: vec![],
@@ -151,18 +152,18 @@
     ) -> Result<Option<Vec<Chunk>>, Report<EntryError>> {
         let name = id.as_str();
         if let Some(job) = name.strip_prefix(OUTPUT_PREFIX) {
-            let job = self.job_named(customer, job).await?;
-            return self.pieces_of(job, Sink::Output).await;
+            let job = self.find_job(customer, job).await?;
+            return self.job_chunks(job, Sink::Output).await;
         }
         if let Some(job) = name.strip_prefix(ERRORS_PREFIX) {
-            let job = self.job_named(customer, job).await?;
-            return self.pieces_of(job, Sink::Errors).await;
+            let job = self.find_job(customer, job).await?;
+            return self.job_chunks(job, Sink::Errors).await;
         }
         Ok(self.file(customer, id).await?.map(|file| file.chunks))
     }
 
     /// Returns the chunks of a job's output or error file, oldest page first.
-    async fn pieces_of(
+    async fn job_chunks(
         &self,
         job: Option<JobRecord>,
         sink: Sink,
@@ -190,7 +191,7 @@
         Ok(Some(chunks))
     }
 
-    async fn job_named(
+    async fn find_job(
         &self,
         customer: &Customer,
         rest: &str,
@@ -207,12 +208,12 @@
         customer: &Customer,
         id: &FileId,
     ) -> Result<Option<FileRecord>, Report<EntryError>> {
-        let found = self.file_found(customer, id).await?;
+        let found = self.find_file(customer, id).await?;
         Ok(found.map(|(record, _)| record))
     }
 
     /// Returns a file and the revision of its record.
-    async fn file_found(
+    async fn find_file(
         &self,
         customer: &Customer,
         id: &FileId,
@@ -235,7 +236,7 @@
 
     /// Writes a file's record over the one at `mod_revision`; 0 means that no
     /// record exists.
-    async fn record_file(
+    async fn write_file_record(
         &self,
         record: &FileRecord,
         mod_revision: u64,
@@ -284,8 +285,8 @@
 
 /// Reports whether a resent file may reuse the stored chunks. The chunks of
 /// an older file are stored again, since they expire by the day of upload.
-fn is_fresh(record: &FileRecord, now: UnixMillis) -> bool {
-    now.saturating_ms_since(record.created) < FRESH_MS
+fn is_reusable(record: &FileRecord, now: UnixMillis) -> bool {
+    now.saturating_ms_since(record.created) < MAX_REUSE_AGE_MS
 }
 
 /// Converts an error of the key-value service, preserving whether a write may
--- a/crates/entry/src/batch/input.rs
+++ b/crates/entry/src/batch/input.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 /// Size at which a chunk is closed, in bytes.
-const PIECE_BYTES: usize = 1 << 20;
+const CHUNK_BYTES: usize = 1 << 20;
 
 /// One line of a batch input.
 #[derive(Clone, Debug, Deserialize)]
@@ -28,41 +28,41 @@
 pub(crate) struct InputError {
     /// Line number, starting at 1.
     pub(crate) line: u32,
-    pub(crate) why: String,
+    pub(crate) reason: String,
 }
 
 impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.why)
+        write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
 /// A chunk of whole lines.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Piece {
+pub(crate) struct InputChunk {
     pub(crate) bytes: Bytes,
     pub(crate) items: u32,
 }
 
 /// The remainder of an input after its last byte.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Rest {
-    pub(crate) pieces: Vec<Piece>,
+pub(crate) struct Remainder {
+    pub(crate) chunks: Vec<InputChunk>,
     /// Models that the items request; empty if there are too many to list.
     pub(crate) models: Vec<String>,
 }
 
 /// Maximum number of models listed for an input. They determine which
 /// companions its items may be granted to.
-const MODELS_MAX: usize = 8;
+const MAX_LISTED_MODELS: usize = 8;
 
 #[derive(Deserialize)]
-struct ModelOf {
+struct BodyModel {
     model: Option<String>,
 }
 
 /// The validated fields of an item.
-struct Checked {
+struct ValidItem {
     custom_id: String,
     model: Option<String>,
 }
@@ -72,25 +72,25 @@
 /// An entry never holds a whole input in memory, only the open chunk and the
 /// ids seen so far. Blank lines are dropped, so that a chunk has one item per
 /// line.
-pub(crate) struct Cutter<'a> {
+pub(crate) struct InputSplitter<'a> {
     limits: &'a LimitSettings,
     ids: HashSet<String>,
     models: BTreeSet<Option<String>>,
-    rest: BytesMut,
-    open: BytesMut,
+    partial_line: BytesMut,
+    open_chunk: BytesMut,
     open_items: u32,
     line: u32,
     total: u32,
 }
 
-impl<'a> Cutter<'a> {
+impl<'a> InputSplitter<'a> {
     pub(crate) fn new(limits: &'a LimitSettings) -> Self {
         Self {
             limits,
             ids: HashSet::new(),
             models: BTreeSet::new(),
-            rest: BytesMut::new(),
-            open: BytesMut::new(),
+            partial_line: BytesMut::new(),
+            open_chunk: BytesMut::new(),
             open_items: 0,
             line: 0,
             total: 0,
@@ -101,87 +101,93 @@
     pub(crate) fn push(
         &mut self,
         bytes: &[u8],
-    ) -> Result<Vec<Piece>, InputError> {
-        self.rest.extend_from_slice(bytes);
+    ) -> Result<Vec<InputChunk>, InputError> {
+        self.partial_line.extend_from_slice(bytes);
         let mut full = Vec::new();
-        while let Some(end) = self.rest.iter().position(|b| *b == b'\n') {
-            let line = self.rest.split_to(end + 1);
-            full.extend(self.take(&line)?);
+        while let Some(end) =
+            self.partial_line.iter().position(|b| *b == b'\n')
+        {
+            let line = self.partial_line.split_to(end + 1);
+            full.extend(self.push_line(&line)?);
         }
         let limit = self.limits.item_max_bytes;
-        if self.rest.len() as u64 > limit {
+        if self.partial_line.len() as u64 > limit {
             self.line += 1;
-            return Err(self.fail(format!("over {limit} bytes")));
+            return Err(self.error(format!("over {limit} bytes")));
         }
         Ok(full)
     }
 
     /// Processes the last line, which may lack a newline, and returns the
     /// remainder.
-    pub(crate) fn finish(mut self) -> Result<Rest, InputError> {
-        let line = self.rest.split();
-        let mut pieces: Vec<Piece> = self.take(&line)?.into_iter().collect();
-        pieces.extend(self.close());
+    pub(crate) fn finish(mut self) -> Result<Remainder, InputError> {
+        let line = self.partial_line.split();
+        let mut chunks: Vec<InputChunk> =
+            self.push_line(&line)?.into_iter().collect();
+        chunks.extend(self.close_chunk());
         // An item without a model may run on any endpoint, and so may its
         // job.
-        let models = match self.models.len() > MODELS_MAX {
+        let models = match self.models.len() > MAX_LISTED_MODELS {
             true => None,
             false => self.models.into_iter().collect(),
         };
         let models = models.unwrap_or_default();
-        Ok(Rest { pieces, models })
+        Ok(Remainder { chunks, models })
     }
 
-    fn take(&mut self, line: &[u8]) -> Result<Option<Piece>, InputError> {
+    fn push_line(
+        &mut self,
+        line: &[u8],
+    ) -> Result<Option<InputChunk>, InputError> {
         self.line += 1;
         let line = line.trim_ascii();
         if line.is_empty() {
             return Ok(None);
         }
-        let checked = check(line, self.limits);
-        let checked = checked.map_err(|why| self.fail(why))?;
-        let id = checked.custom_id;
+        let item = validate(line, self.limits);
+        let item = item.map_err(|reason| self.error(reason))?;
+        let id = item.custom_id;
         if self.ids.contains(&id) {
-            return Err(self.fail(format!("custom_id {id:?} is used before")));
+            return Err(self.error(format!("custom_id {id:?} is used before")));
         }
         self.ids.insert(id);
-        if self.models.len() <= MODELS_MAX {
-            self.models.insert(checked.model);
+        if self.models.len() <= MAX_LISTED_MODELS {
+            self.models.insert(item.model);
         }
         self.total += 1;
         if self.total > self.limits.items_max {
             let limit = self.limits.items_max;
-            return Err(self.fail(format!("more than {limit} items")));
+            return Err(self.error(format!("more than {limit} items")));
         }
-        self.open.extend_from_slice(line);
-        self.open.extend_from_slice(b"\n");
+        self.open_chunk.extend_from_slice(line);
+        self.open_chunk.extend_from_slice(b"\n");
         self.open_items += 1;
-        if self.open.len() >= PIECE_BYTES {
-            return Ok(self.close());
+        if self.open_chunk.len() >= CHUNK_BYTES {
+            return Ok(self.close_chunk());
         }
         Ok(None)
     }
 
-    fn close(&mut self) -> Option<Piece> {
+    fn close_chunk(&mut self) -> Option<InputChunk> {
         if self.open_items == 0 {
             return None;
         }
         let items = std::mem::take(&mut self.open_items);
-        Some(Piece {
-            bytes: self.open.split().freeze(),
+        Some(InputChunk {
+            bytes: self.open_chunk.split().freeze(),
             items,
         })
     }
 
-    fn fail(&self, why: String) -> InputError {
+    fn error(&self, reason: String) -> InputError {
         InputError {
             line: self.line,
-            why,
+            reason,
         }
     }
 }
 
-fn check(line: &[u8], limits: &LimitSettings) -> Result<Checked, String> {
+fn validate(line: &[u8], limits: &LimitSettings) -> Result<ValidItem, String> {
     if line.len() as u64 > limits.item_max_bytes {
         return Err(format!("over {} bytes", limits.item_max_bytes));
     }
@@ -203,9 +209,9 @@
     if !parsed.body.get().starts_with('{') {
         return Err("body is not an object".to_owned());
     }
-    let body: ModelOf = serde_json::from_str(parsed.body.get())
+    let body: BodyModel = serde_json::from_str(parsed.body.get())
         .map_err(|error| format!("body: {error}"))?;
-    Ok(Checked {
+    Ok(ValidItem {
         custom_id: parsed.custom_id,
         model: body.model,
     })
--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -11,8 +11,8 @@
 
 use super::{
     Batch, JOB_PREFIX,
-    files::{INPUT_AGE_MAX_MS, hex, platform},
-    keys::last,
+    files::{MAX_INPUT_AGE_MS, hex, platform},
+    keys::last_segment,
 };
 use crate::EntryError;
 
@@ -69,7 +69,7 @@
         let id = job_id(&job, &content)?;
         let now = self.timer.clock().unix();
         let age_ms = now.saturating_ms_since(input.created);
-        if age_ms > INPUT_AGE_MAX_MS {
+        if age_ms > MAX_INPUT_AGE_MS {
             let known = self.job(&job.customer, &id).await?;
             return known
                 .filter(|known| known.content == content)
@@ -99,10 +99,10 @@
             operation: rand::random(),
             customer: job.customer,
         };
-        self.record_job(record).await
+        self.write_job_record(record).await
     }
 
-    async fn record_job(
+    async fn write_job_record(
         &self,
         record: JobRecord,
     ) -> Result<JobRecord, JobError> {
@@ -112,12 +112,12 @@
             equals: 0,
         };
         let (customer, id) = (&record.customer, &record.id);
-        let listed = self.keys.job_of(customer, record.created, id);
+        let listed = self.keys.listed_job(customer, record.created, id);
         let txn = Txn {
             compares: vec![absent],
             success: vec![
                 put_record(&key, &record)?,
-                put_empty(self.keys.mark(id)),
+                put_empty(self.keys.open_marker(id)),
                 put_empty(listed),
             ],
             failure: vec![],
@@ -132,7 +132,7 @@
                 |_| (),
                 |found| match found.kvs.first() {
                     None => Verdict::Open,
-                    Some(kv) => match parse(kv) {
+                    Some(kv) => match decode_record(kv) {
                         Ok(job) if job.operation == operation => {
                             Verdict::Done(())
                         }
@@ -145,7 +145,7 @@
             .map_err(platform)
             .attach("writing a job's record")?;
         if outcome == Outcome::Done(()) {
-            self.owner.poke(&record.id);
+            self.owner.request_listing(&record.id);
             return Ok(record);
         }
         // A retry: the first request created this job.
@@ -171,7 +171,7 @@
         let Some(found) = reply.kvs.first() else {
             return Ok(None);
         };
-        let job = parse(found)?;
+        let job = decode_record(found)?;
         Ok(Some(job).filter(|job| job.customer == *customer))
     }
 
@@ -184,14 +184,14 @@
     ) -> Result<JobPage, Report<EntryError>> {
         let reply = self
             .kv
-            .get_prefix(&self.keys.jobs_of(customer), 0)
+            .get_prefix(&self.keys.listed_jobs(customer), 0)
             .await
             .change_context(EntryError::Platform)
             .attach("listing jobs")?;
         let ids: Vec<JobId> = reply
             .kvs
             .iter()
-            .filter_map(|kv| listed_id(&kv.key))
+            .filter_map(|kv| job_id_of_key(&kv.key))
             .collect();
         let start = match after {
             None => 0,
@@ -227,7 +227,7 @@
             OpReply::Got(found) => found.first(),
             _ => None,
         });
-        found.map(parse).collect()
+        found.map(decode_record).collect()
     }
 
     /// Requests the cancellation of a job; completed results stay readable.
@@ -246,7 +246,7 @@
             let Some(found) = reply.kvs.first() else {
                 return Ok(None);
             };
-            let mut job = parse(found)?;
+            let mut job = decode_record(found)?;
             if job.customer != *customer {
                 return Ok(None);
             }
@@ -264,7 +264,7 @@
                 // record of a job whose marker has changed.
                 success: vec![
                     put_record(&key, &job)?,
-                    put_empty(self.keys.mark(id)),
+                    put_empty(self.keys.open_marker(id)),
                 ],
                 failure: vec![],
             };
@@ -276,14 +276,14 @@
                     txn,
                     Op::Get { key: key.clone() },
                     |_| (),
-                    |now| seen(now.kvs.first(), operation, found),
+                    |now| resolve_cancel(now.kvs.first(), operation, found),
                     rand::random,
                 )
                 .await
                 .map_err(platform)
                 .attach("cancelling a job")?;
             if outcome == Outcome::Done(()) {
-                self.owner.poke(id);
+                self.owner.request_listing(id);
                 return Ok(Some(job));
             }
             // The owner has committed results meanwhile: read again.
@@ -292,14 +292,14 @@
 }
 
 /// Determines the outcome of a write from the value read back.
-fn seen(
+fn resolve_cancel(
     now: Option<&KeyValue>,
     operation: u64,
     before: &KeyValue,
 ) -> Verdict<()> {
     match now {
         Some(now) if now.mod_revision == before.mod_revision => Verdict::Open,
-        Some(now) => match parse(now) {
+        Some(now) => match decode_record(now) {
             Ok(job) if job.operation == operation => Verdict::Done(()),
             _ => Verdict::Superseded,
         },
@@ -326,12 +326,14 @@
 }
 
 /// Returns the job id in a key of a customer's job list.
-fn listed_id(key: &str) -> Option<JobId> {
-    let (_age, id) = last(key).split_once('-')?;
+fn job_id_of_key(key: &str) -> Option<JobId> {
+    let (_age, id) = last_segment(key).split_once('-')?;
     id.parse().ok()
 }
 
-pub(super) fn parse(kv: &KeyValue) -> Result<JobRecord, Report<EntryError>> {
+pub(super) fn decode_record(
+    kv: &KeyValue,
+) -> Result<JobRecord, Report<EntryError>> {
     serde_json::from_slice(&kv.value)
         .change_context(EntryError::Platform)
         .attach_with(|| format!("cannot decode the record at {}", kv.key))
--- a/crates/entry/src/batch/keys.rs
+++ b/crates/entry/src/batch/keys.rs
@@ -40,14 +40,14 @@
     }
 
     /// Prefix of a partition's open-job markers.
-    pub(crate) fn marks(&self, partition: u32) -> String {
+    pub(crate) fn open_markers(&self, partition: u32) -> String {
         format!("{}open/{partition:05}/", self.prefix)
     }
 
     /// Key of a job's marker, which exists while the job is open.
-    pub(crate) fn mark(&self, id: &JobId) -> String {
+    pub(crate) fn open_marker(&self, id: &JobId) -> String {
         let partition = partition_of(id, self.partitions);
-        format!("{}{id}", self.marks(partition))
+        format!("{}{id}", self.open_markers(partition))
     }
 
     /// Key of a page of chunks that no longer fit into a job's record.
@@ -57,19 +57,19 @@
     }
 
     /// Prefix of a customer's jobs, newest first.
-    pub(crate) fn jobs_of(&self, customer: &Customer) -> String {
+    pub(crate) fn listed_jobs(&self, customer: &Customer) -> String {
         format!("{}tenants/{customer}/jobs/", self.prefix)
     }
 
     /// Key of a job in that list, which the age in the key orders.
-    pub(crate) fn job_of(
+    pub(crate) fn listed_job(
         &self,
         customer: &Customer,
         created: UnixMillis,
         id: &JobId,
     ) -> String {
         let age = u64::MAX - created.as_ms();
-        format!("{}{age:016x}-{id}", self.jobs_of(customer))
+        format!("{}{age:016x}-{id}", self.listed_jobs(customer))
     }
 
     pub(crate) fn file(&self, customer: &Customer, id: &FileId) -> String {
@@ -78,6 +78,6 @@
 }
 
 /// Returns the last segment of a key.
-pub(crate) fn last(key: &str) -> &str {
+pub(crate) fn last_segment(key: &str) -> &str {
     key.rsplit('/').next().unwrap_or_default()
 }
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -12,8 +12,8 @@
 };
 
 use crate::batch::{
-    jobs::parse,
-    keys::{Keys, last},
+    jobs::decode_record,
+    keys::{Keys, last_segment},
 };
 
 /// Makes the ledger's calls and turns each response into an event.
@@ -41,11 +41,11 @@
 
     pub(super) async fn join(&self, ttl_s: u32) -> Event {
         let sent_at = self.timer.now();
-        let lease = self.join_under(ttl_s).await;
+        let lease = self.write_member(ttl_s).await;
         Event::Joined { sent_at, lease }
     }
 
-    async fn join_under(&self, ttl_s: u32) -> Option<i64> {
+    async fn write_member(&self, ttl_s: u32) -> Option<i64> {
         let lease = self.kv.lease_grant(ttl_s).await.ok()?;
         let put = Op::Put {
             key: self.keys.member(&self.member),
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) async fn look(&self) -> Event {
+    pub(super) async fn read_membership(&self) -> Event {
         let prefixes = [self.keys.members(), self.keys.owners()];
         let gets = prefixes.map(|prefix| Op::GetPrefix { prefix, limit: 0 });
         let txn = Txn {
@@ -107,13 +107,16 @@
             }
         };
         let revision = Some(reply.revision);
-        let mut got = got(reply).into_iter();
-        let members = got.next().unwrap_or_default();
-        let owners = got.next().unwrap_or_default();
+        let mut results = get_results(reply).into_iter();
+        let members = results.next().unwrap_or_default();
+        let owners = results.next().unwrap_or_default();
         Event::MembershipRead {
             revision,
-            members: members.iter().map(|kv| last(&kv.key).into()).collect(),
-            owners: owners.iter().filter_map(owner_seen).collect(),
+            members: members
+                .iter()
+                .map(|kv| last_segment(&kv.key).into())
+                .collect(),
+            owners: owners.iter().filter_map(decode_owner).collect(),
         }
     }
 
@@ -152,17 +155,20 @@
             failure: vec![],
         };
         if let Err(report) = self.kv.txn(txn).await {
-            log::debug!(partition, error:? = report; "cannot release");
+            log::debug!(
+                partition, error:? = report;
+                "cannot release a partition"
+            );
         }
         Event::Released { partition, fence }
     }
 
     pub(super) async fn list(&self, partition: u32, fence: u64) -> Event {
-        let prefix = self.keys.marks(partition);
+        let prefix = self.keys.open_markers(partition);
         let found = self.kv.get_prefix(&prefix, 0).await.ok();
         let marker = |kv: &KeyValue| {
             Some(OpenJobMarker {
-                job: last(&kv.key).parse().ok()?,
+                job: last_segment(&kv.key).parse().ok()?,
                 revision: kv.mod_revision,
             })
         };
@@ -183,9 +189,9 @@
     ) -> Event {
         let read = self.kv.get(&self.keys.job(&job)).await;
         let found = match read {
-            Ok(reply) => match reply.kvs.first().map(seen) {
+            Ok(reply) => match reply.kvs.first().map(decode_versioned) {
                 None => Ok(None),
-                Some(Some(seen)) => Ok(Some(Box::new(seen))),
+                Some(Some(record)) => Ok(Some(Box::new(record))),
                 Some(None) => Err(()),
             },
             Err(_) => Err(()),
@@ -211,7 +217,7 @@
             }
             Ok(_) => WriteOutcome::Conflict,
             Err(report) => {
-                log::info!(error:? = report; "a commit got no response");
+                log::info!(error:? = report; "a commit was not confirmed");
                 match report.current_context() {
                     KvError::Unknown => WriteOutcome::Unknown,
                     _ => WriteOutcome::NotApplied,
@@ -242,7 +248,7 @@
             });
             txn.success.push(put(key, &next.record)?);
             if !next.record.is_open() {
-                let key = self.keys.mark(id);
+                let key = self.keys.open_marker(id);
                 txn.success.push(Op::Delete { key });
             }
             for Page {
@@ -272,8 +278,8 @@
         };
         let reply = self.kv.txn(txn).await.ok();
         let found = reply.map(|reply| {
-            let kvs = got(reply).into_iter().flatten();
-            kvs.filter_map(|kv| seen(&kv)).collect()
+            let kvs = get_results(reply).into_iter().flatten();
+            kvs.filter_map(|kv| decode_versioned(&kv)).collect()
         });
         Event::ReadBack { commit, found }
     }
@@ -285,25 +291,25 @@
     Some(Op::Put { key, value, lease })
 }
 
-fn got(reply: TxnReply) -> Vec<Vec<KeyValue>> {
-    let got = reply.replies.into_iter().filter_map(|reply| match reply {
+fn get_results(reply: TxnReply) -> Vec<Vec<KeyValue>> {
+    let results = reply.replies.into_iter().filter_map(|reply| match reply {
         OpReply::Got(found) => Some(found),
         _ => None,
     });
-    got.collect()
+    results.collect()
 }
 
-fn owner_seen(kv: &KeyValue) -> Option<PartitionOwner> {
+fn decode_owner(kv: &KeyValue) -> Option<PartitionOwner> {
     Some(PartitionOwner {
-        partition: last(&kv.key).parse().ok()?,
+        partition: last_segment(&kv.key).parse().ok()?,
         member: String::from_utf8_lossy(&kv.value).into_owned(),
         lease: kv.lease.map_or(0, |lease| lease.0),
         fence: kv.create_revision,
     })
 }
 
-fn seen(kv: &KeyValue) -> Option<VersionedRecord> {
-    match parse(kv) {
+fn decode_versioned(kv: &KeyValue) -> Option<VersionedRecord> {
+    match decode_record(kv) {
         Ok(record) => Some(VersionedRecord {
             record,
             revision: kv.mod_revision,
--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -8,7 +8,7 @@
 use super::Owner;
 
 /// HTTP method that companions use for items.
-const METHOD: &str = "POST";
+const ITEM_METHOD: &str = "POST";
 
 /// Returns the request digest of an item, equal to that of the same online
 /// request.
@@ -19,7 +19,7 @@
 ) -> RequestDigest {
     RequestDigest::of(RequestContent {
         customer: customer.as_str(),
-        method: METHOD,
+        method: ITEM_METHOD,
         host: "",
         target: path,
         body,
@@ -29,35 +29,36 @@
 impl Owner {
     /// Returns the item if it may be sent to a companion; otherwise reopens it
     /// for a later time, since it has crashed endpoints.
-    pub(super) async fn clear(
+    pub(super) async fn check_quarantine(
         &self,
         item: Item,
         granted: &Granted,
     ) -> Option<Item> {
-        let of_item = || digest(&item.customer, &item.path, &item.body);
-        let held = match self.quarantine.admit(of_item).await {
+        let item_digest = || digest(&item.customer, &item.path, &item.body);
+        let quarantined = match self.quarantine.admit(item_digest).await {
             Ok(SendPermit { .. }) => return Some(item),
-            Err(held) => held,
+            Err(quarantined) => quarantined,
         };
         log::info!(
             job = item.job.as_str(),
             index = item.index,
-            digest:% = of_item(),
-            crashes = held.crashes,
-            for_ms = held.for_ms;
+            digest:% = item_digest(),
+            crashes = quarantined.crashes,
+            for_ms = quarantined.for_ms;
             "an item is held"
         );
-        let end = RunOutcome::Quarantined {
-            for_ms: held.for_ms,
+        let outcome = RunOutcome::Quarantined {
+            for_ms: quarantined.for_ms,
         };
         let Granted { grant, index, .. } = *granted;
         let moment = self.moment();
-        self.ledger().result(moment, &item.job, index, grant, end);
+        self.ledger()
+            .result(moment, &item.job, index, grant, outcome);
         None
     }
 
     /// Records in the quarantine whether the item crashed its endpoint.
-    pub(super) fn note_crash(
+    pub(super) fn record_outcome(
         &self,
         result: &ItemResult,
         digest: impl Fn() -> RequestDigest,
--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -11,38 +11,38 @@
 use wire::message::{Item, ItemOutcome, ItemResult, Pull, PullReply};
 
 use super::{
-    Owner, READ_AGAIN_MS, crashes,
-    lines::{self, Reason},
+    Owner, READ_RETRY_MS, crashes,
+    lines::{self, FailureReason},
 };
 use crate::{EntryError, batch::input::InputLine};
 
 /// Poll delay of a companion while there is more work, in milliseconds.
-const MORE_MS: u32 = 50;
+const MORE_WORK_POLL_MS: u32 = 50;
 
 /// Poll delay of a companion when all open work is granted or there is none,
 /// in milliseconds. A companion that no entry had work for waits as long as
 /// the last one says, so a long delay would leave its endpoint idle.
-const IDLE_MS: u32 = 200;
+const IDLE_POLL_MS: u32 = 200;
 
 /// Poll delay at an entry that owns no partition, in milliseconds.
-const NOT_OWNER_MS: u32 = 500;
+const NOT_OWNER_POLL_MS: u32 = 500;
 
 /// Statuses of an invalid request, which would be rejected again.
 const CLIENT_ERRORS: Range<u16> = 400..500;
 
 /// Client error statuses that are retryable: request timeout, conflict, too
 /// early and too many requests.
-const WORTH_ANOTHER: [u16; 4] = [408, 409, 425, 429];
+const RETRYABLE: [u16; 4] = [408, 409, 425, 429];
 
 /// The fields of a job that are needed to read its items.
-struct Source {
+struct JobSource {
     customer: Customer,
     input: FileId,
     path: String,
 }
 
 #[derive(Deserialize)]
-struct Model {
+struct BodyModel {
     model: Option<String>,
 }
 
@@ -57,20 +57,20 @@
             capacity: pull.room,
             running: &pull.running,
         };
-        let (answer, owns) = {
+        let (response, is_owner) = {
             let mut ledger = self.ledger();
-            let answer = ledger.pull(moment, &request);
-            (answer, !ledger.partitions().is_empty())
+            let response = ledger.pull(moment, &request);
+            (response, !ledger.partitions().is_empty())
         };
-        let items = answer.items.into_iter();
+        let items = response.items.into_iter();
         let read = items.map(|granted| self.item(granted, &pull.models));
         PullReply {
             items: join_all(read).await.into_iter().flatten().collect(),
-            revoked: answer.revoked,
-            next_in_ms: match (answer.more, owns) {
-                (true, _) => MORE_MS,
-                (false, true) => IDLE_MS,
-                (false, false) => NOT_OWNER_MS,
+            revoked: response.revoked,
+            next_in_ms: match (response.more, is_owner) {
+                (true, _) => MORE_WORK_POLL_MS,
+                (false, true) => IDLE_POLL_MS,
+                (false, false) => NOT_OWNER_POLL_MS,
             },
         }
     }
@@ -79,7 +79,7 @@
     /// requests another model.
     async fn item(&self, granted: Granted, models: &[String]) -> Option<Item> {
         match self.read(&granted, models).await {
-            Ok(item) => self.clear(item, &granted).await,
+            Ok(item) => self.check_quarantine(item, &granted).await,
             Err(report) => {
                 log::info!(
                     job = granted.job.as_str(), error:? = report;
@@ -89,8 +89,8 @@
                     job, index, grant, ..
                 } = granted;
                 let moment = self.moment();
-                let end = RunOutcome::Returned;
-                self.ledger().result(moment, &job, index, grant, end);
+                let outcome = RunOutcome::Returned;
+                self.ledger().result(moment, &job, index, grant, outcome);
                 None
             }
         }
@@ -104,7 +104,7 @@
         let source = self.source(&granted.job);
         let source = source.ok_or(EntryError::Storage)?;
         let line = self.line(&source, granted.index).await?;
-        let body: Model = serde_json::from_str(line.body.get())
+        let body: BodyModel = serde_json::from_str(line.body.get())
             .change_context(EntryError::Storage)?;
         if let Some(model) = body.model
             && !models.is_empty()
@@ -131,16 +131,16 @@
 
     /// Accepts results and returns how many were applied.
     pub(crate) async fn results(&self, results: Vec<ItemResult>) -> u32 {
-        let taken = results.iter().map(|result| self.take(result));
-        let taken = join_all(taken).await;
-        taken.into_iter().map(u32::from).sum()
+        let applied = results.iter().map(|result| self.apply_result(result));
+        let applied = join_all(applied).await;
+        applied.into_iter().map(u32::from).sum()
     }
 
-    async fn take(&self, result: &ItemResult) -> bool {
+    async fn apply_result(&self, result: &ItemResult) -> bool {
         let Some(source) = self.source(&result.job) else {
             return false;
         };
-        let end = match result.outcome {
+        let outcome = match result.outcome {
             ItemOutcome::Returned => RunOutcome::Returned,
             ItemOutcome::Answered
             | ItemOutcome::Lost
@@ -150,34 +150,35 @@
                 let Ok(line) = self.line(&source, result.index).await else {
                     return false;
                 };
-                self.note_crash(result, || {
+                self.record_outcome(result, || {
                     let body = line.body.get().as_bytes();
                     crashes::digest(&source.customer, &source.path, body)
                 });
-                self.end(result, &line.custom_id)
+                self.run_outcome(result, &line.custom_id)
             }
         };
         let moment = self.moment();
         let (job, index) = (&result.job, result.index);
         let mut ledger = self.ledger();
-        let taken = ledger.result(moment, job, index, result.grant, end);
-        taken != Ack::Ignored
+        let ack = ledger.result(moment, job, index, result.grant, outcome);
+        ack != Ack::Ignored
     }
 
-    fn end(&self, result: &ItemResult, custom_id: &str) -> RunOutcome {
-        let is_answer = result.outcome == ItemOutcome::Answered;
-        if is_answer && result.status < CLIENT_ERRORS.start {
+    fn run_outcome(&self, result: &ItemResult, custom_id: &str) -> RunOutcome {
+        let is_response = result.outcome == ItemOutcome::Answered;
+        if is_response && result.status < CLIENT_ERRORS.start {
             return RunOutcome::Completed(lines::output(result, custom_id));
         }
-        let is_wrong = is_answer
+        let is_rejected = is_response
             && CLIENT_ERRORS.contains(&result.status)
-            && !WORTH_ANOTHER.contains(&result.status);
-        if is_wrong {
-            let line = lines::error(result, custom_id, Reason::Rejected);
+            && !RETRYABLE.contains(&result.status);
+        if is_rejected {
+            let line =
+                lines::error(result, custom_id, FailureReason::Rejected);
             return RunOutcome::Rejected(line);
         }
         let attempts = self.ledger().attempts(&result.job, result.index) + 1;
-        let reason = Reason::Attempts(attempts);
+        let reason = FailureReason::Attempts(attempts);
         RunOutcome::Failed(lines::error(result, custom_id, reason))
     }
 
@@ -189,7 +190,7 @@
             match self.line(&source, index).await {
                 Ok(line) => {
                     let id = &line.custom_id;
-                    let line = lines::silent(&job, index, id, attempts);
+                    let line = lines::no_response(&job, index, id, attempts);
                     self.ledger().give_up(&job, index, line);
                     return;
                 }
@@ -197,24 +198,24 @@
                     log::warn!(error:? = report; "cannot read an item");
                 }
             }
-            self.timer.subscribe_in_ms(READ_AGAIN_MS).await;
+            self.timer.subscribe_in_ms(READ_RETRY_MS).await;
         }
     }
 
     async fn line(
         &self,
-        source: &Source,
+        source: &JobSource,
         index: u32,
     ) -> Result<InputLine, Report<EntryError>> {
-        self.pieces
+        self.inputs
             .line(&source.customer, &source.input, index)
             .await
     }
 
-    fn source(&self, job: &JobId) -> Option<Source> {
+    fn source(&self, job: &JobId) -> Option<JobSource> {
         let ledger = self.ledger();
         let record = ledger.job(job)?;
-        Some(Source {
+        Some(JobSource {
             customer: record.customer.clone(),
             input: record.input.clone(),
             path: record.path.clone(),
--- a/crates/entry/src/batch/owner/pieces.rs
+++ b/crates/entry/src/batch/owner/inputs.rs
@@ -21,23 +21,23 @@
 };
 
 /// Maximum number of cached chunks; each is about 1 MiB.
-const PIECES_KEPT_MAX: usize = 48;
+const MAX_CACHED_CHUNKS: usize = 48;
 
 /// Maximum number of cached records of input files.
-const FILES_KEPT_MAX: usize = 1_024;
+const MAX_CACHED_FILES: usize = 1_024;
 
 /// An LRU cache whose values are read once; concurrent readers of a key wait
 /// for the first.
-struct Cache<K, V> {
+struct LruCache<K, V> {
     cells: Mutex<IndexMap<K, Arc<OnceCell<V>>>>,
-    kept_max: usize,
+    capacity: usize,
 }
 
-impl<K: Hash + Eq + Clone, V> Cache<K, V> {
-    fn new(kept_max: usize) -> Self {
+impl<K: Hash + Eq + Clone, V> LruCache<K, V> {
+    fn new(capacity: usize) -> Self {
         Self {
             cells: Mutex::default(),
-            kept_max,
+            capacity,
         }
     }
 
@@ -46,7 +46,7 @@
         let mut cells = cells.unwrap_or_else(PoisonError::into_inner);
         let cell = cells.shift_remove(key).unwrap_or_default();
         cells.insert(key.clone(), cell.clone());
-        if cells.len() > self.kept_max {
+        if cells.len() > self.capacity {
             cells.shift_remove_index(0);
         }
         cell
@@ -54,22 +54,22 @@
 }
 
 /// Reads the items of input files.
-pub(super) struct Pieces {
+pub(super) struct InputReader {
     kv: Arc<dyn Kv>,
     keys: Keys,
     blobs: Arc<Blobs>,
-    files: Cache<(Customer, FileId), Arc<FileRecord>>,
-    pieces: Cache<String, Arc<Vec<Bytes>>>,
+    files: LruCache<(Customer, FileId), Arc<FileRecord>>,
+    chunks: LruCache<String, Arc<Vec<Bytes>>>,
 }
 
-impl Pieces {
+impl InputReader {
     pub(super) fn new(kv: Arc<dyn Kv>, keys: Keys, blobs: Arc<Blobs>) -> Self {
         Self {
             kv,
             keys,
             blobs,
-            files: Cache::new(FILES_KEPT_MAX),
-            pieces: Cache::new(PIECES_KEPT_MAX),
+            files: LruCache::new(MAX_CACHED_FILES),
+            chunks: LruCache::new(MAX_CACHED_CHUNKS),
         }
     }
 
@@ -84,7 +84,7 @@
         let mut first = 0;
         for chunk in &file.chunks {
             if index < first + chunk.items {
-                let lines = self.piece(chunk).await?;
+                let lines = self.chunk_lines(chunk).await?;
                 let line = lines.get((index - first) as usize);
                 let line = line.ok_or(EntryError::Storage)?;
                 return serde_json::from_slice(line)
@@ -116,11 +116,11 @@
         cell.get_or_try_init(read).await.cloned()
     }
 
-    async fn piece(
+    async fn chunk_lines(
         &self,
         chunk: &Chunk,
     ) -> Result<Arc<Vec<Bytes>>, Report<EntryError>> {
-        let cell = self.pieces.cell(&chunk.blob);
+        let cell = self.chunks.cell(&chunk.blob);
         let read = || async {
             let bytes = self.blobs.get(chunk).await?;
             let lines = bytes
--- a/crates/entry/src/batch/owner/lines.rs
+++ b/crates/entry/src/batch/owner/lines.rs
@@ -7,25 +7,29 @@
 
 /// Why an item failed permanently.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Reason {
+pub(super) enum FailureReason {
     /// The endpoint rejected the item as invalid.
     Rejected,
     /// All attempts failed.
     Attempts(u32),
 }
 
-impl Reason {
+impl FailureReason {
     fn code(self) -> &'static str {
         match self {
-            Reason::Rejected => "item_rejected",
-            Reason::Attempts(_) => "item_failed",
+            FailureReason::Rejected => "item_rejected",
+            FailureReason::Attempts(_) => "item_failed",
         }
     }
 
     fn message(self) -> String {
         match self {
-            Reason::Rejected => "the endpoint rejects this item".to_owned(),
-            Reason::Attempts(n) => format!("given up after {n} attempts"),
+            FailureReason::Rejected => {
+                "the endpoint rejects this item".to_owned()
+            }
+            FailureReason::Attempts(n) => {
+                format!("given up after {n} attempts")
+            }
         }
     }
 }
@@ -51,7 +55,7 @@
 pub(super) fn error(
     result: &ItemResult,
     custom_id: &str,
-    reason: Reason,
+    reason: FailureReason,
 ) -> Bytes {
     let response = match result.outcome {
         ItemOutcome::Answered => json!({
@@ -64,13 +68,13 @@
 }
 
 /// Builds the error line of an item without any response from an endpoint.
-pub(super) fn silent(
+pub(super) fn no_response(
     job: &JobId,
     index: u32,
     custom_id: &str,
     attempts: u32,
 ) -> Bytes {
-    let reason = Reason::Attempts(attempts);
+    let reason = FailureReason::Attempts(attempts);
     error_line(job, index, custom_id, reason, Value::Null)
 }
 
@@ -78,7 +82,7 @@
     job: &JobId,
     index: u32,
     custom_id: &str,
-    reason: Reason,
+    reason: FailureReason,
     response: Value,
 ) -> Bytes {
     let line = json!({
--- a/crates/entry/src/batch/owner/mod.rs
+++ b/crates/entry/src/batch/owner/mod.rs
@@ -7,8 +7,8 @@
 mod calls;
 mod crashes;
 mod grants;
+mod inputs;
 mod lines;
-mod pieces;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -23,7 +23,7 @@
     task::JoinSet,
 };
 
-use self::{calls::Calls, pieces::Pieces};
+use self::{calls::Calls, inputs::InputReader};
 use super::{Blobs, keys::Keys};
 use crate::EntryError;
 
@@ -31,18 +31,18 @@
 const TICK_MS: u64 = 50;
 
 /// Delay before a failed read of an item is retried, in milliseconds.
-const READ_AGAIN_MS: u64 = 1_000;
+const READ_RETRY_MS: u64 = 1_000;
 
 /// Runs the jobs of the partitions that this entry owns.
 pub(crate) struct Owner {
     ledger: Mutex<Ledger>,
     calls: Calls,
-    pieces: Pieces,
+    inputs: InputReader,
     blobs: Arc<Blobs>,
     timer: Timer,
     quarantine: Quarantine,
     grant_ttl_ms: u64,
-    poked: Notify,
+    wake: Notify,
     actions: mpsc::UnboundedSender<Action>,
     /// Receiver of the actions, taken once by the controller.
     inbox: Mutex<Option<mpsc::UnboundedReceiver<Action>>>,
@@ -64,17 +64,17 @@
         let ledger = Ledger::new(member.clone(), salt, options(settings));
         let calls =
             Calls::new(kv.clone(), keys.clone(), timer.clone(), member);
-        let pieces = Pieces::new(kv, keys, blobs.clone());
+        let inputs = InputReader::new(kv, keys, blobs.clone());
         let (actions, inbox) = mpsc::unbounded_channel();
         Self {
             ledger: Mutex::new(ledger),
             calls,
-            pieces,
+            inputs,
             blobs,
             timer,
             quarantine,
             grant_ttl_ms: settings.grant_ttl_ms,
-            poked: Notify::new(),
+            wake: Notify::new(),
             actions,
             inbox: Mutex::new(Some(inbox)),
         }
@@ -91,38 +91,38 @@
     }
 
     /// Makes the owner list a new or changed job immediately.
-    pub(crate) fn poke(&self, job: &JobId) {
+    pub(crate) fn request_listing(&self, job: &JobId) {
         self.ledger().request_listing(job);
-        self.poked.notify_one();
+        self.wake.notify_one();
     }
 
     /// Runs the ledger's actions until the process exits.
-    pub(crate) async fn work(self: Arc<Self>) {
+    pub(crate) async fn run(self: Arc<Self>) {
         let Some(mut inbox) = self.take_inbox() else {
             return;
         };
-        let _revoke = RevokeAtStop(self.clone());
+        let _revoke = RevokeOnDrop(self.clone());
         // Dropping the set aborts its tasks.
         let mut running = JoinSet::new();
         let mut at_risk = 0;
         loop {
             tokio::select! {
                 Some(action) = inbox.recv() => {
-                    running.spawn(self.clone().run(action));
+                    running.spawn(self.clone().execute(action));
                 }
                 Some(_) = running.join_next() => {}
                 () = self.timer.subscribe_in_ms(TICK_MS) => {
-                    self.tell(Event::Tick);
-                    self.log_risk(&mut at_risk);
+                    self.handle_event(Event::Tick);
+                    self.log_jobs_at_risk(&mut at_risk);
                 }
-                () = self.poked.notified() => self.tell(Event::Tick),
+                () = self.wake.notified() => self.handle_event(Event::Tick),
             }
         }
     }
 
     /// Passes an event to the ledger and queues the resulting actions for the
     /// controller.
-    fn tell(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let moment = self.moment();
         let actions = self.ledger().handle(moment, event);
         for action in actions {
@@ -131,11 +131,11 @@
         }
     }
 
-    async fn run(self: Arc<Self>, action: Action) {
+    async fn execute(self: Arc<Self>, action: Action) {
         let event = match action {
             Action::Join { ttl_s } => self.calls.join(ttl_s).await,
             Action::Renew { lease } => self.calls.renew(lease).await,
-            Action::ReadMembership => self.calls.look().await,
+            Action::ReadMembership => self.calls.read_membership().await,
             Action::Claim { partition, lease } => {
                 self.calls.claim(partition, lease).await
             }
@@ -162,7 +162,7 @@
                 attempts,
             } => return self.give_up(job, index, attempts).await,
         };
-        self.tell(event);
+        self.handle_event(event);
     }
 
     async fn store(&self, commit: CommitId, parts: Vec<Part>) -> Event {
@@ -185,7 +185,7 @@
         Event::Stored { commit, chunks }
     }
 
-    fn log_risk(&self, before: &mut usize) {
+    fn log_jobs_at_risk(&self, before: &mut usize) {
         let at_risk = self.ledger().status().jobs_at_risk;
         if at_risk > *before {
             log::warn!(jobs = at_risk; "batch jobs will be late at this pace");
@@ -213,9 +213,9 @@
 
 /// Revokes the lease when the controller is dropped, so that other entries
 /// need not wait for its expiry.
-struct RevokeAtStop(Arc<Owner>);
+struct RevokeOnDrop(Arc<Owner>);
 
-impl Drop for RevokeAtStop {
+impl Drop for RevokeOnDrop {
     fn drop(&mut self) {
         let owner = self.0.clone();
         let lease = owner.ledger().lease();
--- a/crates/entry/src/config/follow.rs
+++ b/crates/entry/src/config/follow.rs
@@ -9,19 +9,19 @@
 use serde::{Deserialize, Serialize};
 use spread::{Delta, Event};
 
-use super::{ConfigStore, parse};
+use super::{ConfigStore, decode};
 use crate::{EntryError, batch::platform};
 
 /// Delay before a failed watch is restarted, in milliseconds.
-const WATCH_PAUSE_MS: u64 = 500;
+const WATCH_RETRY_MS: u64 = 500;
 
 /// Interval of reads while no configuration is in force and this entry does
 /// not watch, in milliseconds: 340 entries make 170 reads a second.
-const LOOK_FIRST_MS: u64 = 2_000;
+const INITIAL_READ_INTERVAL_MS: u64 = 2_000;
 
 /// Interval of a relay's full reads, in milliseconds. They find a change
 /// that was written without its delta, by an older build or manually.
-const LOOK_AGAIN_MS: u64 = 300_000;
+const FULL_READ_INTERVAL_MS: u64 = 300_000;
 
 /// The record of an accepted revision that relays watch.
 ///
@@ -48,14 +48,14 @@
     /// Follows the key-value service until the process exits.
     pub(crate) async fn follow(&self) {
         // The first read follows once this entry has joined its peers.
-        self.look.notified().await;
+        self.read_requested.notified().await;
         loop {
             if let Err(report) = self.follow_once().await {
                 log::debug!(
                     error:? = report;
                     "cannot follow the configuration"
                 );
-                self.timer.subscribe_in_ms(WATCH_PAUSE_MS).await;
+                self.timer.subscribe_in_ms(WATCH_RETRY_MS).await;
             }
         }
     }
@@ -65,59 +65,59 @@
     async fn follow_once(&self) -> Result<(), Report<EntryError>> {
         let mut relay = self.relay.subscribe();
         let is_relay = *relay.borrow_and_update();
-        let from = self.look().await? + 1;
+        let from = self.read_config().await? + 1;
         if !is_relay {
-            let pause_ms = match self.current() {
+            let delay_ms = match self.current() {
                 Some(_) => u64::MAX,
-                None => LOOK_FIRST_MS,
+                None => INITIAL_READ_INTERVAL_MS,
             };
             tokio::select! {
                 _ = relay.changed() => {}
-                () = self.look.notified() => {}
-                () = self.wait(pause_ms) => {}
+                () = self.read_requested.notified() => {}
+                () = self.wait(delay_ms) => {}
             }
             return Ok(());
         }
         let prefix = self.changes_prefix();
-        self.service_calls.fetch_add(1, Ordering::Relaxed);
+        self.kv_calls.fetch_add(1, Ordering::Relaxed);
         let watcher = self.kv.watch(&prefix, from).await;
         let mut watcher = watcher.map_err(platform)?;
-        let again = self.wait(LOOK_AGAIN_MS);
-        tokio::pin!(again);
+        let next_full_read = self.wait(FULL_READ_INTERVAL_MS);
+        tokio::pin!(next_full_read);
         loop {
             tokio::select! {
                 batch = watcher.next() => {
                     for event in batch.map_err(platform)?.events {
                         if let kv::Event::Put(found) = event {
-                            self.handle(read_change(&found)?.into());
+                            self.handle(decode_change(&found)?.into());
                         }
                     }
                 }
                 _ = relay.changed() => return Ok(()),
-                () = self.look.notified() => {
-                    self.look().await?;
+                () = self.read_requested.notified() => {
+                    self.read_config().await?;
                 }
-                () = &mut again => return Ok(()),
+                () = &mut next_full_read => return Ok(()),
             }
         }
     }
 
-    async fn wait(&self, pause_ms: u64) {
-        match pause_ms {
+    async fn wait(&self, delay_ms: u64) {
+        match delay_ms {
             u64::MAX => std::future::pending().await,
             _ => {
-                self.timer.subscribe_in_ms(pause_ms).await;
+                self.timer.subscribe_in_ms(delay_ms).await;
             }
         }
     }
 
     /// Reads the full configuration and returns the key-value service's
     /// revision of the read.
-    async fn look(&self) -> Result<u64, Report<EntryError>> {
-        self.service_calls.fetch_add(1, Ordering::Relaxed);
+    async fn read_config(&self) -> Result<u64, Report<EntryError>> {
+        self.kv_calls.fetch_add(1, Ordering::Relaxed);
         let read = self.kv.get(&self.main_key()).await.map_err(platform)?;
         if let Some(found) = read.kvs.first() {
-            let found = parse(found)?;
+            let found = decode(found)?;
             self.handle(Event::ConfigRead {
                 revision: found.revision,
                 stamp: found.stamp(),
@@ -128,7 +128,7 @@
     }
 }
 
-fn read_change(found: &KeyValue) -> Result<Change, Report<EntryError>> {
+fn decode_change(found: &KeyValue) -> Result<Change, Report<EntryError>> {
     serde_json::from_slice(&found.value)
         .change_context(EntryError::Config)
         .attach_with(|| format!("cannot decode the value at {}", found.key))
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -9,7 +9,7 @@
 //! peers and compare revisions with them ([`peers`]).
 
 mod follow;
-mod neighbours;
+mod peers;
 
 use std::sync::{
     Arc, Mutex, MutexGuard, PoisonError,
@@ -28,7 +28,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 
 use self::follow::Change;
-pub(crate) use self::neighbours::{Neighbours, to_neighbour};
+pub(crate) use self::peers::{ConfigPeers, encode_for_peer};
 use crate::{EntryError, batch::platform};
 
 /// Name of the configuration document in error messages.
@@ -37,13 +37,13 @@
 /// Accepted revisions whose full text is retained. At 7,000 changes a day of
 /// a few hundred kilobytes each, retaining all of them would add gigabytes a
 /// day to a small key-value service.
-const HISTORY_KEPT: u64 = 200;
+const MAX_HISTORY: u64 = 200;
 
 /// Time for resolving a write whose response was lost, in milliseconds.
 const FOLLOW_UP_MS: u64 = 10_000;
 
 /// Changes retained in the key-value service for lagging watches.
-const CHANGES_KEPT: u64 = 256;
+const MAX_CHANGES: u64 = 256;
 
 /// An accepted configuration in its stored form.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
 
 /// A compiled configuration that is in force.
 #[derive(Debug)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfig {
     pub(crate) accepted: Accepted,
     pub(crate) compiled: CompiledConfig,
     pub(crate) since: Millis,
@@ -87,11 +87,11 @@
 
 /// The result of an edit.
 #[derive(Debug)]
-pub(crate) enum Edit {
+pub(crate) enum EditOutcome {
     /// The edit is accepted as this revision.
     Accepted(Revision),
     /// A concurrent edit was accepted first.
-    Raced(Box<Accepted>),
+    Conflict(Box<Accepted>),
     /// The text is not valid.
     Invalid(Report<rules::RulesError>),
 }
@@ -101,15 +101,15 @@
 
 /// This entry's role and counters in configuration propagation.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Part {
+pub(crate) struct PropagationStatus {
     /// Whether this entry watches the key-value service.
     pub(crate) is_relay: bool,
     /// The newest revision known to exist.
-    pub(crate) heard: Revision,
+    pub(crate) newest_known: Revision,
     /// How often a peer had a different text for the same revision.
     pub(crate) conflicts: u64,
     /// Calls made to the key-value service to follow the configuration.
-    pub(crate) service_calls: u64,
+    pub(crate) kv_calls: u64,
 }
 
 /// Holds the configuration in force in this process.
@@ -118,19 +118,19 @@
     prefix: String,
     timer: Timer,
     writer: Writer,
-    current: Snapshot<Option<Arc<InForce>>>,
+    current: Snapshot<Option<Arc<ActiveConfig>>>,
     /// `None` until this entry has joined its peers. Never locked across an
     /// await.
-    spread: Mutex<Option<Joined>>,
+    joined: Mutex<Option<Joined>>,
     relay: watch::Sender<bool>,
     /// Requests a read of the configuration from the key-value service.
-    look: Notify,
+    read_requested: Notify,
     /// Full reads and watches started at the key-value service.
-    service_calls: AtomicU64,
+    kv_calls: AtomicU64,
 }
 
 struct Joined {
-    spread: Propagator,
+    propagator: Propagator,
     outgoing: mpsc::UnboundedSender<Outgoing>,
 }
 
@@ -142,10 +142,10 @@
             writer: Writer::new(timer.clone(), FOLLOW_UP_MS),
             timer,
             current: Snapshot::new(None),
-            spread: Mutex::new(None),
+            joined: Mutex::new(None),
             relay: watch::Sender::new(false),
-            look: Notify::new(),
-            service_calls: AtomicU64::new(0),
+            read_requested: Notify::new(),
+            kv_calls: AtomicU64::new(0),
         }
     }
 
@@ -153,18 +153,21 @@
     /// send.
     pub(crate) fn join(
         &self,
-        spread: Propagator,
+        propagator: Propagator,
     ) -> mpsc::UnboundedReceiver<Outgoing> {
         let (outgoing, receiver) = mpsc::unbounded_channel();
-        *self.joined() = Some(Joined { spread, outgoing });
-        self.look.notify_one();
+        *self.joined() = Some(Joined {
+            propagator,
+            outgoing,
+        });
+        self.read_requested.notify_one();
         receiver
     }
 
     fn joined(&self) -> MutexGuard<'_, Option<Joined>> {
         // The state is consistent after each event, so a lock poisoned by a
         // panic elsewhere can still be used.
-        self.spread.lock().unwrap_or_else(PoisonError::into_inner)
+        self.joined.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Handles an event, carries out the resulting actions and returns the
@@ -173,12 +176,12 @@
     pub(crate) fn handle(&self, event: Event) -> Option<Message> {
         let now = self.timer.now();
         let mut reply = None;
-        let mut found = Vec::new();
+        let mut documents = Vec::new();
         if let Some(joined) = self.joined().as_mut() {
             let random = rand::random();
-            for action in joined.spread.handle(now, event, random) {
+            for action in joined.propagator.handle(now, event, random) {
                 match action {
-                    Action::Apply(document) => found.push(document),
+                    Action::Apply(document) => documents.push(document),
                     Action::Send { peer, message } => {
                         // Fails only while the entry shuts down.
                         let _ = joined.outgoing.send((peer, message));
@@ -187,14 +190,14 @@
                     Action::Watch(watch) => {
                         self.relay.send_replace(watch);
                     }
-                    Action::Read => self.look.notify_one(),
+                    Action::Read => self.read_requested.notify_one(),
                 }
             }
         }
         // Compiling is slow, so it runs without the lock; of two concurrent
-        // revisions, `offer` drops the older.
-        for document in found {
-            if let Err(report) = self.offer(Accepted::from(&document)) {
+        // revisions, `apply` drops the older.
+        for document in documents {
+            if let Err(report) = self.apply(Accepted::from(&document)) {
                 log::error!(error:? = report; "a revision is not applied");
             }
         }
@@ -202,20 +205,24 @@
     }
 
     /// Returns this entry's role and counters in configuration propagation.
-    pub(crate) fn part(&self) -> Part {
-        let service_calls = self.service_calls.load(Ordering::Relaxed);
+    pub(crate) fn propagation_status(&self) -> PropagationStatus {
+        let kv_calls = self.kv_calls.load(Ordering::Relaxed);
         let joined = self.joined();
-        joined.as_ref().map_or_else(Part::default, |joined| Part {
-            service_calls,
-            is_relay: joined.spread.is_relay(),
-            heard: joined.spread.newest_known(),
-            conflicts: joined.spread.conflicts(),
-        })
+        joined
+            .as_ref()
+            .map_or_else(PropagationStatus::default, |joined| {
+                PropagationStatus {
+                    kv_calls,
+                    is_relay: joined.propagator.is_relay(),
+                    newest_known: joined.propagator.newest_known(),
+                    conflicts: joined.propagator.conflicts(),
+                }
+            })
     }
 
     /// Returns the configuration in force, or `None` before the first one is
     /// found.
-    pub(crate) fn current(&self) -> Option<Arc<InForce>> {
+    pub(crate) fn current(&self) -> Option<Arc<ActiveConfig>> {
         self.current.load().as_ref().clone()
     }
 
@@ -228,10 +235,10 @@
     /// Applies a configuration unless the same or a newer revision is in
     /// force.
     ///
-    /// A lagging peer, a reconnected watch or a restored value can offer an
+    /// A lagging peer, a reconnected watch or a restored value can apply an
     /// old configuration after a newer one was in force; applying it would
     /// undo an accepted change that nobody reverted.
-    pub(crate) fn offer(
+    pub(crate) fn apply(
         &self,
         accepted: Accepted,
     ) -> Result<bool, Report<EntryError>> {
@@ -244,7 +251,7 @@
             .compile(accepted.revision);
         let since = self.timer.now();
         let revision = accepted.revision;
-        let offered = Arc::new(InForce {
+        let candidate = Arc::new(ActiveConfig {
             accepted,
             compiled,
             since,
@@ -254,7 +261,7 @@
             let known = now.as_ref().map(|now| now.accepted.revision);
             applied = known < Some(revision);
             match applied {
-                true => Some(offered.clone()),
+                true => Some(candidate.clone()),
                 false => now.clone(),
             }
         });
@@ -275,13 +282,13 @@
         expect: Revision,
         operation: String,
         text: String,
-    ) -> Result<Edit, Report<EntryError>> {
+    ) -> Result<EditOutcome, Report<EntryError>> {
         if let Err(report) = Config::parse(SOURCE_NAME, &text) {
-            return Ok(Edit::Invalid(report));
+            return Ok(EditOutcome::Invalid(report));
         }
         let read = self.kv.get(&self.main_key()).await.map_err(platform)?;
         let found = read.kvs.first();
-        let now = self.newest(found.map(parse).transpose()?);
+        let now = self.newest(found.map(decode).transpose()?);
         let revision = now.as_ref().map_or(0, |now| now.revision.get());
         if let Some(now) = now.filter(|now| now.revision != expect) {
             // The response to an earlier send of this edit may have been
@@ -291,14 +298,14 @@
             let next = Revision::new(expect.get() + 1);
             let own = match now.revision == next {
                 true => Some(now.clone()),
-                false => self.at(next).await?,
+                false => self.get_revision(next).await?,
             };
             let is_own = own.is_some_and(|own| {
                 own.operation == operation && own.text == text
             });
             return Ok(match is_own {
-                true => Edit::Accepted(next),
-                false => Edit::Raced(Box::new(now)),
+                true => EditOutcome::Accepted(next),
+                false => EditOutcome::Conflict(Box::new(now)),
             });
         }
         let next = Accepted {
@@ -308,7 +315,7 @@
             operation,
         };
         let mod_revision = found.map_or(0, |kv| kv.mod_revision);
-        self.accept(next, mod_revision).await
+        self.write_accepted(next, mod_revision).await
     }
 
     /// Returns the newer of the stored configuration and the one in force.
@@ -316,28 +323,32 @@
     /// The stored one is older only if the data of the key-value service was
     /// restored from an old copy. An edit then builds on the configuration
     /// in force, and its write repairs the stored value.
-    fn newest(&self, held: Option<Accepted>) -> Option<Accepted> {
+    fn newest(&self, stored: Option<Accepted>) -> Option<Accepted> {
         let in_force = self.current().map(|now| now.accepted.clone());
-        match (held, in_force) {
-            (Some(held), Some(now)) if now.revision > held.revision => {
+        match (stored, in_force) {
+            (Some(stored), Some(now)) if now.revision > stored.revision => {
                 Some(now)
             }
-            (held, in_force) => held.or(in_force),
+            (stored, in_force) => stored.or(in_force),
         }
     }
 
-    async fn accept(
+    async fn write_accepted(
         &self,
         next: Accepted,
         mod_revision: u64,
-    ) -> Result<Edit, Report<EntryError>> {
+    ) -> Result<EditOutcome, Report<EntryError>> {
         let value =
             serde_json::to_vec(&next).change_context(EntryError::Config)?;
         let change = Change {
             revision: next.revision,
             delta: self.joined().as_ref().and_then(|joined| {
-                let spread = &joined.spread;
-                spread.delta_for_edit(next.revision, &next.text, next.stamp())
+                let propagator = &joined.propagator;
+                propagator.delta_for_edit(
+                    next.revision,
+                    &next.text,
+                    next.stamp(),
+                )
             }),
         };
         let change =
@@ -348,8 +359,8 @@
             value: value.to_vec(),
             lease: None,
         };
-        let past = next.revision.get().saturating_sub(CHANGES_KEPT);
-        let too_old = next.revision.get().saturating_sub(HISTORY_KEPT);
+        let oldest_change = next.revision.get().saturating_sub(MAX_CHANGES);
+        let oldest_revision = next.revision.get().saturating_sub(MAX_HISTORY);
         let txn = Txn {
             compares: vec![Compare::ModRevision {
                 key: key.clone(),
@@ -360,10 +371,10 @@
                 put(self.history_key(next.revision), &value),
                 put(self.change_key(next.revision), &change),
                 Op::Delete {
-                    key: self.change_key(Revision::new(past)),
+                    key: self.change_key(Revision::new(oldest_change)),
                 },
                 Op::Delete {
-                    key: self.history_key(Revision::new(too_old)),
+                    key: self.history_key(Revision::new(oldest_revision)),
                 },
             ],
             failure: vec![],
@@ -375,7 +386,13 @@
                 txn,
                 Op::Get { key },
                 |_| (),
-                |read| judge(read.kvs.first(), mod_revision, &next.operation),
+                |read| {
+                    resolve_write(
+                        read.kvs.first(),
+                        mod_revision,
+                        &next.operation,
+                    )
+                },
                 rand::random,
             )
             .await
@@ -383,17 +400,17 @@
             .attach("writing an accepted configuration")?;
         if outcome == Outcome::Done(()) {
             let revision = next.revision;
-            self.offer(next.clone())?;
+            self.apply(next.clone())?;
             self.handle(Event::EditAccepted {
                 revision,
                 stamp: next.stamp(),
                 text: next.text,
             });
-            return Ok(Edit::Accepted(revision));
+            return Ok(EditOutcome::Accepted(revision));
         }
         let read = self.kv.get(&self.main_key()).await.map_err(platform)?;
         let found = read.kvs.first().ok_or(EntryError::Config)?;
-        Ok(Edit::Raced(Box::new(parse(found)?)))
+        Ok(EditOutcome::Conflict(Box::new(decode(found)?)))
     }
 
     /// Returns the newest accepted revisions, newest first.
@@ -403,17 +420,17 @@
     ) -> Result<Vec<Accepted>, Report<EntryError>> {
         let prefix = format!("{}history/", self.prefix);
         let read = self.kv.get_prefix(&prefix, 0).await.map_err(platform)?;
-        read.kvs.iter().rev().take(limit).map(parse).collect()
+        read.kvs.iter().rev().take(limit).map(decode).collect()
     }
 
     /// Returns one accepted revision.
-    pub(crate) async fn at(
+    pub(crate) async fn get_revision(
         &self,
         revision: Revision,
     ) -> Result<Option<Accepted>, Report<EntryError>> {
         let key = self.history_key(revision);
         let read = self.kv.get(&key).await.map_err(platform)?;
-        read.kvs.first().map(parse).transpose()
+        read.kvs.first().map(decode).transpose()
     }
 
     fn main_key(&self) -> String {
@@ -433,14 +450,14 @@
     }
 }
 
-fn judge(
+fn resolve_write(
     now: Option<&KeyValue>,
     mod_revision: u64,
     operation: &str,
 ) -> Verdict<()> {
     match now {
         Some(now) if now.mod_revision == mod_revision => Verdict::Open,
-        Some(now) => match parse(now) {
+        Some(now) => match decode(now) {
             Ok(found) if found.operation == operation => Verdict::Done(()),
             _ => Verdict::Superseded,
         },
@@ -449,7 +466,7 @@
     }
 }
 
-fn parse(found: &KeyValue) -> Result<Accepted, Report<EntryError>> {
+fn decode(found: &KeyValue) -> Result<Accepted, Report<EntryError>> {
     serde_json::from_slice(&found.value)
         .change_context(EntryError::Config)
         .attach_with(|| format!("cannot decode the value at {}", found.key))
--- a/crates/entry/src/config/neighbours.rs
+++ b/crates/entry/src/config/peers.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of messages awaiting a response. More of them mean that
 /// peers hang; messages over the maximum count as failed.
-const WAITING_MAX: usize = 256;
+const MAX_IN_FLIGHT: usize = 256;
 
 /// The message between entries. An older build reads the configuration
 /// message and ignores the other fields.
@@ -36,13 +36,13 @@
 }
 
 /// Exchanges configuration messages with peers.
-pub(crate) struct Neighbours {
+pub(crate) struct ConfigPeers {
     links: Links,
     addresses: Vec<SocketAddr>,
     quarantine: Quarantine,
 }
 
-impl Neighbours {
+impl ConfigPeers {
     pub(crate) fn new(
         links: Links,
         addresses: Vec<SocketAddr>,
@@ -56,33 +56,33 @@
     }
 
     /// Exchanges messages with peers until the process exits.
-    pub(crate) async fn work(self, store: Arc<ConfigStore>, timer: Timer) {
-        let me = self.links.identity();
-        let spread = Propagator::new(
-            me.vm.clone(),
-            me.failure_domain.clone(),
+    pub(crate) async fn run(self, store: Arc<ConfigStore>, timer: Timer) {
+        let identity = self.links.identity();
+        let propagator = Propagator::new(
+            identity.vm.clone(),
+            identity.failure_domain.clone(),
             self.addresses,
             Options::default(),
             timer.now(),
         );
-        let mut outgoing = store.join(spread);
-        let mut waiting = JoinSet::new();
+        let mut outgoing = store.join(propagator);
+        let mut in_flight = JoinSet::new();
         let mut tick = timer.subscribe_in_ms(TICK_MS);
         loop {
             tokio::select! {
                 Some((peer, message)) = outgoing.recv() => {
-                    if waiting.len() >= WAITING_MAX {
+                    if in_flight.len() >= MAX_IN_FLIGHT {
                         store.handle(Event::PeerFailed { peer });
                         continue;
                     }
-                    let asker = Asker {
+                    let client = PeerClient {
                         links: self.links.clone(),
                         quarantine: self.quarantine.clone(),
                     };
                     let store = store.clone();
-                    waiting.spawn(converse(asker, (peer, message), store));
+                    in_flight.spawn(exchange(client, (peer, message), store));
                 }
-                Some(_) = waiting.join_next() => {}
+                Some(_) = in_flight.join_next() => {}
                 _ = &mut tick => {
                     tick = timer.subscribe_in_ms(TICK_MS);
                     store.handle(Event::Tick);
@@ -93,14 +93,14 @@
 }
 
 /// Sends requests to peers.
-struct Asker {
+struct PeerClient {
     links: Links,
     quarantine: Quarantine,
 }
 
-async fn converse(asker: Asker, to: Outgoing, store: Arc<ConfigStore>) {
+async fn exchange(client: PeerClient, to: Outgoing, store: Arc<ConfigStore>) {
     let peer = to.0;
-    let event = match asker.ask(to).await {
+    let event = match client.request(to).await {
         Ok(message) => Event::Response { peer, message },
         Err(report) => {
             log::debug!(error:? = report; "a peer does not respond");
@@ -110,24 +110,24 @@
     store.handle(event);
 }
 
-impl Asker {
-    async fn ask(
+impl PeerClient {
+    async fn request(
         &self,
         (peer, message): Outgoing,
     ) -> Result<Message, Report<EntryError>> {
-        let question = Envelope {
+        let request = Envelope {
             message: *message,
             held_requests: self.quarantine.updates(),
         };
-        let question = serde_json::to_vec(&question)
-            .change_context(EntryError::Config)?;
-        let answer = self.links.compare(peer, question.into()).await;
-        let answer = answer.change_context(EntryError::Config)?;
-        let answer: Envelope = serde_json::from_slice(&answer)
+        let request =
+            serde_json::to_vec(&request).change_context(EntryError::Config)?;
+        let response = self.links.compare(peer, request.into()).await;
+        let response = response.change_context(EntryError::Config)?;
+        let response: Envelope = serde_json::from_slice(&response)
             .change_context(EntryError::Config)
             .attach("cannot decode a peer's response")?;
-        self.quarantine.apply_updates(answer.held_requests);
-        Ok(answer.message)
+        self.quarantine.apply_updates(response.held_requests);
+        Ok(response.message)
     }
 }
 
@@ -136,27 +136,27 @@
     /// decoded.
     pub(crate) fn compare(
         &self,
-        question: &[u8],
+        request: &[u8],
         quarantine: &Quarantine,
     ) -> Option<Bytes> {
-        let question: Envelope = match serde_json::from_slice(question) {
-            Ok(question) => question,
+        let request: Envelope = match serde_json::from_slice(request) {
+            Ok(request) => request,
             Err(error) => {
                 log::warn!(error:%; "cannot decode a peer's message");
                 return None;
             }
         };
-        quarantine.apply_updates(question.held_requests);
-        let reply = Envelope {
-            message: self.handle(Event::Request(question.message))?,
+        quarantine.apply_updates(request.held_requests);
+        let response = Envelope {
+            message: self.handle(Event::Request(request.message))?,
             held_requests: quarantine.updates(),
         };
-        serde_json::to_vec(&reply).ok().map(Bytes::from)
+        serde_json::to_vec(&response).ok().map(Bytes::from)
     }
 }
 
 /// Encodes a configuration for a peer process of an older build.
-pub(crate) fn to_neighbour(accepted: &Accepted) -> Option<ConfigText> {
+pub(crate) fn encode_for_peer(accepted: &Accepted) -> Option<ConfigText> {
     let revision = accepted.revision;
     match serde_json::to_vec(accepted) {
         Ok(bytes) => Some(ConfigText {
--- a/crates/entry/src/filter/head.rs
+++ b/crates/entry/src/filter/head.rs
@@ -8,7 +8,7 @@
 use web::{Problem, ProblemKind, Ran};
 use wire::message::Header;
 
-use crate::{config::InForce, shared::Shared};
+use crate::{config::ActiveConfig, shared::Shared};
 
 const BEARER: &str = "Bearer ";
 
@@ -28,7 +28,7 @@
 pub(crate) struct Caller {
     pub(crate) customer: Customer,
     pub(crate) metrics: CustomerMetrics,
-    pub(crate) in_force: Arc<InForce>,
+    pub(crate) in_force: Arc<ActiveConfig>,
 }
 
 /// Finds the customer of the bearer key.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -20,7 +20,7 @@
     EntryError, api,
     batch::{Batch, Blobs},
     claim_store::Claims,
-    config::{ConfigStore, Neighbours},
+    config::{ConfigPeers, ConfigStore},
     filter::Limits,
     fleet::{Fleet, vm_list},
     orders::Orders,
@@ -134,13 +134,13 @@
             tasks.push(tokio::spawn(follow));
         }
         let entries = settings.entries.clone();
-        let neighbours = Neighbours::new(
+        let config_peers = ConfigPeers::new(
             shared.links.clone(),
             entries,
             shared.quarantine.clone(),
         );
         let store = shared.config.clone();
-        tasks.push(tokio::spawn(neighbours.work(store, timer)));
+        tasks.push(tokio::spawn(config_peers.run(store, timer)));
         log::info!(
             http = http.address().to_string().as_str(),
             peer = peer.address().to_string().as_str();
@@ -243,7 +243,7 @@
     vec![
         tokio::spawn(timer.drive()),
         tokio::spawn(async move { follow.config.follow().await }),
-        tokio::spawn(shared.batch.owner().clone().work()),
+        tokio::spawn(shared.batch.owner().clone().run()),
         tokio::spawn(shared.quarantine.clone().run()),
         tokio::spawn(read_quarantine(shared.clone())),
         tokio::spawn(async move {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -10,7 +10,7 @@
     message::{ItemResult, Pull, PullReply},
 };
 
-use crate::{config::to_neighbour, shared::Shared};
+use crate::{config::encode_for_peer, shared::Shared};
 
 /// Answers companions and other entries.
 pub(crate) struct Peers(pub(crate) Arc<Shared>);
@@ -36,7 +36,7 @@
         if now.accepted.revision <= have {
             return None;
         }
-        to_neighbour(&now.accepted)
+        encode_for_peer(&now.accepted)
     }
 
     fn compare(&self, question: Bytes) -> BoxFuture<'static, Option<Bytes>> {
