--- a/crates/entry/src/api/admin.rs
+++ b/crates/entry/src/api/admin.rs
@@ -97,8 +97,8 @@
     match found.map_err(platform_problem)? {
         Some(accepted) => Ok(Json(RevisionView::from(&accepted))),
         None => {
-            let why = format!("there is no revision {revision}");
-            Err(Problem::new(ProblemKind::NotFound, why).ran(Ran::No))
+            let detail = format!("there is no revision {revision}");
+            Err(Problem::new(ProblemKind::NotFound, detail).ran(Ran::No))
         }
     }
 }
@@ -130,21 +130,21 @@
 }
 
 fn conflict(expect: Revision, now: &Accepted, text: &str) -> Problem {
-    let why = format!(
+    let detail = format!(
         "revision {} is in force, not {expect}; nothing was changed",
         now.revision
     );
     let diff = rules::diff(&now.text, text);
-    Problem::new(ProblemKind::Conflict, why)
+    Problem::new(ProblemKind::Conflict, detail)
         .ran(Ran::No)
         .with("current_revision", now.revision.get())
         .with("diff", diff)
 }
 
 fn invalid_config(report: &Report<rules::RulesError>) -> Problem {
-    let why = "the configuration is not valid; nothing was changed";
+    let detail = "the configuration is not valid; nothing was changed";
     let errors = rules::error_list(report);
-    Problem::new(ProblemKind::Invalid, why)
+    Problem::new(ProblemKind::Invalid, detail)
         .ran(Ran::No)
         .with("errors", serde_json::json!(errors))
 }
@@ -155,9 +155,9 @@
     log::warn!(error:? = report; "an operator request failed");
     match report.current_context() {
         EntryError::Unknown => {
-            let why = "the platform's answer was lost; the change may be \
+            let detail = "the platform's answer was lost; the change may be \
                        made, send the same operation_id again";
-            Problem::new(ProblemKind::PlatformDown, why).ran(Ran::Unknown)
+            Problem::new(ProblemKind::PlatformDown, detail).ran(Ran::Unknown)
         }
         _ => Problem::new(ProblemKind::PlatformDown, report.to_string())
             .ran(Ran::No),
--- a/crates/entry/src/api/batches.rs
+++ b/crates/entry/src/api/batches.rs
@@ -83,8 +83,8 @@
     let input: FileId =
         create.input_file_id.parse().map_err(|_| no_input())?;
     if !PATHS.contains(&create.endpoint.as_str()) {
-        let why = format!("endpoint must be one of {}", PATHS.join(", "));
-        return Err(invalid(why));
+        let detail = format!("endpoint must be one of {}", PATHS.join(", "));
+        return Err(invalid(detail));
     }
     let window_ms = window_ms(&create.completion_window).ok_or_else(|| {
         invalid("completion_window must be like 24h or 90m".to_owned())
@@ -93,8 +93,8 @@
     let last = MAX_WINDOW_HOURS * MS_PER_HOUR;
     let now = shared.timer.clock().unix();
     if due.is_some_and(|due| due > now.saturating_add_ms(last)) {
-        let why = format!("due_at is over {MAX_WINDOW_HOURS} hours away");
-        return Err(invalid(why));
+        let detail = format!("due_at is over {MAX_WINDOW_HOURS} hours away");
+        return Err(invalid(detail));
     }
     let job = NewJob {
         customer: caller.caller.customer.clone(),
@@ -110,8 +110,8 @@
     Ok(Json(job_json(&record)))
 }
 
-fn invalid(why: String) -> Problem {
-    Problem::new(ProblemKind::Invalid, why).ran(Ran::No)
+fn invalid(detail: String) -> Problem {
+    Problem::new(ProblemKind::Invalid, detail).ran(Ran::No)
 }
 
 /// Makes the problem for a body over the limit; Rocket stops reading there.
@@ -120,20 +120,20 @@
 }
 
 fn no_input() -> Problem {
-    let why = "there is no such input file";
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = "there is no such input file";
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
 
 fn job_problem(error: JobError) -> Problem {
     match error {
         JobError::NoInput => no_input(),
         JobError::InputExpired => {
-            let why = "the input file has expired; upload it again";
-            Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+            let detail = "the input file has expired; upload it again";
+            Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
         }
         JobError::KeyReused(id) => {
-            let why = "the Idempotency-Key came with another job before";
-            Problem::new(ProblemKind::KeyReused, why)
+            let detail = "the Idempotency-Key came with another job before";
+            Problem::new(ProblemKind::KeyReused, detail)
                 .ran(Ran::No)
                 .with("batch", id.as_str())
         }
@@ -153,9 +153,9 @@
 /// Parses `due_at` in the metadata: RFC 3339 or Unix seconds.
 fn due_at(metadata: &Value) -> Result<Option<UnixMillis>, Problem> {
     let invalid_time = || {
-        let why = "metadata.due_at must be a time like \
+        let detail = "metadata.due_at must be a time like \
                    2026-12-24T06:00:00Z or seconds since 1970";
-        invalid(why.to_owned())
+        invalid(detail.to_owned())
     };
     match metadata.get("due_at") {
         None | Some(Value::Null) => Ok(None),
@@ -178,8 +178,8 @@
 }
 
 fn no_job() -> Problem {
-    let why = "there is no such batch";
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = "there is no such batch";
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
 
 #[get("/v1/batches/<id>")]
--- a/crates/entry/src/api/files.rs
+++ b/crates/entry/src/api/files.rs
@@ -83,8 +83,8 @@
     while let Some(chunk) = field.chunk().await.map_err(malformed_form)? {
         bytes += chunk.len() as u64;
         if bytes > limit {
-            let why = format!("the file is over {limit} bytes");
-            let problem = Problem::new(ProblemKind::TooLarge, why);
+            let detail = format!("the file is over {limit} bytes");
+            let problem = Problem::new(ProblemKind::TooLarge, detail);
             return Err(problem.ran(Ran::No));
         }
         upload.push(&chunk).await.map_err(upload_problem)?;
@@ -92,8 +92,8 @@
     upload.finish(filename).await.map_err(upload_problem)
 }
 
-fn bad_request(why: &str) -> Problem {
-    Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
+fn bad_request(detail: &str) -> Problem {
+    Problem::new(ProblemKind::BadRequest, detail).ran(Ran::No)
 }
 
 fn malformed_form(error: multer::Error) -> Problem {
@@ -136,8 +136,8 @@
 }
 
 pub(crate) fn no_file() -> Problem {
-    let why = "there is no such file";
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = "there is no such file";
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
 
 #[get("/v1/files/<id>/content")]
--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -168,8 +168,8 @@
 }
 
 fn shutting_down() -> Problem {
-    let why = "this process is stopping; try again";
-    Problem::new(ProblemKind::Stopping, why)
+    let detail = "this process is stopping; try again";
+    Problem::new(ProblemKind::Stopping, detail)
         .ran(Ran::No)
         .retry_after_ms(1_000)
 }
@@ -181,12 +181,12 @@
         .into_bytes()
         .await
         .map_err(|error| {
-            let why = format!("the body broke off: {error}");
-            Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
+            let detail = format!("the body broke off: {error}");
+            Problem::new(ProblemKind::BadRequest, detail).ran(Ran::No)
         })?;
     if !read.is_complete() {
-        let why = format!("the body is over {limit} bytes");
-        return Err(Problem::new(ProblemKind::TooLarge, why).ran(Ran::No));
+        let detail = format!("the body is over {limit} bytes");
+        return Err(Problem::new(ProblemKind::TooLarge, detail).ran(Ran::No));
     }
     Ok(read.into_inner().into())
 }
--- a/crates/entry/src/api/vms.rs
+++ b/crates/entry/src/api/vms.rs
@@ -27,19 +27,19 @@
     let known = all.iter().find(|known| known.target.name.as_str() == vm);
     let target = &known.ok_or_else(|| unknown_vm(vm))?.target;
     let Route::Companion(companion) = target.route else {
-        let why = format!("{vm} has no companion; take it out of the list");
-        return Err(Problem::new(ProblemKind::Invalid, why).ran(Ran::No));
+        let detail = format!("{vm} has no companion; take it out of the list");
+        return Err(Problem::new(ProblemKind::Invalid, detail).ran(Ran::No));
     };
     match shared.orders.drain(vm, companion).await {
         Ok(()) => Ok(Json(json!({ "vm": vm, "state": "draining" }))),
         Err(OrderError::Failed(report)) => Err(platform_problem(report)),
-        Err(OrderError::Refused(why)) => {
-            Err(Problem::new(ProblemKind::Conflict, why).ran(Ran::No))
+        Err(OrderError::Refused(detail)) => {
+            Err(Problem::new(ProblemKind::Conflict, detail).ran(Ran::No))
         }
     }
 }
 
 fn unknown_vm(vm: &str) -> Problem {
-    let why = format!("this entry knows no endpoint on {vm}");
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = format!("this entry knows no endpoint on {vm}");
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
--- a/crates/entry/src/batch/blobs.rs
+++ b/crates/entry/src/batch/blobs.rs
@@ -58,7 +58,7 @@
                 let report = Report::new(EntryError::Storage)
                     .attach("too few data VMs stored the blob");
                 return Err(match last_error {
-                    Some(why) => report.attach(format!("{why:?}")),
+                    Some(cause) => report.attach(format!("{cause:?}")),
                     None => report,
                 });
             }
--- a/crates/entry/src/batch/mod.rs
+++ b/crates/entry/src/batch/mod.rs
@@ -35,7 +35,7 @@
 pub(crate) const ERRORS_PREFIX: &str = "file-err-";
 
 /// Time for resolving a write whose response was lost, in milliseconds.
-const FOLLOW_UP_MS: u64 = 10_000;
+const RESOLVE_WRITE_MS: u64 = 10_000;
 
 /// The file and batch job API of this entry.
 pub(crate) struct Batch {
@@ -60,7 +60,7 @@
     ) -> Self {
         let keys = Keys::new(prefix, settings.partitions);
         let blobs = Arc::new(blobs);
-        let writer = Writer::new(timer.clone(), FOLLOW_UP_MS);
+        let writer = Writer::new(timer.clone(), RESOLVE_WRITE_MS);
         let owner = Owner::new(
             kv.clone(),
             keys.clone(),
--- a/crates/entry/src/batch/owner/grants.rs
+++ b/crates/entry/src/batch/owner/grants.rs
@@ -57,7 +57,7 @@
             capacity: pull.room,
             running: &pull.running,
         };
-        let (response, is_owner) = {
+        let (response, owns_partitions) = {
             let mut ledger = self.ledger();
             let response = ledger.pull(moment, &request);
             (response, !ledger.partitions().is_empty())
@@ -67,7 +67,7 @@
         PullReply {
             items: join_all(read).await.into_iter().flatten().collect(),
             revoked: response.revoked,
-            next_in_ms: match (response.more, is_owner) {
+            next_in_ms: match (response.more, owns_partitions) {
                 (true, _) => MORE_WORK_POLL_MS,
                 (false, true) => IDLE_POLL_MS,
                 (false, false) => NOT_OWNER_POLL_MS,
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -40,7 +40,7 @@
 const MAX_HISTORY: u64 = 200;
 
 /// Time for resolving a write whose response was lost, in milliseconds.
-const FOLLOW_UP_MS: u64 = 10_000;
+const RESOLVE_WRITE_MS: u64 = 10_000;
 
 /// Changes retained in the key-value service for lagging watches.
 const MAX_CHANGES: u64 = 256;
@@ -139,7 +139,7 @@
         Self {
             kv,
             prefix: format!("{prefix}config/"),
-            writer: Writer::new(timer.clone(), FOLLOW_UP_MS),
+            writer: Writer::new(timer.clone(), RESOLVE_WRITE_MS),
             timer,
             current: Snapshot::new(None),
             joined: Mutex::new(None),
@@ -235,7 +235,7 @@
     /// Applies a configuration unless the same or a newer revision is in
     /// force.
     ///
-    /// A lagging peer, a reconnected watch or a restored value can apply an
+    /// A lagging peer, a reconnected watch or a restored value can offer an
     /// old configuration after a newer one was in force; applying it would
     /// undo an accepted change that nobody reverted.
     pub(crate) fn apply(
--- a/crates/entry/tests/batch.rs
+++ b/crates/entry/tests/batch.rs
@@ -1,11 +1,11 @@
-//! Batch jobs over real sockets, through losses.
+//! Batch jobs over real sockets with entry failures and outages.
 
 mod batch_common;
 
 use serde_json::{Value, json};
 use standin::kv::KvFaults;
 
-use self::batch_common::{Ground, MODEL, Player, TestEntry};
+use self::batch_common::{FakeCompanion, MODEL, TestCluster, TestEntry};
 
 const ITEMS: u32 = 200;
 
@@ -19,7 +19,7 @@
     job["status"] == "completed"
 }
 
-/// Asserts that each item is in one of the two files, once.
+/// Asserts that each item is exactly once in one of the two files.
 async fn assert_exactly_once(entry: &TestEntry, job: &Value) {
     let output = entry.ids(&job["output_file_id"]).await;
     let errors = entry.ids(&job["error_file_id"]).await;
@@ -33,95 +33,97 @@
     }
 }
 
-/// Symptom: items of a job are lost or doubled. Events: the entry that owns
-/// its partition dies half way, and the other takes it over.
+/// Guards against lost or duplicated items: the entry that owns the job's
+/// partition crashes halfway through, and another entry takes over.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_survives_the_loss_of_its_owner() {
-    let ground = Ground::start().await;
-    let first = ground.entry("entry-1").await;
+    let cluster = TestCluster::start().await;
+    let first = cluster.entry("entry-1").await;
     let job = first.start_job(ITEMS, "1h").await;
-    let second = ground.entry("entry-2").await;
+    let second = cluster.entry("entry-2").await;
     let entries = vec![first.peer(), second.peer()];
-    let _playing = Player::new("vm-1", &[MODEL]).play(entries);
+    let _running = FakeCompanion::new("vm-1", &[MODEL]).run(entries);
     second.until(&job, |job| done(job) > 20).await;
-    first.lose();
+    first.crash();
     let job = second.until(&job, is_completed).await;
     assert_exactly_once(&second, &job).await;
 }
 
-/// Symptom: work stands still after a planned stop until a lease has run
-/// out. Events: an owner with a lease of five minutes stops as planned. Cause:
-/// the lease is not ended by its holder.
+/// Guards against a job that stalls after a graceful shutdown until the lease
+/// expires: an owner with a lease of five minutes drains without revoking the
+/// lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_over_at_once() {
-    let ground = Ground::start().await;
-    let first = ground.entry_with("entry-1", 300).await;
+async fn a_graceful_shutdown_hands_over_at_once() {
+    let cluster = TestCluster::start().await;
+    let first = cluster.entry_with("entry-1", 300).await;
     let id = first.start_job(ITEMS, "1h").await;
-    let playing = Player::new("vm-1", &[MODEL]).play(vec![first.peer()]);
+    let running = FakeCompanion::new("vm-1", &[MODEL]).run(vec![first.peer()]);
     first.until(&id, |job| done(job) > 20).await;
     first.drain().await;
-    drop(playing);
-    let second = ground.entry_with("entry-2", 300).await;
-    let _playing = Player::new("vm-1", &[MODEL]).play(vec![second.peer()]);
+    drop(running);
+    let second = cluster.entry_with("entry-2", 300).await;
+    let _running =
+        FakeCompanion::new("vm-1", &[MODEL]).run(vec![second.peer()]);
     let job = second.until(&id, is_completed).await;
     assert_exactly_once(&second, &job).await;
 }
 
-/// Symptom: items are doubled, or a job never ends. Events: three answers of
-/// the service in ten are lost after the write took effect, and then the
-/// service is down for a while. Cause: a write of unknown outcome taken as
-/// done or as failed.
+/// Guards against duplicated items and a job that never ends: the key-value
+/// service loses 30 % of its responses after the write took effect and is
+/// then down for a while, and a write of unknown outcome is treated as
+/// applied or as failed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_survives_lost_answers_and_an_outage() {
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+async fn a_job_survives_lost_responses_and_an_outage() {
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     let id = entry.start_job(ITEMS, "1h").await;
     let faults = KvFaults {
         lose_answer: 0.3,
         seed: 7,
         ..KvFaults::default()
     };
-    ground.kv.set_faults(faults).unwrap();
-    let _playing = Player::new("vm-1", &[MODEL]).play(vec![entry.peer()]);
+    cluster.kv.set_faults(faults).unwrap();
+    let _running =
+        FakeCompanion::new("vm-1", &[MODEL]).run(vec![entry.peer()]);
     entry.until(&id, |job| done(job) > 20).await;
     let outage = KvFaults {
         down_ms: 500,
         ..faults
     };
-    ground.kv.set_faults(outage).unwrap();
+    cluster.kv.set_faults(outage).unwrap();
     tokio::time::sleep(std::time::Duration::from_millis(600)).await;
     let job = entry.until(&id, is_completed).await;
     assert_exactly_once(&entry, &job).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cancel_revokes_what_runs_and_grants_no_more() {
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+async fn a_cancel_revokes_running_items_and_stops_grants() {
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     let id = entry.start_job(ITEMS, "1h").await;
-    let player = Player::new("vm-1", &[MODEL]);
+    let companion = FakeCompanion::new("vm-1", &[MODEL]);
     let mut items = Vec::new();
     while items.is_empty() {
-        (items, _) = player.pull(entry.peer(), 4, &[]).await;
+        (items, _) = companion.pull(entry.peer(), 4, &[]).await;
     }
     let path = format!("/v1/batches/{id}/cancel");
     entry.post(&path, json!({})).await;
     entry.until(&id, |job| job["status"] == "cancelled").await;
     let running: Vec<u64> = items.iter().map(|item| item.grant).collect();
-    let (more, revoked) = player.pull(entry.peer(), 4, &running).await;
+    let (more, revoked) = companion.pull(entry.peer(), 4, &running).await;
     assert!(more.is_empty());
     assert_eq!(revoked, running);
 }
 
-/// Symptom: items fail with "no such model". Events: a companion whose engine
-/// has another model pulls.
+/// Guards against items that fail with "no such model": a companion whose
+/// engine serves another model pulls.
 #[tokio::test(flavor = "multi_thread")]
 async fn items_go_to_endpoints_of_their_model_only() {
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     entry.start_job(4, "1h").await;
-    let other = Player::new("vm-1", &["other-lm"]);
-    let own = Player::new("vm-2", &[MODEL]);
+    let other = FakeCompanion::new("vm-1", &["other-lm"]);
+    let own = FakeCompanion::new("vm-2", &[MODEL]);
     let mut items = Vec::new();
     while items.is_empty() {
         let (none, _) = other.pull(entry.peer(), 4, &[]).await;
@@ -131,17 +133,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_will_be_late_says_so_before() {
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+async fn a_job_that_will_miss_its_due_time_is_marked_at_risk() {
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     let safe = entry.start_job(4, "24h").await;
     let late = entry.start_job(ITEMS, "1m").await;
-    let player = Player::new("vm-1", &[MODEL]);
-    // One item in each round, which is too slow for the due time.
+    let companion = FakeCompanion::new("vm-1", &[MODEL]);
+    // One item per pull, which is too slow for the due time.
     let at_risk = async {
         loop {
-            let (items, _) = player.pull(entry.peer(), 1, &[]).await;
-            player.answer(entry.peer(), &items, 10).await;
+            let (items, _) = companion.pull(entry.peer(), 1, &[]).await;
+            companion.answer(entry.peer(), &items, 10).await;
             let job = entry.job(&late).await;
             if job["at_risk"] == true {
                 return job;
@@ -157,12 +159,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_are_listed_newest_first_in_pages() {
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     let mut made = Vec::new();
     for hours in 1..=3 {
         made.push(entry.start_job(1, &format!("{hours}h")).await);
-        // The order is that of the millisecond of acceptance.
+        // Jobs are ordered by the millisecond of their acceptance.
         tokio::time::sleep(std::time::Duration::from_millis(3)).await;
     }
     let page = entry.get("/v1/batches?limit=2").await;
--- a/crates/entry/tests/batch_common/mod.rs
+++ b/crates/entry/tests/batch_common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries, two data VMs and a companion that the test plays.
+//! Test fixture: entries, two data VMs and a fake companion.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::{
@@ -29,19 +29,19 @@
 pub(crate) const KEY: &str = "key-of-taevakorv";
 pub(crate) const MODEL: &str = "korv-lm";
 
-/// Time in which something that is to happen happens, on any machine.
-const SURELY: Duration = Duration::from_secs(60);
+/// Time limit for any awaited condition, generous enough for slow machines.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The platform and the data VMs.
-pub(crate) struct Ground {
+/// A key-value service and two data VMs.
+pub(crate) struct TestCluster {
     pub(crate) kv: KvServiceHandle,
     data: Vec<DataNode>,
     _folder: TempDir,
 }
 
-impl Ground {
+impl TestCluster {
     pub(crate) async fn start() -> Self {
         let kv = KvService::start(KvServiceSettings::default());
         let kv = kv.await.unwrap();
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Starts an entry in a runtime of its own, so that it can be lost.
+    /// Starts an entry in a separate runtime, so that it can be crashed.
     pub(crate) async fn entry(&self, name: &str) -> TestEntry {
         self.entry_with(name, 2).await
     }
 
-    /// The same with another life of its lease.
+    /// Starts an entry with the given lease TTL.
     pub(crate) async fn entry_with(
         &self,
         name: &str,
@@ -155,7 +155,7 @@
     client.txn(txn).await.unwrap();
 }
 
-/// An entry that can be lost at once.
+/// An entry that a test can crash or drain.
 pub(crate) struct TestEntry {
     entry: Option<Entry>,
     runtime: Option<Runtime>,
@@ -171,31 +171,31 @@
         self.entry().peer_address()
     }
 
-    /// Ends it as a crash does: nothing is handed over.
-    pub(crate) fn lose(mut self) {
-        self.end();
+    /// Stops the entry as a crash does, without handing anything over.
+    pub(crate) fn crash(mut self) {
+        self.stop_runtime();
     }
 
-    /// Stops it as planned.
+    /// Shuts the entry down gracefully and waits until its lease is revoked.
     pub(crate) async fn drain(mut self) {
         let entry = self.entry.take().unwrap();
         let runtime = self.runtime.as_ref().unwrap();
         runtime.spawn(entry.drain()).await.unwrap();
-        // What the stop has begun may end.
+        // Keeps the runtime until the spawned revoke has finished.
         let members = || async {
             let found = self.kv.get_prefix("/t/entries/", 0).await;
             found.unwrap().kvs.len()
         };
         let wait = async {
             while members().await > 0 {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(SURELY, wait).await;
-        waited.expect("the lease is ended by its holder");
+        let waited = tokio::time::timeout(TIMEOUT, wait).await;
+        waited.expect("the drained entry revokes its lease");
     }
 
-    fn end(&mut self) {
+    fn stop_runtime(&mut self) {
         let runtime = self.runtime.take();
         if let Some(runtime) = runtime {
             runtime.shutdown_background();
@@ -219,13 +219,14 @@
         call.send().await.unwrap().json().await.unwrap()
     }
 
-    /// Starts a job of this many items, named `id-0` and so on.
+    /// Starts a job with `items` items, whose ids are `id-0`, `id-1` and so
+    /// on.
     pub(crate) async fn start_job(&self, items: u32, window: &str) -> String {
         let prompts = (0..items).map(|at| format!("{window} {at}"));
         self.start_job_of(prompts, window).await
     }
 
-    /// Starts a job of these prompts.
+    /// Starts a job with an item for each prompt.
     pub(crate) async fn start_job_of(
         &self,
         prompts: impl Iterator<Item = String>,
@@ -262,7 +263,7 @@
         self.get(&format!("/v1/batches/{id}")).await
     }
 
-    /// Waits until a job is as wanted.
+    /// Waits until a job matches the predicate.
     pub(crate) async fn until(
         &self,
         id: &str,
@@ -274,11 +275,11 @@
                 if wanted(&job) {
                     return job;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let waited = tokio::time::timeout(SURELY, wait).await;
-        waited.expect("the job gets there")
+        let waited = tokio::time::timeout(TIMEOUT, wait).await;
+        waited.expect("the job reaches the wanted state")
     }
 
     /// Reads a file and returns how often each `custom_id` is in it.
@@ -301,7 +302,7 @@
 
 impl Drop for TestEntry {
     fn drop(&mut self) {
-        self.end();
+        self.stop_runtime();
     }
 }
 
@@ -314,18 +315,18 @@
 }
 
 fn client() -> reqwest::Client {
-    reqwest::Client::builder().timeout(SURELY).build().unwrap()
+    reqwest::Client::builder().timeout(TIMEOUT).build().unwrap()
 }
 
-/// A companion that the test plays.
+/// A companion whose endpoint is simulated by the test.
 #[derive(Clone)]
-pub(crate) struct Player {
+pub(crate) struct FakeCompanion {
     links: Links,
     vm: String,
     models: Vec<String>,
 }
 
-impl Player {
+impl FakeCompanion {
     pub(crate) fn new(vm: &str, models: &[&str]) -> Self {
         let identity = Identity {
             role: "companion".to_owned(),
@@ -340,7 +341,7 @@
         }
     }
 
-    /// Pulls once; a lost entry grants nothing.
+    /// Pulls once; an unreachable entry grants nothing.
     pub(crate) async fn pull(
         &self,
         entry: SocketAddr,
@@ -360,25 +361,30 @@
         }
     }
 
-    /// Answers items; those whose number divides by `fails` are refused.
+    /// Reports items as answered: status 400 if the index modulo
+    /// `rejected_every` is 1, otherwise 200.
     pub(crate) async fn answer(
         &self,
         entry: SocketAddr,
         items: &[Item],
-        fails: u32,
+        rejected_every: u32,
     ) {
         let result = |item: &Item| ItemResult {
-            status: if item.index % fails == 1 { 400 } else { 200 },
+            status: if item.index % rejected_every == 1 {
+                400
+            } else {
+                200
+            },
             ..result(item, ItemOutcome::Answered)
         };
         let results: Vec<_> = items.iter().map(result).collect();
-        // Sent twice, as after a lost answer.
+        // Sent twice, as after a lost response.
         for _ in 0..2 {
             let _ = self.links.results(entry, results.clone()).await;
         }
     }
 
-    /// Reports what became of items.
+    /// Reports the outcomes of items.
     pub(crate) async fn report(
         &self,
         entry: SocketAddr,
@@ -389,20 +395,22 @@
         let _ = self.links.results(entry, results.collect()).await;
     }
 
-    /// Pulls from entries in turn and answers until told to stop.
-    pub(crate) fn play(&self, entries: Vec<SocketAddr>) -> Playing {
-        let (player, stop) = (self.clone(), Arc::new(AtomicBool::new(false)));
-        let stopped = stop.clone();
+    /// Pulls from the entries in round robin and answers until the guard is
+    /// dropped.
+    pub(crate) fn run(&self, entries: Vec<SocketAddr>) -> CompanionGuard {
+        let (companion, stop_flag) =
+            (self.clone(), Arc::new(AtomicBool::new(false)));
+        let stopped = stop_flag.clone();
         tokio::spawn(async move {
             while !stopped.load(Ordering::Relaxed) {
                 for entry in &entries {
-                    let (items, _) = player.pull(*entry, 8, &[]).await;
-                    player.answer(*entry, &items, 10).await;
+                    let (items, _) = companion.pull(*entry, 8, &[]).await;
+                    companion.answer(*entry, &items, 10).await;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
-        Playing(stop)
+        CompanionGuard(stop_flag)
     }
 }
 
@@ -420,10 +428,10 @@
     }
 }
 
-/// Stops a player when dropped.
-pub(crate) struct Playing(Arc<AtomicBool>);
+/// Stops the fake companion when dropped.
+pub(crate) struct CompanionGuard(Arc<AtomicBool>);
 
-impl Drop for Playing {
+impl Drop for CompanionGuard {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
--- a/crates/entry/tests/config_outage.rs
+++ b/crates/entry/tests/config_outage.rs
@@ -1,4 +1,4 @@
-//! The configuration of an entry while the key-value service is away.
+//! The configuration of an entry during outages of the key-value service.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use standin::kv::{KvFaults, KvService, KvServiceHandle, KvServiceSettings};
 
 const OPERATOR: &str = "operator-key-of-the-test";
-const FAR_MS: u64 = 3_600_000;
+const LONG_MS: u64 = 3_600_000;
 
 fn text(retries: u32) -> String {
     let digest = KeyDigest::of_key("tenant-key");
@@ -53,7 +53,7 @@
 async fn entry(
     vm: &str,
     service: &KvServiceHandle,
-    neighbours: &[SocketAddr],
+    peers: &[SocketAddr],
 ) -> Entry {
     let yaml = format!(
         "\
@@ -63,7 +63,7 @@
 listen: 127.0.0.1:0
 peer_listen: 127.0.0.1:0
 key_value: {{addresses: [{}], timeout_ms: 500, prefix: /t/}}
-entries: {neighbours:?}
+entries: {peers:?}
 endpoints:
   - endpoint: korv-lm-1
     pool: korv-lm
@@ -80,7 +80,7 @@
         .unwrap()
 }
 
-fn down(service: &KvServiceHandle, for_ms: u64) {
+fn take_down(service: &KvServiceHandle, for_ms: u64) {
     let faults = KvFaults {
         down_ms: for_ms,
         ..KvFaults::default()
@@ -88,7 +88,7 @@
     service.set_faults(faults).unwrap();
 }
 
-async fn shown(entry: &Entry) -> serde_json::Value {
+async fn get_config(entry: &Entry) -> serde_json::Value {
     let url = format!("http://{}/admin/config", entry.http_address());
     let call = reqwest::Client::new().get(url).bearer_auth(OPERATOR);
     call.send().await.unwrap().json().await.unwrap()
@@ -110,41 +110,41 @@
     call.json(&body).send().await.unwrap()
 }
 
-/// Symptom: an entry that restarts during an outage serves nobody. Sequence:
-/// the key-value service goes down; an entry restarts. Cause: the service
-/// was the only place where it looked for the configuration.
+/// Guards against an entry that restarts during an outage of the key-value
+/// service and serves no requests, because that service is its only source
+/// of the configuration.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_in_an_outage_asks_its_neighbours() {
+async fn an_entry_that_starts_in_an_outage_queries_its_peers() {
     let service = platform().await;
     let first = entry("entry-1", &service, &[]).await;
     first.ready().await;
-    down(&service, FAR_MS);
+    take_down(&service, LONG_MS);
     let peer = [first.peer_address()];
     let second = entry("entry-2", &service, &peer).await;
     second.ready().await;
-    assert_eq!(shown(&second).await["revision"], 1);
-    assert_eq!(shown(&second).await["text"], text(1));
+    assert_eq!(get_config(&second).await["revision"], 1);
+    assert_eq!(get_config(&second).await["text"], text(1));
 }
 
-/// Symptom: an edit in an outage is answered as done or silently lost.
-/// Sequence: the service is down; an operator edits. Cause: nothing can be
-/// recorded, which the answer has to say, and whether it may have been.
+/// Guards against an edit during an outage that is reported as accepted or
+/// silently lost: the key-value service is down, so the edit cannot be
+/// written, and the response has to say so and whether it may have been.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edit_in_an_outage_is_refused_and_changes_nothing() {
     let service = platform().await;
     let entry = entry("entry-1", &service, &[]).await;
     entry.ready().await;
-    down(&service, FAR_MS);
+    take_down(&service, LONG_MS);
     let reply = edit(&entry, 1, "edit-1", &text(2)).await;
     assert_eq!(reply.status(), 503);
     let problem: serde_json::Value = reply.json().await.unwrap();
     assert_eq!(problem["type"], "urn:pomeloslip:problem:platform-down");
-    assert_eq!(shown(&entry).await["revision"], 1);
+    assert_eq!(get_config(&entry).await["revision"], 1);
 }
 
-/// Symptom: one edit is accepted twice, as two revisions. Sequence: the
-/// answer to an edit is lost after it took effect; the operator's tool sends
-/// it again. Cause: the copy was taken for another edit.
+/// Guards against one edit becoming two revisions: the response to an edit is
+/// lost after the write took effect, and the retry by the operator's tool is
+/// treated as a new edit.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resent_edit_is_the_same_edit() {
     let service = platform().await;
@@ -158,7 +158,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_racing_edit_gets_the_difference_and_a_broken_one_its_places() {
+async fn a_conflicting_edit_gets_a_diff_and_an_invalid_one_its_error_positions()
+ {
     let service = platform().await;
     let entry = entry("entry-1", &service, &[]).await;
     entry.ready().await;
@@ -174,13 +175,13 @@
     let problem: serde_json::Value = broken.json().await.unwrap();
     assert_eq!(problem["errors"][0]["line"], 9);
     assert_eq!(problem["errors"][0]["nearest"], "model");
-    assert_eq!(shown(&entry).await["revision"], 2);
+    assert_eq!(get_config(&entry).await["revision"], 2);
 }
 
-/// Symptom: an entry goes back to an older configuration. Sequence: it has
-/// revision 2; the service's data is restored from a copy that holds
-/// revision 1, and the watch delivers that. Cause: whatever the service
-/// said was applied.
+/// Guards against a rollback to an older configuration: an entry has revision
+/// 2, the data of the key-value service is restored from a copy with
+/// revision 1, the watch delivers revision 1, and the entry applies it
+/// without comparing revisions.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restored_older_value_is_never_applied() {
     let service = platform().await;
@@ -200,24 +201,25 @@
         ..Txn::default()
     };
     kv.txn(txn).await.unwrap();
-    // A neighbour that starts afterwards must learn the newest as well, and
-    // by the time it has, the first has seen the old value go by.
+    // A peer that starts afterwards must get the newest revision as well; by
+    // then the first entry has received the old value.
     let peer = [first.peer_address()];
     let second = entry("entry-2", &service, &peer).await;
     second.ready().await;
-    while shown(&second).await["revision"] != 2 {
+    while get_config(&second).await["revision"] != 2 {
         tokio::task::yield_now().await;
     }
-    assert_eq!(shown(&first).await["revision"], 2);
-    // The next edit goes on from what is in force and heals the service.
+    assert_eq!(get_config(&first).await["revision"], 2);
+    // The next edit builds on the revision in force and repairs the stored
+    // value.
     let reply = edit(&second, 2, "edit-2", &text(3)).await;
     let body: serde_json::Value = reply.json().await.unwrap();
     assert_eq!(body["revision"], 3);
 }
 
-/// Symptom: the key-value service fills up by gigabytes a day. Sequence:
-/// operators change the configuration thousands of times. Cause: each whole
-/// text was kept for good.
+/// Guards against a key-value service that grows by gigabytes a day: operators
+/// change the configuration thousands of times, and each full text is
+/// retained forever.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_the_newest_revisions_are_kept() {
     let service = platform().await;
--- a/crates/entry/tests/config_spread.rs
+++ b/crates/entry/tests/config_spread.rs
@@ -1,4 +1,4 @@
-//! How an accepted edit reaches other entries.
+//! Propagation of an accepted edit to other entries.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,10 +13,10 @@
 use standin::kv::{KvFaults, KvService, KvServiceHandle, KvServiceSettings};
 
 const OPERATOR: &str = "operator-key-of-the-test";
-const FAR_MS: u64 = 3_600_000;
+const LONG_MS: u64 = 3_600_000;
 
-/// Pause between two looks; no test depends on its length.
-const LOOK: Duration = Duration::from_millis(20);
+/// Poll interval; no test depends on its length.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn text(weight: u64) -> String {
     format!(
@@ -53,7 +53,7 @@
     service
 }
 
-/// Starts entries that know those before them.
+/// Starts entries, each with the previously started ones as peers.
 async fn entries(service: &KvServiceHandle, count: usize) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for at in 0..count {
@@ -106,7 +106,7 @@
 
 async fn until(entry: &Entry, revision: u64) {
     while status(entry).await["revision"] != revision {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -125,8 +125,8 @@
     }
 }
 
-/// Symptom: as many watches as entries at the key-value service. Sequence:
-/// four entries of one failure domain start. Cause: each watched.
+/// Guards against one watch per entry at the key-value service: four entries
+/// of one failure domain start, and each of them watches.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_entries_of_a_failure_domain_watch() {
     let service = platform().await;
@@ -140,20 +140,20 @@
         if relays == 2 && service.counts().watches_open == 2 {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Symptom: entries that lag never catch up in an outage. Sequence: an edit
-/// is accepted; the service goes down before others hear of it; an entry
-/// starts again. Cause: only the service was asked.
+/// Guards against lagging entries that never catch up in an outage: an edit is
+/// accepted, the key-value service goes down before the other entries receive
+/// the edit, and they have no other source of the configuration.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_spreads_although_the_service_goes_down() {
+async fn a_change_propagates_during_an_outage_of_the_key_value_service() {
     let service = platform().await;
     let entries = entries(&service, 3).await;
     edit(&entries[0], 1).await;
     let faults = KvFaults {
-        down_ms: FAR_MS,
+        down_ms: LONG_MS,
         ..KvFaults::default()
     };
     service.set_faults(faults).unwrap();
@@ -162,20 +162,20 @@
     }
 }
 
-/// Symptom: a lost answer of the service leaves others on an old revision
-/// for good. Sequence: entries without any neighbours; one accepts an edit.
-/// Cause: the other, alone in its view, has to watch for itself.
+/// Guards against an entry that stays on an old revision forever: two entries
+/// have no peers configured, and one accepts an edit. The other one has no
+/// relay to rely on, so it has to watch.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_without_neighbours_watches() {
+async fn an_entry_without_peers_watches() {
     let service = platform().await;
     let first = entries(&service, 1).await;
     let second = entries(&service, 1).await;
     while service.counts().watches_open != 2 {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     edit(&first[0], 1).await;
     until(&second[0], 2).await;
-    // A change whose revision before is not known comes as the whole.
+    // A change whose previous revision is unknown is read as full text.
     edit(&second[0], 2).await;
     until(&first[0], 3).await;
     assert_eq!(status(&first[0]).await["relay"], true);
--- a/crates/entry/tests/property_promises.rs
+++ b/crates/entry/tests/property_promises.rs
@@ -21,7 +21,7 @@
 use yare::parameterized;
 
 use self::{
-    batch_common::{Ground, MODEL, Player},
+    batch_common::{FakeCompanion, MODEL, TestCluster},
     claim_common::{KEY, Reply, SURELY, Service, client, platform},
 };
 
@@ -99,10 +99,10 @@
 /// the new owner has not written it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_former_owner_commits_nothing() {
-    let ground = Ground::start().await;
+    let ground = TestCluster::start().await;
     let entry = ground.entry_with("entry-1", 300).await;
     let id = entry.start_job(20, "1h").await;
-    let player = Player::new("vm-1", &[MODEL]);
+    let player = FakeCompanion::new("vm-1", &[MODEL]);
     let mut items = Vec::new();
     while items.is_empty() {
         (items, _) = player.pull(entry.peer(), 8, &[]).await;
--- a/crates/entry/tests/quarantine_batch.rs
+++ b/crates/entry/tests/quarantine_batch.rs
@@ -1,4 +1,4 @@
-//! Items of jobs that crash the endpoints that run them.
+//! Quarantine of batch items that crash their endpoints.
 #![allow(clippy::unwrap_used)]
 
 mod batch_common;
@@ -11,33 +11,36 @@
     time::Duration,
 };
 
-use batch_common::{Ground, MODEL, Player};
+use batch_common::{FakeCompanion, MODEL, TestCluster};
 use serde_json::Value;
 use tokio::time::sleep;
 use wire::message::{Item, ItemOutcome};
 
-/// Number of the item that crashes whatever runs it.
-const BAD: u32 = 0;
+/// Index of the poison item, which crashes any endpoint that runs it.
+const POISON_INDEX: u32 = 0;
 
-/// Crashes after which a request is not to be sent any more, and the times
-/// that it may be sent again all the same.
-const SENT_MOST: usize = 3 + 3;
+/// Maximum number of sends of the poison item: the crashes before it is
+/// quarantined, and the probes afterwards.
+const MAX_SENDS: usize = 3 + 3;
 
-/// Plays a companion whose endpoint one item crashes.
-async fn play(
-    player: Player,
+/// Runs a fake companion whose endpoint crashes on the poison item.
+async fn run_companion(
+    companion: FakeCompanion,
     entry: std::net::SocketAddr,
     sent: Arc<AtomicUsize>,
 ) {
     loop {
-        let (items, _) = player.pull(entry, 8, &[]).await;
+        let (items, _) = companion.pull(entry, 8, &[]).await;
         let outcome = |item: &Item| match item.index {
-            BAD => ItemOutcome::Crashed,
+            POISON_INDEX => ItemOutcome::Crashed,
             _ => ItemOutcome::Answered,
         };
-        let bad = items.iter().filter(|item| item.index == BAD).count();
-        sent.fetch_add(bad, Ordering::Relaxed);
-        player.report(entry, &items, outcome).await;
+        let poison_items = items
+            .iter()
+            .filter(|item| item.index == POISON_INDEX)
+            .count();
+        sent.fetch_add(poison_items, Ordering::Relaxed);
+        companion.report(entry, &items, outcome).await;
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -47,22 +50,22 @@
     count("completed").unwrap_or(0)
 }
 
-/// Guards against an item that crashes one endpoint after the other, as it
-/// comes again in one job after the other.
+/// Guards against a poison item that crashes one endpoint after another
+/// because it recurs in successive jobs.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_that_crashes_endpoints_is_granted_no_further() {
+async fn a_poison_item_is_quarantined() {
     const ITEMS: u32 = 10;
     const JOBS: u32 = 4;
-    let ground = Ground::start().await;
-    let entry = ground.entry("entry-1").await;
+    let cluster = TestCluster::start().await;
+    let entry = cluster.entry("entry-1").await;
     let sent: Arc<AtomicUsize> = Arc::default();
     for vm in ["vm-1", "vm-2", "vm-3"] {
-        let player = Player::new(vm, &[MODEL]);
-        tokio::spawn(play(player, entry.peer(), sent.clone()));
+        let companion = FakeCompanion::new(vm, &[MODEL]);
+        tokio::spawn(run_companion(companion, entry.peer(), sent.clone()));
     }
     for number in 0..JOBS {
         let prompts = (0..ITEMS).map(|at| match at {
-            BAD => "the one that crashes endpoints".to_owned(),
+            POISON_INDEX => "the one that crashes endpoints".to_owned(),
             _ => format!("job {number}, item {at}"),
         });
         let id = entry.start_job_of(prompts, "1h").await;
@@ -71,5 +74,5 @@
         sleep(Duration::from_secs(2)).await;
     }
     let sent = sent.load(Ordering::Relaxed);
-    assert!(sent <= SENT_MOST, "sent {sent} times");
+    assert!(sent <= MAX_SENDS, "sent {sent} times");
 }
