--- a/crates/entry/tests/config_outage.rs
+++ b/crates/entry/tests/config_outage.rs
@@ -158,8 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_conflicting_edit_gets_a_diff_and_an_invalid_one_its_error_positions()
- {
+async fn conflicting_edits_get_a_diff_and_invalid_ones_get_positions() {
     let service = platform().await;
     let entry = entry("entry-1", &service, &[]).await;
     entry.ready().await;
--- a/crates/entry/tests/config_spread.rs
+++ b/crates/entry/tests/config_spread.rs
@@ -162,9 +162,10 @@
     }
 }
 
-/// Guards against an entry that stays on an old revision forever: two entries
-/// have no peers configured, and one accepts an edit. The other one has no
-/// relay to rely on, so it has to watch.
+/// Guards against an entry that stays on an old revision forever after a lost
+/// response of the key-value service: two entries have no peers configured,
+/// and one accepts an edit. The other one sees no peer that could be a relay,
+/// so it has to watch.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_peers_watches() {
     let service = platform().await;
