--- a/crates/entry/src/batch/files.rs
+++ b/crates/entry/src/batch/files.rs
@@ -4,7 +4,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, KvError, Op, Txn,
-    ops::{Outcome, Verdict},
+    ops::{Outcome, ReadBack},
 };
 use ledger::Sink;
 use sha2::{Digest, Sha256};
@@ -265,10 +265,10 @@
                 |_| (),
                 |found| match found.kvs.first() {
                     Some(now) if now.mod_revision != mod_revision => {
-                        Verdict::Done(())
+                        ReadBack::Applied(())
                     }
-                    None if mod_revision != 0 => Verdict::Superseded,
-                    _ => Verdict::Open,
+                    None if mod_revision != 0 => ReadBack::Superseded,
+                    _ => ReadBack::Undecided,
                 },
                 rand::random,
             )
@@ -278,7 +278,7 @@
         match outcome {
             // A concurrent upload of the same content was recorded first;
             // its record refers to the same blobs.
-            Outcome::Done(()) | Outcome::Superseded => Ok(()),
+            Outcome::Applied(()) | Outcome::Superseded => Ok(()),
         }
     }
 }
--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -4,7 +4,7 @@
 use error_stack::{Report, ResultExt};
 use kv::{
     Compare, KeyValue, Op, OpReply, Txn,
-    ops::{Outcome, Verdict},
+    ops::{Outcome, ReadBack},
 };
 use ledger::{JobRecord, JobState, RangeSet};
 use sha2::{Digest, Sha256};
@@ -131,12 +131,12 @@
                 Op::Get { key },
                 |_| (),
                 |found| match found.kvs.first() {
-                    None => Verdict::Open,
+                    None => ReadBack::Undecided,
                     Some(kv) => match decode_record(kv) {
                         Ok(job) if job.operation == operation => {
-                            Verdict::Done(())
+                            ReadBack::Applied(())
                         }
-                        _ => Verdict::Superseded,
+                        _ => ReadBack::Superseded,
                     },
                 },
                 rand::random,
@@ -144,7 +144,7 @@
             .await
             .map_err(platform)
             .attach("writing a job's record")?;
-        if outcome == Outcome::Done(()) {
+        if outcome == Outcome::Applied(()) {
             self.owner.request_listing(&record.id);
             return Ok(record);
         }
@@ -224,7 +224,7 @@
             .change_context(EntryError::Platform)
             .attach("reading the records of jobs")?;
         let found = reply.replies.iter().filter_map(|reply| match reply {
-            OpReply::Got(found) => found.first(),
+            OpReply::Read(found) => found.first(),
             _ => None,
         });
         found.map(decode_record).collect()
@@ -282,7 +282,7 @@
                 .await
                 .map_err(platform)
                 .attach("cancelling a job")?;
-            if outcome == Outcome::Done(()) {
+            if outcome == Outcome::Applied(()) {
                 self.owner.request_listing(id);
                 return Ok(Some(job));
             }
@@ -296,14 +296,16 @@
     now: Option<&KeyValue>,
     operation: u64,
     before: &KeyValue,
-) -> Verdict<()> {
+) -> ReadBack<()> {
     match now {
-        Some(now) if now.mod_revision == before.mod_revision => Verdict::Open,
+        Some(now) if now.mod_revision == before.mod_revision => {
+            ReadBack::Undecided
+        }
         Some(now) => match decode_record(now) {
-            Ok(job) if job.operation == operation => Verdict::Done(()),
-            _ => Verdict::Superseded,
+            Ok(job) if job.operation == operation => ReadBack::Applied(()),
+            _ => ReadBack::Superseded,
         },
-        None => Verdict::Superseded,
+        None => ReadBack::Superseded,
     }
 }
 
--- a/crates/entry/src/batch/owner/calls.rs
+++ b/crates/entry/src/batch/owner/calls.rs
@@ -293,7 +293,7 @@
 
 fn get_results(reply: TxnReply) -> Vec<Vec<KeyValue>> {
     let results = reply.replies.into_iter().filter_map(|reply| match reply {
-        OpReply::Got(found) => Some(found),
+        OpReply::Read(found) => Some(found),
         _ => None,
     });
     results.collect()
--- a/crates/node/src/commit_wire.rs
+++ b/crates/node/src/commit_wire.rs
@@ -1,4 +1,4 @@
-//! Writes as nodes send them to each other: a table in JSON, then the
+//! Wire format of writes between nodes: a table in JSON, followed by the
 //! values one after the other.
 
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct WireTxn {
-    /// Keys with the revisions that they are to have.
+    /// Keys with their expected revisions.
     compares: Vec<(String, u64)>,
     steps: Vec<WireStep>,
 }
@@ -17,31 +17,35 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 enum WireStep {
-    /// Writes as many of the bytes that follow to a key.
+    /// Writes the next so many bytes after the table to a key.
     Put(String, usize),
     Delete(String),
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WireOutcome {
-    /// It is done, at this revision.
-    Done(u64),
-    /// It compares with what has changed.
-    Overtaken(u64),
-    /// It has no effect.
-    NotDone,
-    /// It may have taken effect.
+    /// The write is applied, at this revision.
+    #[serde(rename = "done")]
+    Applied(u64),
+    /// A comparison of the write failed: a key has changed.
+    #[serde(rename = "overtaken")]
+    Conflict(u64),
+    /// The write is not applied.
+    #[serde(rename = "not_done")]
+    NotApplied,
+    /// The write may have been applied.
     Unknown,
-    /// The service rejects it.
+    /// The key-value service rejects the write as invalid.
     Invalid,
 }
 
-/// Length of the table, before it.
+/// Size of the length of the table, which precedes it.
 const LENGTH_BYTES: usize = 4;
 
-/// Encodes a write; none for one that hangs on more than revisions.
+/// Encodes a write; `None` if it depends on more than revisions or uses a
+/// lease.
 pub(crate) fn encode(txn: &Txn) -> Option<Bytes> {
     let compares = txn.compares.iter().map(|compare| match compare {
         Compare::ModRevision { key, equals } => Some((key.clone(), *equals)),
@@ -72,11 +76,12 @@
     Some(Bytes::from(bytes))
 }
 
-/// Decodes what [`encode`] made; none of anything else.
+/// Decodes a write from [`encode`]; `None` if the bytes are malformed.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Txn> {
-    let (length, rest) = bytes.split_at_checked(LENGTH_BYTES)?;
+    let (length, remainder) = bytes.split_at_checked(LENGTH_BYTES)?;
     let length = u32::from_le_bytes(length.try_into().ok()?);
-    let (table, mut rest) = rest.split_at_checked(length as usize)?;
+    let (table, mut remainder) =
+        remainder.split_at_checked(length as usize)?;
     let wire: WireTxn = serde_json::from_slice(table).ok()?;
     let compares = wire.compares.into_iter();
     let compares =
@@ -85,8 +90,8 @@
     for step in wire.steps {
         success.push(match step {
             WireStep::Put(key, length) => {
-                let (value, after) = rest.split_at_checked(length)?;
-                rest = after;
+                let (value, after) = remainder.split_at_checked(length)?;
+                remainder = after;
                 Op::Put {
                     key,
                     value: value.to_vec(),
@@ -96,7 +101,7 @@
             WireStep::Delete(key) => Op::Delete { key },
         });
     }
-    rest.is_empty().then(|| Txn {
+    remainder.is_empty().then(|| Txn {
         compares: compares.collect(),
         success,
         failure: Vec::new(),
@@ -108,48 +113,48 @@
     Bytes::from(serde_json::to_vec(outcome).unwrap_or_default())
 }
 
-/// Decodes an outcome; one that cannot be read leaves it open.
+/// Decodes an outcome; a malformed one counts as unknown.
 pub(crate) fn decode_outcome(bytes: &[u8]) -> WireOutcome {
     serde_json::from_slice(bytes).unwrap_or_else(|error| {
-        log::warn!(error:%; "the outcome of a write cannot be read");
+        log::warn!(error:%; "the outcome of a write is malformed");
         WireOutcome::Unknown
     })
 }
 
 impl WireOutcome {
-    pub(crate) fn of(result: &TxnResult) -> Self {
+    pub(crate) fn from_result(result: &TxnResult) -> Self {
         match result {
-            Ok(reply) if reply.succeeded => Self::Done(reply.revision),
-            Ok(reply) => Self::Overtaken(reply.revision),
+            Ok(reply) if reply.succeeded => Self::Applied(reply.revision),
+            Ok(reply) => Self::Conflict(reply.revision),
             Err(report) => match report.current_context() {
-                KvError::NotDone => Self::NotDone,
+                KvError::NotDone => Self::NotApplied,
                 KvError::Invalid | KvError::LeaseGone => Self::Invalid,
                 KvError::Unknown | KvError::Compacted => Self::Unknown,
             },
         }
     }
 
-    /// Returns what the service would have answered.
+    /// Returns the response that the key-value service would have sent.
     pub(crate) fn into_result(self, txn: &Txn) -> TxnResult {
         let reply = |succeeded, revision| TxnReply {
             succeeded,
             revision,
             replies: match succeeded {
-                true => txn.success.iter().map(reply_to).collect(),
+                true => txn.success.iter().map(expected_reply).collect(),
                 false => Vec::new(),
             },
         };
         match self {
-            Self::Done(revision) => Ok(reply(true, revision)),
-            Self::Overtaken(revision) => Ok(reply(false, revision)),
-            Self::NotDone => Err(Report::new(KvError::NotDone)),
+            Self::Applied(revision) => Ok(reply(true, revision)),
+            Self::Conflict(revision) => Ok(reply(false, revision)),
+            Self::NotApplied => Err(Report::new(KvError::NotDone)),
             Self::Unknown => Err(Report::new(KvError::Unknown)),
             Self::Invalid => Err(Report::new(KvError::Invalid)),
         }
     }
 }
 
-fn reply_to(op: &Op) -> OpReply {
+fn expected_reply(op: &Op) -> OpReply {
     match op {
         Op::Delete { .. } => OpReply::Deleted(1),
         _ => OpReply::Put,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,19 @@
-//! The roles of a small fleet: `front` takes callers' requests, `worker`
-//! runs the items of batch jobs.
+//! The roles of a small fleet: `front` serves callers' requests, `worker` runs
+//! the items of batch jobs.
 //!
-//! What they agree on lies in the key-value service: the operators'
-//! configuration, the endpoints, the jobs. Nothing else outlasts a process
-//! but jobs that are accepted while the service does not answer; they wait on
-//! the disks of two workers until it does.
-//! How all that is spelled there and on the wire is told by a [`Dialect`],
-//! of which each platform has one; nothing here knows a name of a platform.
+//! The state that roles share is stored in the key-value service: the
+//! operators' configuration, the endpoints and the jobs. The only other state
+//! that outlives a process is jobs accepted while the key-value service is
+//! unavailable; they are spooled on the disks of two workers until it is
+//! available again.
+//!
+//! A [`Dialect`] defines how this state is encoded in the key-value service
+//! and on the wire. Each platform has its own dialect; this crate contains no
+//! platform names.
 
 mod admin;
 mod base;
+mod bootstrap_list;
 mod cluster;
 mod commit_wire;
 mod commits;
@@ -21,26 +25,25 @@
 mod follow;
 mod front;
 mod intake;
-mod job_heads;
+mod job_manifests;
 mod job_push;
 mod job_spool;
 mod load;
 mod membership;
-mod own_writes;
 mod peer;
+mod peer_bulk;
 mod probe;
 mod quota;
 mod readers;
 mod refusals;
 mod settings;
-mod siblings;
-mod start_list;
 mod tree;
 mod turns;
 mod usage;
 mod vacate;
 mod watch;
 mod worker;
+mod write_through;
 
 pub use crate::{
     admin::Admin,
--- a/crates/obs/tests/metrics.rs
+++ b/crates/obs/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Quantiles, windows, the bound on customers and the statsd text.
+//! Quantiles, windows, the limit on customers and the statsd lines.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,7 +7,7 @@
 use base::{Class, Customer, Millis};
 use indexmap::IndexMap;
 use pomeloslip_obs::{
-    Counter, Gauge, HistogramTable, Metrics, MetricsSettings, Scope, Series,
+    Counter, Gauge, Metrics, MetricsSettings, MetricsSnapshot, Scope, Series,
 };
 use yare::parameterized;
 
@@ -23,7 +23,7 @@
     all_customers = { Scope::All, 100 },
     one_customer = { Scope::Customer(customer("alama")), 16 },
 )]
-fn quantiles_are_near(scope: Scope, part: u64) {
+fn quantiles_are_within_the_error_bound(scope: Scope, part: u64) {
     let metrics = Metrics::default();
     for value in 1..=10_000 {
         metrics.record(
@@ -34,7 +34,9 @@
         );
     }
     let table = metrics.snapshot();
-    let row = table.row(Series::TotalMs, &scope, Class::Online).unwrap();
+    let row = table
+        .histogram(Series::TotalMs, &scope, Class::Online)
+        .unwrap();
     assert_eq!(row.window.count, 10_000);
     assert!(close(row.window.p50, 5_000, part), "{row:?}");
     assert!(close(row.window.p95, 9_500, part), "{row:?}");
@@ -59,7 +61,7 @@
     let table = metrics.snapshot();
     let max = |scope: &Scope, class| {
         table
-            .row(Series::QueueWaitUs, scope, class)
+            .histogram(Series::QueueWaitUs, scope, class)
             .map(|row| row.total.max)
     };
     assert_eq!(max(&Scope::Customer(a.clone()), Class::Online), Some(1));
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn windows_forget_and_totals_do_not() {
+fn windows_expire_and_totals_do_not() {
     let settings = MetricsSettings {
         window_ms: 60_000,
         ..MetricsSettings::default()
@@ -81,7 +83,7 @@
     let counts = |metrics: &Metrics| {
         let table = metrics.snapshot();
         let row = table
-            .row(
+            .histogram(
                 Series::FirstTokenMs,
                 &Scope::Customer(a.clone()),
                 Class::Online,
@@ -92,23 +94,22 @@
     let record = || metrics.record(Series::FirstTokenMs, &a, Class::Online, 9);
     record();
     assert_eq!(counts(&metrics), (1, 1));
-    metrics.upkeep(Millis::new(59_999));
+    metrics.maintain(Millis::new(59_999));
     record();
     assert_eq!(counts(&metrics), (2, 2));
-    metrics.upkeep(Millis::new(60_000));
+    metrics.maintain(Millis::new(60_000));
     record();
     assert_eq!(counts(&metrics), (3, 3));
-    metrics.upkeep(Millis::new(120_000));
+    metrics.maintain(Millis::new(120_000));
     assert_eq!(counts(&metrics), (1, 3));
-    metrics.upkeep(Millis::new(180_000));
+    metrics.maintain(Millis::new(180_000));
     assert_eq!(counts(&metrics), (0, 3));
     record();
     assert_eq!(counts(&metrics), (1, 4));
 }
 
-/// Symptom: the process grows with each new customer name.
-/// Sequence: names come without end, each gets rows of its own.
-/// Cause: no bound. Here the third customer and all after it share one row.
+/// Guards against memory that grows with each new customer name. The third
+/// customer and all later ones share one row.
 #[test]
 fn customers_over_the_bound_share_a_row() {
     let settings = MetricsSettings {
@@ -128,13 +129,13 @@
         .map(|row| row.customer.as_str())
         .collect();
     assert_eq!(Vec::from_iter(scopes), ["*", "other", "t-0", "t-1"]);
-    let count = |scope| table.count(Counter::Arrived, &scope, Class::Online);
+    let count = |scope| table.counter(Counter::Arrived, &scope, Class::Online);
     assert_eq!(count(Scope::Other), 998);
     assert_eq!(count(Scope::All), 1_000);
 }
 
 #[test]
-fn a_table_survives_json() {
+fn a_snapshot_round_trips_through_json() {
     let metrics = Metrics::default();
     metrics.record(Series::TotalMs, &customer("a"), Class::Batch, 7);
     metrics.count(Counter::Tokens, &customer("a"), Class::Batch, 7);
@@ -145,7 +146,7 @@
         text.contains(r#""series":"total_ms","tenant":"*""#),
         "{text}"
     );
-    let back: HistogramTable = serde_json::from_str(&text).unwrap();
+    let back: MetricsSnapshot = serde_json::from_str(&text).unwrap();
     assert_eq!(back, table);
 }
 
@@ -165,11 +166,11 @@
     });
     let table = metrics.snapshot();
     let row = table
-        .row(Series::TotalMs, &Scope::All, Class::Online)
+        .histogram(Series::TotalMs, &Scope::All, Class::Online)
         .unwrap();
     assert_eq!(row.window.count, 40_000);
     assert_eq!(
-        table.count(Counter::Arrived, &Scope::All, Class::Online),
+        table.counter(Counter::Arrived, &Scope::All, Class::Online),
         40_000
     );
 }
@@ -216,7 +217,7 @@
     let expected = BTreeSet::from_iter(expected);
     assert_eq!(receive(&server, expected.len()), expected);
 
-    // Only what has changed is sent again.
+    // Only changes are sent again.
     metrics.count(Counter::Arrived, &a, Class::Online, 4);
     metrics.publish();
     let lines = receive(&server, 3);
