--- a/crates/entry/src/api/batches.rs
+++ b/crates/entry/src/api/batches.rs
@@ -39,7 +39,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(rename = "Create", deny_unknown_fields)]
 struct CreateRequest {
     input_file_id: String,
     endpoint: String,
