--- a/crates/node/tests/readers.rs
+++ b/crates/node/tests/readers.rs
@@ -9,8 +9,8 @@
 };
 
 use common::{
-    Cuttable, Engine, Node, Written, call_until, furnish, put, ready, routes,
-    start, start_by,
+    Cuttable, Engine, Node, StoredConfig, call_until, put, ready, routes,
+    start, start_by, write_config_and_engine,
 };
 use fleet::Route;
 use kv::Memory;
@@ -60,7 +60,7 @@
 async fn add_route(kv: &Memory, prefix: &str) {
     let mut all = routes();
     all.push(Route::new(prefix, "a.example", prefix, "engines"));
-    let written = Written {
+    let written = StoredConfig {
         routes: all,
         customers: None,
     };
@@ -78,7 +78,7 @@
 async fn two_nodes_read_for_all() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = fronts(&kv).await;
     let before = kv.counts();
     sleep(Duration::from_millis(1_000)).await;
@@ -100,7 +100,7 @@
 async fn changes_propagate_after_the_loss_of_readers() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let mut nodes = fronts(&kv).await;
     for round in 0..3 {
         let lost = nodes.remove(0);
@@ -120,7 +120,7 @@
 async fn no_node_goes_back_to_an_older_configuration() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = fronts(&kv).await;
     add_route(&kv, "/new/").await;
     for node in &nodes {
@@ -145,7 +145,7 @@
 async fn changes_propagate_around_a_disconnected_reader() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = cuttable_fronts(&kv).await;
     for cut in 0..NODES {
         add_route(&kv, &format!("/before-{cut}/")).await;
@@ -178,7 +178,7 @@
 async fn changes_propagate_around_two_disconnected_readers() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let nodes = cuttable_fronts(&kv).await;
     for first in 0..NODES {
         for second in first + 1..NODES {
@@ -224,7 +224,7 @@
 async fn few_readers_read_the_key_value_service_for_a_large_fleet() {
     let kv = Memory::default();
     let engine = Engine::start().await;
-    furnish(&kv, &engine).await;
+    write_config_and_engine(&kv, &engine).await;
     let writer = kv.clone();
     let record = engine.record("e1");
     tokio::spawn(async move {
