--- a/crates/entry/src/api/gateway.rs
+++ b/crates/entry/src/api/gateway.rs
@@ -1,4 +1,4 @@
-//! Calls that are forwarded to an endpoint.
+//! Forwards calls to endpoints.
 
 use std::{io::Cursor, sync::Arc};
 
@@ -27,10 +27,10 @@
     shared::{Admitted, Shared},
 };
 
-/// Headers of an endpoint's answer that the entry sets itself.
+/// Headers of an endpoint's response that the entry replaces.
 const REPLACED_HEADERS: [&str; 3] = ["x-request-id", "server", "date"];
 
-/// Methods that a plain service may be called with.
+/// HTTP methods that a non-inference service may be called with.
 const SERVICE_METHODS: [Method; 7] = [
     Method::Get,
     Method::Head,
@@ -52,7 +52,7 @@
     routes
 }
 
-/// Lists the models that some pool serves, in the OpenAI shape.
+/// Lists the models that at least one pool serves, in the OpenAI format.
 #[get("/v1/models")]
 fn models(caller: Authenticated) -> Json<serde_json::Value> {
     let in_force = &caller.caller.in_force;
@@ -65,7 +65,7 @@
     Json(json!({"object": "list", "data": models}))
 }
 
-/// Forwards a call through the filters to an endpoint.
+/// Route handler that forwards a call through the filters to an endpoint.
 #[derive(Clone)]
 struct Gateway;
 
@@ -84,18 +84,18 @@
             Ok(served) => Outcome::Success(respond(id.as_str(), served)),
             Err(problem) => {
                 log::info!(request_id = id.as_str(); "{problem}");
-                Outcome::from(request, WithId { id, problem })
+                Outcome::from(request, ProblemWithId { id, problem })
             }
         }
     }
 }
 
-struct WithId {
+struct ProblemWithId {
     id: base::RequestId,
     problem: Problem,
 }
 
-impl<'r> rocket::response::Responder<'r, 'static> for WithId {
+impl<'r> rocket::response::Responder<'r, 'static> for ProblemWithId {
     fn respond_to(
         self,
         request: &'r Request<'_>,
@@ -113,12 +113,12 @@
     data: Data<'_>,
 ) -> Result<Served, Problem> {
     let received = shared.timer.now();
-    // Counted before the look at the phase: a planned stop that finds
-    // nothing running after it has set the phase cuts no call that was let
-    // in just before and whose body is still on its way.
+    // Counted before the phase is checked: a shutdown that has set the
+    // phase and then finds nothing running must not abort a call that was
+    // admitted just before and whose body is still arriving.
     let _active = shared.state.begin_request();
     if !shared.state.is_ready() {
-        return Err(stopping());
+        return Err(shutting_down());
     }
     let caller = filter::authenticate(shared, request.headers())?;
     let headers = filter::check_headers(shared, request.headers())?;
@@ -139,11 +139,9 @@
     let admitted = shared.admit()?;
     let now = shared.timer.now();
     let (compiled, customer) = (&in_force.compiled, &exchange.customer);
-    let places = shared.customers.admit(compiled, customer, &limits, now);
-    let served = match places {
-        Ok(places) => {
-            send(shared, exchange, admitted.with_limits(places)).await
-        }
+    let slots = shared.customers.admit(compiled, customer, &limits, now);
+    let served = match slots {
+        Ok(slots) => send(shared, exchange, admitted.with_limits(slots)).await,
         Err(problem) => Err(problem),
     };
     if let Err(problem) = &served {
@@ -169,9 +167,9 @@
     }
 }
 
-fn stopping() -> Problem {
-    let why = "this process is stopping; try again";
-    Problem::new(ProblemKind::Stopping, why)
+fn shutting_down() -> Problem {
+    let detail = "this process is stopping; try again";
+    Problem::new(ProblemKind::Stopping, detail)
         .ran(Ran::No)
         .retry_after_ms(1_000)
 }
@@ -183,12 +181,12 @@
         .into_bytes()
         .await
         .map_err(|error| {
-            let why = format!("the body broke off: {error}");
-            Problem::new(ProblemKind::BadRequest, why).ran(Ran::No)
+            let detail = format!("the body broke off: {error}");
+            Problem::new(ProblemKind::BadRequest, detail).ran(Ran::No)
         })?;
     if !read.is_complete() {
-        let why = format!("the body is over {limit} bytes");
-        return Err(Problem::new(ProblemKind::TooLarge, why).ran(Ran::No));
+        let detail = format!("the body is over {limit} bytes");
+        return Err(Problem::new(ProblemKind::TooLarge, detail).ran(Ran::No));
     }
     Ok(read.into_inner().into())
 }
@@ -200,8 +198,12 @@
     }
 }
 
-/// Starts a response with the status and headers of an endpoint.
-fn head<'r>(id: &str, status: u16, headers: Vec<Header>) -> Builder<'r> {
+/// Starts a response with the status and headers of an endpoint's response.
+fn start_response<'r>(
+    id: &str,
+    status: u16,
+    headers: Vec<Header>,
+) -> Builder<'r> {
     let mut response = Response::build();
     response.status(Status::new(status));
     for header in headers {
@@ -214,7 +216,7 @@
 }
 
 fn respond_whole<'r>(id: &str, whole: BufferedResponse) -> Response<'r> {
-    let mut response = head(id, whole.status, whole.headers);
+    let mut response = start_response(id, whole.status, whole.headers);
     if whole.replayed {
         response.raw_header("idempotency-replayed", "true");
     }
@@ -224,6 +226,6 @@
 }
 
 fn respond_streamed<'r>(id: &str, started: Started) -> Response<'r> {
-    let mut response = head(id, started.status, started.headers);
+    let mut response = start_response(id, started.status, started.headers);
     response.streamed_body(started.body).finalize()
 }
--- a/crates/entry/src/batch/blobs.rs
+++ b/crates/entry/src/batch/blobs.rs
@@ -1,4 +1,4 @@
-//! Blobs on the data VMs: two copies in different failure domains.
+//! Blobs on data VMs, as two copies in different failure domains.
 
 use base::stable_hash;
 use bytes::Bytes;
@@ -9,10 +9,10 @@
 
 use crate::{EntryError, batch::Chunk};
 
-/// Copies that must be on disk before anything is acknowledged.
+/// Copies that must be on disk before a write is acknowledged.
 const COPIES: usize = 2;
 
-/// Writes and reads blobs.
+/// Writes and reads blobs on the data VMs.
 pub(crate) struct Blobs {
     links: Links,
     data_vms: Vec<DataVm>,
@@ -34,31 +34,31 @@
         items: u32,
     ) -> Result<Chunk, Report<EntryError>> {
         let crc = crc32fast::hash(&bytes);
-        let order = self.order(&id);
-        let mut homes: Vec<&DataVm> = Vec::new();
-        let mut next = order.iter();
-        let mut last = None;
-        while homes.len() < COPIES {
-            // Both copies are written at once; a failed one goes to the
-            // next data VM of another failure domain.
+        let ranked = self.ranked_vms(&id);
+        let mut stored_on: Vec<&DataVm> = Vec::new();
+        let mut next = ranked.iter();
+        let mut last_error = None;
+        while stored_on.len() < COPIES {
+            // Both copies are written concurrently; a failed one is retried
+            // on the next data VM of another failure domain.
             let mut round: Vec<&DataVm> = Vec::new();
-            while homes.len() + round.len() < COPIES {
-                let taken = |vm: &DataVm| {
-                    homes
+            while stored_on.len() + round.len() < COPIES {
+                let is_domain_used = |vm: &DataVm| {
+                    stored_on
                         .iter()
                         .chain(&round)
-                        .any(|home| home.failure_domain == vm.failure_domain)
+                        .any(|other| other.failure_domain == vm.failure_domain)
                 };
-                match next.by_ref().find(|vm| !taken(vm)) {
+                match next.by_ref().find(|vm| !is_domain_used(vm)) {
                     Some(vm) => round.push(vm),
                     None => break,
                 }
             }
             if round.is_empty() {
                 let report = Report::new(EntryError::Storage)
-                    .attach("too few data VMs store this");
-                return Err(match last {
-                    Some(why) => report.attach(format!("{why:?}")),
+                    .attach("too few data VMs stored the blob");
+                return Err(match last_error {
+                    Some(cause) => report.attach(format!("{cause:?}")),
                     None => report,
                 });
             }
@@ -71,8 +71,8 @@
             });
             for (vm, stored) in round.iter().zip(join_all(puts).await) {
                 match stored {
-                    Ok(()) => homes.push(vm),
-                    Err(report) => last = Some(report),
+                    Ok(()) => stored_on.push(vm),
+                    Err(report) => last_error = Some(report),
                 }
             }
         }
@@ -85,24 +85,24 @@
         })
     }
 
-    /// Reads a blob from the first data VM that has it whole.
+    /// Reads a blob from the first data VM that has an intact copy.
     pub(crate) async fn get(
         &self,
         chunk: &Chunk,
     ) -> Result<Bytes, Report<EntryError>> {
-        let mut last = None;
-        for vm in self.order(&chunk.blob) {
+        let mut last_error = None;
+        for vm in self.ranked_vms(&chunk.blob) {
             let read = self.links.get_blob(vm.address, chunk.blob.clone());
             match read.await {
-                Ok(Some(blob)) if is_whole(chunk, &blob) => {
+                Ok(Some(blob)) if is_intact(chunk, &blob) => {
                     return Ok(blob.bytes);
                 }
                 Ok(_) => {}
-                Err(report) => last = Some(report),
+                Err(report) => last_error = Some(report),
             }
         }
-        let missing = || format!("no whole copy of {}", chunk.blob);
-        match last {
+        let missing = || format!("no intact copy of {}", chunk.blob);
+        match last_error {
             Some(report) => Err(report),
             None => {
                 return Err(Report::new(EntryError::Storage))
@@ -113,20 +113,20 @@
         .attach_with(missing)
     }
 
-    /// Orders the data VMs by rendezvous hashing, so that all entries look
-    /// for a blob where it was put without asking anybody.
-    fn order(&self, id: &str) -> Vec<&DataVm> {
-        let mut order: Vec<&DataVm> = self.data_vms.iter().collect();
-        order.sort_by_key(|vm| weight(id, vm));
-        order
+    /// Orders the data VMs by rendezvous hashing, so that every entry finds a
+    /// blob without a lookup.
+    fn ranked_vms(&self, id: &str) -> Vec<&DataVm> {
+        let mut ranked: Vec<&DataVm> = self.data_vms.iter().collect();
+        ranked.sort_by_key(|vm| rendezvous_hash(id, vm));
+        ranked
     }
 }
 
-fn weight(id: &str, vm: &DataVm) -> u64 {
+fn rendezvous_hash(id: &str, vm: &DataVm) -> u64 {
     stable_hash(&[id, vm.vm.as_str()])
 }
 
-fn is_whole(chunk: &Chunk, blob: &StoredBlob) -> bool {
+fn is_intact(chunk: &Chunk, blob: &StoredBlob) -> bool {
     blob.bytes.len() as u64 == chunk.bytes
         && crc32fast::hash(&blob.bytes) == chunk.crc
 }
--- a/crates/entry/src/batch/jobs.rs
+++ b/crates/entry/src/batch/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepting, showing and cancelling jobs.
+//! Creates, reads, lists and cancels jobs.
 
 use base::{Customer, FileId, JobId, UnixMillis};
 use error_stack::{Report, ResultExt};
@@ -11,12 +11,12 @@
 
 use super::{
     Batch, JOB_PREFIX,
-    files::{INPUT_AGE_MAX_MS, hex, platform},
-    keys::last,
+    files::{MAX_INPUT_AGE_MS, hex, platform},
+    keys::last_segment,
 };
 use crate::EntryError;
 
-/// What a customer asks to be run.
+/// A customer's request to create a job.
 pub(crate) struct NewJob {
     pub(crate) customer: Customer,
     pub(crate) idempotency_key: Option<String>,
@@ -28,7 +28,7 @@
     pub(crate) metadata: serde_json::Value,
 }
 
-/// A part of a customer's jobs.
+/// A page of a customer's jobs.
 pub(crate) struct JobPage {
     pub(crate) jobs: Vec<JobRecord>,
     pub(crate) has_more: bool,
@@ -37,13 +37,14 @@
 /// Why a job was not accepted.
 #[derive(Debug)]
 pub(crate) enum JobError {
-    /// There is no such input file.
+    /// The input file does not exist.
     NoInput,
-    /// The input file is too old to be read until the job is done.
+    /// The input file is too old to remain readable until the job ends.
     InputExpired,
-    /// The same key came with other content before.
+    /// The idempotency key was used before with different content.
     KeyReused(JobId),
-    /// The job could not be recorded; see the report whether it may be.
+    /// The write of the job's record failed; the report says whether it may
+    /// have taken effect.
     Failed(Report<EntryError>),
 }
 
@@ -54,10 +55,10 @@
 }
 
 impl Batch {
-    /// Accepts a job, or returns the one that the same request made before.
+    /// Creates a job, or returns the one that the same request created before.
     ///
-    /// It is accepted once its record is in the key-value service; its input
-    /// was on two data VMs before the file had an id.
+    /// A job is accepted once its record is in the key-value service; its
+    /// input was on two data VMs before the file got an id.
     pub(crate) async fn create(
         &self,
         job: NewJob,
@@ -68,7 +69,7 @@
         let id = job_id(&job, &content)?;
         let now = self.timer.clock().unix();
         let age_ms = now.saturating_ms_since(input.created);
-        if age_ms > INPUT_AGE_MAX_MS {
+        if age_ms > MAX_INPUT_AGE_MS {
             let known = self.job(&job.customer, &id).await?;
             return known
                 .filter(|known| known.content == content)
@@ -98,10 +99,10 @@
             operation: rand::random(),
             customer: job.customer,
         };
-        self.record_job(record).await
+        self.write_job_record(record).await
     }
 
-    async fn record_job(
+    async fn write_job_record(
         &self,
         record: JobRecord,
     ) -> Result<JobRecord, JobError> {
@@ -111,12 +112,12 @@
             equals: 0,
         };
         let (customer, id) = (&record.customer, &record.id);
-        let listed = self.keys.job_of(customer, record.created, id);
+        let listed = self.keys.listed_job(customer, record.created, id);
         let txn = Txn {
             compares: vec![absent],
             success: vec![
                 put_record(&key, &record)?,
-                put_empty(self.keys.mark(id)),
+                put_empty(self.keys.open_marker(id)),
                 put_empty(listed),
             ],
             failure: vec![],
@@ -131,7 +132,7 @@
                 |_| (),
                 |found| match found.kvs.first() {
                     None => ReadBack::Undecided,
-                    Some(kv) => match parse(kv) {
+                    Some(kv) => match decode_record(kv) {
                         Ok(job) if job.operation == operation => {
                             ReadBack::Applied(())
                         }
@@ -142,12 +143,12 @@
             )
             .await
             .map_err(platform)
-            .attach("recording a job")?;
+            .attach("writing a job's record")?;
         if outcome == Outcome::Applied(()) {
-            self.owner.poke(&record.id);
+            self.owner.request_listing(&record.id);
             return Ok(record);
         }
-        // A resend: the first request made this job.
+        // A retry: the first request created this job.
         let known = self.job(&record.customer, &record.id).await?;
         match known {
             Some(known) if known.content == record.content => Ok(known),
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Returns a customer's job; another customer's reads as absent.
+    /// Returns a customer's job, or `None` if it belongs to another customer.
     pub(crate) async fn job(
         &self,
         customer: &Customer,
@@ -170,11 +171,11 @@
         let Some(found) = reply.kvs.first() else {
             return Ok(None);
         };
-        let job = parse(found)?;
+        let job = decode_record(found)?;
         Ok(Some(job).filter(|job| job.customer == *customer))
     }
 
-    /// Returns a page of a customer's jobs, newest first, after a given one.
+    /// Returns a page of a customer's jobs after a given one, newest first.
     pub(crate) async fn list(
         &self,
         customer: &Customer,
@@ -183,14 +184,14 @@
     ) -> Result<JobPage, Report<EntryError>> {
         let reply = self
             .kv
-            .get_prefix(&self.keys.jobs_of(customer), 0)
+            .get_prefix(&self.keys.listed_jobs(customer), 0)
             .await
             .change_context(EntryError::Platform)
             .attach("listing jobs")?;
         let ids: Vec<JobId> = reply
             .kvs
             .iter()
-            .filter_map(|kv| listed_id(&kv.key))
+            .filter_map(|kv| job_id_of_key(&kv.key))
             .collect();
         let start = match after {
             None => 0,
@@ -226,10 +227,10 @@
             OpReply::Read(found) => found.first(),
             _ => None,
         });
-        found.map(parse).collect()
+        found.map(decode_record).collect()
     }
 
-    /// Asks that a job stop; what was completed stays readable.
+    /// Requests the cancellation of a job; completed results stay readable.
     pub(crate) async fn cancel(
         &self,
         customer: &Customer,
@@ -245,7 +246,7 @@
             let Some(found) = reply.kvs.first() else {
                 return Ok(None);
             };
-            let mut job = parse(found)?;
+            let mut job = decode_record(found)?;
             if job.customer != *customer {
                 return Ok(None);
             }
@@ -259,11 +260,11 @@
                     key: key.clone(),
                     equals: found.mod_revision,
                 }],
-                // The owner reads the marks, and the record of one that
-                // has changed.
+                // The owner lists the open-job markers, and rereads the
+                // record of a job whose marker has changed.
                 success: vec![
                     put_record(&key, &job)?,
-                    put_empty(self.keys.mark(id)),
+                    put_empty(self.keys.open_marker(id)),
                 ],
                 failure: vec![],
             };
@@ -275,23 +276,23 @@
                     txn,
                     Op::Get { key: key.clone() },
                     |_| (),
-                    |now| seen(now.kvs.first(), operation, found),
+                    |now| resolve_cancel(now.kvs.first(), operation, found),
                     rand::random,
                 )
                 .await
                 .map_err(platform)
                 .attach("cancelling a job")?;
             if outcome == Outcome::Applied(()) {
-                self.owner.poke(id);
+                self.owner.request_listing(id);
                 return Ok(Some(job));
             }
-            // The owner committed results meanwhile; look again.
+            // The owner has committed results meanwhile: read again.
         }
     }
 }
 
-/// Judges a write by what is there now.
-fn seen(
+/// Determines the outcome of a write from the value read back.
+fn resolve_cancel(
     now: Option<&KeyValue>,
     operation: u64,
     before: &KeyValue,
@@ -300,7 +301,7 @@
         Some(now) if now.mod_revision == before.mod_revision => {
             ReadBack::Undecided
         }
-        Some(now) => match parse(now) {
+        Some(now) => match decode_record(now) {
             Ok(job) if job.operation == operation => ReadBack::Applied(()),
             _ => ReadBack::Superseded,
         },
@@ -326,16 +327,18 @@
     }
 }
 
-/// Returns the job of a key in a customer's list.
-fn listed_id(key: &str) -> Option<JobId> {
-    let (_age, id) = last(key).split_once('-')?;
+/// Returns the job id in a key of a customer's job list.
+fn job_id_of_key(key: &str) -> Option<JobId> {
+    let (_age, id) = last_segment(key).split_once('-')?;
     id.parse().ok()
 }
 
-pub(super) fn parse(kv: &KeyValue) -> Result<JobRecord, Report<EntryError>> {
+pub(super) fn decode_record(
+    kv: &KeyValue,
+) -> Result<JobRecord, Report<EntryError>> {
     serde_json::from_slice(&kv.value)
         .change_context(EntryError::Platform)
-        .attach_with(|| format!("the record at {} is broken", kv.key))
+        .attach_with(|| format!("cannot decode the record at {}", kv.key))
 }
 
 fn content_digest(job: &NewJob) -> String {
