--- a/crates/companion/src/node.rs
+++ b/crates/companion/src/node.rs
@@ -13,7 +13,7 @@
 use obs::Metrics;
 use tokio::task::JoinHandle;
 use upstream::EndpointClient;
-use web::{LaunchOptions, Phase, Served, ServiceState};
+use web::{HttpServer, LaunchOptions, Phase, ServiceState};
 use wire::{Handlers, LinkOptions, Links, Secrets, Server, message::Identity};
 
 use crate::{
@@ -35,7 +35,7 @@
     entries: Vec<SocketAddr>,
     drain_ms: u64,
     peer: Server,
-    http: Served,
+    http: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -194,7 +194,7 @@
     fn is_busy(&self) -> bool {
         !self.shared.admission.is_idle()
             || self.puller.is_reporting()
-            || self.peer.answers_open() > 0
+            || self.peer.undelivered_responses() > 0
     }
 
     /// Notifies the entries of the shutdown. The machine list of the platform
--- a/crates/entry/src/api/admin.rs
+++ b/crates/entry/src/api/admin.rs
@@ -1,4 +1,4 @@
-//! What operators do: read and change the configuration.
+//! Operator API: reads and changes the configuration.
 
 use std::sync::Arc;
 
@@ -11,28 +11,28 @@
 use super::guard::Operator;
 use crate::{
     EntryError,
-    config::{Accepted, Edit},
+    config::{Accepted, EditOutcome},
     shared::Shared,
 };
 
-/// Revisions listed when no limit is given.
-const HISTORY_DEFAULT: usize = 20;
+/// Number of revisions listed when the request gives no limit.
+const DEFAULT_HISTORY_LIMIT: usize = 20;
 
-/// Most revisions listed at once.
-const HISTORY_MAX: usize = 200;
+/// Maximum number of revisions in one response.
+const MAX_HISTORY_LIMIT: usize = 200;
 
 pub(crate) fn routes() -> Vec<Route> {
     routes![show, history, at, edit]
 }
 
 #[derive(Serialize)]
-struct Shown {
+struct RevisionView {
     revision: Revision,
     text: String,
     accepted_unix_ms: u64,
 }
 
-impl From<&Accepted> for Shown {
+impl From<&Accepted> for RevisionView {
     fn from(accepted: &Accepted) -> Self {
         Self {
             revision: accepted.revision,
@@ -59,10 +59,10 @@
 fn show(
     shared: &State<Arc<Shared>>,
     _operator: Operator,
-) -> Result<Json<Shown>, Problem> {
+) -> Result<Json<RevisionView>, Problem> {
     match shared.config.current() {
-        Some(now) => Ok(Json(Shown::from(&now.accepted))),
-        None => Ok(Json(Shown {
+        Some(now) => Ok(Json(RevisionView::from(&now.accepted))),
+        None => Ok(Json(RevisionView {
             revision: Revision::default(),
             text: String::new(),
             accepted_unix_ms: 0,
@@ -75,10 +75,16 @@
     shared: &State<Arc<Shared>>,
     limit: Option<usize>,
     _operator: Operator,
-) -> Result<Json<Vec<Shown>>, Problem> {
-    let limit = limit.unwrap_or(HISTORY_DEFAULT).min(HISTORY_MAX);
-    let found = shared.config.history(limit).await.map_err(failed)?;
-    Ok(Json(found.iter().map(Shown::from).collect()))
+) -> Result<Json<Vec<RevisionView>>, Problem> {
+    let limit = limit
+        .unwrap_or(DEFAULT_HISTORY_LIMIT)
+        .min(MAX_HISTORY_LIMIT);
+    let found = shared
+        .config
+        .history(limit)
+        .await
+        .map_err(platform_problem)?;
+    Ok(Json(found.iter().map(RevisionView::from).collect()))
 }
 
 #[get("/admin/config/<revision>", rank = 2)]
@@ -86,13 +92,13 @@
     shared: &State<Arc<Shared>>,
     revision: u64,
     _operator: Operator,
-) -> Result<Json<Shown>, Problem> {
-    let found = shared.config.at(Revision::new(revision)).await;
-    match found.map_err(failed)? {
-        Some(accepted) => Ok(Json(Shown::from(&accepted))),
+) -> Result<Json<RevisionView>, Problem> {
+    let found = shared.config.get_revision(Revision::new(revision)).await;
+    match found.map_err(platform_problem)? {
+        Some(accepted) => Ok(Json(RevisionView::from(&accepted))),
         None => {
-            let why = format!("there is no revision {revision}");
-            Err(Problem::new(ProblemKind::NotFound, why).ran(Ran::No))
+            let detail = format!("there is no revision {revision}");
+            Err(Problem::new(ProblemKind::NotFound, detail).ran(Ran::No))
         }
     }
 }
@@ -113,42 +119,45 @@
         .config
         .edit(expect_revision, operation_id, text)
         .await
-        .map_err(failed)?;
+        .map_err(platform_problem)?;
     match edited {
-        Edit::Accepted(revision) => Ok(Json(EditReply { revision })),
-        Edit::Raced(now) => Err(raced(expect_revision, &now, &new_text)),
-        Edit::Invalid(report) => Err(invalid(&report)),
+        EditOutcome::Accepted(revision) => Ok(Json(EditReply { revision })),
+        EditOutcome::Conflict(now) => {
+            Err(conflict(expect_revision, &now, &new_text))
+        }
+        EditOutcome::Invalid(report) => Err(invalid_config(&report)),
     }
 }
 
-fn raced(expect: Revision, now: &Accepted, text: &str) -> Problem {
-    let why = format!(
+fn conflict(expect: Revision, now: &Accepted, text: &str) -> Problem {
+    let detail = format!(
         "revision {} is in force, not {expect}; nothing was changed",
         now.revision
     );
     let diff = rules::diff(&now.text, text);
-    Problem::new(ProblemKind::Conflict, why)
+    Problem::new(ProblemKind::Conflict, detail)
         .ran(Ran::No)
         .with("current_revision", now.revision.get())
         .with("diff", diff)
 }
 
-fn invalid(report: &Report<rules::RulesError>) -> Problem {
-    let why = "the configuration is not valid; nothing was changed";
+fn invalid_config(report: &Report<rules::RulesError>) -> Problem {
+    let detail = "the configuration is not valid; nothing was changed";
     let errors = rules::error_list(report);
-    Problem::new(ProblemKind::Invalid, why)
+    Problem::new(ProblemKind::Invalid, detail)
         .ran(Ran::No)
         .with("errors", serde_json::json!(errors))
 }
 
-/// Says honestly whether a change may have been made.
-pub(crate) fn failed(report: Report<EntryError>) -> Problem {
-    log::warn!(error:? = report; "a request of an operator failed");
+/// Makes the problem for a failed request, stating whether a change may have
+/// been made.
+pub(crate) fn platform_problem(report: Report<EntryError>) -> Problem {
+    log::warn!(error:? = report; "an operator request failed");
     match report.current_context() {
         EntryError::Unknown => {
-            let why = "the platform's answer was lost; the change may be \
+            let detail = "the platform's answer was lost; the change may be \
                        made, send the same operation_id again";
-            Problem::new(ProblemKind::PlatformDown, why).ran(Ran::Unknown)
+            Problem::new(ProblemKind::PlatformDown, detail).ran(Ran::Unknown)
         }
         _ => Problem::new(ProblemKind::PlatformDown, report.to_string())
             .ran(Ran::No),
--- a/crates/entry/src/api/batches.rs
+++ b/crates/entry/src/api/batches.rs
@@ -1,4 +1,4 @@
-//! `/v1/batches` in the OpenAI shapes.
+//! `/v1/batches` in the OpenAI format.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use web::{Problem, ProblemKind, Ran};
 
-use super::{admin::failed, guard::Authenticated};
+use super::{admin::platform_problem, guard::Authenticated};
 use crate::{
     batch::{
         Chunk, ERRORS_PREFIX, JOB_PREFIX, JobError, JobRecord, JobState,
@@ -27,11 +27,11 @@
 const MS_PER_HOUR: u64 = 3_600_000;
 const MS_PER_MINUTE: u64 = 60_000;
 
-/// Longest window that is accepted, in hours; see also the age up to which
-/// a file can be an input.
-const WINDOW_MAX_HOURS: u64 = 24 * 14;
+/// Maximum completion window, in hours; see also the maximum age of an input
+/// file, `MAX_INPUT_AGE_MS`.
+const MAX_WINDOW_HOURS: u64 = 24 * 14;
 
-/// Paths that items may be sent to.
+/// Endpoint paths that items may be sent to.
 const PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
 pub(crate) fn routes() -> Vec<Route> {
@@ -39,8 +39,8 @@
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Create {
+#[serde(rename = "Create", deny_unknown_fields)]
+struct CreateRequest {
     input_file_id: String,
     endpoint: String,
     #[serde(default = "default_window")]
@@ -53,7 +53,7 @@
     "24h".to_owned()
 }
 
-/// The header `Idempotency-Key`, if the caller sent one.
+/// The `Idempotency-Key` header, if the caller sent one.
 struct IdempotencyKey(Option<String>);
 
 #[rocket::async_trait]
@@ -73,7 +73,7 @@
     shared: &State<Arc<Shared>>,
     caller: Authenticated,
     key: IdempotencyKey,
-    body: Result<Json<Create>, JsonError<'_>>,
+    body: Result<Json<CreateRequest>, JsonError<'_>>,
 ) -> Result<Json<Value>, Problem> {
     let body = body.map_err(|error| match error {
         JsonError::Io(error) => too_large(&error),
@@ -83,18 +83,18 @@
     let input: FileId =
         create.input_file_id.parse().map_err(|_| no_input())?;
     if !PATHS.contains(&create.endpoint.as_str()) {
-        let why = format!("endpoint must be one of {}", PATHS.join(", "));
-        return Err(invalid(why));
+        let detail = format!("endpoint must be one of {}", PATHS.join(", "));
+        return Err(invalid(detail));
     }
     let window_ms = window_ms(&create.completion_window).ok_or_else(|| {
         invalid("completion_window must be like 24h or 90m".to_owned())
     })?;
     let due = due_at(&create.metadata)?;
-    let last = WINDOW_MAX_HOURS * MS_PER_HOUR;
+    let last = MAX_WINDOW_HOURS * MS_PER_HOUR;
     let now = shared.timer.clock().unix();
     if due.is_some_and(|due| due > now.saturating_add_ms(last)) {
-        let why = format!("due_at is over {WINDOW_MAX_HOURS} hours away");
-        return Err(invalid(why));
+        let detail = format!("due_at is over {MAX_WINDOW_HOURS} hours away");
+        return Err(invalid(detail));
     }
     let job = NewJob {
         customer: caller.caller.customer.clone(),
@@ -106,38 +106,38 @@
         due,
         metadata: create.metadata,
     };
-    let record = shared.batch.create(job).await.map_err(refused)?;
+    let record = shared.batch.create(job).await.map_err(job_problem)?;
     Ok(Json(job_json(&record)))
 }
 
-fn invalid(why: String) -> Problem {
-    Problem::new(ProblemKind::Invalid, why).ran(Ran::No)
+fn invalid(detail: String) -> Problem {
+    Problem::new(ProblemKind::Invalid, detail).ran(Ran::No)
 }
 
-/// The server library reads no further than the limit.
+/// Makes the problem for a body over the limit; Rocket stops reading there.
 fn too_large(error: &std::io::Error) -> Problem {
     Problem::new(ProblemKind::TooLarge, error.to_string()).ran(Ran::No)
 }
 
 fn no_input() -> Problem {
-    let why = "there is no such input file";
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = "there is no such input file";
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
 
-fn refused(error: JobError) -> Problem {
+fn job_problem(error: JobError) -> Problem {
     match error {
         JobError::NoInput => no_input(),
         JobError::InputExpired => {
-            let why = "the input file has expired; upload it again";
-            Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+            let detail = "the input file has expired; upload it again";
+            Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
         }
         JobError::KeyReused(id) => {
-            let why = "the Idempotency-Key came with another job before";
-            Problem::new(ProblemKind::KeyReused, why)
+            let detail = "the Idempotency-Key came with another job before";
+            Problem::new(ProblemKind::KeyReused, detail)
                 .ran(Ran::No)
                 .with("batch", id.as_str())
         }
-        JobError::Failed(report) => failed(report),
+        JobError::Failed(report) => platform_problem(report),
     }
 }
 
@@ -147,28 +147,29 @@
         None => (text.strip_suffix('m')?, MS_PER_MINUTE),
     };
     let ms = number.parse::<u64>().ok()?.checked_mul(unit_ms)?;
-    (ms > 0 && ms <= WINDOW_MAX_HOURS * MS_PER_HOUR).then_some(ms)
+    (ms > 0 && ms <= MAX_WINDOW_HOURS * MS_PER_HOUR).then_some(ms)
 }
 
-/// Reads `due_at` from the metadata: RFC 3339 or seconds since 1970.
+/// Parses `due_at` in the metadata: RFC 3339 or Unix seconds.
 fn due_at(metadata: &Value) -> Result<Option<UnixMillis>, Problem> {
-    let wrong = || {
-        let why = "metadata.due_at must be a time like \
+    let invalid_time = || {
+        let detail = "metadata.due_at must be a time like \
                    2026-12-24T06:00:00Z or seconds since 1970";
-        invalid(why.to_owned())
+        invalid(detail.to_owned())
     };
     match metadata.get("due_at") {
         None | Some(Value::Null) => Ok(None),
         Some(Value::Number(seconds)) => {
-            let seconds = seconds.as_u64().ok_or_else(wrong)?;
+            let seconds = seconds.as_u64().ok_or_else(invalid_time)?;
             Ok(Some(UnixMillis::new(seconds.saturating_mul(1_000))))
         }
         Some(Value::String(text)) => {
-            let time: jiff::Timestamp = text.parse().map_err(|_| wrong())?;
+            let time: jiff::Timestamp =
+                text.parse().map_err(|_| invalid_time())?;
             let ms = u64::try_from(time.as_millisecond());
-            Ok(Some(UnixMillis::new(ms.map_err(|_| wrong())?)))
+            Ok(Some(UnixMillis::new(ms.map_err(|_| invalid_time())?)))
         }
-        Some(_) => Err(wrong()),
+        Some(_) => Err(invalid_time()),
     }
 }
 
@@ -177,8 +178,8 @@
 }
 
 fn no_job() -> Problem {
-    let why = "there is no such batch";
-    Problem::new(ProblemKind::NotFound, why).ran(Ran::No)
+    let detail = "there is no such batch";
+    Problem::new(ProblemKind::NotFound, detail).ran(Ran::No)
 }
 
 #[get("/v1/batches/<id>")]
@@ -189,7 +190,7 @@
 ) -> Result<Json<Value>, Problem> {
     let id = parse_id(id)?;
     let found = shared.batch.job(&caller.caller.customer, &id).await;
-    let job = found.map_err(failed)?.ok_or_else(no_job)?;
+    let job = found.map_err(platform_problem)?.ok_or_else(no_job)?;
     Ok(Json(job_json(&job)))
 }
 
@@ -205,7 +206,7 @@
         .batch
         .list(&caller.caller.customer, after, limit)
         .await
-        .map_err(failed)?;
+        .map_err(platform_problem)?;
     let (jobs, has_more) = (page.jobs, page.has_more);
     Ok(Json(json!({
         "object": "list",
@@ -224,7 +225,7 @@
 ) -> Result<(Status, Json<Value>), Problem> {
     let id = parse_id(id)?;
     let found = shared.batch.cancel(&caller.caller.customer, &id).await;
-    let job = found.map_err(failed)?.ok_or_else(no_job)?;
+    let job = found.map_err(platform_problem)?.ok_or_else(no_job)?;
     Ok((Status::Ok, Json(job_json(&job))))
 }
 
@@ -233,7 +234,7 @@
     let ended = job.ended.map(seconds);
     let ended_as = |state| ended.filter(|_| job.state == state);
     let file = |chunks: &[Chunk], prefix: &str| {
-        // A record holds the newest pieces; it has some if there are any.
+        // The record holds the newest chunks, so it has some if any exist.
         let rest = job.id.as_str().trim_start_matches(JOB_PREFIX);
         (!chunks.is_empty()).then(|| format!("{prefix}{rest}"))
     };
--- a/crates/entry/src/api/guard.rs
+++ b/crates/entry/src/api/guard.rs
@@ -1,4 +1,4 @@
-//! Request guards: who calls.
+//! Request guards that authenticate callers.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     http::Status,
     request::{FromRequest, Outcome},
 };
-use web::{Active, Problem};
+use web::{ActiveRequest, Problem};
 
 use crate::{
     filter::{self, Caller},
@@ -18,8 +18,8 @@
 /// A caller whose bearer key belongs to a customer.
 pub(crate) struct Authenticated {
     pub(crate) caller: Caller,
-    /// Held while the request runs, so that a planned stop waits for it.
-    pub(crate) active: Active,
+    /// Held while the request runs, so that a shutdown waits for it.
+    pub(crate) active: ActiveRequest,
 }
 
 #[rocket::async_trait]
@@ -37,11 +37,11 @@
             });
         match caller {
             Ok(caller) => {
-                let active = shared.state.begin();
+                let active = shared.state.begin_request();
                 Outcome::Success(Self { caller, active })
             }
             Err(problem) => {
-                web::remember(request, &problem);
+                web::record_problem(request, &problem);
                 let status = Status::new(problem.kind().status());
                 Outcome::Error((status, problem))
             }
@@ -49,7 +49,7 @@
     }
 }
 
-/// An operator whose bearer key is in the settings.
+/// A caller whose bearer key is one of the operator keys in the settings.
 pub(crate) struct Operator;
 
 #[rocket::async_trait]
--- a/crates/entry/src/batch/files.rs
+++ b/crates/entry/src/batch/files.rs
@@ -1,4 +1,4 @@
-//! Uploaded files.
+//! Uploads and downloads of files.
 
 use base::{Customer, FileId, UnixMillis, blob_day_prefix};
 use error_stack::{Report, ResultExt};
@@ -12,28 +12,29 @@
 use super::{
     Batch, Chunk, ERRORS_PREFIX, FileRecord, JOB_PREFIX, JobRecord,
     OUTPUT_PREFIX,
-    input::{Cutter, InputError, Piece},
+    input::{InputChunk, InputError, InputSplitter},
 };
 use crate::EntryError;
 
 const MS_PER_DAY: u64 = 86_400_000;
 
-/// Age up to which a resent file is the stored one.
-const FRESH_MS: u64 = 7 * MS_PER_DAY;
+/// Maximum age at which a stored file is reused for a resent one, in
+/// milliseconds.
+const MAX_REUSE_AGE_MS: u64 = 7 * MS_PER_DAY;
 
-/// Age up to which a file can be the input of a new job. With the longest
-/// window of a job, its pieces are kept for as long as they are read.
-pub(super) const INPUT_AGE_MAX_MS: u64 = 14 * MS_PER_DAY;
+/// Maximum age of the input file of a new job, in milliseconds. Even with
+/// the maximum window of a job, the chunks are retained while they are read.
+pub(super) const MAX_INPUT_AGE_MS: u64 = 14 * MS_PER_DAY;
 
-/// Digits of a digest that an id keeps.
+/// Hexadecimal digits of a digest that form an id.
 const ID_DIGITS: usize = 32;
 
 /// Why a file was not stored.
 #[derive(Debug)]
 pub(crate) enum UploadError {
-    /// Its content is wrong.
+    /// The content of the file is invalid.
     Input(InputError),
-    /// It could not be stored for good.
+    /// The file could not be stored durably.
     Failed(Report<EntryError>),
 }
 
@@ -49,44 +50,45 @@
     }
 }
 
-/// A batch input on its way in.
+/// A batch input that is being uploaded.
 ///
-/// Pieces are stored as they fill, under a digest of their content: a client
-/// that resends the file stores nothing twice, and an upload that breaks off
-/// leaves only pieces that nothing refers to.
+/// Chunks are stored as they fill up, under a digest of their content:
+/// resending the file stores nothing twice, and an aborted upload leaves only
+/// unreferenced chunks.
 pub(crate) struct Upload<'a> {
     batch: &'a Batch,
     customer: Customer,
-    cutter: Cutter<'a>,
+    splitter: InputSplitter<'a>,
     digest: Sha256,
     bytes: u64,
     chunks: Vec<Chunk>,
 }
 
 impl<'a> Upload<'a> {
-    /// Takes bytes of the file.
+    /// Appends bytes to the file.
     pub(crate) async fn push(
         &mut self,
         bytes: &[u8],
     ) -> Result<(), UploadError> {
         self.bytes += bytes.len() as u64;
         self.digest.update(bytes);
-        for piece in self.cutter.push(bytes)? {
-            self.store(piece).await?;
+        for chunk in self.splitter.push(bytes)? {
+            self.store(chunk).await?;
         }
         Ok(())
     }
 
-    /// Stores the rest and then the record that makes the file known.
+    /// Stores the remainder and then the record that makes the file visible.
     pub(crate) async fn finish(
         mut self,
         filename: String,
     ) -> Result<FileRecord, UploadError> {
         let limits = &self.batch.limits;
-        let cutter = std::mem::replace(&mut self.cutter, Cutter::new(limits));
-        let rest = cutter.finish()?;
-        for piece in rest.pieces {
-            self.store(piece).await?;
+        let splitter =
+            std::mem::replace(&mut self.splitter, InputSplitter::new(limits));
+        let remainder = splitter.finish()?;
+        for chunk in remainder.chunks {
+            self.store(chunk).await?;
         }
         self.digest.update([0]);
         self.digest.update(self.customer.as_str());
@@ -95,9 +97,9 @@
             .parse()
             .change_context(EntryError::Storage)?;
         let now = self.batch.timer.clock().unix();
-        let found = self.batch.file_found(&self.customer, &id).await?;
+        let found = self.batch.find_file(&self.customer, &id).await?;
         let mod_revision = match found {
-            Some((known, _)) if is_fresh(&known, now) => return Ok(known),
+            Some((known, _)) if is_reusable(&known, now) => return Ok(known),
             Some((_, mod_revision)) => mod_revision,
             None => 0,
         };
@@ -108,41 +110,41 @@
             purpose: "batch".to_owned(),
             bytes: self.bytes,
             items: self.chunks.iter().map(|chunk| chunk.items).sum(),
-            models: rest.models,
+            models: remainder.models,
             created: now,
             chunks: self.chunks,
         };
-        self.batch.record_file(&record, mod_revision).await?;
+        self.batch.write_file_record(&record, mod_revision).await?;
         Ok(record)
     }
 
-    async fn store(&mut self, piece: Piece) -> Result<(), UploadError> {
-        let hex = hex(&Sha256::digest(&piece.bytes));
+    async fn store(&mut self, input: InputChunk) -> Result<(), UploadError> {
+        let hex = hex(&Sha256::digest(&input.bytes));
         let day = blob_day_prefix(self.batch.timer.clock().unix());
-        let digits = &hex[..ID_DIGITS];
-        let blob = format!("{day}in/{}/{digits}", self.customer);
+        let name = &hex[..ID_DIGITS];
+        let blob = format!("{day}in/{}/{name}", self.customer);
         let blobs = &self.batch.blobs;
-        let chunk = blobs.put(blob, piece.bytes, piece.items).await?;
+        let chunk = blobs.put(blob, input.bytes, input.items).await?;
         self.chunks.push(chunk);
         Ok(())
     }
 }
 
 impl Batch {
-    /// Starts to take a batch input.
+    /// Starts the upload of a batch input.
     pub(crate) fn begin_upload(&self, customer: Customer) -> Upload<'_> {
         Upload {
             batch: self,
             customer,
-            cutter: Cutter::new(&self.limits),
+            splitter: InputSplitter::new(&self.limits),
             digest: Sha256::new(),
             bytes: 0,
             chunks: vec![],
         }
     }
 
-    /// Returns the pieces of a customer's file, or of the output or error file
-    /// of one of its jobs.
+    /// Returns the chunks of a customer's file, or of the output or error file
+    /// of one of the customer's jobs.
     pub(crate) async fn content(
         &self,
         customer: &Customer,
@@ -150,18 +152,18 @@
     ) -> Result<Option<Vec<Chunk>>, Report<EntryError>> {
         let name = id.as_str();
         if let Some(job) = name.strip_prefix(OUTPUT_PREFIX) {
-            let job = self.job_named(customer, job).await?;
-            return self.pieces_of(job, Sink::Output).await;
+            let job = self.find_job(customer, job).await?;
+            return self.job_chunks(job, Sink::Output).await;
         }
         if let Some(job) = name.strip_prefix(ERRORS_PREFIX) {
-            let job = self.job_named(customer, job).await?;
-            return self.pieces_of(job, Sink::Errors).await;
+            let job = self.find_job(customer, job).await?;
+            return self.job_chunks(job, Sink::Errors).await;
         }
         Ok(self.file(customer, id).await?.map(|file| file.chunks))
     }
 
-    /// Returns the pieces of one file of a job, older pages first.
-    async fn pieces_of(
+    /// Returns the chunks of a job's output or error file, oldest page first.
+    async fn job_chunks(
         &self,
         job: Option<JobRecord>,
         sink: Sink,
@@ -189,7 +191,7 @@
         Ok(Some(chunks))
     }
 
-    async fn job_named(
+    async fn find_job(
         &self,
         customer: &Customer,
         rest: &str,
@@ -200,18 +202,18 @@
         }
     }
 
-    /// Returns a customer's file; another customer's reads as absent.
+    /// Returns a customer's file, or `None` if it belongs to another customer.
     pub(crate) async fn file(
         &self,
         customer: &Customer,
         id: &FileId,
     ) -> Result<Option<FileRecord>, Report<EntryError>> {
-        let found = self.file_found(customer, id).await?;
+        let found = self.find_file(customer, id).await?;
         Ok(found.map(|(record, _)| record))
     }
 
-    /// Returns a file with the revision of its record.
-    async fn file_found(
+    /// Returns a file and the revision of its record.
+    async fn find_file(
         &self,
         customer: &Customer,
         id: &FileId,
@@ -228,13 +230,13 @@
         };
         let record = serde_json::from_slice(&found.value)
             .change_context(EntryError::Platform)
-            .attach_with(|| format!("the record at {key} is broken"))?;
+            .attach_with(|| format!("cannot decode the record at {key}"))?;
         Ok(Some((record, found.mod_revision)))
     }
 
-    /// Records a file in place of the record with `mod_revision`, 0 for
-    /// none.
-    async fn record_file(
+    /// Writes a file's record over the one at `mod_revision`; 0 means that no
+    /// record exists.
+    async fn write_file_record(
         &self,
         record: &FileRecord,
         mod_revision: u64,
@@ -272,23 +274,23 @@
             )
             .await
             .map_err(platform)
-            .attach("recording a file")?;
+            .attach("writing a file's record")?;
         match outcome {
-            // Another upload of the same content came first; its record
-            // names the same blobs.
+            // A concurrent upload of the same content was recorded first;
+            // its record refers to the same blobs.
             Outcome::Applied(()) | Outcome::Superseded => Ok(()),
         }
     }
 }
 
-/// Tells whether a resent file may refer to the pieces stored before. The
-/// pieces of an older one are stored anew, since they expire by their day.
-fn is_fresh(record: &FileRecord, now: UnixMillis) -> bool {
-    now.saturating_ms_since(record.created) < FRESH_MS
+/// Reports whether a resent file may reuse the stored chunks. The chunks of
+/// an older file are stored again, since they expire by the day of upload.
+fn is_reusable(record: &FileRecord, now: UnixMillis) -> bool {
+    now.saturating_ms_since(record.created) < MAX_REUSE_AGE_MS
 }
 
-/// Turns an error of the key-value service into one of the entry, which
-/// keeps whether a write may have taken effect.
+/// Converts an error of the key-value service, preserving whether a write may
+/// have taken effect.
 pub(crate) fn platform(report: Report<KvError>) -> Report<EntryError> {
     let context = match report.current_context() {
         KvError::Unknown => EntryError::Unknown,
@@ -297,7 +299,7 @@
     report.change_context(context)
 }
 
-/// Writes bytes as hexadecimal digits.
+/// Encodes bytes as lowercase hexadecimal digits.
 pub(super) fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/entry/src/batch/owner/crashes.rs
+++ b/crates/entry/src/batch/owner/crashes.rs
@@ -1,4 +1,4 @@
-//! Items that crash the endpoints that run them.
+//! Quarantine of items that crash the endpoints that run them.
 
 use base::{Customer, RequestContent, RequestDigest};
 use ledger::{Granted, RunOutcome};
@@ -7,10 +7,11 @@
 
 use super::Owner;
 
-/// Method by which companions send items.
-const METHOD: &str = "POST";
+/// HTTP method that companions use for items.
+const ITEM_METHOD: &str = "POST";
 
-/// Returns the digest that an item shares with the same call outside a job.
+/// Returns the request digest of an item, equal to that of the same online
+/// request.
 pub(super) fn digest(
     customer: &Customer,
     path: &str,
@@ -18,7 +19,7 @@
 ) -> RequestDigest {
     RequestDigest::of(RequestContent {
         customer: customer.as_str(),
-        method: METHOD,
+        method: ITEM_METHOD,
         host: "",
         target: path,
         body,
@@ -26,44 +27,45 @@
 }
 
 impl Owner {
-    /// Lets an item go to a companion, or opens it again for a later time if
-    /// endpoints crash when they run it.
-    pub(super) async fn clear(
+    /// Returns the item if it may be sent to a companion; otherwise reopens it
+    /// for a later time, since it has crashed endpoints.
+    pub(super) async fn check_quarantine(
         &self,
         item: Item,
         granted: &Granted,
     ) -> Option<Item> {
-        let of_item = || digest(&item.customer, &item.path, &item.body);
-        let held = match self.quarantine.admit(of_item).await {
+        let item_digest = || digest(&item.customer, &item.path, &item.body);
+        let quarantined = match self.quarantine.admit(item_digest).await {
             Ok(SendPermit { .. }) => return Some(item),
-            Err(held) => held,
+            Err(quarantined) => quarantined,
         };
         log::info!(
             job = item.job.as_str(),
             index = item.index,
-            digest:% = of_item(),
-            crashes = held.crashes,
-            for_ms = held.for_ms;
+            digest:% = item_digest(),
+            crashes = quarantined.crashes,
+            for_ms = quarantined.for_ms;
             "an item is held"
         );
-        let end = RunOutcome::Quarantined {
-            for_ms: held.for_ms,
+        let outcome = RunOutcome::Quarantined {
+            for_ms: quarantined.for_ms,
         };
         let Granted { grant, index, .. } = *granted;
         let moment = self.moment();
-        self.ledger().result(moment, &item.job, index, grant, end);
+        self.ledger()
+            .result(moment, &item.job, index, grant, outcome);
         None
     }
 
-    /// Takes note of what a result says about the item and its endpoint.
-    pub(super) fn note_crash(
+    /// Records in the quarantine whether the item crashed its endpoint.
+    pub(super) fn record_outcome(
         &self,
         result: &ItemResult,
         digest: impl Fn() -> RequestDigest,
     ) {
         match result.outcome {
             ItemOutcome::Answered => {
-                self.quarantine.record_response(digest, 0)
+                self.quarantine.record_response(digest, 0);
             }
             ItemOutcome::Crashed => {
                 let (job, index) = (&result.job, result.index);
--- a/crates/entry/src/batch/owner/lines.rs
+++ b/crates/entry/src/batch/owner/lines.rs
@@ -1,36 +1,40 @@
-//! Lines of output and error files.
+//! Builds the lines of output and error files.
 
 use base::JobId;
 use bytes::Bytes;
 use serde_json::{Value, json};
 use wire::message::{ItemOutcome, ItemResult};
 
-/// Why an item can never complete.
+/// Why an item failed permanently.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Reason {
-    /// The endpoint refuses the item itself.
+pub(super) enum FailureReason {
+    /// The endpoint rejected the item as invalid.
     Rejected,
-    /// Every attempt failed.
+    /// All attempts failed.
     Attempts(u32),
 }
 
-impl Reason {
+impl FailureReason {
     fn code(self) -> &'static str {
         match self {
-            Reason::Rejected => "item_rejected",
-            Reason::Attempts(_) => "item_failed",
+            FailureReason::Rejected => "item_rejected",
+            FailureReason::Attempts(_) => "item_failed",
         }
     }
 
     fn message(self) -> String {
         match self {
-            Reason::Rejected => "the endpoint rejects this item".to_owned(),
-            Reason::Attempts(n) => format!("given up after {n} attempts"),
+            FailureReason::Rejected => {
+                "the endpoint rejects this item".to_owned()
+            }
+            FailureReason::Attempts(n) => {
+                format!("given up after {n} attempts")
+            }
         }
     }
 }
 
-/// Makes the output line of a completed item.
+/// Builds the output line of a completed item.
 pub(super) fn output(result: &ItemResult, custom_id: &str) -> Bytes {
     let request_id =
         format!("{}-{}-{}", result.job, result.index, result.attempt);
@@ -47,11 +51,11 @@
     format!("{line}\n").into()
 }
 
-/// Makes the error line of an item from its last result.
+/// Builds the error line of an item from its last result.
 pub(super) fn error(
     result: &ItemResult,
     custom_id: &str,
-    reason: Reason,
+    reason: FailureReason,
 ) -> Bytes {
     let response = match result.outcome {
         ItemOutcome::Answered => json!({
@@ -63,14 +67,14 @@
     error_line(&result.job, result.index, custom_id, reason, response)
 }
 
-/// Makes the error line of an item that no endpoint said a word about.
-pub(super) fn silent(
+/// Builds the error line of an item without any response from an endpoint.
+pub(super) fn no_response(
     job: &JobId,
     index: u32,
     custom_id: &str,
     attempts: u32,
 ) -> Bytes {
-    let reason = Reason::Attempts(attempts);
+    let reason = FailureReason::Attempts(attempts);
     error_line(job, index, custom_id, reason, Value::Null)
 }
 
@@ -78,7 +82,7 @@
     job: &JobId,
     index: u32,
     custom_id: &str,
-    reason: Reason,
+    reason: FailureReason,
     response: Value,
 ) -> Bytes {
     let line = json!({
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -70,7 +70,7 @@
     let task = tokio::spawn(async move {
         // A graceful shutdown waits for the record as well as for the
         // response.
-        let _active = shared.state.begin();
+        let _active = shared.state.begin_request();
         run_once(&shared, &key, exchange, admitted).await
     });
     task.await.unwrap_or_else(|_| {
@@ -144,7 +144,7 @@
             let answer = stored_response(served);
             claims.settle(claim, ClaimState::Answered { answer }).await;
         }
-        Err(problem) if problem.ran_said() == Some(Ran::No) => {
+        Err(problem) if problem.ran_status() == Some(Ran::No) => {
             claims.release(claim).await;
         }
         Err(problem) => {
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -10,7 +10,7 @@
 use obs::Metrics;
 use quarantine::{Quarantine, QuarantineOptions};
 use tokio::{sync::Semaphore, task::JoinHandle};
-use web::{LaunchOptions, Phase, Served, ServiceState};
+use web::{HttpServer, LaunchOptions, Phase, ServiceState};
 use wire::{
     DataHandler, Handlers, LinkOptions, Links, Secrets, Server,
     message::Identity,
@@ -20,7 +20,7 @@
     EntryError, api,
     batch::{Batch, Blobs},
     claim_store::Claims,
-    config::{ConfigStore, Neighbours},
+    config::{ConfigPeers, ConfigStore},
     filter::Limits,
     fleet::{Fleet, vm_list},
     orders::Orders,
@@ -38,7 +38,7 @@
 pub struct Entry {
     shared: Arc<Shared>,
     peer: Server,
-    http: Served,
+    http: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -134,13 +134,13 @@
             tasks.push(tokio::spawn(follow));
         }
         let entries = settings.entries.clone();
-        let neighbours = Neighbours::new(
+        let config_peers = ConfigPeers::new(
             shared.links.clone(),
             entries,
             shared.quarantine.clone(),
         );
         let store = shared.config.clone();
-        tasks.push(tokio::spawn(neighbours.work(store, timer)));
+        tasks.push(tokio::spawn(config_peers.run(store, timer)));
         log::info!(
             http = http.address().to_string().as_str(),
             peer = peer.address().to_string().as_str();
@@ -183,7 +183,7 @@
     pub async fn drain(self) {
         let state = &self.shared.state;
         state.set(Phase::Draining);
-        if !state.idle(self.shared.timeouts.drain_ms).await {
+        if !state.wait_idle(self.shared.timeouts.drain_ms).await {
             let cut = state.active();
             log::warn!(cut; "the drain time is over; cutting what runs");
         }
@@ -215,7 +215,7 @@
 async fn launch(
     settings: &Settings,
     shared: &Arc<Shared>,
-) -> Result<Served, Report<EntryError>> {
+) -> Result<HttpServer, Report<EntryError>> {
     let rocket = rocket::build()
         .manage(shared.clone())
         .manage(shared.state.clone())
@@ -245,7 +245,7 @@
     vec![
         tokio::spawn(timer.drive()),
         tokio::spawn(async move { follow.config.follow().await }),
-        tokio::spawn(shared.batch.owner().clone().work()),
+        tokio::spawn(shared.batch.owner().clone().run()),
         tokio::spawn(shared.quarantine.clone().run()),
         tokio::spawn(read_quarantine(shared.clone())),
         tokio::spawn(async move {
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,15 +1,15 @@
-//! HTTP serving that all roles share: launch, problem documents, health.
+//! HTTP server setup, problem documents and health routes for all roles.
 //!
-//! [`launch`] starts a rocket at an address from the settings and returns
-//! once it accepts connections. Errors leave as problem documents
-//! ([`Problem`], RFC 9457) that say whether the refused request ran.
+//! [`launch`] starts a Rocket server at a configured address and returns once
+//! it accepts connections. Errors are sent as problem documents ([`Problem`],
+//! RFC 9457) that state whether the failed request was executed.
 
 mod launch;
 mod problem;
 mod status;
 
 pub use crate::{
-    launch::{LaunchError, LaunchOptions, Served, launch},
-    problem::{Problem, ProblemKind, Ran, catchers, remember},
-    status::{Active, Phase, ServiceState, health_routes},
+    launch::{HttpServer, LaunchError, LaunchOptions, launch},
+    problem::{Problem, ProblemKind, Ran, catchers, record_problem},
+    status::{ActiveRequest, Phase, ServiceState, health_routes},
 };
