--- a/crates/access/src/customers.rs
+++ b/crates/access/src/customers.rs
@@ -193,13 +193,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::SameName(name) => {
-                write!(f, "two customers have the name {name}")
+                write!(f, "two customers {name}")
             }
             Self::SharedKey(name) => {
-                write!(f, "customer {name} has a key of another customer")
+                write!(f, "customer {name} has a key of another one")
             }
             Self::TooManyKeys(keys) => {
-                write!(f, "{keys} keys are over the limit of {MAX_KEYS}")
+                write!(f, "{keys} keys are too many")
             }
         }
     }
--- a/crates/companion/src/handler.rs
+++ b/crates/companion/src/handler.rs
@@ -63,14 +63,11 @@
         // After a restart a different endpoint may use this address. A call
         // that an entry sent to the old endpoint must not run here.
         if request.target != self.endpoint.name.as_str() {
-            let reason = "another endpoint runs at this address now";
+            let reason = "another endpoint lives at this address now";
             return refuse(RefusalKind::WrongTarget, reason);
         }
         if !self.is_up() {
-            return refuse(
-                RefusalKind::EndpointDown,
-                "the endpoint does not respond",
-            );
+            return refuse(RefusalKind::EndpointDown, "no endpoint answers");
         }
         Ok(())
     }
@@ -181,7 +178,7 @@
 fn not_sent_frame(reason: NotStarted) -> Frame {
     let detail = match reason {
         NotStarted::Refused(rejection) => format!(
-            "{}; retry after {} ms",
+            "{}; come back in {} ms",
             rejection.reason, rejection.retry_after_ms
         ),
         NotStarted::Returned => "the endpoint is leaving".to_owned(),
@@ -209,8 +206,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if order.fence < *last {
-            let reason =
-                format!("fence {} is older than {}", order.fence, *last);
+            let reason = format!("fence {} is behind {}", order.fence, *last);
             return Err(Refusal::new(RefusalKind::StaleFence, reason));
         }
         *last = order.fence;
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -43,8 +43,8 @@
         match self {
             BodyEnd::Complete => "whole",
             BodyEnd::Interrupted(Some(outcome)) => &outcome.detail,
-            BodyEnd::Interrupted(None) => "the link to the companion was lost",
-            BodyEnd::CallerLeft => "the caller disconnected",
+            BodyEnd::Interrupted(None) => "the link broke",
+            BodyEnd::CallerLeft => "the caller left",
         }
     }
 }
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -74,7 +74,7 @@
         run_once(&shared, &key, exchange, admitted).await
     });
     task.await.unwrap_or_else(|_| {
-        let reason = "the call failed with an internal error";
+        let reason = "the call failed inside";
         Err(Problem::new(ProblemKind::Internal, reason).ran(Ran::Unknown))
     })
 }
@@ -99,13 +99,12 @@
             replay(found, &fingerprint_of_call, shared.timer.clock().unix())
         }
         Ok(ClaimOutcome::Released) => {
-            let reason =
-                "an earlier call with this key just ended without being sent";
+            let reason = "an earlier call with this key just ended unsent";
             Err(still_running(reason).ran(Ran::No))
         }
         Err(report) => {
             log::warn!(error:? = report; "a claim cannot be recorded");
-            let reason = "the claim of this call cannot be recorded now";
+            let reason = "that this call runs once cannot be recorded now";
             Err(Problem::new(ProblemKind::PlatformDown, reason)
                 .ran(Ran::No)
                 .retry_after_ms(UNAVAILABLE_RETRY_AFTER_MS))
@@ -176,10 +175,10 @@
             body: bytes.into(),
             replayed: false,
         })),
-        Ok(Err(error)) => Err(response_lost(&format!(
-            "the response was interrupted: {error}"
-        ))),
-        Err(_) => Err(response_lost("the response was not complete in time")),
+        Ok(Err(error)) => {
+            Err(response_lost(&format!("the answer broke: {error}")))
+        }
+        Err(_) => Err(response_lost("the answer went silent")),
     }
 }
 
@@ -217,11 +216,11 @@
         ClaimState::Running { until_unix_ms }
             if now.as_ms() < until_unix_ms =>
         {
-            let reason = "the first call with this key is still running";
+            let reason = "the first call with this key still runs";
             Err(still_running(reason).ran(Ran::Unknown))
         }
         ClaimState::Running { .. } => Err(response_lost(
-            "the entry that ran this call did not record its outcome",
+            "the entry that ran this call did not say how it ended",
         )),
         ClaimState::Lost { detail } => Err(response_lost(&detail)),
         ClaimState::Answered { answer } => replay_stored(answer),
@@ -231,14 +230,14 @@
 fn replay_stored(answer: Option<StoredResponse>) -> Result<Served, Problem> {
     let Some(answer) = answer else {
         let reason =
-            "the first call with this key ran; its response is not stored";
+            "the first call with this key ran; its answer is not kept";
         return Err(Problem::new(ProblemKind::Conflict, reason)
             .ran(Ran::Unknown)
             .with("completed", true));
     };
     let body = answer.body().ok_or_else(|| {
         response_lost(
-            "the first call with this key ran; its stored response is corrupt",
+            "the first call with this key ran; its kept answer is broken",
         )
     })?;
     Ok(Served::Buffered(BufferedResponse {
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -20,14 +20,12 @@
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            EntryError::Settings => "the settings are not valid for an entry",
-            EntryError::Start => "the entry failed to start",
-            EntryError::Config => {
-                "the configuration cannot be read or is invalid"
-            }
-            EntryError::Platform => "the platform did not apply the request",
-            EntryError::Unknown => "the outcome at the platform is unknown",
-            EntryError::Storage => "the data VMs did not serve the request",
+            EntryError::Settings => "the settings do not fit an entry",
+            EntryError::Start => "the entry cannot start",
+            EntryError::Config => "the configuration is of no use",
+            EntryError::Platform => "the platform did not do it",
+            EntryError::Unknown => "the platform may have done it",
+            EntryError::Storage => "the data VMs did not do it",
         })
     }
 }
--- a/crates/entry/src/filter/head.rs
+++ b/crates/entry/src/filter/head.rs
@@ -37,7 +37,7 @@
     headers: &HeaderMap<'_>,
 ) -> Result<Caller, Problem> {
     let in_force = shared.config.current().ok_or_else(|| {
-        let reason = "no configuration has been found yet";
+        let reason = "no configuration was found yet";
         Problem::new(ProblemKind::PlatformDown, reason)
             .ran(Ran::No)
             .retry_after_ms(1_000)
--- a/crates/entry/src/filter/route.rs
+++ b/crates/entry/src/filter/route.rs
@@ -88,7 +88,7 @@
         return Ok((service, format!("/{path}")));
     }
     let body: ModelBody = serde_json::from_slice(&incoming.body)
-        .map_err(|error| bad_request(format!("invalid body: {error}")))?;
+        .map_err(|error| bad_request(format!("the body: {error}")))?;
     Ok((Subject::Model(body.model), incoming.target.clone()))
 }
 
@@ -102,7 +102,7 @@
         None | Some("online") => Ok(Class::Online),
         Some("batch") => Ok(Class::Batch),
         Some(other) => {
-            let reason = format!("{CLASS_HEADER}: {other:?} is not a class");
+            let reason = format!("{CLASS_HEADER}: {other:?} is no class");
             Err(bad_request(reason))
         }
     }
--- a/crates/entry/src/forward/start.rs
+++ b/crates/entry/src/forward/start.rs
@@ -33,8 +33,8 @@
     let (status, headers) = match timeout(idle_timeout, run.next()).await {
         Ok(Some(Frame::Head { status, headers })) => (status, headers),
         Ok(Some(Frame::End(outcome))) => return incomplete(&flight, outcome),
-        Ok(_) => return lost(&flight, "the link to the companion was lost"),
-        Err(_) => return lost(&flight, "the companion sent no head in time"),
+        Ok(_) => return lost(&flight, "the link to the companion broke"),
+        Err(_) => return lost(&flight, "the companion went silent"),
     };
     let mut next_seq = 0;
     let first = loop {
@@ -52,11 +52,10 @@
                 return incomplete(&flight, outcome);
             }
             Ok(_) => {
-                let reason =
-                    "the response was interrupted before its first chunk";
+                let reason = "the answer broke before its first part";
                 return lost(&flight, reason);
             }
-            Err(_) => return lost(&flight, "no chunk arrived in time"),
+            Err(_) => return lost(&flight, "the answer went silent"),
         }
     };
     flight.record_first_chunk();
@@ -131,14 +130,14 @@
                 }
                 return incomplete(&flight, outcome);
             }
-            Ok(_) => return lost(&flight, "the response was interrupted"),
-            Err(_) => return lost(&flight, "no chunk arrived in time"),
+            Ok(_) => return lost(&flight, "the answer broke"),
+            Err(_) => return lost(&flight, "the answer went silent"),
         }
     }
     if prefix::is_model_call(&exchange.path)
         && is_truncated(&headers, &buffered)
     {
-        return lost(&flight, "the response ended within its JSON");
+        return lost(&flight, "the answer ended within its JSON");
     }
     headers.push(Header {
         name: "content-length".to_owned(),
@@ -166,6 +165,6 @@
 fn over_limit(flight: &Flight) -> Attempt {
     lost(
         flight,
-        "the response is over the limit of a body without a length",
+        "the answer is over the limit of a body without a length",
     )
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -66,7 +66,7 @@
     pub(crate) fn admit(&self) -> Result<Admitted, Problem> {
         let permit = self.streams.clone().try_acquire_owned();
         let permit = permit.map_err(|_| {
-            let reason = "this entry is at its limit of concurrent calls";
+            let reason = "this entry serves as many calls as it may";
             Problem::new(ProblemKind::Overloaded, reason)
                 .ran(Ran::No)
                 .retry_after_ms(FULL_RETRY_AFTER_MS)
--- a/crates/pass/src/error.rs
+++ b/crates/pass/src/error.rs
@@ -33,9 +33,7 @@
 impl fmt::Display for IncompleteResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            IncompleteResponse::Endpoint => {
-                "the endpoint's response is incomplete"
-            }
+            IncompleteResponse::Endpoint => "the endpoint's answer broke off",
             IncompleteResponse::Deadline => "the time of the request is up",
         })
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -73,18 +73,20 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            StoreError::Locked => "the data folder is locked by another store",
+            StoreError::Locked => "the data folder is in use by another store",
             StoreError::Folder => "the data folder cannot be used",
             StoreError::TooLarge => "the blob is too large",
             StoreError::CrcMismatch => "the bytes do not match their checksum",
             StoreError::ContentMismatch => {
-                "a blob with this id and other content exists"
+                "the id already names other content"
             }
             StoreError::QuotaExceeded => "the store has reached its quota",
             StoreError::DiskFull => "the disk is full",
-            StoreError::NotApplied => "I/O error; the call had no effect",
+            StoreError::NotApplied => {
+                "the disk failed; the call had no effect"
+            }
             StoreError::OutcomeUnknown => {
-                "I/O error; the call may have taken effect"
+                "the disk failed; the call may have taken effect"
             }
             StoreError::Corrupt => "the copy on this disk is damaged",
             StoreError::ReadFailed => "the blob could not be read",
--- a/crates/store/src/id.rs
+++ b/crates/store/src/id.rs
@@ -22,21 +22,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BlobIdError::EmptySegment => {
-                f.write_str("a blob id must not have empty segments")
+                f.write_str("a blob id has no empty segments")
             }
             BlobIdError::TooLong(bytes) => write!(
                 f,
-                "a blob id of {bytes} bytes exceeds the limit of \
+                "a blob id of {bytes} bytes is over the limit of \
                  {MAX_ID_BYTES}"
             ),
             BlobIdError::InvalidCharacter(found) => write!(
                 f,
-                "a blob id may contain only letters, digits and . _ - /, not \
+                "a blob id takes letters, digits and . _ - / only, not \
                  {found:?}"
             ),
-            BlobIdError::DoubleDot => {
-                f.write_str("a blob id must not contain '..'")
-            }
+            BlobIdError::DoubleDot => f.write_str("a blob id has no '..'"),
         }
     }
 }
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -128,7 +128,7 @@
     }
 
     fn cancelled() -> Self {
-        Self::new(OutcomeKind::Cancelled, true, "the caller disconnected")
+        Self::new(OutcomeKind::Cancelled, true, "the caller left")
     }
 }
 
@@ -207,7 +207,7 @@
             result = transfer => result,
             () = answer.closed() => Err(CallFailure::cancelled()),
             () = tokio::time::sleep_until(deadline) => {
-                let detail = "the deadline passed during the call";
+                let detail = "the deadline passed at the endpoint";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         };
@@ -315,7 +315,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(classify_send_error(&error)),
             Err(_) => {
-                let detail = "the endpoint sent no response in time";
+                let detail = "the endpoint sent nothing in time";
                 Err(CallFailure::new(OutcomeKind::TimedOut, true, detail))
             }
         }
@@ -330,13 +330,13 @@
             Ok(Err(error)) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                format!("the response was interrupted: {error}"),
+                format!("the answer broke: {error}"),
             )),
             // The connection stalled and is not expected to recover.
             Err(_) => Err(CallFailure::new(
                 OutcomeKind::Broken,
                 true,
-                "the response stalled",
+                "the answer went silent",
             )),
         }
     }
@@ -364,7 +364,7 @@
         let detail = format!("cannot reach the endpoint: {error}");
         return CallFailure::new(OutcomeKind::NotSent, false, detail);
     }
-    let detail = format!("the connection was lost: {error}");
+    let detail = format!("the connection broke: {error}");
     CallFailure::new(OutcomeKind::Broken, true, detail)
 }
 
@@ -418,12 +418,12 @@
         match timeout(self.first_byte_timeout, call).await {
             Ok(Ok(reply)) if reply.status().is_success() => Ok(()),
             Ok(Ok(reply)) if reply.status().as_u16() == 409 => {
-                let why = "the endpoint has applied a newer order";
+                let why = "the endpoint has obeyed a newer order";
                 Err(Refusal::new(RefusalKind::StaleFence, why))
             }
             Ok(Ok(reply)) => Err(failed(format!("{}", reply.status()))),
             Ok(Err(error)) => Err(failed(error.to_string())),
-            Err(_) => Err(failed("no response in time".to_owned())),
+            Err(_) => Err(failed("no answer in time".to_owned())),
         }
     }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -42,9 +42,7 @@
 
 pub(crate) fn check_len(len: u32) -> capnp::Result<u32> {
     if len > MAX_LIST_LEN {
-        return Err(Error::failed(format!(
-            "a list of {len} elements is too long"
-        )));
+        return Err(Error::failed(format!("a list of {len} is too long")));
     }
     Ok(len)
 }
@@ -60,7 +58,7 @@
     match code {
         0 => Ok(Class::Online),
         1 => Ok(Class::Batch),
-        _ => Err(Error::failed(format!("unknown request class {code}"))),
+        _ => Err(Error::failed(format!("class {code} is unknown"))),
     }
 }
 
--- a/crates/wire/src/handler.rs
+++ b/crates/wire/src/handler.rs
@@ -22,7 +22,7 @@
 
 impl fmt::Display for ResponseClosed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the caller no longer reads the response")
+        f.write_str("the caller no longer wants the answer")
     }
 }
 
--- a/crates/wire/src/host.rs
+++ b/crates/wire/src/host.rs
@@ -28,9 +28,11 @@
         &self,
         handler: impl Future<Output = T> + Send + 'static,
     ) -> Result<T, Error> {
-        self.shared.runtime.spawn(handler).await.map_err(|error| {
-            Error::failed(format!("the handler failed: {error}"))
-        })
+        self.shared
+            .runtime
+            .spawn(handler)
+            .await
+            .map_err(|error| Error::failed(format!("handler: {error}")))
     }
 
     fn companion(&self) -> Result<Arc<dyn CompanionHandler>, Refusal> {
@@ -201,11 +203,8 @@
         let request = Bytes::copy_from_slice(request);
         let response =
             self.run_handler(self.entry()?.compare(request)).await?;
-        let response = response.ok_or_else(|| {
-            Error::failed(
-                "this process does not compare configurations".to_owned(),
-            )
-        })?;
+        let response = response
+            .ok_or_else(|| Error::failed("it compares nothing".to_owned()))?;
         results.get().set_answer(&response);
         Ok(())
     }
--- a/crates/wire/src/options.rs
+++ b/crates/wire/src/options.rs
@@ -20,7 +20,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::NotSent => f.write_str("the call was not sent"),
-            LinkError::Unknown => f.write_str("the response was lost"),
+            LinkError::Unknown => f.write_str("the answer is lost"),
             LinkError::Refused(kind) => write!(f, "refused: {kind:?}"),
         }
     }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -163,7 +163,7 @@
     let peer_hello = reply.get()?.get_hello()?;
     if peer_hello.get_protocol() < MIN_PROTOCOL_VERSION {
         return Err(capnp::Error::failed(format!(
-            "the peer supports protocol version {}, the minimum is {}",
+            "the peer speaks protocol {}, the oldest known here is {}",
             peer_hello.get_protocol(),
             MIN_PROTOCOL_VERSION
         )));
@@ -234,9 +234,10 @@
     }
 
     async fn forward(&self, frame: Frame) -> Result<(), capnp::Error> {
-        self.frames.send(Some(frame)).await.map_err(|_| {
-            capnp::Error::failed("the caller dropped the response".to_owned())
-        })
+        self.frames
+            .send(Some(frame))
+            .await
+            .map_err(|_| capnp::Error::failed("the caller is gone".to_owned()))
     }
 }
 
@@ -252,7 +253,7 @@
         // call. The ids in the message identify such a response.
         if id != self.request_id || params.get_attempt() != self.attempt {
             return Err(capnp::Error::failed(
-                "the response belongs to another call".to_owned(),
+                "the answer belongs to another call".to_owned(),
             ));
         }
         let status = params.get_status();
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -274,8 +274,7 @@
         let hello = params.get()?.get_hello()?;
         if hello.get_protocol() < MIN_PROTOCOL_VERSION {
             return Err(Error::failed(format!(
-                "protocol version {} is not supported, the minimum is \
-                 {MIN_PROTOCOL_VERSION}",
+                "protocol {} is too old, the oldest is {MIN_PROTOCOL_VERSION}",
                 hello.get_protocol()
             )));
         }
@@ -305,9 +304,7 @@
         // Taking the nonces makes them valid for a single proof.
         let nonces = self.nonces.take();
         if nonces.own.is_empty() {
-            return Err(Error::failed(
-                "the proof was not preceded by a hello".to_owned(),
-            ));
+            return Err(Error::failed("no hello before the proof".to_owned()));
         }
         let parts = [CLIENT_PROOF, &nonces.peer, &nonces.own];
         let proof = params.get()?.get_proof()?;
